--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -17,54 +17,54 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// A controller is the work of one failure domain's tenure: whoever holds it gives
-// orders to the domain's runners and tells everybody what they hold.
+// A controller manages one failure domain. The instance that holds the domain's lease,
+// its leader, sends orders to the domain's runners and publishes which adapters they hold.
 type controller struct {
 	gatekeeper *Gatekeeper
 	domain     string
 
 	mu       sync.Mutex
 	elector  elector.Elector
-	acting   uint64        // fencing number under which the placers were begun; 0 for none
-	next     time.Duration // before which the store is not asked again, after a call that failed
-	look     time.Duration // before which the row of the tenure is not looked at again
-	calling  bool          // a call to the store about the tenure is under way
-	looking  bool          // nobody seems to hold the tenure
+	acting   uint64        // fencing number for which the placers were created; 0 for none
+	next     time.Duration // earliest time of the next store call, after a failed one
+	look     time.Duration // earliest time of the next poll of the lease row
+	calling  bool          // a store call for the lease is in flight
+	looking  bool          // the domain appears to have no leader, and the lease row is polled
 	runners  map[string]*runnerState
-	sum      uint64            // checksum of the runners
-	gather   gatherer.Gatherer // of what members tell, or of what is passed on to the holder
-	counting time.Time         // since when members have told the holder here
+	sum      uint64            // checksum of the runner descriptions
+	gather   gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that forwards them to it
+	counting time.Time         // when this instance received the first demand report as leader
 	news     journal
 	window   placer.Window
 	share    admitter.Share
 	cut      severance
-	stuck    time.Time // since when other holders reach the store and this one does not
-	ended    uint64    // fencing number of the tenure that was given up last
-	heard    retold    // of the holder, while another instance is that
+	stuck    time.Time // since when other leaders have reached the store and this one has not
+	ended    uint64    // fencing number of the lease that was released last
+	heard    retold    // last update from the leader, while another instance leads
 
-	followers int           // members that are told of the domain here
-	line      time.Duration // until a further load begins, as of lined
+	followers int           // members that subscribe to the domain here
+	line      time.Duration // expected wait until a further load begins, as of lined
 	lined     time.Time
 }
 
-// A runnerState is one runner as the holder of the tenure sees it.
+// A runnerState is the leader's view of one runner.
 type runnerState struct {
 	runner tracker.Runner
-	placer *placer.Placer // nil while this instance does not act, or for a plain service
-	busy   bool           // an order or a report is under way
-	asked  time.Time      // for the last report
+	placer *placer.Placer // nil while this instance sends no orders, and for a plain service
+	busy   bool           // an order or a report request is in flight
+	asked  time.Time      // when the last report was requested
 	line   admitter.Timeline
-	places tracker.Places // of a plain service
+	places tracker.Places // request slots of a plain service
 	told   map[placer.Copy]time.Time
-	wait   time.Duration // for a place, as last told
+	wait   time.Duration // for an adapter slot, as last published
 	dark   darkness
 }
 
-// reportEvery bounds how often a runner is asked what it holds. A report is as
-// old as some hundred milliseconds, so a sooner one says the same.
+// reportEvery limits how often a runner is asked for a report. A report is already some
+// hundred milliseconds old on arrival, so more frequent ones add nothing.
 const reportEvery = 250 * time.Millisecond
 
-// set takes in the description of a runner.
+// set adds or replaces the description of a runner.
 func (d *controller) set(r tracker.Runner, changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,7 +93,7 @@
 	return runners
 }
 
-// gone takes a runner out, if it is known.
+// gone removes a runner, if it is known.
 func (d *controller) gone(id string, revision uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,21 +106,21 @@
 	d.news.add(event{gone: &relayer.Gone{Runner: id, Revision: revision}})
 }
 
-// acts reports whether orders may be sent now, and with which fencing number.
+// acts returns the fencing number of the lease and whether orders may be sent now.
 func (d *controller) acts() (uint64, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.elector.Acts(uptime())
 }
 
-// holds reports whether this instance holds the tenure.
+// holds reports whether this instance leads the domain.
 func (d *controller) holds() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.elector.Holds(uptime())
 }
 
-// tick sends what is due to the runners.
+// tick sends the orders and report requests that are due.
 func (d *controller) tick(ctx context.Context) {
 	now := time.Now()
 	d.mu.Lock()
@@ -171,8 +171,8 @@
 	}
 }
 
-// begin starts with fresh knowledge: what was known under an earlier tenure may
-// have been changed by another holder since.
+// begin discards all placer state: another leader may have changed what the runners hold
+// since the earlier lease.
 func (d *controller) begin(fence uint64) {
 	d.acting = fence
 	for _, c := range d.runners {
@@ -182,13 +182,13 @@
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "giving orders", "domain", d.domain, "fence", fence, "runners", len(d.runners))
 }
 
-// rest drops what is only valid for a holder.
+// rest drops the state that is only valid on the leader.
 func (d *controller) rest() {
 	if d.acting == 0 {
 		return
 	}
 	d.acting = 0
-	d.gather.Clear() // members tell the next holder
+	d.gather.Clear() // members report to the next leader
 	d.counting = time.Time{}
 	for _, c := range d.runners {
 		c.placer = nil
@@ -196,7 +196,7 @@
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "giving no more orders", "domain", d.domain)
 }
 
-// placer returns the state of a runner's places, or nil for a plain service.
+// placer returns a new placer for a runner's adapter slots, or nil for a plain service.
 func (d *controller) placer(catalog *matcher.Catalog, r tracker.Runner) *placer.Placer {
 	if catalog == nil {
 		return nil
@@ -220,7 +220,7 @@
 	return &placer.Placer{Copies: d.copies, InUse: inUse, Model: model.Name, Places: places, Loads: perRunner}
 }
 
-// report asks a runner what it holds.
+// report asks a runner which adapters it holds.
 func (d *controller) report(ctx context.Context, c *runnerState) {
 	c.busy = true
 	p, runner := c.placer, c.runner
@@ -240,7 +240,7 @@
 	}()
 }
 
-// send sends an order, if the tenure still allows it when it goes out.
+// send sends an order, provided that the lease is still valid when it goes out.
 func (d *controller) send(ctx context.Context, c *runnerState, o placer.Order) {
 	c.busy = true
 	p, runner, fence := c.placer, c.runner, d.acting
@@ -260,14 +260,13 @@
 	}()
 }
 
-// tell notes for the members what a runner holds that it did not when they were
-// last told.
+// tell publishes the changes in what a runner holds since the last call.
 func (d *controller) tell(c *runnerState) {
 	held := c.placer.Held()
 	now := time.Now()
 	for copied, at := range held {
 		before, ok := c.told[copied]
-		if !ok || !before.Equal(at) && (at.After(now) || before.After(now)) { // members know that what was to come has come
+		if !ok || !before.Equal(at) && (at.After(now) || before.After(now)) { // a load that completes as expected is no change for members
 			d.news.add(event{held: &heldEvent{runner: c.runner.ID, copy: copied, at: at, there: true}})
 		}
 	}
--- a/internal/instance/gatekeeper/crash.go
+++ b/internal/instance/gatekeeper/crash.go
@@ -11,48 +11,48 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// A connection that ends in the middle of an answer shows little: it may have been
-// reset, the answer may have been lost or spoiled, the runner may have left as planned.
-// A crash is that and then a runner that takes no connection, or another incarnation in
-// its place. So whoever saw an answer break off asks the runner itself, at once.
+// A connection that ends in the middle of a response is no proof of a crash: it may have been
+// reset, the response may have been lost or corrupted, or the runner may have shut down
+// gracefully. It is a crash if the runner then refuses connections or another incarnation has
+// replaced it. So the instance that saw a response break off probes the runner at once.
 
 const (
-	// checkPause is the pause before a runner is asked, and between two questions. One
-	// that has just crashed may still take a connection for a moment.
+	// checkPause is the pause before each probe of a runner. One that has just crashed may
+	// still accept a connection for a moment.
 	checkPause = 80 * time.Millisecond
-	// refusals is how many questions in a row a runner refuses before it counts as
-	// crashed. One that has no connection to spare may refuse one.
+	// refusals is how many consecutive probes must be refused before a runner counts as
+	// crashed. A live runner that has run out of connections may refuse one.
 	refusals = 2
-	// checkTime bounds the questions to a runner. What is silent for longer is not
-	// suspected of anything: silence is what a cut link shows as well.
+	// checkTime bounds the probes of a runner. One that does not respond for longer is not
+	// treated as crashed, as a network partition looks the same.
 	checkTime = 2 * time.Second
-	// crashKept is how long a crash is known to those whose answers break off later
-	// than others', as their packets were lost.
+	// crashKept is how long a crash is remembered for requests whose responses break off later
+	// than others because of packet loss.
 	crashKept = 10 * time.Second
-	// mostChecked bounds the requests that wait for the result of one check. A runner
-	// runs 64 at once.
+	// mostChecked bounds the requests that wait for the result of one check. A runner runs up
+	// to 64 at once.
 	mostChecked = 256
 )
 
-// checks find out which runners have crashed. Its zero value is ready.
+// checks finds out which runners have crashed. Its zero value is ready to use.
 type checks struct {
 	mu    sync.Mutex
-	under map[string]*check // by runner
+	under map[string]*check // by runner ID
 }
 
 // A check finds out whether a runner has crashed.
 type check struct {
-	began    time.Time                            // when the first answer broke off there
-	crashed  bool                                 // it has; further requests that broke off there are suspected at once
-	requests map[quarantiner.Digest]time.Duration // and how long they had run
+	began    time.Time                            // when the first response broke off there
+	crashed  bool                                 // the runner has crashed; requests that break off there later are suspected at once
+	requests map[quarantiner.Digest]time.Duration // how long each had run
 }
 
-// add takes in that a request broke off at a runner that was sent there at a time. begin
-// reports that a check is to be made, crashed that it was and that the runner has crashed.
+// add records that the response to a request sent at the given time broke off at a runner.
+// begin reports that a check must be started, crashed that one has shown a crash.
 //
-// What was sent after the first answer had broken off is no suspect. A runner that is down
-// may seem to take it, behind a proxy; whoever was sent to three of them before their
-// rows were gone was rejected for good.
+// Requests that were sent after the first response broke off are not suspected. A runner
+// that is down may appear to accept them, behind a proxy; requests that were sent to three
+// such runners before their rows were gone were rejected permanently.
 func (c *checks) add(runner string, d quarantiner.Digest, sent time.Time) (begin, crashed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -74,8 +74,8 @@
 	return !ok, one.crashed
 }
 
-// end ends a check and returns the requests that waited for it. One that showed a crash
-// is kept for those that come late.
+// end ends a check and returns the requests that waited for it. A check that showed a crash
+// is kept for requests that break off late.
 func (c *checks) end(runner string, crashed bool) map[quarantiner.Digest]time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -109,13 +109,14 @@
 	}
 }
 
-// endsAsPlanned reports whether a runner has said that it leaves, or has left.
+// endsAsPlanned reports whether a runner is shutting down gracefully, or has been removed.
 func (g *Gatekeeper) endsAsPlanned(runner tracker.Runner) bool {
 	_, known := g.Fleet.Get(runner.ID)
 	return !known || g.leaves(runner)
 }
 
-// check finds out whether a runner has crashed, and if so suspects what broke off there.
+// check finds out whether a runner has crashed, and if so suspects the requests that broke off
+// there.
 func (g *Gatekeeper) check(runner tracker.Runner) {
 	began := time.Now()
 	life := g.lifeOf(runner)
@@ -128,13 +129,13 @@
 	}
 }
 
-// leaves reports whether a runner has said that it leaves.
+// leaves reports whether a runner has announced that it is shutting down.
 func (g *Gatekeeper) leaves(runner tracker.Runner) bool {
 	known, ok := g.Fleet.Get(runner.ID)
 	return ok && known.Leaving
 }
 
-// lifeOf asks a runner until it is clear whether it lives, or the time for that is over.
+// lifeOf probes a runner until it is clear whether it is alive, or until checkTime is over.
 func (g *Gatekeeper) lifeOf(runner tracker.Runner) tracker.Life {
 	ctx, cancel := context.WithTimeout(context.Background(), checkTime)
 	defer cancel()
--- a/internal/instance/gatekeeper/dark.go
+++ b/internal/instance/gatekeeper/dark.go
@@ -7,22 +7,21 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// A darkness counts the signs that a runner does not live. Its row stays for
-// seconds after a crash, and no request fails there that waits for an adapter: with
-// all its places vacant the runner looked like the best of all, 67 adapters stood
-// in line for it, and their requests were refused when their patience ended.
+// A darkness is a score of the signs that a runner is down. After a crash its row stays for
+// seconds, and requests that wait for an adapter do not fail there: with all its slots free
+// the runner looked like the best choice, 67 adapters queued for it, and their requests were
+// refused when they reached their wait limit.
 type darkness int
 
 const (
-	// unanswered and unreached are how much an order without an answer and a
-	// connection that was not made count, and dark is from where on a runner is
-	// passed over. Where half of the orders get no answer, one runner in sixteen is
-	// passed over until its next answer.
+	// unanswered and unreached are the penalties for an order without a response and for a
+	// failed connection, and dark is the score from which on a runner is skipped. If half of
+	// the orders get no response, one runner in sixteen is skipped until its next response.
 	unanswered darkness = 1
 	unreached  darkness = 2
 	dark       darkness = 4
-	// darkWait is how long a place is said to be waited for at such a runner: longer
-	// than at any that lives, and no longer than its row stays.
+	// darkWait is the published wait for a slot at such a runner. It is longer than at any
+	// live runner, and no longer than the row of a crashed one stays.
 	darkWait = 2 * time.Second
 )
 
--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -10,11 +10,11 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// silent is how long after its last word a member counts no more.
+// silent is the time after its last demand report when a member is dropped.
 const silent = 3 * time.Second
 
-// Demanded implements relayer.Demander: a member tells what its requests need, to
-// whoever orders in the domain or passes the word on to that instance.
+// Demanded implements relayer.Demander: it handles a member's demand report as the leader of
+// the domain, or forwards it to the leader.
 func (g *Gatekeeper) Demanded(from heartbeater.Instance, demand relayer.Demand) {
 	d, ok := g.controllers[demand.Domain]
 	switch {
@@ -30,16 +30,16 @@
 	}
 }
 
-// knows reports whether a member's words are passed on here. An instance that has
-// just given its tenure up goes on with that until the member is told by another one;
-// without that the uses of a whole domain would not count for as long.
+// knows reports whether this instance forwards a member's reports. An instance that has just
+// stepped down goes on until the member receives updates from another one; otherwise the
+// uses of a whole domain would not be counted in between.
 func (d *controller) knows(member string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.gather.Knows(member)
 }
 
-// demanded takes in what a member's requests need and use.
+// demanded applies a member's demand report.
 func (d *controller) demanded(from string, demand relayer.Demand) {
 	now := time.Now()
 	d.mu.Lock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// wordOf returns what a demand tells of the sums.
+// wordOf returns the part of a demand report that is summed up over all members.
 func wordOf(demand relayer.Demand) gatherer.Word {
 	w := gatherer.Word{
 		Instances: 1 + demand.Others, Loads: demand.Loads,
@@ -85,7 +85,8 @@
 
 func keyOf(runner string, c placer.Copy) gatherer.Key { return gatherer.Key{Runner: runner, Copy: c} }
 
-// waits tells a runner's placer how many requests of all members wait for a copy.
+// waits updates a runner's placer with the number of requests of all members that wait for a
+// copy.
 func (d *controller) waits(k gatherer.Key, all placer.Waiting) {
 	d.with(k.Runner, func(p *placer.Placer) {
 		if all.Requests == 0 {
@@ -96,8 +97,8 @@
 	})
 }
 
-// others returns the work of all members but one. This instance is one of them: it
-// tells its own controller what it needs.
+// others returns the load of all members except one. This instance counts as a member: it
+// reports its demand to its own controller.
 func (d *controller) others(but string, now time.Time) map[string]tracker.Load {
 	d.gather.Expire(now)
 	return d.gather.Loads(but)
--- a/internal/instance/gatekeeper/keep.go
+++ b/internal/instance/gatekeeper/keep.go
@@ -11,24 +11,24 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// Crashes are kept in the table of the holders of tenures, which all instances follow
-// already: on a day without them they cost no call.
+// Crash records are stored in the table of the leaders, which all instances watch already, so
+// that they cost no store calls while there are none.
 
-// prefixCrash begins the keys of crashes. They go on with the digest, a slash and the
-// runner; no failure domain is named like that.
+// prefixCrash is the key prefix of crash records; the digest, a slash and the runner follow. No
+// failure domain has such a name.
 const prefixCrash = "crash/"
 
-// fromStore is where words of the store's rows come from.
+// fromStore is the source of crash reports and removals that were read from the store.
 const fromStore = "store"
 
-// writeMost is how many rows one call to the store writes; it takes 100.
+// writeMost is how many rows are written in one transaction; the store's limit is 100.
 const writeMost = 100
 
-// A rowState is how this instance wants a row to be.
+// A rowState is the desired state of a row.
 type rowState int
 
 const (
-	rowWritten rowState = iota // as wanted
+	rowWritten rowState = iota // in the desired state
 	rowPut
 	rowDropped
 )
@@ -36,14 +36,15 @@
 func crashValue(r quarantiner.Row) []byte {
 	value, err := encoder.Marshal(r)
 	if err != nil {
-		panic(err) // a number can always be encoded
+		panic(err) // integers can always be encoded
 	}
 	return value
 }
 
-// keepCrashes has the store keep the crashes of requests with some more of them, and
-// forget those that are cleared. Where not all holders are heard the first crash is kept
-// too: the second may be seen by an instance that nobody here can tell.
+// keepCrashes requests that the crashes of requests with quarantiner.KeptFrom or more of them
+// are stored, and that cleared ones are deleted. While some leaders send no updates the first
+// crash is stored too: the second may be observed by an instance that cannot be reached from
+// here.
 func (g *Gatekeeper) keepCrashes(words []quarantiner.Word) {
 	if len(words) == 0 {
 		return
@@ -67,8 +68,8 @@
 	signal(q.write)
 }
 
-// keepApart has the store keep what this instance saw itself while it does not hear all
-// holders: it may have told a teller that could not tell the others any more.
+// keepApart has the crashes that this instance observed itself stored while some leaders
+// send no updates: its source may have been unable to pass its reports on.
 func (g *Gatekeeper) keepApart() {
 	if g.hearsAll() {
 		return
@@ -76,7 +77,7 @@
 	g.keepCrashes(g.quarantine.ownWords(time.Now(), func(ownWord) bool { return true }))
 }
 
-// hearsAll reports whether the holders of all failure domains are heard.
+// hearsAll reports whether there are recent updates from the leaders of all failure domains.
 func (g *Gatekeeper) hearsAll() bool {
 	for domain, l := range g.links {
 		if l.silence() > unheard && !g.controllers[domain].holds() {
@@ -86,7 +87,7 @@
 	return true
 }
 
-// want notes how a row is to be. A row that was never written need not be dropped.
+// want sets the desired state of a row. A row that was never written need not be deleted.
 func (q *quarantine) want(c quarantiner.Crash, state rowState) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -101,7 +102,7 @@
 	q.rows[c] = state
 }
 
-// stored takes in whether there is a row.
+// stored records whether a row exists in the store.
 func (q *quarantine) stored(c quarantiner.Crash, there bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -116,7 +117,7 @@
 	}
 }
 
-// dropCrashes forgets what is too old.
+// dropCrashes has the rows of expired crashes deleted.
 func (g *Gatekeeper) dropCrashes(old []quarantiner.Crash) {
 	for _, c := range old {
 		g.quarantine.want(c, rowDropped)
@@ -126,7 +127,7 @@
 	}
 }
 
-// keepRows writes rows of crashes until ctx ends.
+// keepRows writes crash rows to the store until ctx ends.
 func (g *Gatekeeper) keepRows(ctx context.Context) {
 	failed := newPauses()
 	for {
@@ -153,7 +154,8 @@
 	}
 }
 
-// unwritten returns the transaction that makes rows as they are wanted, and which.
+// unwritten returns a transaction that brings rows into their desired states, and these
+// states.
 func (q *quarantine) unwritten(now time.Time) (tabler.Txn, map[quarantiner.Crash]rowState) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -175,13 +177,13 @@
 	return txn, states
 }
 
-// written notes that rows are as they were wanted when they were sent.
+// written records that rows are in the states that were sent to the store.
 func (q *quarantine) written(states map[quarantiner.Crash]rowState) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for c, state := range states {
 		switch {
-		case q.rows[c] != state: // wanted otherwise since
+		case q.rows[c] != state: // changed again since it was sent
 		case state == rowDropped:
 			delete(q.rows, c)
 		default:
@@ -194,7 +196,7 @@
 	return tableHolders + "/" + prefixCrash + string(c.Digest) + "/" + c.Runner
 }
 
-// crashRowOf returns the crash that a row is of; ok is false if it is another row.
+// crashRowOf parses the key of a crash row; ok is false if it is another row.
 func crashRowOf(key string) (c quarantiner.Crash, ok bool) {
 	rest, ok := strings.CutPrefix(key, tableHolders+"/"+prefixCrash)
 	if !ok {
@@ -204,7 +206,7 @@
 	return quarantiner.Crash{Digest: quarantiner.Digest(digest), Runner: runner}, ok
 }
 
-// crashRow takes in a row of a crash. One that is dropped was cleared, or is too old.
+// crashRow applies a crash row. A deleted row means that the crash was cleared or has expired.
 func (g *Gatekeeper) crashRow(c quarantiner.Crash, r tabler.Row) {
 	word := quarantiner.Word{Digest: c.Digest, Runner: c.Runner, Cleared: r.Removed}
 	if !r.Removed {
@@ -219,8 +221,9 @@
 	g.quarantine.stored(c, !r.Removed)
 	current, known := g.quarantine.ledger.Word(c, time.Now())
 	if !r.Removed && (known && current.Cleared || word.Age >= quarantiner.Memory) && g.holdsAny() {
-		// It was cleared before it was written, or is too old. Left there, it would be
-		// suspected again after a restart of all instances, or stay for good.
+		// It was cleared before the row was written, or has expired. If the row stayed, the
+		// request would be suspected again after a restart of all instances, or the row would
+		// never be deleted.
 		g.quarantine.want(c, rowDropped)
 		signal(g.quarantine.write)
 	}
--- a/internal/instance/gatekeeper/learn.go
+++ b/internal/instance/gatekeeper/learn.go
@@ -10,38 +10,37 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// An estimate is how long a load takes that only shows as done or not yet. Its
-// zero value has to be set before use; it is safe for concurrent use.
+// An estimate is the estimated duration of a load. A request only shows whether a load is
+// complete, so the duration is not measured directly. It has to be set before use; it is safe
+// for concurrent use.
 type estimate struct {
 	mu      sync.Mutex
-	late    time.Time // when a load was last late
-	learnt  time.Time // when one was last taken in
+	late    time.Time // when a load last took longer than estimated
+	learnt  time.Time // when a load was last observed
 	current time.Duration
 }
 
 const (
-	// above is the part by which a load that was late is taken to have lasted
-	// longer than was seen.
+	// above is the fraction by which a late load is assumed to have taken longer than observed.
 	above = 0.05
-	// shrink is how much shorter the estimate becomes in a second right after a
-	// late load, and shrinkTime after how long it is twice that; it goes on growing
-	// with the square of the time, up to mostShrink. The estimate then takes two
-	// seconds to come down to where loads are late, which is found out by all that
-	// began within one load's time: one in seven; after a time in which all loads
-	// were twice as slow it is right again within five. When each load in time made it
-	// shorter by a part, hundreds did before the first late one showed: two in
-	// five were late, and each cost one of the retries that all instances share.
+	// shrink is the rate per second at which the estimate decreases right after a late load,
+	// and shrinkTime the time until that rate has doubled; it goes on growing with the square
+	// of the time, up to mostShrink. The estimate then takes two seconds to come down to the
+	// point where loads are late, which all loads started within one load time find out: one
+	// in seven. After a time in which all loads took twice as long it is right again within
+	// five seconds. When each load in time decreased it by a fixed fraction instead, hundreds
+	// of loads did so before the first late one was observed: two in five were late, and each
+	// cost one of the retries that all instances share.
 	shrink     = 0.02
 	shrinkTime = 1500 * time.Millisecond
 	mostShrink = 0.25
-	// oneStep bounds the time that one load stands for.
+	// oneStep bounds the time span that one load accounts for.
 	oneStep = 500 * time.Millisecond
-	// leastLoad and mostLoad bound what is learned, against a run of odd cases.
+	// leastLoad and mostLoad bound the estimate against a series of outliers.
 	leastLoad = 10 * time.Millisecond
 	mostLoad  = 3 * time.Second
-	// firstLoad is how long the load of an adapter from the weight store is
-	// assumed to take before one was observed, and firstReturn that of one which
-	// the runner held before.
+	// firstLoad is the initial estimate for loading an adapter from the weight store, and
+	// firstReturn for loading one that the runner held before.
 	firstLoad   = 270 * time.Millisecond
 	firstReturn = 35 * time.Millisecond
 )
@@ -58,11 +57,11 @@
 	e.current = d
 }
 
-// learn takes in one load. A late one says how long it took at least, and the
-// estimate does not grow far beyond that: when hundreds of loads are late at
-// once, as after a start with empty runners, growing by a part for each took it
-// to its bound of seconds, and callers were refused for ten seconds for loads
-// that would have taken a third of one.
+// learn records one load. A late load gives a lower bound for its duration, and the estimate
+// does not grow far beyond that. When hundreds of loads were late at once, as after a start
+// with empty runners, growing by a fraction for each took the estimate to its bound of
+// seconds, and callers were refused for ten seconds because of loads that would have taken a
+// third of a second.
 func (e *estimate) learn(a placer.Arrival, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -76,15 +75,14 @@
 	e.learnt = now
 }
 
-// step returns the part by which a load that was in time makes the estimate
-// shorter.
+// step returns the fraction by which a load in time decreases the estimate.
 func (e *estimate) step(now time.Time) float64 {
 	since := float64(now.Sub(e.late)) / float64(shrinkTime)
 	rate := min(mostShrink, shrink*(1+since*since))
 	return rate * min(oneStep, now.Sub(e.learnt)).Seconds()
 }
 
-// learn takes in what the first use of a copy tells of the time of loads.
+// learn records what the first use of a copy shows of load times.
 func (d *controller) learn(a placer.Arrival, ok bool) {
 	switch {
 	case !ok:
@@ -97,11 +95,10 @@
 	}
 }
 
-// paceEvery is how often the learned times are logged.
+// paceEvery is the interval at which the estimates are logged.
 const paceEvery = 5 * time.Second
 
-// tellPaces logs what was learned, for whoever asks later why a request was held
-// back or refused.
+// tellPaces logs the estimates, to explain later why a request was delayed or refused.
 func (g *Gatekeeper) tellPaces(ctx context.Context) {
 	repeater.Every(ctx, paceEvery, nil, func() {
 		catalog := g.Catalog()
@@ -122,9 +119,8 @@
 	})
 }
 
-// LoadTime returns how long the load of an adapter from the weight store takes.
+// LoadTime returns the estimated time to load an adapter from the weight store.
 func (g *Gatekeeper) LoadTime() time.Duration { return g.loads.get() }
 
-// ReturnTime returns how long the load of an adapter takes that the runner held
-// before.
+// ReturnTime returns the estimated time to load an adapter that the runner held before.
 func (g *Gatekeeper) ReturnTime() time.Duration { return g.returns.get() }
--- a/internal/instance/gatekeeper/loads.go
+++ b/internal/instance/gatekeeper/loads.go
@@ -9,15 +9,15 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// loads is how the loads of a failure domain stand.
+// loads summarizes the adapter loads of a failure domain.
 type loads struct {
 	engines  int
-	room     int // adapters that may be on their way from the weight store at once
-	fetching int // that are
-	waiting  int // that requests wait for and that are not on their way
+	room     int // limit on concurrent loads from the weight store
+	fetching int // loads in progress from the weight store
+	waiting  int // adapters that requests wait for and that are not being loaded
 }
 
-// loads sums up how the runners' loads stand.
+// loads sums up the loads of all runners of the domain.
 func (d *controller) loads(now time.Time) loads {
 	var l loads
 	for _, c := range d.runners {
@@ -33,9 +33,10 @@
 	return l
 }
 
-// allows returns what may be fetched. A copy that no request waits for must not
-// take the weight store from one that somebody does: on a calm day of the
-// Association, whose adapters bind, that cost 0.025 of the day's worth.
+// allows returns which adapters may be fetched. Prefetching a copy that no request waits for
+// must not compete for the weight store with one that requests wait for: on a day without
+// faults of the Association, where adapter loads are the bottleneck, that cost 0.025 of the
+// day's value.
 func (l loads) allows() placer.Room {
 	switch {
 	case l.fetching >= l.room:
@@ -47,7 +48,8 @@
 	}
 }
 
-// order returns the runners' IDs, those with the most requests waiting first.
+// order returns the IDs of the runners, sorted by the number of waiting adapters, largest
+// first.
 func (d *controller) order() []string {
 	ids := make([]string, 0, len(d.runners))
 	waiting := make(map[string]int, len(d.runners))
@@ -61,8 +63,7 @@
 	return ids
 }
 
-// wait returns how long an adapter that is asked for now waits until its load
-// begins.
+// wait returns how long a newly requested adapter waits until its load begins.
 func (d *controller) wait(now time.Time) time.Duration {
 	if now.Sub(d.lined) >= leadEvery {
 		l := d.loads(now)
@@ -71,11 +72,10 @@
 	return d.line
 }
 
-// perRunner is how many adapters may be on their way to one runner at once, as
-// engines allow.
+// perRunner is the number of concurrent loads per runner that engines allow.
 const perRunner = 4
 
-// copies returns how many runners of the domain hold a copy or are getting it.
+// copies returns how many runners of the domain hold or are loading a copy.
 func (d *controller) copies(copied placer.Copy) int {
 	copies := 0
 	for _, c := range d.runners {
@@ -86,7 +86,7 @@
 	return copies
 }
 
-// tellLoads logs how the loads of the domain stand, if this instance orders them.
+// tellLoads logs the loads of the domain, if this instance sends its orders.
 func (d *controller) tellLoads() {
 	now := time.Now()
 	d.mu.Lock()
--- a/internal/instance/gatekeeper/needs.go
+++ b/internal/instance/gatekeeper/needs.go
@@ -10,37 +10,37 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/forwarder"
 )
 
-// needs are what is to be told of requests at the domain's runners. Uses and waits
-// are told whole, so that an end that is lost on the way is told with the next
-// word; the rest is what was seen since the last one.
+// needs is the demand at the domain's runners that is to be reported. Uses and waits are
+// reported as a full snapshot, so that the next report makes up for one that was lost; the
+// other fields hold what was observed since the last report.
 type needs struct {
-	short   int // answers with only short pauses
-	long    int // and with a long one
+	short   int // responses with only short pauses
+	long    int // responses with a long pause
 	missing map[gatherer.Key]bool
 	spare   map[gatherer.Key]bool
 	there   map[gatherer.Key]found
 	uses    map[gatherer.Key]int
-	waits   map[gatherer.Key]map[string]waiter // by request
+	waits   map[gatherer.Key]map[string]waiter // by copy and request ID
 }
 
-// A found says what requests found a copy at a runner.
+// A found counts the requests that found a copy loaded on a runner.
 type found struct {
 	requests int
-	sent     time.Time // the first of them
+	sent     time.Time // when the first of them was sent
 }
 
 // A waiter is a request that waits for a copy.
 type waiter struct {
 	inTime   bool
-	last     time.Time // when it said so last
+	last     time.Time // when it was last refreshed
 	priority int
 }
 
-// stillWaits is how long a request counts as waiting that does not say so again;
-// it looks every 10 ms.
+// stillWaits is how long a request counts as waiting after its last refresh. A waiting
+// request refreshes every 10 ms.
 const stillWaits = 50 * time.Millisecond
 
-// tellSelf takes in this instance's own needs where it holds the tenure.
+// tellSelf applies this instance's own demand if it leads the domain.
 func (g *Gatekeeper) tellSelf(domain string, demand relayer.Demand) {
 	d := g.controllers[domain]
 	d.demanded(g.Config.ID, demand)
@@ -65,7 +65,7 @@
 	}
 }
 
-// linkOf returns the link of the domain that a runner is in.
+// linkOf returns the link to the domain of a runner.
 func (g *Gatekeeper) linkOf(runner string) (*link, bool) {
 	r, ok := g.Fleet.Get(runner)
 	if !ok {
@@ -121,8 +121,8 @@
 	}
 }
 
-// newlyAsked reports whether a copy was not asked for a moment ago, so that the
-// holder is to be told at once.
+// newlyAsked reports whether the copy was not requested within hurryAgain, so that the leader
+// needs an immediate report.
 func (l *link) newlyAsked(k gatherer.Key, now time.Time) bool {
 	if now.Sub(l.asked[k]) <= hurryAgain {
 		return false
@@ -145,7 +145,7 @@
 	l.needs.find(keyOf(runner, c), found{requests: 1, sent: sent})
 }
 
-// find takes in that requests found a copy.
+// find records requests that found a copy.
 func (n *needs) find(k gatherer.Key, more found) {
 	if n.there == nil {
 		n.there = make(map[gatherer.Key]found)
@@ -158,9 +158,9 @@
 	n.there[k] = f
 }
 
-// Use implements forwarder.Placement. The end of a use is told at once where
-// others wait for a place: with the next word it would come up to a beat late, a
-// good part of the time for which a short run needs its place.
+// Use implements forwarder.Placement. The end of a use is reported at once if other copies
+// wait for a slot: the next periodic report would come up to one interval later, a large
+// part of the time for which a short run needs its slot.
 func (g *Gatekeeper) Use(runner string, c placer.Copy) (done func()) {
 	l, ok := g.linkOf(runner)
 	if !ok {
@@ -213,5 +213,5 @@
 	l.hurry()
 }
 
-// hurry makes the link speak at once.
+// hurry makes the link send a report at once.
 func (l *link) hurry() { signal(l.kick) }
--- a/internal/instance/gatekeeper/pending.go
+++ b/internal/instance/gatekeeper/pending.go
@@ -9,36 +9,38 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// Rows of living runners lapse while the store is away, and runners write them again within
-// about two seconds of its return. A removal that is read just after an outage is pending
-// until then: executed at once, it would cost runners that live.
+// Rows of live runners expire during a store outage, and runners write them again within about
+// two seconds of its end. A removal that is read just after an outage is held back until then;
+// if it were executed at once, live runners would be lost.
 
-// pendingRemovals are the removals that may be mistaken, by runner.
+// pendingRemovals holds the removals that may be mistaken, by runner ID.
 type pendingRemovals map[string]pendingRemoval
 
-// A pendingRemoval is executed after the grace time, unless the runner is described anew.
+// A pendingRemoval is executed after the grace period, unless a newer description of the runner
+// arrives.
 type pendingRemoval struct {
 	revision uint64
-	by       string // instance that told of it, or the store
+	by       string // instance that published the removal, or the store
 	why      string
 }
 
 const (
-	// removalGrace is how long after the store's return a row may come back.
+	// removalGrace is how long after the end of a store outage a row may be written again.
 	removalGrace = 2500 * time.Millisecond
-	// settled is how long after any trouble no instance uses a runner that has left. It is
-	// the shortest that any deployment asks for.
+	// settled is the time after any fault by which no instance uses a runner that has left. It is
+	// the shortest that any deployment requires.
 	settled = 3 * time.Second
-	// graceAfterTrouble bounds the grace time by this instance's last trouble, as the store may
-	// have been back soon after it. What is left is for the removal to reach everybody.
+	// graceAfterTrouble limits the grace period relative to this instance's last failed store
+	// call, as the store may have recovered soon after it. The remainder of settled is for the
+	// removal to reach all instances.
 	graceAfterTrouble = settled - 200*time.Millisecond
-	// expireEvery is how often it is looked whether the grace time is over.
+	// expireEvery is the interval of the checks whether the grace period is over.
 	expireEvery = 50 * time.Millisecond
-	// stoodStillFor is the time without such a look after which the instance has stood still.
+	// stoodStillFor is the gap between two such checks that shows that the process was paused.
 	stoodStillFor = time.Second
 )
 
-// cancelRemoval cancels the pending removal of a runner that was described anew since.
+// cancelRemoval cancels the pending removal of a runner for which a newer description arrived.
 func (g *Gatekeeper) cancelRemoval(r tracker.Runner) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -47,7 +49,7 @@
 	}
 }
 
-// remove takes a runner out, at once or after the grace time.
+// remove removes a runner, at once or after the grace period.
 func (g *Gatekeeper) remove(id string, revision uint64, by, why string) {
 	now := time.Now()
 	due := g.removalDue(now)
@@ -68,7 +70,7 @@
 		"until", due.Sub(now))
 }
 
-// removalDue returns when the grace time ends; a time that has passed if there is none.
+// removalDue returns when the grace period ends; a time in the past if there is none.
 func (g *Gatekeeper) removalDue(now time.Time) time.Time {
 	returned, away := g.storeUp.returned(now)
 	if !away {
@@ -82,12 +84,12 @@
 	return due
 }
 
-// expireRemovals executes pending removals after the grace time, until ctx ends.
+// expireRemovals executes pending removals after the grace period, until ctx ends.
 func (g *Gatekeeper) expireRemovals(ctx context.Context) {
 	repeater.Every(ctx, expireEvery, nil, g.removeExpired)
 }
 
-// removeExpired executes the pending removals if the grace time is over.
+// removeExpired executes the pending removals if the grace period is over.
 func (g *Gatekeeper) removeExpired() {
 	g.learning.Lock()
 	defer g.learning.Unlock()
@@ -108,7 +110,7 @@
 	}
 }
 
-// hasPending reports whether removals are pending.
+// hasPending reports whether there are pending removals.
 func (g *Gatekeeper) hasPending() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/instance/gatekeeper/place.go
+++ b/internal/instance/gatekeeper/place.go
@@ -11,9 +11,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// Place implements forwarder.Placement. Whoever orders for the runner's domain counts the
-// requests that are there: what each instance knows of the others' is as old as a few runs
-// take.
+// Place implements forwarder.Placement. The leader of the runner's domain counts the requests at
+// the runner: what an instance knows of the requests of others is as old as a few runs take.
 func (g *Gatekeeper) Place(ctx context.Context, runner string, within time.Duration) (p forwarder.Place, refused *judge.Error, ok bool) {
 	l, found := g.linkOf(runner)
 	if !found {
@@ -42,13 +41,14 @@
 	return forwarder.Place{Done: sync.OnceFunc(conversation.Close), Wait: answer.Wait}, nil, true
 }
 
-// noPlace returns what Place does after an error: a refusal, or that nobody can tell.
+// noPlace returns the results of Place after an error: a refusal, or ok false if there is no
+// answer.
 func noPlace(err error) (p forwarder.Place, refused *judge.Error, ok bool) {
 	refused = tooFull(err)
 	return forwarder.Place{}, refused, refused != nil
 }
 
-// tooFull returns the refusal that an error is if it is one for want of room, else nil.
+// tooFull returns err as a refusal if it was refused for lack of capacity, else nil.
 func tooFull(err error) *judge.Error {
 	if !is(err, judge.ReasonQueue) {
 		return nil
@@ -56,7 +56,7 @@
 	return judge.As(err)
 }
 
-// place counts a request in at a runner until done, or refuses it.
+// place takes a request slot at a runner until done is called, or refuses the request.
 func (d *controller) place(runner string, within time.Duration) (wait time.Duration, done func(), err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,14 +73,14 @@
 	return wait, sync.OnceFunc(func() { d.leave(c, entry) }), nil
 }
 
-// leave counts a request out at a runner.
+// leave releases a request slot at a runner.
 func (d *controller) leave(c *runnerState, e tracker.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c.places.Leave(e, c.runner.Slots, time.Now())
 }
 
-// holdPlace answers a Place, and holds the place until the sender wants it no more.
+// holdPlace answers a Place, and holds the request slot until the sender cancels.
 func (d *controller) holdPlace(ctx context.Context, m relayer.Place, reply replier) error {
 	wait, done, err := d.place(m.Runner, m.Within)
 	if err != nil {
--- a/internal/instance/gatekeeper/quarantine.go
+++ b/internal/instance/gatekeeper/quarantine.go
@@ -8,29 +8,30 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// What instances know of requests that crash runners goes three ways, each of which
-// serves when another fails:
+// Crash reports, on requests that crashed runners, spread in three ways, each of which covers
+// for failures of the others:
 //
-//   - A member tells its teller what it saw itself, in each word until it hears it back.
-//   - Whoever tells others tells them everything that it knows, its own and what it was
-//     told. A crash is told once each way, as what is known already is no news.
-//   - The store keeps the crashes of a request with two or more of them. So they outlast
-//     a restart of all instances, and reach those that no instance tells.
+//   - A member sends its own observations to its source, with each report until the source
+//     publishes them back.
+//   - Every source publishes all it knows, its own observations and what it received. Each
+//     crash is sent once per connection, since a known crash is not published again.
+//   - The store keeps the crashes of requests with two or more of them. They survive a restart
+//     of all instances, and reach instances that receive no updates.
 //
-// Nobody counts for the others: each comes to its own verdicts from the same set.
+// There is no coordinator: each instance derives its own verdicts from the same set.
 
-// A quarantine is what one instance knows of requests that crash runners, and whom it
-// has still to tell.
+// A quarantine is what one instance knows of requests that crash runners, and which of its
+// observations it has yet to report.
 type quarantine struct {
 	ledger quarantiner.Ledger
 
 	mu      sync.Mutex
-	changed time.Time                      // when there was news last
-	own     map[quarantiner.Crash]ownWord  // crashes and clearances that were seen here
-	held    map[quarantiner.Digest]bool    // as logged
-	rows    map[quarantiner.Crash]rowState // of the store
-	write   chan struct{}                  // wakes whoever writes rows
-	tell    chan struct{}                  // wakes whoever tells
+	changed time.Time                      // when a crash report last brought something new
+	own     map[quarantiner.Crash]ownWord  // crashes and clearances observed by this instance
+	held    map[quarantiner.Digest]bool    // as last logged
+	rows    map[quarantiner.Crash]rowState // desired states of the store's rows
+	write   chan struct{}                  // wakes the loop that writes rows
+	tell    chan struct{}                  // wakes the loop that reports crashes
 }
 
 func (q *quarantine) init() {
@@ -38,8 +39,8 @@
 	q.tell = make(chan struct{}, 1)
 }
 
-// suspicious is how long after news of a crash the store is asked often whether there
-// is more: a call that waits for changes may be one that nobody answers.
+// suspicious is how long after a new crash report the store is polled frequently: a watch may
+// be a call that is never answered.
 const suspicious = 20 * time.Second
 
 // Suspects implements forwarder.Quarantine.
@@ -61,7 +62,8 @@
 	g.seen(words)
 }
 
-// suspect takes in that a runner crashed while it ran some requests, for how long each.
+// suspect records that a runner crashed while it ran the given requests, with how long each had
+// run.
 func (g *Gatekeeper) suspect(runner string, requests map[quarantiner.Digest]time.Duration) {
 	words := make([]quarantiner.Word, 0, len(requests))
 	for d, ran := range requests {
@@ -75,7 +77,7 @@
 	g.seen(news)
 }
 
-// seen takes in what this instance saw itself, which it has to tell.
+// seen records this instance's own observations, which it has to report.
 func (g *Gatekeeper) seen(words []quarantiner.Word) {
 	if len(words) == 0 {
 		return
@@ -96,7 +98,7 @@
 	signal(g.quarantine.tell)
 }
 
-// hearWords takes in what others tell.
+// hearWords applies crash reports of other instances or of the store.
 func (g *Gatekeeper) hearWords(words []quarantiner.Word, from string) {
 	if len(words) == 0 {
 		return
@@ -107,7 +109,7 @@
 	}
 	for _, w := range news {
 		if !w.Cleared && len(g.quarantine.ledger.Open(w.Digest, time.Now())) >= quarantiner.KeptFrom {
-			g.logCrash(w, from) // the rest is logged by who saw it: there is much beside each culprit
+			g.logCrash(w, from) // other crashes are logged only where they were observed, as many innocent requests run beside each culprit
 		}
 	}
 	q := &g.quarantine
@@ -120,7 +122,7 @@
 	}
 }
 
-// lately reports whether there was news of a crash a moment ago.
+// lately reports whether there was a new crash report within suspicious.
 func (q *quarantine) lately(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/instance/gatekeeper/quota.go
+++ b/internal/instance/gatekeeper/quota.go
@@ -14,28 +14,28 @@
 )
 
 const (
-	// unknownPatience is how long a request waits for somebody who knows its quota, and
-	// unknownRetry how often it asks. A caller that is sent away comes back later than that.
+	// unknownPatience is how long a request waits for an instance that knows its quota, and
+	// unknownRetry the interval of its retries. A refused caller would retry later than that.
 	unknownPatience = 400 * time.Millisecond
 	unknownRetry    = 25 * time.Millisecond
-	// tokensPatience is how long a request waits for tokens that come in that time. It is
-	// what a caller would be told to stay away for at least.
+	// tokensPatience is the longest time that a request waits for tokens. A refused caller would
+	// be told to stay away for at least as long.
 	tokensPatience = 250 * time.Millisecond
-	// firstPart is the part of the tolerance that ledgers have between them which know
-	// nothing of the past; the rest is for cuts.
+	// firstPart is the fraction of the tolerance that is divided among ledgers that start without
+	// usage data; the rest is for network partitions.
 	firstPart = 0.7
 	// namedAccounts bounds the accounts that have a counter of their own.
 	namedAccounts = 100
 )
 
-// quotas are what this instance knows of the quotas of accounts.
+// quotas is what this instance knows of the quotas of accounts.
 type quotas struct {
 	spender limiter.Spender
 	ledger  limiter.Ledger
 	born    time.Time
 
 	mu      sync.Mutex
-	source  source          // that settles for this instance
+	source  source          // ledger with which this instance settles
 	counted map[string]bool // accounts that have a counter
 }
 
@@ -48,7 +48,7 @@
 	q.ledger.First = g.firstTokens
 }
 
-// limitOf returns the quota of an account as the configuration in force has it.
+// limitOf returns the quota of an account in the current configuration.
 func (g *Gatekeeper) limitOf(account string) (limiter.Limit, bool) {
 	catalog := g.Catalog()
 	if catalog == nil || catalog.Accounts == nil {
@@ -61,16 +61,16 @@
 	return a.Limit, true
 }
 
-// firstTokens returns what a ledger has of a quota that knows nothing of its use yet: its
-// part of the tolerance. Without it a small account has nothing for seconds after a
-// restart of all.
+// firstTokens returns the tokens that a new ledger grants of a quota before it knows its usage:
+// its share of the tolerance. Without them a small account has nothing for seconds after a
+// restart of all instances.
 func (g *Gatekeeper) firstTokens(l limiter.Limit) float64 {
 	b := g.Config.Bounds
 	tolerance := b.Over*(l.Rate*b.Quota.Seconds()+l.Burst) + b.Spare
 	return firstPart * tolerance / float64(len(g.domains()))
 }
 
-// Admit counts a request against the quota of its account, or refuses it.
+// Admit charges a request to the quota of its account, or refuses it.
 func (g *Gatekeeper) Admit(ctx context.Context, r limiter.Request) *judge.Error {
 	if !r.Limit.Bounds() {
 		return nil
@@ -92,14 +92,14 @@
 	}
 }
 
-// Return gives the tokens of a request back that has not run.
+// Return refunds the tokens of a request that has not run.
 func (g *Gatekeeper) Return(r limiter.Request) {
 	if r.Limit.Bounds() {
 		g.quotas.spender.Return(r.Account, r.Tokens, time.Now())
 	}
 }
 
-// countRefusal counts a request beyond its account's quota.
+// countRefusal counts a request that exceeds its account's quota.
 func (g *Gatekeeper) countRefusal(account string) {
 	q := &g.quotas
 	q.mu.Lock()
@@ -113,7 +113,7 @@
 	g.Metrics.GetOrCreateCounter(fmt.Sprintf(`sardinetiller_quota_refusals_total{account=%q}`, account)).Inc()
 }
 
-// decide decides on a request; by says who did.
+// decide decides on a request; by is the instance that decided.
 func (g *Gatekeeper) decide(ctx context.Context, r limiter.Request) (d limiter.Decision, by string) {
 	d = g.quotas.spender.Spend(r, time.Now())
 	if _, asks := d.(limiter.Ask); asks {
@@ -122,8 +122,8 @@
 	return d, g.Config.ID
 }
 
-// askUntilKnown asks again where nothing is known of the quota yet. After a restart of all
-// somebody leads again within that time.
+// askUntilKnown retries while nothing is known of the quota yet. After a restart of all
+// instances there is a leader again within unknownPatience.
 func (g *Gatekeeper) askUntilKnown(ctx context.Context, r limiter.Request) (d limiter.Decision, by string) {
 	for end := time.Now().Add(unknownPatience); ; pause(ctx, unknownRetry) {
 		d, by = g.askLedger(ctx, r)
@@ -133,8 +133,8 @@
 	}
 }
 
-// askLedger has whoever settles for this instance decide on a request, or decides alone if
-// nobody answers; by says who decided.
+// askLedger has the ledger of this instance decide on a request, or decides locally if there is
+// no answer; by is the instance that decided.
 func (g *Gatekeeper) askLedger(ctx context.Context, r limiter.Request) (d limiter.Decision, by string) {
 	s := &g.quotas.spender
 	asked := time.Now()
@@ -152,8 +152,8 @@
 	return s.SpendAlone(r, time.Now()), g.Config.ID
 }
 
-// decided returns what follows from a ledger's answer. One that does not know of the quota
-// has an older configuration.
+// decided applies a ledger's answer. A ledger that does not know the quota has an older
+// configuration.
 func (g *Gatekeeper) decided(r limiter.Request, balances []limiter.Balance, asked time.Time) limiter.Decision {
 	s := &g.quotas.spender
 	now := time.Now()
@@ -164,11 +164,11 @@
 	return s.Answered(r, balances[0], asked, now)
 }
 
-// mostLimitsLogged bounds the lines about the quotas that one configuration changes. The
-// first one brings those of all accounts, and would hide other lines of its kind.
+// mostLimitsLogged bounds the log lines for quotas changed by one configuration. The first
+// configuration changes those of all accounts, and would crowd out other lines of its kind.
 const mostLimitsLogged = 8
 
-// logLimits logs how many accounts a configuration has, and some of the quotas that it changes.
+// logLimits logs the number of accounts in a configuration, and some of the quotas that it changes.
 func (g *Gatekeeper) logLimits(old, current *matcher.Catalog) {
 	changed := 0
 	for a := range current.Accounts.All() {
--- a/internal/instance/gatekeeper/reserve.go
+++ b/internal/instance/gatekeeper/reserve.go
@@ -11,9 +11,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// askTimeout bounds how long a request waits to be told of room. The holder of
-// a tenure answers within a few milliseconds; without an answer the request goes
-// to the runner all the same.
+// askTimeout bounds how long a request waits for an answer on capacity. A leader answers within
+// a few milliseconds; without an answer the request is sent to the runner anyway.
 const askTimeout = 40 * time.Millisecond
 
 // Reserve implements forwarder.Placement.
@@ -33,7 +32,7 @@
 	}
 	if via.id != holder.id {
 		r.By = via.id
-		l.hurry() // the word of whoever passes this use on must not come without it
+		l.hurry() // the report of the instance that forwards this use must not arrive without it
 	}
 	conversation, message, err := g.askPeer(ctx, holder.address, r, askTimeout)
 	if err != nil {
@@ -47,8 +46,8 @@
 	return g.learnRoom(a, reserved, nil)
 }
 
-// learnRoom takes in what the holder said. Only a refusal for want of room is
-// one; any other failure leaves the request as it was.
+// learnRoom converts the leader's answer. Only a refusal for lack of capacity refuses the
+// request; any other failure has no effect on it.
 func (g *Gatekeeper) learnRoom(a forwarder.Ask, reserved relayer.Reserved, err error) (forwarder.Room, *judge.Error, bool) {
 	if err == nil {
 		if !reserved.Absent {
@@ -63,7 +62,7 @@
 	return forwarder.Room{}, nil, false
 }
 
-// reserve gives a request room at a runner, or refuses it.
+// reserve reserves capacity for a request at a runner, or refuses it.
 func (d *controller) reserve(from string, r relayer.Reserve) (relayer.Reserved, error) {
 	now := time.Now()
 	d.mu.Lock()
--- a/internal/instance/gatekeeper/room.go
+++ b/internal/instance/gatekeeper/room.go
@@ -2,10 +2,9 @@
 
 import "time"
 
-// placeWait returns how long a copy that a runner does not hold waits there for a
-// place. None is to be waited for as long as more of them can be had at once than
-// copies stand in line. Beyond, each place comes free after a load and a run, and
-// all of them together so many times as often.
+// placeWait returns how long a copy that a runner does not hold waits there for an adapter
+// slot. There is no wait while the free slots outnumber the queued copies. Beyond that, each
+// slot becomes free after a load and a run, and the wait is divided by the number of slots.
 func (d *controller) placeWait(c *runnerState, now time.Time) time.Duration {
 	if c.dark >= dark {
 		return darkWait
@@ -19,8 +18,8 @@
 	return time.Duration(ahead) * hold / time.Duration(p.Places)
 }
 
-// tellRoom notes for the members how long a copy waits for a place at a runner, if
-// that is another time than they were told.
+// tellRoom publishes how long a copy waits for an adapter slot at a runner, if that has
+// changed.
 func (d *controller) tellRoom(c *runnerState, now time.Time) {
 	wait := d.placeWait(c, now).Round(roomStep)
 	if wait == c.wait {
@@ -30,11 +29,11 @@
 	d.news.add(event{room: &roomEvent{runner: c.runner.ID, wait: wait}})
 }
 
-// roomStep is in which steps the wait for a place is told: small beside a load,
-// and large enough that most runs that begin or end change nothing.
+// roomStep is the granularity of the published wait for a slot: small compared with a load,
+// and large enough that most runs that start or end change nothing.
 const roomStep = 50 * time.Millisecond
 
-// rooms returns how long copies wait for places, by runner.
+// rooms returns how long copies wait for adapter slots, by runner.
 func (d *controller) rooms(now time.Time) map[string]time.Duration {
 	rooms := make(map[string]time.Duration, len(d.runners))
 	for id, c := range d.runners {
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -11,20 +11,20 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// Quotas are settled like everything else that instances share: with the source of
-// this instance, and between the holders of the failure domains.
+// Quotas are settled along the same paths as other shared state: an instance settles with its
+// source, and the leaders of the failure domains settle with each other.
 
 const (
-	// settleEvery is how often an instance settles what it has spent. Holders settle with each
-	// other at the first time that is exchangeEvery after the last one: bytes between domains
-	// are paid for.
+	// settleEvery is how often an instance settles what it has spent. Leaders settle with each
+	// other at the first such time at least exchangeEvery after the last: traffic between
+	// domains is paid for.
 	settleEvery   = 150 * time.Millisecond
 	exchangeEvery = 250 * time.Millisecond
-	// settleTimeout bounds such an update. No request waits for it.
+	// settleTimeout bounds such an exchange. No request waits for it.
 	settleTimeout = 400 * time.Millisecond
 )
 
-// party returns this instance as it settles what it spends itself.
+// party returns the reporter for this instance's own spending.
 func (g *Gatekeeper) party(now time.Time) limiter.Party {
 	born := g.quotas.born
 	return limiter.Party{Instance: g.Config.ID, Born: born.UnixNano(), Age: now.Sub(born)}
@@ -59,7 +59,7 @@
 	return relayer.Settled{Age: now.Sub(since), Balances: balances}, nil
 }
 
-// settleQuotas settles what is spent, until ctx ends.
+// settleQuotas settles this instance's spending periodically until ctx ends.
 func (g *Gatekeeper) settleQuotas(ctx context.Context) {
 	var exchanged time.Time
 	repeater.Every(ctx, settleEvery, nil, func() {
@@ -80,8 +80,8 @@
 	})
 }
 
-// keepsLedger reports whether this instance settles for others, as those do that hold a
-// tenure.
+// keepsLedger reports whether this instance keeps a ledger for others, as every leader does. It
+// starts and stops the ledger as required.
 func (g *Gatekeeper) keepsLedger(now time.Time) bool {
 	keeps := g.holdsAny() && !g.Leaving()
 	_, kept := g.quotas.ledger.Began()
@@ -107,14 +107,14 @@
 	if len(report) == 0 {
 		return
 	}
-	// Silence shows in what follows from it.
+	// Failures need no handling: the spender notices that its balances get old.
 	if settled, err := g.exchange(ctx, to, relayer.Settle{Party: g.party(now), Spent: report}, settleTimeout); err == nil {
 		g.settled(settled.Balances, now)
 	}
 }
 
-// partFrom informs the instance that settled for this one before that another one does. It
-// would keep a share back for this one.
+// partFrom unsubscribes from the ledger with which this instance settled before, which would
+// otherwise hold back a share for it.
 func (g *Gatekeeper) partFrom(ctx context.Context, to source, now time.Time) {
 	q := &g.quotas
 	q.mu.Lock()
@@ -132,7 +132,7 @@
 	}()
 }
 
-// settled takes in balances that were asked for at a time.
+// settled applies balances that were requested at the given time.
 func (g *Gatekeeper) settled(balances []limiter.Balance, asked time.Time) {
 	now := time.Now()
 	for _, b := range balances {
@@ -142,8 +142,8 @@
 	}
 }
 
-// settleWithHolders informs the holders of the other domains what those have spent who settle
-// here.
+// settleWithHolders reports to the leaders of the other domains what the instances that settle
+// here have spent.
 func (g *Gatekeeper) settleWithHolders(ctx context.Context, now time.Time) {
 	since, ok := g.quotas.ledger.Began()
 	if catalog := g.Catalog(); !ok || catalog == nil || catalog.Accounts == nil {
@@ -158,15 +158,15 @@
 	}
 }
 
-// settleWith informs the holder of another domain. All is sent again with the next update, and
-// silence shows there.
+// settleWith settles with the leader of another domain. A failure needs no handling: the next
+// report repeats everything, and the other ledger notices the missing ones.
 func (g *Gatekeeper) settleWith(ctx context.Context, to source, update relayer.Settle) {
 	if settled, err := g.exchange(ctx, to, update, settleTimeout); err == nil {
 		g.quotas.ledger.Adopt(settled.Balances, settled.Age, time.Now())
 	}
 }
 
-// otherHolders returns the instances that hold the tenures of other domains.
+// otherHolders returns the leaders of other domains.
 func (g *Gatekeeper) otherHolders() []source {
 	var others []source
 	seen := make(map[source]bool)
--- a/internal/instance/gatekeeper/takeover.go
+++ b/internal/instance/gatekeeper/takeover.go
@@ -9,9 +9,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// takeOver takes a tenure over, if this instance reaches the runners that it is to
-// order. On a day on which a third of the instances were cut off from them, one in
-// three that took a tenure over had to give it up again, at four seconds each.
+// takeOver acquires a lease if this instance reaches the runners of the domain. On a day on
+// which a third of the instances were cut off from them, one takeover in three ended with
+// the new leader stepping down again, at a cost of four seconds each.
 func (d *controller) takeOver(ctx context.Context, w elector.Write, runners []tracker.Runner) {
 	if d.reaches(ctx, runners) {
 		d.write(ctx, w)
@@ -24,14 +24,14 @@
 }
 
 const (
-	// probed is how many runners are asked before a takeover: one may have crashed.
+	// probed is how many runners are probed before a takeover: one may have crashed.
 	probed = 3
-	// deferredFor is how long a tenure that nobody holds is left to instances that reach
-	// its runners: longer than one of them takes to see that it is free.
+	// deferredFor is how long a free lease is left to instances that reach the runners.
+	// It is longer than they take to notice that the lease is free.
 	deferredFor = 5 * time.Second
 )
 
-// some returns some runners of the domain that take orders.
+// some returns up to most runners of the domain that take orders.
 func (d *controller) some(most int) []tracker.Runner {
 	var runners []tracker.Runner
 	for _, c := range d.runners {
@@ -42,7 +42,7 @@
 	return runners
 }
 
-// reaches reports whether most of some runners answer; true for none.
+// reaches reports whether at least half of the given runners answer; true for none.
 func (d *controller) reaches(ctx context.Context, runners []tracker.Runner) bool {
 	answers := make(chan bool, len(runners))
 	for _, r := range runners {
@@ -60,8 +60,8 @@
 	return 2*reached >= len(runners)
 }
 
-// deferred reports whether a tenure is left to others for now, as this instance does
-// not reach the runners that it would order.
+// deferred reports whether this instance leaves the lease to others for now, as it does not
+// reach the runners of the domain.
 func (d *controller) deferred() bool {
 	g := d.gatekeeper
 	return g.Fleet.Severed(d.domain, time.Now()) && g.links[d.domain].silence() < deferredFor
--- a/internal/instance/gatekeeper/tenure.go
+++ b/internal/instance/gatekeeper/tenure.go
@@ -16,34 +16,34 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// The tables of this program. A renewal changes a row of tenures several times
-// a minute, which nobody waits for; a takeover changes one of holders, which
-// everybody does.
+// The tables of this program. Renewals change rows of the tenure table several times a
+// minute, and nobody waits for them; a takeover changes a row of the holder table, which
+// every instance watches.
 const (
 	tableHolders = "holder"
 	tableTenures = "tenure"
 )
 
 const (
-	// leadEvery is how often a holder looks whether orders are due. News of what
-	// requests need makes it look at once.
+	// leadEvery is how often a leader checks whether orders are due. A change in demand
+	// triggers a check at once.
 	leadEvery = 25 * time.Millisecond
-	// leadLeast is the pause after a look. The holder of dozens of runners is told of
-	// needs some hundred times a second; with a look for each it is the busiest instance
-	// by far.
+	// leadLeast is the minimum pause after a check. The leader of dozens of runners receives
+	// some hundred demand reports a second; with a check for each it was by far the busiest
+	// instance.
 	leadLeast = 4 * time.Millisecond
-	// quietDomain is how long nothing may be heard from the holder of the own
-	// domain before its row is looked at, and lookEvery how often from then on.
+	// quietDomain is how long an instance receives no update from the leader of its own
+	// domain before it polls the lease row, and lookEvery the interval of the polls.
 	quietDomain = time.Second
 	lookEvery   = time.Second
-	// lookers is how many looks at a row all instances of a domain take together in
-	// lookEvery, if there are more than that. A holder that stopped as planned is
-	// replaced an eighth of a second later then; with a look of each a second, a death
-	// costs hundreds of calls.
+	// lookers is the target for the total number of polls in lookEvery by all instances of a
+	// domain, if there are more instances than that. A leader that stopped gracefully is then
+	// replaced within an eighth of a second; with one poll a second by each instance, the
+	// death of a leader cost hundreds of calls.
 	lookers = 8
 )
 
-// lead looks after the tenures until ctx ends.
+// lead maintains the leases and sends orders until ctx ends.
 func (g *Gatekeeper) lead(ctx context.Context) {
 	repeater.Now(ctx, leadEvery, g.kicks, func() {
 		for _, d := range g.controllers {
@@ -54,10 +54,10 @@
 	})
 }
 
-// kickLead makes a holder look for orders that are due.
+// kickLead makes a leader check for due orders at once.
 func (g *Gatekeeper) kickLead() { signal(g.kicks) }
 
-// holdsAny reports whether this instance holds a tenure.
+// holdsAny reports whether this instance leads any failure domain.
 func (g *Gatekeeper) holdsAny() bool {
 	for _, d := range g.controllers {
 		if d.holds() {
@@ -67,7 +67,7 @@
 	return false
 }
 
-// tenure reads or writes the row of the tenure if that is due.
+// tenure reads or writes the lease row if that is due.
 func (d *controller) tenure(ctx context.Context) {
 	if d.gatekeeper.Leaving() {
 		return
@@ -101,8 +101,8 @@
 	}
 }
 
-// looks reports whether this instance looks at the row of a tenure now that nobody
-// seems to hold. Those of a domain look in turns.
+// looks reports whether this instance polls the lease row now, while the domain appears
+// to have no leader. The polls of the domain's instances are staggered.
 func (d *controller) looks(now time.Duration) bool {
 	period := d.lookPeriod()
 	if !d.looking {
@@ -116,14 +116,14 @@
 	return true
 }
 
-// lookPeriod returns how long after one look at the row this instance looks again.
+// lookPeriod returns the interval at which this instance polls the lease row.
 func (d *controller) lookPeriod() time.Duration {
 	g := d.gatekeeper
 	neighbours := g.headcount.told() / len(g.domains())
 	return max(lookEvery, time.Duration(neighbours)*lookEvery/lookers)
 }
 
-// vacant reports whether nobody seems to hold the tenure.
+// vacant reports whether the domain appears to have no leader.
 func (d *controller) vacant() bool {
 	limit := quietDomain
 	if d.domain != d.gatekeeper.Config.Domain {
@@ -132,14 +132,14 @@
 	return d.gatekeeper.links[d.domain].silence() > limit
 }
 
-// heardOf takes in the renewal that the holder told of.
+// heardOf records a renewal of the lease that the leader published.
 func (d *controller) heardOf(row elector.Tenure, version uint64, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.elector.Heard(row, version, age, uptime())
 }
 
-// over takes in that the holder with a fencing number has given the tenure up.
+// over records that the leader with the given fencing number has stepped down.
 func (d *controller) over(fence uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -165,8 +165,8 @@
 		err = encoder.Unmarshal(row.Value, &tenure)
 	}
 	if err == nil {
-		// The call that waits for changes of the holders may be one that nobody
-		// answers; the instance would not follow the new one.
+		// The watch on the leaders may be a call that is never answered, in which case this
+		// instance would not follow the new leader.
 		d.gatekeeper.links[d.domain].setHolder(tenure)
 	}
 	d.mu.Lock()
@@ -196,14 +196,14 @@
 	}
 	d.elector.Written(w, version, uptime())
 	if w.Takeover {
-		d.counting = time.Time{} // those that were passed on are not all
+		d.counting = time.Time{} // members whose reports were forwarded are not all members
 		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "tenure taken", "domain", d.domain, "fence", w.Row.Fence, "version", version)
 		d.gatekeeper.links[d.domain].setHolder(w.Row)
 	}
 }
 
-// resign gives up the tenures, and frees their rows as far as the store can be
-// reached; else whoever takes them over waits as long as after a death.
+// resign releases all leases and clears their rows if the store can be reached. Otherwise
+// the next leader waits as long as after a crash.
 func (g *Gatekeeper) resign(ctx context.Context) {
 	for _, d := range g.controllers {
 		d.mu.Lock()
@@ -216,8 +216,8 @@
 	}
 }
 
-// free frees the row. A renewal that was under way may have changed it meanwhile;
-// left as it is then, nobody would order there until its lease has run out.
+// free clears the row. A renewal in flight may have changed the row meanwhile; if it were
+// not cleared then, no orders would be sent until the lease had expired.
 func (d *controller) free(ctx context.Context, w elector.Write) {
 	_, err := d.gatekeeper.Store.Write(ctx, d.txn(w))
 	var conflict *tabler.ConflictError
@@ -237,14 +237,14 @@
 		return err
 	}
 	if tenure.Holder != d.gatekeeper.Config.ID || tenure.Fence != w.Row.Fence {
-		return nil // somebody else holds it already
+		return nil // another instance leads already
 	}
 	w.Version = row.Version
 	_, err = d.gatekeeper.Store.Write(ctx, d.txn(w))
 	return err
 }
 
-// txn returns the transaction that writes the row of the tenure.
+// txn returns the transaction that writes the lease row.
 func (d *controller) txn(w elector.Write) tabler.Txn {
 	value, err := encoder.Marshal(w.Row)
 	if err != nil {
@@ -258,7 +258,7 @@
 	return txn
 }
 
-// watchHolders keeps who holds the tenures.
+// watchHolders keeps track of the leaders of all domains.
 func (g *Gatekeeper) watchHolders(ctx context.Context) {
 	g.setViews()
 	g.follow(ctx, &g.holders, longWatch)
@@ -278,7 +278,7 @@
 	if l, ok := g.links[domain]; ok {
 		l.setHolder(tenure)
 		if tenure.Holder != g.Config.ID {
-			g.controllers[domain].heardOf(tenure, r.Version, 0) // written with the row of the tenure
+			g.controllers[domain].heardOf(tenure, r.Version, 0) // both rows were written by one transaction
 		}
 	}
 }
--- a/internal/instance/gatekeeper/verdict.go
+++ b/internal/instance/gatekeeper/verdict.go
@@ -21,7 +21,7 @@
 		"crashes", len(g.quarantine.ledger.Open(w.Digest, time.Now())))
 }
 
-// verdicts logs and counts the requests that have come into quarantine or out of it.
+// verdicts logs and counts the requests that have entered or left quarantine.
 func (g *Gatekeeper) verdicts() {
 	now := time.Now()
 	cases := g.quarantine.ledger.Cases()
@@ -48,11 +48,10 @@
 	q.held = held
 }
 
-// mostListed bounds the requests in quarantine that are listed in the log.
+// mostListed bounds how many requests in quarantine are logged.
 const mostListed = 8
 
-// watchQuarantine lists the requests in quarantine in the log, and forgets old crashes,
-// until ctx ends.
+// watchQuarantine logs the requests in quarantine and expires old crashes, until ctx ends.
 func (g *Gatekeeper) watchQuarantine(ctx context.Context) {
 	g.Metrics.GetOrCreateGauge("sardinetiller_quarantine_requests", func() float64 { return float64(g.quarantine.count()) })
 	repeater.Every(ctx, paceEvery, nil, func() {
--- a/internal/instance/gatekeeper/yield.go
+++ b/internal/instance/gatekeeper/yield.go
@@ -8,30 +8,31 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// A severance is a holder that does not reach the runners of its domain while others
-// do: it is cut off from them and not from the store, so its tenure is renewed and no
-// adapter is loaded for as long as the cut lasts. A holder that sees that gives its
-// tenure up. What other instances tell of answers from those runners is the proof that
-// the runners live: where all of them are gone, nobody could do better.
+// A severance detects that a leader does not reach the runners of its domain while other
+// instances do. Such a leader is cut off from the runners but not from the store, so its
+// lease is renewed and no adapter is loaded until the network recovers, unless the leader
+// steps down. Responses that other instances report from those runners prove that the
+// runners are alive; if all of them are down, no other leader could do better.
 type severance struct {
-	since     time.Time // when most runners began to be dark
-	elsewhere time.Time // when another instance last told of an answer of one
+	since     time.Time // since when most runners have been unresponsive
+	elsewhere time.Time // when another instance last reported a response of one
 }
 
 const (
-	// severedFor is how long most runners are dark before a tenure is given up. A lost
-	// packet or a slow second is over by then. The next holder orders after the quiet
-	// time, some four seconds later, so a shorter cut costs more than it saves; those
-	// that were met last five seconds and longer.
+	// severedFor is how long most runners are unresponsive before the leader steps down. A
+	// lost packet or a slow second is over by then. The next leader sends orders after the
+	// quiet time, some four seconds later, so stepping down for a shorter fault costs more
+	// than it saves; the faults observed last five seconds or more.
 	severedFor = 700 * time.Millisecond
-	// severedAway is how long an instance leaves a tenure to others that it gave up.
+	// severedAway is how long an instance that stepped down leaves the lease to others.
 	severedAway = 10 * time.Second
-	// answeredFor is how long the word of an answer elsewhere proves that runners live.
+	// answeredFor is how long a response reported by another instance proves that runners
+	// are alive.
 	answeredFor = time.Second
 )
 
-// look takes in how many of the runners are dark, and reports whether the tenure is to
-// be given up.
+// look records how many of the runners are unresponsive, and reports whether the leader is
+// to step down.
 func (s *severance) look(dark, runners int, now time.Time) bool {
 	if 2*dark <= runners {
 		s.since = time.Time{}
@@ -43,11 +44,11 @@
 	return now.Sub(s.since) >= severedFor && now.Sub(s.elsewhere) < answeredFor
 }
 
-// answered reports whether a member told of an answer of a runner.
+// answered reports whether a member has reported a response of a runner.
 func answered(demand relayer.Demand) bool { return len(demand.There)+demand.Short+demand.Long > 0 }
 
-// severed reports whether this instance is to give the tenure up, as it does not reach
-// the runners.
+// severed reports whether this instance is to step down because it does not reach the
+// runners.
 func (d *controller) severed(now time.Time) bool {
 	count, runners := 0, 0
 	for _, c := range d.runners {
@@ -62,7 +63,7 @@
 	return d.cut.look(count, runners, now)
 }
 
-// yield gives the tenure up to an instance that can do its work.
+// yield steps down in favour of an instance that reaches what this one does not.
 func (d *controller) yield(ctx context.Context, why string) {
 	fence := d.elector.Holder().Fence
 	w, held := d.elector.Yield(uptime(), severedAway)
@@ -75,19 +76,20 @@
 }
 
 const (
-	// strandedFor is how old the renewal in force of a holder is that may be cut off
-	// from the store: one has failed by then, and the next one is due.
+	// strandedFor is the age of the last successful renewal from which on the leader may be
+	// cut off from the store: one renewal has failed by then, and the next one is due.
 	strandedFor = 3 * time.Second
-	// strandedWait is how long other holders reach the store meanwhile before it gives
-	// its tenure up. Without that its domain has nobody to order from the end of its
-	// lease until the next holder may, four seconds. After an outage for all, one of
-	// them is the first to reach the store again; given up at that, the tenures of all
-	// others cost four seconds each which a renewal a moment later would have kept.
+	// strandedWait is how long other leaders must have reached the store meanwhile before the
+	// leader steps down. Without stepping down, the domain gets no orders from the end of the
+	// lease until the next leader may send them, four seconds. After an outage for all
+	// instances, one of them is the first to reach the store again; if the others stepped
+	// down at that point, each domain would lose four seconds that a renewal a moment later
+	// would have avoided.
 	strandedWait = 1500 * time.Millisecond
 )
 
-// stranded reports whether the holder does not reach the store while other instances
-// do. What other holders tell of calls of their own is the proof.
+// stranded reports whether this leader does not reach the store while other leaders do, as
+// shown by the times of successful calls that they publish.
 func (d *controller) stranded(now time.Time) bool {
 	_, age := d.elector.Renewal(uptime())
 	reached, ok := d.gatekeeper.reached.get()
