--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -231,7 +231,7 @@
 		c.busy = false
 		c.dark.report(err)
 		if err != nil {
-			d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "no report", "runner", runner.ID, "err", err)
+			d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "runner report failed", "runner", runner.ID, "err", err)
 			return
 		}
 		taken := p.Take(report, time.Now())
--- a/internal/instance/gatekeeper/crash_test.go
+++ b/internal/instance/gatekeeper/crash_test.go
@@ -12,10 +12,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// A livesEngine answers the question whether a runner lives as its script says.
+// A livesEngine answers liveness probes from a script.
 type livesEngine struct {
 	Engine
-	lives []tracker.Life // the last one again and again
+	lives []tracker.Life // the last one is repeated
 	asked int
 }
 
@@ -24,9 +24,10 @@
 	return e.lives[min(e.asked, len(e.lives))-1]
 }
 
-// Answers break off for many reasons, and a request that is suspected three times is
-// rejected. Only a runner that takes no connection any more, or another incarnation in
-// its place, is a crash; a reset, a cut link, a pause and a planned end are not.
+// Guards against false suspicions: responses break off for many reasons, and a request that is
+// suspected three times is rejected. Only a runner that refuses connections, or that another
+// incarnation has replaced, has crashed; a reset, a partition, a pause and a graceful shutdown are
+// no crash.
 func TestWhatCountsAsACrash(t *testing.T) {
 	const (
 		unknown, lives, refuses, replaced = tracker.Unknown, tracker.Lives, tracker.Refuses, tracker.Replaced
@@ -34,26 +35,26 @@
 	for _, tc := range []struct {
 		name  string
 		lives []tracker.Life
-		set   func(g *Gatekeeper, r tracker.Runner) // before the answer breaks off
+		set   func(g *Gatekeeper, r tracker.Runner) // before the response breaks off
 		later func(g *Gatekeeper, r tracker.Runner) // right after
 		want  bool
 	}{
-		{"the runner takes no connection", []tracker.Life{refuses}, nil, nil, true},
-		{"it answers once more as it dies", []tracker.Life{unknown, refuses}, nil, nil, true},
+		{"the runner refuses connections", []tracker.Life{refuses}, nil, nil, true},
+		{"no result while it dies, then refused", []tracker.Life{unknown, refuses}, nil, nil, true},
 		{"another incarnation answers", []tracker.Life{replaced}, nil, nil, true},
-		{"one connection was reset, or an answer lost or spoiled", []tracker.Life{lives}, nil, nil, false},
-		{"it has no connection to spare for a moment", []tracker.Life{refuses, lives}, nil, nil, false},
-		{"its link is cut, or it is paused", []tracker.Life{unknown}, nil, nil, false},
-		{"it refuses now and then behind a bad link", []tracker.Life{refuses, unknown, refuses, unknown, lives}, nil, nil, false},
-		{"it had said that it leaves", []tracker.Life{refuses}, func(g *Gatekeeper, r tracker.Runner) {
+		{"one connection reset, or response lost or corrupted", []tracker.Life{lives}, nil, nil, false},
+		{"out of connections for a moment", []tracker.Life{refuses, lives}, nil, nil, false},
+		{"network partition, or paused process", []tracker.Life{unknown}, nil, nil, false},
+		{"occasional refusals on a bad network", []tracker.Life{refuses, unknown, refuses, unknown, lives}, nil, nil, false},
+		{"shutdown announced before", []tracker.Life{refuses}, func(g *Gatekeeper, r tracker.Runner) {
 			r.Leaving, r.Revision = true, 2
 			g.setRunner(r, fromStore)
 		}, nil, false},
-		{"it says so just then", []tracker.Life{refuses}, nil, func(g *Gatekeeper, r tracker.Runner) {
+		{"shutdown announced just after", []tracker.Life{refuses}, nil, func(g *Gatekeeper, r tracker.Runner) {
 			r.Leaving, r.Revision = true, 2
 			g.setRunner(r, fromStore)
 		}, false},
-		{"it had left", []tracker.Life{refuses}, func(g *Gatekeeper, r tracker.Runner) { g.removeNow(r.ID, r.Revision, fromStore, whyRow) }, nil, false},
+		{"removed before", []tracker.Life{refuses}, func(g *Gatekeeper, r tracker.Runner) { g.removeNow(r.ID, r.Revision, fromStore, whyRow) }, nil, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -78,9 +79,10 @@
 	}
 }
 
-// Twenty requests of one instance break off as a runner crashes, some later than others.
-// All are suspects, the runner is asked once for all of them, and one that breaks off
-// after the answer needs no further question. What is sent to the dead runner is none.
+// Guards against missed suspects and repeated probes. Twenty requests of one instance break off as a
+// runner crashes, some later than others. All are suspected, the runner is probed once for all of
+// them, and one that breaks off afterwards needs no further probe. A request that is sent to the
+// crashed runner is no suspect.
 func TestRunnerIsAskedOnceForAllThatBrokeOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newChained("a-1", "a")
@@ -98,11 +100,11 @@
 		g.Broke("sent after the crash", r, time.Now())
 		synctest.Wait()
 		if got := len(g.quarantine.ledger.Cases()); got != 21 {
-			t.Errorf("%d requests are suspected, want 21", got)
+			t.Errorf("%d requests suspected, want 21", got)
 		}
 		if engine.asked != refusals {
-			t.Errorf("the runner was asked %d times, want %d", engine.asked, refusals)
+			t.Errorf("runner probed %d times, want %d", engine.asked, refusals)
 		}
-		time.Sleep(crashKept) // for the timer
+		time.Sleep(crashKept) // lets the timer run out
 	})
 }
--- a/internal/instance/gatekeeper/dark_test.go
+++ b/internal/instance/gatekeeper/dark_test.go
@@ -8,10 +8,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// A runner crashes. Its row stays for seconds and all its places look vacant, so
-// that callers whose adapter is nowhere stand in line for it until their patience
-// ends. It is passed over once connections to it fail, and again considered with
-// its first answer; orders that get lost now and then are no sign of a crash.
+// Guards against a crashed runner that attracts requests: its row stays for seconds and all its
+// slots look free, so that callers whose adapter is loaded nowhere queue for it until their wait
+// limit. It must be skipped once connections to it fail, and used again after its first response;
+// orders that get lost occasionally are no sign of a crash.
 func TestRunnersThatDoNotLiveAreNoticed(t *testing.T) {
 	refused := judge.Judge(judge.Dialed{Err: errors.New("connection refused")})
 	for _, tc := range []struct {
@@ -19,9 +19,9 @@
 		happen func(d *darkness)
 		want   bool
 	}{
-		{"nothing", func(*darkness) {}, false},
-		{"takes no connection", func(d *darkness) { d.order(placer.Unreached); d.report(refused) }, true},
-		{"answers nothing", func(d *darkness) {
+		{"no sign", func(*darkness) {}, false},
+		{"refuses connections", func(d *darkness) { d.order(placer.Unreached); d.report(refused) }, true},
+		{"never responds", func(d *darkness) {
 			for range 4 {
 				d.order(placer.Lost)
 			}
@@ -32,7 +32,7 @@
 				d.order(placer.Accepted)
 			}
 		}, false},
-		{"answers again", func(d *darkness) {
+		{"responds again", func(d *darkness) {
 			d.order(placer.Unreached)
 			d.order(placer.Unreached)
 			d.report(nil)
@@ -42,7 +42,7 @@
 			var d darkness
 			tc.happen(&d)
 			if got := d >= dark; got != tc.want {
-				t.Errorf("passed over: %v, want %v", got, tc.want)
+				t.Errorf("skipped: %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/instance/gatekeeper/demand_test.go
+++ b/internal/instance/gatekeeper/demand_test.go
@@ -12,9 +12,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// Members tell the holder which copies they use. A copy stays as long as anybody
-// does, and no longer: the end of a use is lost on the way, or its instance dies,
-// and without a bound the place would be lost for good, to all callers.
+// Guards against uses that never end: the report of an end is lost, or the instance dies, and the
+// adapter slot would be lost to all callers for good. A copy must stay while any member uses it,
+// and no longer.
 func TestUsesEndWithTheirMembers(t *testing.T) {
 	c := placer.Copy{Model: "m", Adapter: "a1", Version: 1}
 	k := keyOf("i-1", c)
@@ -30,7 +30,7 @@
 			d.demanded("front-1", uses(1))
 			d.demanded("front-2", uses(2))
 		}, 3},
-		{"one of them tells of the end", func(d *controller) {
+		{"one of them reports the end", func(d *controller) {
 			d.demanded("front-1", uses(1))
 			d.demanded("front-2", uses(2))
 			d.demanded("front-2", relayer.Demand{})
@@ -42,14 +42,14 @@
 			time.Sleep(2 * time.Second)
 			d.others("", time.Now())
 		}, 2},
-		{"room was asked for and the use not told yet", func(d *controller) {
+		{"capacity reserved, use not reported yet", func(d *controller) {
 			d.used("front-1", k)
 		}, 1},
-		{"room was asked for and the use told since", func(d *controller) {
+		{"capacity reserved, use reported since", func(d *controller) {
 			d.used("front-1", k)
 			d.demanded("front-1", uses(1))
 		}, 1},
-		{"room was asked for by one that dies before it tells", func(d *controller) {
+		{"capacity reserved by one that dies before it reports", func(d *controller) {
 			d.used("front-1", k)
 			time.Sleep(silent + time.Second)
 			d.others("", time.Now())
@@ -67,10 +67,9 @@
 	}
 }
 
-// A runner has two places; both are in use and three adapters stand in line. Who
-// chooses a runner for a further one must see that: told only that a load takes a
-// quarter of a second, requests waited at one runner while another had a place
-// idle.
+// Guards against a published wait that leaves out the wait for an adapter slot. A runner has two
+// slots, both in use, and three adapters are queued. When only the load time of a quarter of a
+// second was published, requests waited at one runner while another had an idle slot.
 func TestWaitForAPlaceIsTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
@@ -86,7 +85,7 @@
 		d.runners["i-1"] = &runnerState{runner: r, placer: p}
 		time.Sleep(time.Second)
 		if wait := d.placeWait(d.runners["i-1"], time.Now()); wait != 0 {
-			t.Errorf("a wait of %s for places that nobody needs", wait)
+			t.Errorf("wait %s for slots that no request needs", wait)
 		}
 		demand := relayer.Demand{Uses: []relayer.Need{{Runner: "i-1", Copy: copies[0], Requests: 1}, {Runner: "i-1", Copy: copies[1], Requests: 1}}}
 		for _, c := range copies[2:] {
@@ -95,11 +94,11 @@
 		d.demanded("front-1", demand)
 		hold := g.LoadTime() + g.Fleet.Run("llm")
 		if wait := d.placeWait(d.runners["i-1"], time.Now()); wait != 4*hold/2 {
-			t.Errorf("told to wait %s behind three others for two places held %s each", wait, hold)
+			t.Errorf("wait %s behind three others for two slots held %s each", wait, hold)
 		}
 		d.demanded("front-1", relayer.Demand{})
 		if wait := d.placeWait(d.runners["i-1"], time.Now()); wait != 0 {
-			t.Errorf("a wait of %s after all have gone", wait)
+			t.Errorf("wait %s after all requests have ended", wait)
 		}
 	})
 }
--- a/internal/instance/gatekeeper/keep.go
+++ b/internal/instance/gatekeeper/keep.go
@@ -212,7 +212,7 @@
 	if !r.Removed {
 		var row quarantiner.Row
 		if err := encoder.Unmarshal(r.Value, &row); err != nil {
-			g.Recorder.Log(recorder.Suspect, "msg", "crash not understood", "row", r.Key, "err", err)
+			g.Recorder.Log(recorder.Suspect, "msg", "malformed crash row", "row", r.Key, "err", err)
 			return
 		}
 		word = row.Word(c, time.Now())
--- a/internal/instance/gatekeeper/learn_test.go
+++ b/internal/instance/gatekeeper/learn_test.go
@@ -9,17 +9,17 @@
 
 var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// All runners start empty and a burst of callers comes. Hundreds of loads are
-// under way at once, the weight store slows them all down, and the first request
-// for each comes in vain. Had each of them made the estimate longer by a part,
-// it would stand at its bound of three seconds, and callers would be told for
-// many seconds that no adapter can come in time.
+// Guards against an estimate that grows without limit. All runners start empty and a burst of
+// callers arrives: hundreds of loads run at once, the weight store slows them all down, and the
+// first request for each finds no adapter. If each of them increased the estimate by a fraction, it
+// would reach its bound of three seconds, and callers would be refused for many seconds because no
+// adapter could be loaded in time.
 func TestManyLateLoadsAtOnceDoNotCarryTheEstimateAway(t *testing.T) {
 	const actual = 500 * time.Millisecond
 	var e estimate
 	e.set(firstLoad)
 	for n := range 250 {
-		// The request that found it there came seconds later: it says little.
+		// The first request to find it loaded came seconds later, so Most is a loose bound.
 		e.learn(placer.Arrival{Least: 400 * time.Millisecond, Most: 4 * time.Second}, began.Add(time.Duration(n)*time.Millisecond))
 	}
 	if got := e.get(); got < 400*time.Millisecond || got > actual*5/4 {
@@ -27,8 +27,8 @@
 	}
 }
 
-// Loads become as fast again as they were. The estimate follows, so that a
-// request is not held back for a copy that is there.
+// Guards against an estimate that stays high when loads become faster: requests would be held back
+// for a copy that is already loaded.
 func TestEstimateFollowsLoadsThatBecomeFaster(t *testing.T) {
 	var e estimate
 	e.set(time.Second)
@@ -45,11 +45,11 @@
 	}
 }
 
-// A failure domain loads 40 adapters a second, and each takes 288 ms. What a load
-// tells comes when it is over, when a dozen others have begun by the same
-// estimate. If each that is in time makes the estimate shorter by a part, it has
-// become far too short before the first late load shows, and two requests in five
-// come for an adapter that is not there yet and are refused.
+// Guards against an estimate that falls too low. A failure domain loads 40 adapters a second, and
+// each takes 288 ms. A load is observed when it is complete, when a dozen others have started
+// with the same estimate. If each load in time decreased the estimate by a fraction, it would be
+// far too low before the first late load was observed, and two requests in five would arrive
+// before their adapter and be refused.
 func TestFewLoadsAreLateWhereManyAreUnderWay(t *testing.T) {
 	const (
 		actual = 288 * time.Millisecond
@@ -85,6 +85,6 @@
 		under = append(under, told{now.Add(a.Most), a})
 	}
 	if late > loads/6 || high > loads/20 {
-		t.Errorf("of %d loads %d were late, and %d were expected a quarter too late", loads, late, high)
+		t.Errorf("of %d loads %d were late, and %d had an estimate more than a quarter too high", loads, late, high)
 	}
 }
--- a/internal/instance/gatekeeper/place_test.go
+++ b/internal/instance/gatekeeper/place_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Guards against places that are never given back, and against a runner's places that each
-// instance counts for itself.
+// Guards against request slots that are never released, and against instances that each count the
+// slots of a runner by themselves.
 func TestPlacesAreCountedByTheHolderOfTheDomain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newCalmSite(t, 4)
@@ -21,23 +21,23 @@
 			g, ctx := s.instances[n].running()
 			p, refused, ok := g.Place(ctx, runner, time.Hour)
 			if !ok || refused != nil {
-				t.Fatalf("instance %d: %v, %t", n, refused, ok)
+				t.Fatalf("instance %d: refused %v, ok %t", n, refused, ok)
 			}
 			waits = append(waits, p.Wait > 0)
 			done = append(done, p.Done)
 		}
 		if diff := cmp.Diff([]bool{false, false, true}, waits); diff != "" {
-			t.Errorf("who waits at a runner with two slots: %s", diff)
+			t.Errorf("instances that wait at a runner with two slots: %s", diff)
 		}
 		for _, leave := range done {
 			leave()
-			leave() // a second time does nothing
+			leave() // the second call has no effect
 		}
 		time.Sleep(time.Second)
 		g, ctx := s.instances[3].running()
 		p, refused, ok := g.Place(ctx, runner, 0)
 		if !ok || refused != nil || p.Wait != 0 {
-			t.Fatalf("after all have left: %v, %v, %t", p.Wait, refused, ok)
+			t.Fatalf("after all slots were released: wait %v, refused %v, ok %t", p.Wait, refused, ok)
 		}
 		p.Done()
 	})
--- a/internal/instance/gatekeeper/quarantine_lab_test.go
+++ b/internal/instance/gatekeeper/quarantine_lab_test.go
@@ -11,19 +11,19 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
 )
 
-// A lab is a deployment whose instances tell each other of crashes, step by step, while
-// one request crashes the runners that run it.
+// A lab simulates a deployment step by step: its instances exchange crash reports while some
+// requests crash the runners that run them.
 type lab struct {
 	rng      *rand.Rand
 	domains  []string
 	members  []*labMember
-	holders  map[string]*labMember // whom all believe to hold the tenure of a domain
-	apart    map[string]time.Time  // until when a domain is cut off from the others
-	rows     map[string]tabler.Row // of the store
+	holders  map[string]*labMember // leader of each domain, as all instances believe
+	apart    map[string]time.Time  // end of a domain's partition from the others
+	rows     map[string]tabler.Row // rows in the store
 	version  uint64
-	away     time.Time // until when the store is
-	unstable time.Time // when it was away last
-	lossy    time.Time // until when words from members get lost
+	away     time.Time // end of the store outage
+	unstable time.Time // end of the last store outage
+	lossy    time.Time // until when reports from members get lost
 	flying   []flight
 	culprits []*labCulprit
 	without  safeguard
@@ -32,13 +32,13 @@
 // A labCulprit is a request that crashes the runners that run it.
 type labCulprit struct {
 	digest  quarantiner.Digest
-	next    time.Time // when it comes again
+	next    time.Time // when it is sent next
 	pace    time.Duration
 	crashes []time.Time
-	late    int // sendings that count against the rule
+	late    int // requests sent that violate the rule
 }
 
-// A flight is a request that a runner runs, and whose answer breaks off at a time.
+// A flight is a request on a runner whose response breaks off at a given time.
 type flight struct {
 	ends    time.Time
 	member  *labMember
@@ -46,7 +46,7 @@
 	digest  quarantiner.Digest
 	beside  []flight
 	culprit *labCulprit
-	ran     time.Duration // as the runner crashed
+	ran     time.Duration // when the runner crashed
 }
 
 // A labMember is one instance.
@@ -54,27 +54,27 @@
 	g         *Gatekeeper
 	id        string
 	domain    string
-	down      time.Time // until when it is
+	down      time.Time // until when it is down
 	paused    time.Time
 	alone     time.Time // until when it reaches no other instance
-	turned    time.Time // until when the store turns it away
-	disturbed time.Time // when anything of this was so last
-	rows      uint64    // version up to which it knows the store's rows
+	turned    time.Time // until when it does not reach the store
+	disturbed time.Time // when any of these faults last applied
+	rows      uint64    // highest row version that it has read
 	told      map[string]int
-	heard     time.Time // its teller
+	heard     time.Time // when the source last sent an update
 	teller    *labMember
 	pending   []flight // that broke off while it was paused
 }
 
-// A safeguard is something that the check can do without, to see whether it tells.
+// A safeguard is a mechanism that can be disabled, to check that the test fails without it.
 type safeguard string
 
 const (
 	allSafeguards safeguard = ""
-	noStore       safeguard = "the store keeps crashes"
-	noTelling     safeguard = "instances tell each other"
-	noApart       safeguard = "the first crash is kept where a holder is not heard"
-	noPassing     safeguard = "a holder tells its members what it was told"
+	noStore       safeguard = "crash rows in the store"
+	noTelling     safeguard = "reports between instances"
+	noApart       safeguard = "first crash stored without updates from a leader"
+	noPassing     safeguard = "leaders forward reports to members"
 )
 
 const (
@@ -100,7 +100,7 @@
 	return w
 }
 
-// begin starts an instance with nothing known. Whoever it tells subscribes anew.
+// begin starts an instance without state. The instances that publish to it start over.
 func (w *lab) begin(m *labMember) {
 	for _, other := range w.members {
 		other.told[m.id] = 0
@@ -112,10 +112,10 @@
 	m.g, m.rows, m.told, m.teller, m.pending = g, 0, make(map[string]int), nil, nil
 }
 
-// lives reports whether an instance does anything now.
+// lives reports whether an instance is running now.
 func (m *labMember) lives(now time.Time) bool { return !now.Before(m.down) && !now.Before(m.paused) }
 
-// reaches reports whether words pass between two instances now.
+// reaches reports whether two instances can exchange messages now.
 func (w *lab) reaches(a, b *labMember, now time.Time) bool {
 	if !a.lives(now) || !b.lives(now) || now.Before(a.alone) || now.Before(b.alone) {
 		return false
@@ -123,7 +123,7 @@
 	return a.domain == b.domain || !now.Before(w.apart[a.domain]) && !now.Before(w.apart[b.domain])
 }
 
-// serves reports whether the store serves an instance now.
+// serves reports whether an instance reaches the store now.
 func (w *lab) serves(m *labMember, now time.Time) bool {
 	return m.lives(now) && !now.Before(m.turned) && !now.Before(w.away)
 }
@@ -157,7 +157,7 @@
 
 func (w *lab) holds(m *labMember) bool { return w.holders[m.domain] == m }
 
-// replaceHolders gives the tenure of one that is gone or away for long to another.
+// replaceHolders replaces leaders that are down or paused for long.
 func (w *lab) replaceHolders(now time.Time) {
 	for _, domain := range w.domains {
 		h := w.holders[domain]
@@ -175,7 +175,7 @@
 	}
 }
 
-// follow has a holder hear the others, and the store.
+// follow lets a leader receive updates from the others and from the store.
 func (w *lab) follow(m *labMember, now time.Time) {
 	m.teller = nil
 	for domain, h := range w.holders {
@@ -189,8 +189,8 @@
 	w.read(m, now)
 }
 
-// obey has a member be told by the holder of its domain, or by another; by nobody it
-// reads the store.
+// obey lets a member receive updates from the leader of its domain, or from another one; without
+// a source it reads the store.
 func (w *lab) obey(m *labMember, now time.Time) {
 	t := w.holders[m.domain]
 	if !w.reaches(m, t, now) {
@@ -201,7 +201,7 @@
 			}
 		}
 		if now.Sub(m.heard) < unheard {
-			return // its silence has not shown yet
+			return // the member has not noticed yet
 		}
 	}
 	if t == nil {
@@ -219,7 +219,7 @@
 		return
 	}
 	if now.Before(w.lossy) || w.rng.IntN(4) == 0 {
-		return // the word is lost
+		return // the report is lost
 	}
 	t.g.HeardCrashes(heartbeater.Instance{ID: m.id}, relayer.Crashes{Words: words})
 }
@@ -233,7 +233,7 @@
 	}
 }
 
-// tell has one instance tell another what has changed.
+// tell sends an instance the changes in another one's ledger.
 func (w *lab) tell(from, to *labMember) {
 	if w.without == noTelling || w.without == noPassing && !w.holds(to) {
 		return
@@ -244,7 +244,7 @@
 	to.g.hearWords(words, from.id)
 }
 
-// read has an instance read the rows of the store that have changed.
+// read applies the rows of the store that have changed.
 func (w *lab) read(m *labMember, now time.Time) {
 	if !w.serves(m, now) {
 		return
@@ -257,7 +257,7 @@
 	m.rows = w.version
 }
 
-// write has an instance write the rows that it wants.
+// write writes the rows that an instance wants changed.
 func (w *lab) write(m *labMember, now time.Time) {
 	if w.without == noStore || !w.serves(m, now) {
 		return
@@ -273,7 +273,7 @@
 	for _, key := range txn.Deletes {
 		w.rows[key] = tabler.Row{Key: key, Removed: true, Version: w.version}
 	}
-	if w.rng.IntN(6) > 0 { // else the answer is lost
+	if w.rng.IntN(6) > 0 { // else the response is lost
 		m.g.quarantine.written(states)
 	}
 }
--- a/internal/instance/gatekeeper/quarantine_random_test.go
+++ b/internal/instance/gatekeeper/quarantine_random_test.go
@@ -10,14 +10,14 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
 )
 
-// restart has an instance begin anew.
+// restart restarts an instance without state after a delay.
 func (w *lab) restart(m *labMember, now time.Time, after time.Duration) {
 	w.begin(m)
 	m.down = now.Add(after)
 	m.disturbed = m.down
 }
 
-// strike disturbs something.
+// strike injects a random fault.
 func (w *lab) strike(now time.Time) {
 	m := w.members[w.rng.IntN(len(w.members))]
 	if w.rng.IntN(3) == 0 {
@@ -36,10 +36,10 @@
 		m.turned = until
 	case 7, 8:
 		w.apart[w.domains[w.rng.IntN(len(w.domains))]] = until.Add(4 * time.Second)
-		return // who reaches the store is held to the rule
+		return // instances that reach the store are held to the rule
 	case 9:
 		w.away, w.unstable = until, until
-	case 10: // words get lost that nobody missed
+	case 10: // reports get lost unnoticed
 		w.lossy = now.Add(min(until.Sub(now), 2*time.Second))
 		return
 	case 11: // no instance reaches another one, and all reach the store
@@ -47,7 +47,7 @@
 			m.alone = until.Add(4 * time.Second)
 		}
 		return
-	case 12: // all start again, as the store lives
+	case 12: // all restart while the store is up
 		if now.Before(w.away) || w.unwrittenCrash() {
 			return
 		}
@@ -58,8 +58,8 @@
 	m.disturbed = later(m.disturbed, until)
 }
 
-// unwrittenCrash reports whether a crash of the culprit is not kept yet: who restarts all
-// instances in that moment takes it along.
+// unwrittenCrash reports whether a crash of a culprit is not stored yet: it would be lost if all
+// instances restarted now.
 func (w *lab) unwrittenCrash() bool {
 	kept := make(map[quarantiner.Digest]int)
 	for _, r := range w.rows {
@@ -75,13 +75,13 @@
 	return false
 }
 
-// inTouch reports whether the rule counts what an instance does.
+// inTouch reports whether requests sent by an instance count for the rule.
 func (w *lab) inTouch(m *labMember, now time.Time) bool {
 	const stable = 3 * time.Second
 	return m.lives(now) && now.Sub(m.disturbed) >= stable && now.Sub(w.unstable) >= stable
 }
 
-// send has an instance take a request that crashes runners, beside others.
+// send has an instance send a request that crashes its runner, beside other requests.
 func (w *lab) send(c *labCulprit, now time.Time) {
 	m := w.members[w.rng.IntN(len(w.members))]
 	if !m.lives(now) {
@@ -100,7 +100,7 @@
 	w.flying = append(w.flying, f)
 }
 
-// land has the instances see the crashes that are due.
+// land reports the crashes that are due to the instances.
 func (w *lab) land(now time.Time) {
 	flying := w.flying
 	w.flying = nil
@@ -142,11 +142,11 @@
 	}
 }
 
-// labSizes are the numbers of instances that are played.
+// labSizes holds the numbers of instances to simulate.
 var labSizes = []int{3, 4, 9, 9, 12, 24, 60, 9, 20, 9}
 
-// playLab returns the most sendings of one request that came too late, and the most
-// runners that one crashed.
+// playLab runs one simulation. It returns the largest number of late requests and of crashes
+// that one culprit caused.
 func playLab(t *testing.T, seed uint64, without safeguard) (late, crashes int) {
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(seed, 28))
@@ -163,26 +163,26 @@
 	return late, crashes
 }
 
-// One request crashes whatever runs it and comes again at any instance, while instances,
-// tellers and holders die, start again with nothing known, stand still and are cut off,
-// words and answers are lost and the store is away. From three seconds after the third
-// crash on, instances that nothing disturbs may let no more than three of it reach
+// Guards against requests that go on crashing runners. Each culprit crashes every runner and is
+// sent through any instance, while instances, sources and leaders die, restart without state, are
+// paused and cut off, reports and responses are lost and the store is down. From three seconds
+// after its third crash on, instances without faults may let at most three of its requests reach
 // runners.
 func TestCrashingRequestIsHeldWhateverFails(t *testing.T) {
 	for seed := range uint64(200) {
 		late, crashes := playLab(t, seed, allSafeguards)
 		if late > 3 {
-			t.Errorf("seed %d: %d sendings reached runners too late, %d crashed in all", seed, late, crashes)
+			t.Errorf("seed %d: %d requests reached runners too late, %d crashes in all", seed, late, crashes)
 		}
 	}
 }
 
-// The check above must tell when a safeguard is missing, or it shows nothing of it.
+// The test above must fail without any one of the safeguards, or it does not test them.
 func TestEachSafeguardOfTheQuarantineIsNeeded(t *testing.T) {
 	for without, seed := range map[safeguard]uint64{noStore: 116, noTelling: 2, noApart: 106, noPassing: 2} {
 		t.Run(string(without), func(t *testing.T) {
 			if late, _ := playLab(t, seed, without); late <= 3 {
-				t.Errorf("seed %d does not tell that it is missing", seed)
+				t.Errorf("seed %d passes without it", seed)
 			}
 		})
 	}
--- a/internal/instance/gatekeeper/quarantine_test.go
+++ b/internal/instance/gatekeeper/quarantine_test.go
@@ -12,10 +12,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
 )
 
-// An instance tells its teller of a crash, and nobody acknowledges that word. If it is
-// lost, or the teller dies with it, the next crash of the same request counts as its
-// first everywhere else. So it is told until the teller tells it back, and again to the
-// next teller or to one that has started again, and so is a whole run.
+// Guards against a crash report that is lost: reports to a source are not acknowledged, and if the
+// report is lost, or the source dies with it, the next crash of the same request counts as its first
+// everywhere else. So it is sent until the source publishes it back, and again to the next source or
+// to one that has restarted; so is a completed run.
 func TestCrashIsToldUntilItIsToldBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newChained("a-2", "a")
@@ -28,12 +28,12 @@
 		got = append(got, untold(first), untold(second))
 		g.quarantine.toldBack(second, []quarantiner.Word{crash})
 		got = append(got, untold(second))
-		g.quarantine.begun(second) // it has started again, and knows nothing
+		g.quarantine.begun(second) // it has restarted with no state
 		got = append(got, untold(second))
 		g.quarantine.toldBack(second, []quarantiner.Word{crash})
 		g.Whole("d")
 		got = append(got, untold(second))
-		g.quarantine.toldBack(second, []quarantiner.Word{crash}) // on its way since before
+		g.quarantine.toldBack(second, []quarantiner.Word{crash}) // published before the clearance
 		got = append(got, untold(second))
 		crash.Cleared = true
 		g.quarantine.toldBack(second, []quarantiner.Word{crash})
@@ -51,10 +51,10 @@
 	cmpopts.SortSlices(func(a, b string) bool { return a < b }),
 }
 
-// Everything that ran beside a runner that crashed is suspected, and most of it never
-// again. Written to the store each time, a crash of sixty runners before hundreds of
-// instances would be thousands of rows. What is kept is what is suspected a second time,
-// and all of it where another holder may not have been told of the first.
+// Guards against too many crash rows. Every request that ran beside a crashed runner is suspected,
+// and most never again; if each were stored, a crash of sixty runners behind hundreds of instances
+// would write thousands of rows. Only requests suspected a second time are stored, or all of them
+// while another leader may not have received the first report.
 func TestWhichCrashesAreKept(t *testing.T) {
 	hears := func(g *Gatekeeper, at time.Time) {
 		for _, l := range g.links {
@@ -66,23 +66,23 @@
 		do   func(g *Gatekeeper)
 		want tabler.Txn
 	}{
-		{"the first crash", func(g *Gatekeeper) { g.suspect("i-1", map[quarantiner.Digest]time.Duration{"d": 0}) }, tabler.Txn{}},
-		{"the second here", func(g *Gatekeeper) {
+		{"first crash", func(g *Gatekeeper) { g.suspect("i-1", map[quarantiner.Digest]time.Duration{"d": 0}) }, tabler.Txn{}},
+		{"second crash here", func(g *Gatekeeper) {
 			g.suspect("i-1", map[quarantiner.Digest]time.Duration{"d": 0})
 			g.suspect("i-2", map[quarantiner.Digest]time.Duration{"d": 0})
 		}, tabler.Txn{Puts: []tabler.Put{{Key: "holder/crash/d/i-1"}, {Key: "holder/crash/d/i-2"}}}},
-		{"the second elsewhere", func(g *Gatekeeper) {
+		{"second crash elsewhere", func(g *Gatekeeper) {
 			g.suspect("i-1", map[quarantiner.Digest]time.Duration{"d": 0})
 			g.hearWords([]quarantiner.Word{{Digest: "d", Runner: "i-2"}}, "a-1")
 		}, tabler.Txn{Puts: []tabler.Put{{Key: "holder/crash/d/i-1"}, {Key: "holder/crash/d/i-2"}}}},
-		{"both elsewhere: who saw them keeps them", func(g *Gatekeeper) {
+		{"both elsewhere: their observer stores them", func(g *Gatekeeper) {
 			g.hearWords([]quarantiner.Word{{Digest: "d", Runner: "i-1"}, {Digest: "d", Runner: "i-2"}}, "a-1")
 		}, tabler.Txn{}},
-		{"the first, as a holder is not heard", func(g *Gatekeeper) {
+		{"first crash, without updates from a leader", func(g *Gatekeeper) {
 			hears(g, time.Now().Add(-time.Second))
 			g.suspect("i-1", map[quarantiner.Digest]time.Duration{"d": 0})
 		}, tabler.Txn{Puts: []tabler.Put{{Key: "holder/crash/d/i-1"}}}},
-		{"the first, as that shows later", func(g *Gatekeeper) {
+		{"first crash, with updates from a leader ending later", func(g *Gatekeeper) {
 			g.suspect("i-1", map[quarantiner.Digest]time.Duration{"d": 0})
 			hears(g, time.Now().Add(-time.Second))
 			g.keepApart()
@@ -92,12 +92,12 @@
 			g.suspect("i-2", map[quarantiner.Digest]time.Duration{"d": 0})
 			g.Whole("d")
 		}, tabler.Txn{Deletes: []string{"holder/crash/d/i-1", "holder/crash/d/i-2"}}},
-		{"cleared elsewhere, and a row comes after that", func(g *Gatekeeper) {
+		{"row read after it was cleared elsewhere", func(g *Gatekeeper) {
 			hold(g, "a")
 			g.hearWords([]quarantiner.Word{{Digest: "d", Runner: "i-1", Cleared: true}}, "a-1")
 			g.crashRow(quarantiner.Crash{Digest: "d", Runner: "i-1"}, tabler.Row{Value: crashValue(quarantiner.Row{At: time.Now().Unix()})})
 		}, tabler.Txn{Deletes: []string{"holder/crash/d/i-1"}}},
-		{"a row that is too old", func(g *Gatekeeper) {
+		{"expired row", func(g *Gatekeeper) {
 			hold(g, "a")
 			g.crashRow(quarantiner.Crash{Digest: "d", Runner: "i-1"}, tabler.Row{Value: crashValue(quarantiner.Row{At: time.Now().Add(-25 * time.Hour).Unix()})})
 		}, tabler.Txn{Deletes: []string{"holder/crash/d/i-1"}}},
@@ -119,9 +119,9 @@
 	}
 }
 
-// A request is held, all instances start again at once, and the store has what three of
-// them saw. It must be held before it has crashed a fourth runner; and when the rows are
-// gone, as it was cleared, it must run.
+// Guards against a quarantine that is lost when all instances restart at once, and one that outlasts
+// its rows. A request with three stored crashes must be held before it crashes a fourth runner, and
+// must run when its rows are deleted because it was cleared.
 func TestRowsOfCrashesAreTakenIn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newChained("a-2", "a")
--- a/internal/instance/gatekeeper/quota_test.go
+++ b/internal/instance/gatekeeper/quota_test.go
@@ -15,8 +15,8 @@
 
 var millLimit = limiter.Limit{Rate: 1000, Burst: 1000}
 
-// newQuotaSite returns a deployment of two failure domains in whose configuration an account
-// has a quota.
+// newQuotaSite returns a deployment of two failure domains whose configuration has an account
+// with a quota.
 func newQuotaSite(t *testing.T) *site {
 	s := newSite(t, rand.New(rand.NewPCG(1, 1)), 2, 6)
 	for _, m := range s.instances {
@@ -26,7 +26,7 @@
 	return s
 }
 
-// settleQuotas lets an instance know of the account and settle, as its process does.
+// settleQuotas configures the account on an instance and starts settling, as its process does.
 func (s *site) settleQuotas(t *testing.T, m *member) {
 	g, ctx := m.running()
 	accounts := &identifier.Directory{}
@@ -44,8 +44,8 @@
 	return g.Admit(ctx, limiter.Request{Account: "mill", Limit: millLimit, Tokens: tokens})
 }
 
-// admitted sends a request of 50 tokens to each instance in turn for a time, and returns the
-// tokens that were admitted.
+// admitted sends requests of 50 tokens to the instances in turn, and returns how many tokens were
+// admitted.
 func (s *site) admitted(span, every time.Duration) (tokens int64) {
 	for end, n := time.Now().Add(span), 0; time.Now().Before(end); n++ {
 		if m := s.instances[n%len(s.instances)]; m.admits(50) == nil {
@@ -56,8 +56,8 @@
 	return tokens
 }
 
-// flood is the pause between requests that ask for 25 times the quota, and calm between those
-// that ask for 0.8 of it.
+// flood is the pause between requests that add up to 25 times the quota, and calm between those
+// that add up to 0.8 of it.
 const (
 	flood = 2 * time.Millisecond
 	calm  = 60 * time.Millisecond
@@ -67,13 +67,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newQuotaSite(t)
 		if got := s.admitted(5*time.Second, flood); got < 5000 || got > 6600 {
-			t.Errorf("%d tokens in 5 s, of 1000 a second and 1000 more", got)
+			t.Errorf("%d tokens admitted in 5 s, with rate 1000 and burst 1000", got)
 		}
 		s.end()
 	})
 }
 
-// Guards against a quota that is whole again, or gone, where its leader has been replaced.
+// Guards against a quota that is refilled, or empty, after its leader has been replaced.
 func TestQuotaOutlastsItsLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newQuotaSite(t)
@@ -90,17 +90,17 @@
 		}
 		spent += s.admitted(5*time.Second, flood)
 		if spent < 5000 || spent > 10000 {
-			t.Errorf("%d tokens in 8 s, of 1000 a second and 1000 more", spent)
+			t.Errorf("%d tokens admitted in 8 s, with rate 1000 and burst 1000", spent)
 		}
 		s.end()
 	})
 }
 
-// Guards against an instance that is cut off and spends the quota of all.
+// Guards against an instance that is cut off and spends the whole quota.
 func TestInstanceThatIsCutOffKeepsItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newQuotaSite(t)
-		s.admitted(10*time.Second, calm) // its share is a sixth
+		s.admitted(10*time.Second, calm) // its share becomes a sixth
 		alone := s.instances[5]
 		alone.disturb(&alone.cut, time.Now().Add(20*time.Second))
 		tokens := int64(0)
@@ -111,13 +111,13 @@
 			time.Sleep(20 * time.Millisecond)
 		}
 		if tokens < 1200 || tokens > 2500 {
-			t.Errorf("one of six instances admits %d tokens in 10 s in which it is cut off, of 1000 a second", tokens)
+			t.Errorf("one of six instances, cut off, admits %d tokens in 10 s, with rate 1000", tokens)
 		}
 		s.end()
 	})
 }
 
-// Guards against a request that is refused and has cost its account tokens.
+// Guards against a request that is refused although its tokens were charged to the account.
 func TestInstanceThatKnowsNothingOfAQuotaSaysSo(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newQuotaSite(t)
@@ -132,7 +132,7 @@
 			t.Errorf("refused with %+v", err)
 		}
 		if took := time.Since(began); took > time.Second {
-			t.Errorf("it took %s", took)
+			t.Errorf("refusal took %s", took)
 		}
 		s.end()
 	})
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -88,10 +88,10 @@
 	switch {
 	case keeps && !kept:
 		g.quotas.ledger.Begin(now)
-		g.Recorder.Log(recorder.Belief, "msg", "settles quotas")
+		g.Recorder.Log(recorder.Belief, "msg", "quota ledger started")
 	case !keeps && kept:
 		g.quotas.ledger.End()
-		g.Recorder.Log(recorder.Belief, "msg", "settles no quotas")
+		g.Recorder.Log(recorder.Belief, "msg", "quota ledger stopped")
 	}
 	return keeps
 }
@@ -127,7 +127,7 @@
 	update := relayer.Settle{Party: g.party(now), Parted: true}
 	go func() {
 		if _, err := g.exchange(ctx, former, update, settleTimeout); err != nil {
-			g.Recorder.Log(recorder.Belief, "msg", "not parted", "instance", former.id, "err", err)
+			g.Recorder.Log(recorder.Belief, "msg", "quota unsubscribe failed", "instance", former.id, "err", err)
 		}
 	}()
 }
--- a/internal/instance/gatekeeper/tenure.go
+++ b/internal/instance/gatekeeper/tenure.go
@@ -190,14 +190,14 @@
 	if err != nil {
 		d.elector.Lost()
 		d.next = uptime() + again
-		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "tenure not written", "domain", d.domain, "fence", w.Row.Fence,
+		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease write failed", "domain", d.domain, "fence", w.Row.Fence,
 			"takeover", w.Takeover, "err", err)
 		return
 	}
 	d.elector.Written(w, version, uptime())
 	if w.Takeover {
 		d.counting = time.Time{} // members whose reports were forwarded are not all members
-		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "tenure taken", "domain", d.domain, "fence", w.Row.Fence, "version", version)
+		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease acquired", "domain", d.domain, "fence", w.Row.Fence, "version", version)
 		d.gatekeeper.links[d.domain].setHolder(w.Row)
 	}
 }
@@ -224,7 +224,7 @@
 	if errors.As(err, &conflict) {
 		err = d.freeAgain(ctx, w)
 	}
-	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "tenure given up", "domain", d.domain, "fence", w.Row.Fence, "err", err)
+	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease released", "domain", d.domain, "fence", w.Row.Fence, "err", err)
 }
 
 func (d *controller) freeAgain(ctx context.Context, w elector.Write) error {
@@ -271,7 +271,7 @@
 	}
 	var tenure elector.Tenure
 	if err := encoder.Unmarshal(r.Value, &tenure); err != nil {
-		g.Recorder.Log(recorder.Belief, "msg", "tenure not understood", "row", r.Key, "err", err)
+		g.Recorder.Log(recorder.Belief, "msg", "malformed lease row", "row", r.Key, "err", err)
 		return
 	}
 	domain := r.Key[len(tableHolders)+1:]
--- a/internal/instance/gatekeeper/tenure_test.go
+++ b/internal/instance/gatekeeper/tenure_test.go
@@ -14,7 +14,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// ownTenure reads the row of domain a.
+// ownTenure decodes the lease row of domain a.
 func ownTenure(t *testing.T, s *feedStore) elector.Tenure {
 	t.Helper()
 	s.mu.Lock()
@@ -26,7 +26,7 @@
 	return tenure
 }
 
-// putTenure writes it.
+// putTenure writes the lease row of domain a.
 func putTenure(t *testing.T, s *feedStore, tenure elector.Tenure) {
 	t.Helper()
 	value, err := encoder.Marshal(tenure)
@@ -36,9 +36,9 @@
 	s.put(tabler.Row{Key: tableTenures + "/a", Value: value})
 }
 
-// A holder is stopped as planned while a renewal of its tenure is under way. The
-// renewal changes the row just before it is to be freed; left as it is then, no
-// adapter is loaded in the domain until the lease has run out, for nine seconds.
+// Guards against a lease row that stays after a graceful stop: a renewal in flight changes the row
+// just before it is to be cleared. No adapter would be loaded in the domain until the lease
+// expired, for nine seconds.
 func TestPlannedStopFreesTheTenureBesideARenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
@@ -48,16 +48,16 @@
 		d.elector.Read(held, store.version, uptime())
 		w, _ := d.elector.Next(uptime())
 		d.elector.Written(w, store.version, uptime())
-		putTenure(t, store, w.Row) // the renewal; its answer is on its way
+		putTenure(t, store, w.Row) // the renewal; its response has not arrived yet
 		free, _ := d.elector.Leave(uptime())
 		d.free(t.Context(), free)
 		if holder := ownTenure(t, store).Holder; holder != "" {
-			t.Errorf("the row names %s", holder)
+			t.Errorf("lease row names %s, want no leader", holder)
 		}
 	})
 }
 
-// The same row was taken over meanwhile. Whoever stops must leave it alone.
+// Guards against a stopping instance that clears the row of the next leader.
 func TestPlannedStopDoesNotFreeWhatAnotherHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
@@ -67,14 +67,13 @@
 		free, _ := d.elector.Leave(uptime())
 		d.free(t.Context(), free)
 		if holder := ownTenure(t, store).Holder; holder != "front-9" {
-			t.Errorf("the row names %q, want front-9", holder)
+			t.Errorf("lease row names %q, want front-9", holder)
 		}
 	})
 }
 
-// A holder has freed its tenure. Whoever looks and sees that must take it at once:
-// waiting for the next look left callers of the domain without adapters for five
-// seconds where 27 instances look in turns.
+// Guards against a freed lease that is acquired only at the next poll: where 27 instances stagger
+// their polls, callers of the domain had no adapters for five seconds.
 func TestTenureThatIsSeenToBeFreeIsTakenAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
@@ -83,18 +82,18 @@
 		d.elector.Heard(elector.Tenure{Holder: "front-1", Fence: 1}, store.version, 0, uptime())
 		putTenure(t, store, elector.Tenure{Fence: 1, Serial: 9})
 		d.looking, d.look = true, uptime()
-		d.tenure(t.Context()) // looks
+		d.tenure(t.Context()) // polls the row
 		time.Sleep(100 * time.Millisecond)
 		d.tenure(t.Context())
 		time.Sleep(100 * time.Millisecond)
 		if holder := ownTenure(t, store).Holder; holder != g.Config.ID {
-			t.Errorf("the row names %q", holder)
+			t.Errorf("lease row names %q, want this instance", holder)
 		}
 	})
 }
 
-// The holder of a domain is gone. Somebody has to look at the row soon, as it may
-// have been freed, and 35 instances that each look once a second only cost calls.
+// Guards against polling too late or too often while a domain has no leader: the row may have been
+// cleared, but 35 instances that each poll once a second only cost calls.
 func TestInstancesLookAtATenureInTurns(t *testing.T) {
 	for _, instances := range []int{1, 8, 35, 100} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
@@ -117,16 +116,16 @@
 				}
 			}
 			if first > lookEvery {
-				t.Errorf("the first look after %s", first)
+				t.Errorf("first poll after %s", first)
 			}
 			if most := int(span/lookEvery+1) * max(lookers+1, min(instances, lookers+1)); looks > most {
-				t.Errorf("%d looks, want %d at most", looks, most)
+				t.Errorf("%d polls, want at most %d", looks, most)
 			}
 		})
 	}
 }
 
-// A probedEngine answers reports or does not.
+// A probedEngine answers report requests, or fails them.
 type probedEngine struct {
 	Engine
 	answers bool
@@ -140,8 +139,9 @@
 	return placer.Report{}, nil
 }
 
-// A third of the instances are cut off from the runners and not from the store, and a
-// tenure is free. One of them that takes it loads nothing and keeps the others from it.
+// Guards against a new leader that does not reach the runners. A third of the instances are cut off
+// from the runners but not from the store, and a lease is free; one of them that acquires it
+// loads nothing and keeps the others from leading.
 func TestOnlyWhoReachesTheRunnersTakesATenureOver(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		t.Run(fmt.Sprint("answers: ", answers), func(t *testing.T) {
@@ -157,7 +157,7 @@
 				d.tenure(t.Context())
 				time.Sleep(100 * time.Millisecond)
 				if took := ownTenure(t, store).Holder == g.Config.ID; took != answers {
-					t.Errorf("took the tenure: %v", took)
+					t.Errorf("acquired the lease: %v", took)
 				}
 			})
 		})
--- a/internal/instance/gatekeeper/yield.go
+++ b/internal/instance/gatekeeper/yield.go
@@ -69,7 +69,7 @@
 	w, held := d.elector.Yield(uptime(), severedAway)
 	d.rest()
 	d.ended = fence
-	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "tenure is given up", "domain", d.domain, "fence", fence, "why", why)
+	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "stepping down", "domain", d.domain, "fence", fence, "why", why)
 	if held {
 		go d.free(ctx, w)
 	}
--- a/internal/instance/gatekeeper/yield_test.go
+++ b/internal/instance/gatekeeper/yield_test.go
@@ -10,23 +10,23 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// A holder is cut off from its runners and not from the store. It renews its tenure,
-// and until the cut is over no adapter is loaded in its domain: callers of 30 runners
-// were refused for twelve seconds. It has to make room for an instance that reaches
-// them, and to stay where a single runner fails or all of them are gone.
+// Guards against a leader that is cut off from its runners but not from the store and goes on
+// renewing its lease. No adapter is loaded in its domain meanwhile: callers of 30 runners were
+// refused for twelve seconds. It must step down for an instance that reaches them, and must not
+// where a single runner fails or all runners are down.
 func TestHolderThatDoesNotReachItsRunnersGivesUp(t *testing.T) {
 	const runners = 30
 	for _, tc := range []struct {
 		name     string
 		dark     int
-		answered bool // others tell of answers
+		answered bool // other instances report responses
 		after    time.Duration
 		want     bool
 	}{
-		{"all are dark, and others are answered", runners, true, severedFor, true},
-		{"all are dark for a moment", runners, true, severedFor / 2, false},
-		{"all are gone", runners, false, severedFor, false},
-		{"a third is dark", runners / 3, true, 10 * severedFor, false},
+		{"all unresponsive, responses elsewhere", runners, true, severedFor, true},
+		{"all unresponsive for a moment", runners, true, severedFor / 2, false},
+		{"all down", runners, false, severedFor, false},
+		{"a third unresponsive", runners / 3, true, 10 * severedFor, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var s severance
@@ -40,14 +40,14 @@
 				got = s.look(tc.dark, runners, now)
 			}
 			if got != tc.want {
-				t.Errorf("gives up: %v, want %v", got, tc.want)
+				t.Errorf("steps down: %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// An instance that does not reach the runners either must not take the freed tenure
-// before those that do have had the time to.
+// Guards against an instance that does not reach the runners either and acquires the freed lease
+// before those that do had time to.
 func TestTenureIsLeftToThoseThatReachTheRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
@@ -64,31 +64,31 @@
 		d := g.controllers["a"]
 		time.Sleep(quietDomain)
 		if !d.deferred() {
-			t.Error("takes a tenure whose runners it does not reach")
+			t.Error("acquires a lease without reaching the runners")
 		}
 		time.Sleep(deferredFor)
 		if d.deferred() {
-			t.Error("leaves it to nobody for good")
+			t.Error("never acquires the lease")
 		}
 	})
 }
 
-// The store turns a holder away and serves the others, which say so. Its lease lasts
-// for seconds yet, and what it tells its members of runners that leave is old: it must
-// make room. In an outage for all it keeps what it holds, as nobody could take it.
+// Guards against a leader that cannot reach the store while others can, as they publish. Its lease
+// lasts for seconds, and what it publishes about runners that leave is stale: it must step down.
+// In an outage for all instances it stays leader, as no other could acquire the lease.
 func TestHolderThatTheStoreTurnsAwayGivesUp(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		renewed time.Duration // ago
-		reached time.Duration // ago, by another holder; negative for never
-		after   time.Duration // that it is so for
+		reached time.Duration // ago, by another leader; negative for never
+		after   time.Duration // duration of this state
 		want    bool
 	}{
-		{"both reach it", time.Second, 0, strandedWait, false},
-		{"it alone is turned away", strandedFor + time.Second, 200 * time.Millisecond, strandedWait, true},
-		{"another one has just reached it, after an outage for all", strandedFor + time.Second, 200 * time.Millisecond, strandedWait / 2, false},
-		{"nobody reaches it", strandedFor + time.Second, strandedFor, strandedWait, false},
-		{"there is nobody else", strandedFor + time.Second, -1, strandedWait, false},
+		{"both reach the store", time.Second, 0, strandedWait, false},
+		{"only this one does not", strandedFor + time.Second, 200 * time.Millisecond, strandedWait, true},
+		{"another one just has, after an outage for all", strandedFor + time.Second, 200 * time.Millisecond, strandedWait / 2, false},
+		{"no instance does", strandedFor + time.Second, strandedFor, strandedWait, false},
+		{"there is no other leader", strandedFor + time.Second, -1, strandedWait, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			g := newTestGatekeeper()
@@ -107,15 +107,15 @@
 				got = d.stranded(now)
 			}
 			if got != tc.want {
-				t.Errorf("gives up: %v, want %v", got, tc.want)
+				t.Errorf("steps down: %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// A holder that does not reach the store cannot free its row, and tells its members
-// instead. One of them has to take the tenure at once, though the row still names the
-// old holder for the rest of its lease.
+// Guards against a domain without a leader for the rest of a lease: a leader that does not reach the
+// store cannot clear its row, and publishes to its members that it stepped down. One of them must
+// acquire the lease at once, although the row still names the old leader.
 func TestMembersTakeOverWhatTheyAreToldIsGivenUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
@@ -127,16 +127,16 @@
 		d.tenure(t.Context())
 		time.Sleep(100 * time.Millisecond)
 		if holder := ownTenure(t, store).Holder; holder != "front-1" {
-			t.Fatalf("the row names %q before the tenure was given up", holder)
+			t.Fatalf("lease row names %q before the leader stepped down", holder)
 		}
 		l.take(relayer.News{Ended: 3})
 		d.tenure(t.Context())
 		time.Sleep(100 * time.Millisecond)
 		if holder := ownTenure(t, store).Holder; holder != g.Config.ID {
-			t.Errorf("the row names %q", holder)
+			t.Errorf("lease row names %q, want this instance", holder)
 		}
 		if _, acts := d.acts(); acts {
-			t.Error("orders within the quiet time")
+			t.Error("sends orders within the quiet time")
 		}
 	})
 }
