--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -25,7 +25,7 @@
 
 	mu       sync.Mutex
 	elector  elector.Elector
-	acting   uint64        // fencing number for which the placers were created; 0 for none
+	acting   uint64        // fencing token for which the placers were created; 0 for none
 	next     time.Duration // earliest time of the next store call, after a failed one
 	look     time.Duration // earliest time of the next poll of the lease row
 	calling  bool          // a store call for the lease is in flight
@@ -39,7 +39,7 @@
 	share    admitter.Share
 	cut      severance
 	stuck    time.Time // since when other leaders have reached the store and this one has not
-	ended    uint64    // fencing number of the lease that was released last
+	ended    uint64    // fencing token of the lease that was released last
 	heard    retold    // last update from the leader, while another instance leads
 
 	followers int           // members that subscribe to the domain here
@@ -106,7 +106,7 @@
 	d.news.add(event{gone: &relayer.Gone{Runner: id, Revision: revision}})
 }
 
-// acts returns the fencing number of the lease and whether orders may be sent now.
+// acts returns the fencing token of the lease and whether orders may be sent now.
 func (d *controller) acts() (uint64, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/instance/gatekeeper/tenure.go
+++ b/internal/instance/gatekeeper/tenure.go
@@ -139,7 +139,7 @@
 	d.elector.Heard(row, version, age, uptime())
 }
 
-// over records that the leader with the given fencing number has stepped down.
+// over records that the leader with the given fencing token has stepped down.
 func (d *controller) over(fence uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
