--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -23,46 +23,46 @@
 	gatekeeper *Gatekeeper
 	domain     string
 
-	mu       sync.Mutex
-	elector  elector.Elector
-	acting   uint64        // fencing token for which the placers were created; 0 for none
-	next     time.Duration // earliest time of the next store call, after a failed one
-	look     time.Duration // earliest time of the next poll of the lease row
-	calling  bool          // a store call for the lease is in flight
-	looking  bool          // the domain appears to have no leader, and the lease row is polled
-	runners  map[string]*runnerState
-	sum      uint64            // checksum of the runner descriptions
-	gather   gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that forwards them to it
-	counting time.Time         // when this instance received the first demand report as leader
-	news     journal
-	window   placer.Window
-	share    admitter.Share
-	cut      severance
-	stuck    time.Time // since when other leaders have reached the store and this one has not
-	ended    uint64    // fencing token of the lease that was released last
-	heard    retold    // last update from the leader, while another instance leads
+	mu           sync.Mutex
+	elector      elector.Elector
+	acting       uint64        // fencing token for which the placers were created; 0 for none
+	nextCall     time.Duration // earliest time of the next store call, after a failed one
+	nextPoll     time.Duration // earliest time of the next poll of the lease row
+	callInFlight bool          // a store call for the lease is in flight
+	polling      bool          // the domain appears to have no leader, and the lease row is polled
+	runners      map[string]*runnerState
+	sum          uint64            // checksum of the runner descriptions
+	gather       gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that forwards them to it
+	counting     time.Time         // when this instance received the first demand report as leader
+	news         journal
+	window       placer.Window
+	share        admitter.Share
+	partition    partitionDetector
+	cutOffSince  time.Time // since when other leaders have reached the store and this one has not
+	ended        uint64    // fencing token of the lease that was released last
+	heard        retold    // last update from the leader, while another instance leads
 
-	followers int           // members that subscribe to the domain here
-	line      time.Duration // expected wait until a further load begins, as of lined
-	lined     time.Time
+	followers   int           // members that subscribe to the domain here
+	queueWait   time.Duration // expected wait until a further load begins, as of lined
+	queueWaitAt time.Time
 }
 
 // A runnerState is the leader's view of one runner.
 type runnerState struct {
-	runner tracker.Runner
-	placer *placer.Placer // nil while this instance sends no orders, and for a plain service
-	busy   bool           // an order or a report request is in flight
-	asked  time.Time      // when the last report was requested
-	line   admitter.Timeline
-	places tracker.Places // request slots of a plain service
-	told   map[placer.Copy]time.Time
-	wait   time.Duration // for an adapter slot, as last published
-	dark   darkness
+	runner          tracker.Runner
+	placer          *placer.Placer // nil while this instance sends no orders, and for a plain service
+	busy            bool           // an order or a report request is in flight
+	reportRequested time.Time      // when the last report was requested
+	prefillQueue    admitter.Timeline
+	slots           tracker.Places // request slots of a plain service
+	told            map[placer.Copy]time.Time
+	wait            time.Duration // for an adapter slot, as last published
+	failures        failureScore
 }
 
-// reportEvery limits how often a runner is asked for a report. A report is already some
+// reportInterval limits how often a runner is asked for a report. A report is already some
 // hundred milliseconds old on arrival, so more frequent ones add nothing.
-const reportEvery = 250 * time.Millisecond
+const reportInterval = 250 * time.Millisecond
 
 // set adds or replaces the description of a runner.
 func (d *controller) set(r tracker.Runner, changed bool) {
@@ -127,26 +127,26 @@
 	defer d.mu.Unlock()
 	fence, acts := d.elector.Acts(uptime())
 	if !acts {
-		d.rest()
+		d.stopOrdering()
 		return
 	}
 	if d.acting != fence {
-		d.begin(fence)
+		d.startOrdering(fence)
 	}
 	switch {
-	case d.severed(now):
-		d.yield(ctx, "runners are not reached")
+	case d.partitioned(now):
+		d.stepDown(ctx, "runners are not reached")
 		return
-	case d.stranded(now):
-		d.yield(ctx, "the store is not reached")
+	case d.cutOffFromStore(now):
+		d.stepDown(ctx, "the store is not reached")
 		return
 	}
 	catalog := d.gatekeeper.Catalog()
-	l := d.loads(now)
-	for _, id := range d.order() {
+	l := d.loadStats(now)
+	for _, id := range d.runnersByWaiting() {
 		c := d.runners[id]
 		if c.placer == nil {
-			c.placer = d.placer(catalog, c.runner)
+			c.placer = d.newPlacer(catalog, c.runner)
 		}
 		if c.placer == nil || c.busy || c.runner.Leaving {
 			continue
@@ -154,26 +154,26 @@
 		c.placer.Load, c.placer.Return = d.gatekeeper.LoadTime(), d.gatekeeper.ReturnTime()
 		switch {
 		case !c.placer.Known():
-			if now.Sub(c.asked) >= reportEvery {
-				c.asked = now
-				d.report(ctx, c)
+			if now.Sub(c.reportRequested) >= reportInterval {
+				c.reportRequested = now
+				d.requestReport(ctx, c)
 			}
 		default:
 			if o, ok := c.placer.Next(now, l.allows()); ok {
 				if !o.Unload && o.Copy.Adapter != "" && !c.placer.Kept(o.Copy) {
 					l.fetching++
 				}
-				d.send(ctx, c, o)
+				d.sendOrder(ctx, c, o)
 			}
 		}
-		d.tell(c)
-		d.tellRoom(c, now)
+		d.publishHeld(c)
+		d.publishSlotWait(c, now)
 	}
 }
 
-// begin discards all placer state: another leader may have changed what the runners hold
+// startOrdering discards all placer state: another leader may have changed what the runners hold
 // since the earlier lease.
-func (d *controller) begin(fence uint64) {
+func (d *controller) startOrdering(fence uint64) {
 	d.acting = fence
 	for _, c := range d.runners {
 		c.placer = nil
@@ -182,8 +182,8 @@
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "giving orders", "domain", d.domain, "fence", fence, "runners", len(d.runners))
 }
 
-// rest drops the state that is only valid on the leader.
-func (d *controller) rest() {
+// stopOrdering drops the state that is only valid on the leader.
+func (d *controller) stopOrdering() {
 	if d.acting == 0 {
 		return
 	}
@@ -196,8 +196,8 @@
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "giving no more orders", "domain", d.domain)
 }
 
-// placer returns a new placer for a runner's adapter slots, or nil for a plain service.
-func (d *controller) placer(catalog *matcher.Catalog, r tracker.Runner) *placer.Placer {
+// newPlacer returns a new placer for a runner's adapter slots, or nil for a plain service.
+func (d *controller) newPlacer(catalog *matcher.Catalog, r tracker.Runner) *placer.Placer {
 	if catalog == nil {
 		return nil
 	}
@@ -217,11 +217,11 @@
 		places = min(places, (engine.Memory-model.Size)/model.AdapterSize)
 	}
 	inUse := func(c placer.Copy) bool { return d.gather.Uses(keyOf(r.ID, c)) > 0 }
-	return &placer.Placer{Copies: d.copies, InUse: inUse, Model: model.Name, Places: places, Loads: perRunner}
+	return &placer.Placer{Copies: d.copyCount, InUse: inUse, Model: model.Name, Places: places, Loads: maxLoadsPerRunner}
 }
 
-// report asks a runner which adapters it holds.
-func (d *controller) report(ctx context.Context, c *runnerState) {
+// requestReport asks a runner which adapters it holds.
+func (d *controller) requestReport(ctx context.Context, c *runnerState) {
 	c.busy = true
 	p, runner := c.placer, c.runner
 	go func() {
@@ -229,7 +229,7 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		c.busy = false
-		c.dark.report(err)
+		c.failures.recordReport(err)
 		if err != nil {
 			d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "runner report failed", "runner", runner.ID, "err", err)
 			return
@@ -240,8 +240,8 @@
 	}()
 }
 
-// send sends an order, provided that the lease is still valid when it goes out.
-func (d *controller) send(ctx context.Context, c *runnerState, o placer.Order) {
+// sendOrder sends an order, provided that the lease is still valid when it goes out.
+func (d *controller) sendOrder(ctx context.Context, c *runnerState, o placer.Order) {
 	c.busy = true
 	p, runner, fence := c.placer, c.runner, d.acting
 	go func() {
@@ -252,16 +252,16 @@
 		}
 		d.mu.Lock()
 		p.Finish(outcome, time.Now())
-		c.dark.order(outcome)
+		c.failures.recordOrder(outcome)
 		c.busy = false
 		d.mu.Unlock()
-		d.gatekeeper.ordered(runner, o, outcome, fence, time.Since(began), err)
+		d.gatekeeper.logOrder(runner, o, outcome, fence, time.Since(began), err)
 		d.gatekeeper.kickLead()
 	}()
 }
 
-// tell publishes the changes in what a runner holds since the last call.
-func (d *controller) tell(c *runnerState) {
+// publishHeld publishes the changes in what a runner holds since the last call.
+func (d *controller) publishHeld(c *runnerState) {
 	held := c.placer.Held()
 	now := time.Now()
 	for copied, at := range held {
--- a/internal/instance/gatekeeper/crash.go
+++ b/internal/instance/gatekeeper/crash.go
@@ -17,32 +17,32 @@
 // replaced it. So the instance that saw a response break off probes the runner at once.
 
 const (
-	// checkPause is the pause before each probe of a runner. One that has just crashed may
+	// probePause is the pause before each probe of a runner. One that has just crashed may
 	// still accept a connection for a moment.
-	checkPause = 80 * time.Millisecond
-	// refusals is how many consecutive probes must be refused before a runner counts as
+	probePause = 80 * time.Millisecond
+	// maxRefusals is how many consecutive probes must be refused before a runner counts as
 	// crashed. A live runner that has run out of connections may refuse one.
-	refusals = 2
-	// checkTime bounds the probes of a runner. One that does not respond for longer is not
+	maxRefusals = 2
+	// probeTimeout bounds the probes of a runner. One that does not respond for longer is not
 	// treated as crashed, as a network partition looks the same.
-	checkTime = 2 * time.Second
-	// crashKept is how long a crash is remembered for requests whose responses break off later
+	probeTimeout = 2 * time.Second
+	// crashRetention is how long a crash is remembered for requests whose responses break off later
 	// than others because of packet loss.
-	crashKept = 10 * time.Second
-	// mostChecked bounds the requests that wait for the result of one check. A runner runs up
+	crashRetention = 10 * time.Second
+	// maxCheckRequests bounds the requests that wait for the result of one check. A runner runs up
 	// to 64 at once.
-	mostChecked = 256
+	maxCheckRequests = 256
 )
 
 // checks finds out which runners have crashed. Its zero value is ready to use.
 type checks struct {
-	mu    sync.Mutex
-	under map[string]*check // by runner ID
+	mu       sync.Mutex
+	byRunner map[string]*crashCheck // by runner ID
 }
 
 // A check finds out whether a runner has crashed.
-type check struct {
-	began    time.Time                            // when the first response broke off there
+type crashCheck struct {
+	started  time.Time                            // when the first response broke off there
 	crashed  bool                                 // the runner has crashed; requests that break off there later are suspected at once
 	requests map[quarantiner.Digest]time.Duration // how long each had run
 }
@@ -57,18 +57,18 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if c.under == nil {
-		c.under = make(map[string]*check)
+	if c.byRunner == nil {
+		c.byRunner = make(map[string]*crashCheck)
 	}
-	one, ok := c.under[runner]
+	one, ok := c.byRunner[runner]
 	if !ok {
-		one = &check{began: now, requests: make(map[quarantiner.Digest]time.Duration)}
-		c.under[runner] = one
+		one = &crashCheck{started: now, requests: make(map[quarantiner.Digest]time.Duration)}
+		c.byRunner[runner] = one
 	}
-	if sent.After(one.began) {
+	if sent.After(one.started) {
 		return false, false
 	}
-	if len(one.requests) < mostChecked {
+	if len(one.requests) < maxCheckRequests {
 		one.requests[d] = now.Sub(sent)
 	}
 	return !ok, one.crashed
@@ -79,12 +79,12 @@
 func (c *checks) end(runner string, crashed bool) map[quarantiner.Digest]time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	one := c.under[runner]
+	one := c.byRunner[runner]
 	one.crashed = crashed
 	if crashed {
-		time.AfterFunc(crashKept, func() { c.forget(runner) })
+		time.AfterFunc(crashRetention, func() { c.forget(runner) })
 	} else {
-		delete(c.under, runner)
+		delete(c.byRunner, runner)
 	}
 	return maps.Clone(one.requests)
 }
@@ -92,12 +92,12 @@
 func (c *checks) forget(runner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.under, runner)
+	delete(c.byRunner, runner)
 }
 
 // Broke implements forwarder.Quarantine.
 func (g *Gatekeeper) Broke(d quarantiner.Digest, runner tracker.Runner, sent time.Time) {
-	if g.endsAsPlanned(runner) {
+	if g.stopsGracefully(runner) {
 		return
 	}
 	begin, crashed := g.crashes.add(runner.ID, d, sent)
@@ -105,22 +105,22 @@
 	case crashed:
 		g.suspect(runner.ID, map[quarantiner.Digest]time.Duration{d: time.Since(sent)})
 	case begin:
-		go g.check(runner)
+		go g.checkRunner(runner)
 	}
 }
 
-// endsAsPlanned reports whether a runner is shutting down gracefully, or has been removed.
-func (g *Gatekeeper) endsAsPlanned(runner tracker.Runner) bool {
+// stopsGracefully reports whether a runner is shutting down gracefully, or has been removed.
+func (g *Gatekeeper) stopsGracefully(runner tracker.Runner) bool {
 	_, known := g.Fleet.Get(runner.ID)
-	return !known || g.leaves(runner)
+	return !known || g.isLeaving(runner)
 }
 
-// check finds out whether a runner has crashed, and if so suspects the requests that broke off
+// checkRunner finds out whether a runner has crashed, and if so suspects the requests that broke off
 // there.
-func (g *Gatekeeper) check(runner tracker.Runner) {
+func (g *Gatekeeper) checkRunner(runner tracker.Runner) {
 	began := time.Now()
-	life := g.lifeOf(runner)
-	crashed := (life == tracker.Refuses || life == tracker.Replaced) && !g.leaves(runner)
+	life := g.probeLife(runner)
+	crashed := (life == tracker.Refuses || life == tracker.Replaced) && !g.isLeaving(runner)
 	requests := g.crashes.end(runner.ID, crashed)
 	g.Recorder.Log(recorder.Suspect, "msg", "runner checked", "runner", runner.ID, "life", life, "crashed", crashed,
 		"requests", len(requests), "took", time.Since(began))
@@ -129,19 +129,19 @@
 	}
 }
 
-// leaves reports whether a runner has announced that it is shutting down.
-func (g *Gatekeeper) leaves(runner tracker.Runner) bool {
+// isLeaving reports whether a runner has announced that it is shutting down.
+func (g *Gatekeeper) isLeaving(runner tracker.Runner) bool {
 	known, ok := g.Fleet.Get(runner.ID)
 	return ok && known.Leaving
 }
 
-// lifeOf probes a runner until it is clear whether it is alive, or until checkTime is over.
-func (g *Gatekeeper) lifeOf(runner tracker.Runner) tracker.Life {
-	ctx, cancel := context.WithTimeout(context.Background(), checkTime)
+// probeLife probes a runner until it is clear whether it is alive, or until probeTimeout is over.
+func (g *Gatekeeper) probeLife(runner tracker.Runner) tracker.Life {
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	refused := 0
 	for {
-		pause(ctx, checkPause)
+		pause(ctx, probePause)
 		if ctx.Err() != nil {
 			return tracker.Unknown
 		}
@@ -150,7 +150,7 @@
 			return life
 		case tracker.Refuses:
 			refused++
-			if refused >= refusals {
+			if refused >= maxRefusals {
 				return life
 			}
 		default:
--- a/internal/instance/gatekeeper/crash_test.go
+++ b/internal/instance/gatekeeper/crash_test.go
@@ -12,23 +12,23 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// A livesEngine answers liveness probes from a script.
-type livesEngine struct {
+// A scriptedEngine answers liveness probes from a script.
+type scriptedEngine struct {
 	Engine
-	lives []tracker.Life // the last one is repeated
-	asked int
+	lives  []tracker.Life // the last one is repeated
+	probes int
 }
 
-func (e *livesEngine) Lives(context.Context, tracker.Runner) tracker.Life {
-	e.asked++
-	return e.lives[min(e.asked, len(e.lives))-1]
+func (e *scriptedEngine) Lives(context.Context, tracker.Runner) tracker.Life {
+	e.probes++
+	return e.lives[min(e.probes, len(e.lives))-1]
 }
 
 // Guards against false suspicions: responses break off for many reasons, and a request that is
 // suspected three times is rejected. Only a runner that refuses connections, or that another
 // incarnation has replaced, has crashed; a reset, a partition, a pause and a graceful shutdown are
 // no crash.
-func TestWhatCountsAsACrash(t *testing.T) {
+func TestCrashDetection(t *testing.T) {
 	const (
 		unknown, lives, refuses, replaced = tracker.Unknown, tracker.Lives, tracker.Refuses, tracker.Replaced
 	)
@@ -59,7 +59,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := newChained("a-1", "a")
-				g.Engine = &livesEngine{lives: tc.lives}
+				g.Engine = &scriptedEngine{lives: tc.lives}
 				r := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}
 				g.setRunner(r, fromStore)
 				if tc.set != nil {
@@ -69,7 +69,7 @@
 				if tc.later != nil {
 					tc.later(g, r)
 				}
-				time.Sleep(checkTime + time.Second)
+				time.Sleep(probeTimeout + time.Second)
 				synctest.Wait()
 				if diff := cmp.Diff(tc.want, g.Suspects()); diff != "" {
 					t.Error(diff)
@@ -83,10 +83,10 @@
 // runner crashes, some later than others. All are suspected, the runner is probed once for all of
 // them, and one that breaks off afterwards needs no further probe. A request that is sent to the
 // crashed runner is no suspect.
-func TestRunnerIsAskedOnceForAllThatBrokeOff(t *testing.T) {
+func TestRunnerIsProbedOncePerCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newChained("a-1", "a")
-		engine := &livesEngine{lives: []tracker.Life{tracker.Refuses}}
+		engine := &scriptedEngine{lives: []tracker.Life{tracker.Refuses}}
 		g.Engine = engine
 		r := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}
 		g.setRunner(r, fromStore)
@@ -102,9 +102,9 @@
 		if got := len(g.quarantine.ledger.Cases()); got != 21 {
 			t.Errorf("%d requests suspected, want 21", got)
 		}
-		if engine.asked != refusals {
-			t.Errorf("runner probed %d times, want %d", engine.asked, refusals)
+		if engine.probes != maxRefusals {
+			t.Errorf("runner probed %d times, want %d", engine.probes, maxRefusals)
 		}
-		time.Sleep(crashKept) // lets the timer run out
+		time.Sleep(crashRetention) // lets the timer run out
 	})
 }
--- a/internal/instance/gatekeeper/dark.go
+++ b/internal/instance/gatekeeper/dark.go
@@ -11,38 +11,38 @@
 // seconds, and requests that wait for an adapter do not fail there: with all its slots free
 // the runner looked like the best choice, 67 adapters queued for it, and their requests were
 // refused when they reached their wait limit.
-type darkness int
+type failureScore int
 
 const (
-	// unanswered and unreached are the penalties for an order without a response and for a
+	// noResponsePenalty and unreached are the penalties for an order without a response and for a
 	// failed connection, and dark is the score from which on a runner is skipped. If half of
 	// the orders get no response, one runner in sixteen is skipped until its next response.
-	unanswered darkness = 1
-	unreached  darkness = 2
-	dark       darkness = 4
-	// darkWait is the published wait for a slot at such a runner. It is longer than at any
+	noResponsePenalty   failureScore = 1
+	noConnectionPenalty failureScore = 2
+	unresponsive        failureScore = 4
+	// unresponsiveWait is the published wait for a slot at such a runner. It is longer than at any
 	// live runner, and no longer than the row of a crashed one stays.
-	darkWait = 2 * time.Second
+	unresponsiveWait = 2 * time.Second
 )
 
-func (d *darkness) order(o placer.Outcome) {
+func (d *failureScore) recordOrder(o placer.Outcome) {
 	switch o {
 	case placer.Lost:
-		*d += unanswered
+		*d += noResponsePenalty
 	case placer.Unreached:
-		*d += unreached
+		*d += noConnectionPenalty
 	default:
 		*d = 0
 	}
 }
 
-func (d *darkness) report(err error) {
+func (d *failureScore) recordReport(err error) {
 	switch {
 	case err == nil:
 		*d = 0
 	case judge.As(err).Verdict == judge.NotRun:
-		*d += unreached
+		*d += noConnectionPenalty
 	default:
-		*d += unanswered
+		*d += noResponsePenalty
 	}
 }
--- a/internal/instance/gatekeeper/dark_test.go
+++ b/internal/instance/gatekeeper/dark_test.go
@@ -12,36 +12,36 @@
 // slots look free, so that callers whose adapter is loaded nowhere queue for it until their wait
 // limit. It must be skipped once connections to it fail, and used again after its first response;
 // orders that get lost occasionally are no sign of a crash.
-func TestRunnersThatDoNotLiveAreNoticed(t *testing.T) {
+func TestUnresponsiveRunnersAreSkipped(t *testing.T) {
 	refused := judge.Judge(judge.Dialed{Err: errors.New("connection refused")})
 	for _, tc := range []struct {
 		name   string
-		happen func(d *darkness)
+		happen func(d *failureScore)
 		want   bool
 	}{
-		{"no sign", func(*darkness) {}, false},
-		{"refuses connections", func(d *darkness) { d.order(placer.Unreached); d.report(refused) }, true},
-		{"never responds", func(d *darkness) {
+		{"no sign", func(*failureScore) {}, false},
+		{"refuses connections", func(d *failureScore) { d.recordOrder(placer.Unreached); d.recordReport(refused) }, true},
+		{"never responds", func(d *failureScore) {
 			for range 4 {
-				d.order(placer.Lost)
+				d.recordOrder(placer.Lost)
 			}
 		}, true},
-		{"loses every other order", func(d *darkness) {
+		{"loses every other order", func(d *failureScore) {
 			for range 10 {
-				d.order(placer.Lost)
-				d.order(placer.Accepted)
+				d.recordOrder(placer.Lost)
+				d.recordOrder(placer.Accepted)
 			}
 		}, false},
-		{"responds again", func(d *darkness) {
-			d.order(placer.Unreached)
-			d.order(placer.Unreached)
-			d.report(nil)
+		{"responds again", func(d *failureScore) {
+			d.recordOrder(placer.Unreached)
+			d.recordOrder(placer.Unreached)
+			d.recordReport(nil)
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var d darkness
+			var d failureScore
 			tc.happen(&d)
-			if got := d >= dark; got != tc.want {
+			if got := d >= unresponsive; got != tc.want {
 				t.Errorf("skipped: %v, want %v", got, tc.want)
 			}
 		})
--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -24,16 +24,16 @@
 		if demand.Urgent() {
 			g.kickLead()
 		}
-	case g.holdsAny() || d.knows(from.ID):
+	case g.holdsAny() || d.relaysFor(from.ID):
 		d.demanded(from.ID, demand)
 		g.links[demand.Domain].pass(demand)
 	}
 }
 
-// knows reports whether this instance forwards a member's reports. An instance that has just
+// relaysFor reports whether this instance forwards a member's reports. An instance that has just
 // stepped down goes on until the member receives updates from another one; otherwise the
 // uses of a whole domain would not be counted in between.
-func (d *controller) knows(member string) bool {
+func (d *controller) relaysFor(member string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.gather.Knows(member)
@@ -51,24 +51,24 @@
 	if d.counting.IsZero() {
 		d.counting = now
 	}
-	d.gather.Tell(from, wordOf(demand), now)
-	if from != d.gatekeeper.Config.ID && answered(demand) {
-		d.cut.elsewhere = now
+	d.gather.Tell(from, summedReport(demand), now)
+	if from != d.gatekeeper.Config.ID && reportsResponse(demand) {
+		d.partition.respondedElsewhere = now
 	}
 	d.share.Learn(demand.Short, demand.Long)
 	for _, n := range demand.There {
-		d.with(n.Runner, func(p *placer.Placer) { d.learn(p.There(n.Copy, n.Requests, now.Add(-n.Ago))) })
+		d.withPlacer(n.Runner, func(p *placer.Placer) { d.observeArrival(p.There(n.Copy, n.Requests, now.Add(-n.Ago))) })
 	}
 	for _, n := range demand.Missing {
-		d.with(n.Runner, func(p *placer.Placer) { p.Late(n.Copy, now) })
+		d.withPlacer(n.Runner, func(p *placer.Placer) { p.Late(n.Copy, now) })
 	}
 	for _, n := range demand.Spare {
-		d.with(n.Runner, func(p *placer.Placer) { p.Want(n.Copy, placer.Spare, now) })
+		d.withPlacer(n.Runner, func(p *placer.Placer) { p.Want(n.Copy, placer.Spare, now) })
 	}
 }
 
-// wordOf returns the part of a demand report that is summed up over all members.
-func wordOf(demand relayer.Demand) gatherer.Word {
+// summedReport returns the part of a demand report that is summed up over all members.
+func summedReport(demand relayer.Demand) gatherer.Word {
 	w := gatherer.Word{
 		Instances: 1 + demand.Others, Loads: demand.Loads,
 		Uses:  make(map[gatherer.Key]int, len(demand.Uses)),
@@ -88,7 +88,7 @@
 // waits updates a runner's placer with the number of requests of all members that wait for a
 // copy.
 func (d *controller) waits(k gatherer.Key, all placer.Waiting) {
-	d.with(k.Runner, func(p *placer.Placer) {
+	d.withPlacer(k.Runner, func(p *placer.Placer) {
 		if all.Requests == 0 {
 			p.Unwant(k.Copy)
 			return
@@ -107,7 +107,7 @@
 // used counts a use that a member has begun.
 func (d *controller) used(by string, k gatherer.Key) { d.gather.Use(by, k, time.Now()) }
 
-func (d *controller) with(runner string, do func(p *placer.Placer)) {
+func (d *controller) withPlacer(runner string, do func(p *placer.Placer)) {
 	if c, ok := d.runners[runner]; ok && c.placer != nil {
 		do(c.placer)
 	}
--- a/internal/instance/gatekeeper/demand_test.go
+++ b/internal/instance/gatekeeper/demand_test.go
@@ -70,7 +70,7 @@
 // Guards against a published wait that leaves out the wait for an adapter slot. A runner has two
 // slots, both in use, and three adapters are queued. When only the load time of a quarter of a
 // second was published, requests waited at one runner while another had an idle slot.
-func TestWaitForAPlaceIsTold(t *testing.T) {
+func TestSlotWaitCountsQueuedAdapters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		d := g.controllers["a"]
@@ -84,7 +84,7 @@
 		p.Take(placer.Report{Models: []string{"m"}, Resident: copies[:2]}, time.Now())
 		d.runners["i-1"] = &runnerState{runner: r, placer: p}
 		time.Sleep(time.Second)
-		if wait := d.placeWait(d.runners["i-1"], time.Now()); wait != 0 {
+		if wait := d.slotWait(d.runners["i-1"], time.Now()); wait != 0 {
 			t.Errorf("wait %s for slots that no request needs", wait)
 		}
 		demand := relayer.Demand{Uses: []relayer.Need{{Runner: "i-1", Copy: copies[0], Requests: 1}, {Runner: "i-1", Copy: copies[1], Requests: 1}}}
@@ -93,11 +93,11 @@
 		}
 		d.demanded("front-1", demand)
 		hold := g.LoadTime() + g.Fleet.Run("llm")
-		if wait := d.placeWait(d.runners["i-1"], time.Now()); wait != 4*hold/2 {
+		if wait := d.slotWait(d.runners["i-1"], time.Now()); wait != 4*hold/2 {
 			t.Errorf("wait %s behind three others for two slots held %s each", wait, hold)
 		}
 		d.demanded("front-1", relayer.Demand{})
-		if wait := d.placeWait(d.runners["i-1"], time.Now()); wait != 0 {
+		if wait := d.slotWait(d.runners["i-1"], time.Now()); wait != 0 {
 			t.Errorf("wait %s after all requests have ended", wait)
 		}
 	})
--- a/internal/instance/gatekeeper/keep.go
+++ b/internal/instance/gatekeeper/keep.go
@@ -14,15 +14,15 @@
 // Crash records are stored in the table of the leaders, which all instances watch already, so
 // that they cost no store calls while there are none.
 
-// prefixCrash is the key prefix of crash records; the digest, a slash and the runner follow. No
+// crashKeyPrefix is the key prefix of crash records; the digest, a slash and the runner follow. No
 // failure domain has such a name.
-const prefixCrash = "crash/"
+const crashKeyPrefix = "crash/"
 
 // fromStore is the source of crash reports and removals that were read from the store.
 const fromStore = "store"
 
-// writeMost is how many rows are written in one transaction; the store's limit is 100.
-const writeMost = 100
+// maxRowsPerWrite is how many rows are written in one transaction; the store's limit is 100.
+const maxRowsPerWrite = 100
 
 // A rowState is the desired state of a row.
 type rowState int
@@ -30,10 +30,10 @@
 const (
 	rowWritten rowState = iota // in the desired state
 	rowPut
-	rowDropped
+	rowDeleted
 )
 
-func crashValue(r quarantiner.Row) []byte {
+func encodeCrashRow(r quarantiner.Row) []byte {
 	value, err := encoder.Marshal(r)
 	if err != nil {
 		panic(err) // integers can always be encoded
@@ -41,20 +41,20 @@
 	return value
 }
 
-// keepCrashes requests that the crashes of requests with quarantiner.KeptFrom or more of them
+// storeCrashes requests that the crashes of requests with quarantiner.KeptFrom or more of them
 // are stored, and that cleared ones are deleted. While some leaders send no updates the first
 // crash is stored too: the second may be observed by an instance that cannot be reached from
 // here.
-func (g *Gatekeeper) keepCrashes(words []quarantiner.Word) {
+func (g *Gatekeeper) storeCrashes(words []quarantiner.Word) {
 	if len(words) == 0 {
 		return
 	}
 	now := time.Now()
 	q := &g.quarantine
-	apart := !g.hearsAll()
+	apart := !g.receivesFromAllLeaders()
 	for _, w := range words {
 		if w.Cleared {
-			q.want(w.Crash(), rowDropped)
+			q.setDesired(w.Crash(), rowDeleted)
 			continue
 		}
 		open := q.ledger.Open(w.Digest, now)
@@ -62,7 +62,7 @@
 			continue
 		}
 		for _, o := range open {
-			q.want(o.Crash(), rowPut)
+			q.setDesired(o.Crash(), rowPut)
 		}
 	}
 	signal(q.write)
@@ -71,14 +71,14 @@
 // keepApart has the crashes that this instance observed itself stored while some leaders
 // send no updates: its source may have been unable to pass its reports on.
 func (g *Gatekeeper) keepApart() {
-	if g.hearsAll() {
+	if g.receivesFromAllLeaders() {
 		return
 	}
-	g.keepCrashes(g.quarantine.ownWords(time.Now(), func(ownWord) bool { return true }))
+	g.storeCrashes(g.quarantine.ownWords(time.Now(), func(ownWord) bool { return true }))
 }
 
-// hearsAll reports whether there are recent updates from the leaders of all failure domains.
-func (g *Gatekeeper) hearsAll() bool {
+// receivesFromAllLeaders reports whether there are recent updates from the leaders of all failure domains.
+func (g *Gatekeeper) receivesFromAllLeaders() bool {
 	for domain, l := range g.links {
 		if l.silence() > unheard && !g.controllers[domain].holds() {
 			return false
@@ -87,40 +87,40 @@
 	return true
 }
 
-// want sets the desired state of a row. A row that was never written need not be deleted.
-func (q *quarantine) want(c quarantiner.Crash, state rowState) {
+// setDesired sets the desired state of a row. A row that was never written need not be deleted.
+func (q *quarantine) setDesired(c quarantiner.Crash, state rowState) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.rows == nil {
-		q.rows = make(map[quarantiner.Crash]rowState)
+	if q.rowStates == nil {
+		q.rowStates = make(map[quarantiner.Crash]rowState)
 	}
-	before, known := q.rows[c]
+	before, known := q.rowStates[c]
 	switch {
-	case known && before == state, known && before == rowWritten && state == rowPut, !known && state == rowDropped:
+	case known && before == state, known && before == rowWritten && state == rowPut, !known && state == rowDeleted:
 		return
 	}
-	q.rows[c] = state
+	q.rowStates[c] = state
 }
 
-// stored records whether a row exists in the store.
-func (q *quarantine) stored(c quarantiner.Crash, there bool) {
+// recordStored records whether a row exists in the store.
+func (q *quarantine) recordStored(c quarantiner.Crash, there bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.rows == nil {
-		q.rows = make(map[quarantiner.Crash]rowState)
+	if q.rowStates == nil {
+		q.rowStates = make(map[quarantiner.Crash]rowState)
 	}
-	switch state, known := q.rows[c]; {
+	switch state, known := q.rowStates[c]; {
 	case !there:
-		delete(q.rows, c)
+		delete(q.rowStates, c)
 	case !known || state == rowPut:
-		q.rows[c] = rowWritten
+		q.rowStates[c] = rowWritten
 	}
 }
 
-// dropCrashes has the rows of expired crashes deleted.
-func (g *Gatekeeper) dropCrashes(old []quarantiner.Crash) {
+// deleteCrashRows has the rows of expired crashes deleted.
+func (g *Gatekeeper) deleteCrashRows(old []quarantiner.Crash) {
 	for _, c := range old {
-		g.quarantine.want(c, rowDropped)
+		g.quarantine.setDesired(c, rowDeleted)
 	}
 	if len(old) > 0 {
 		signal(g.quarantine.write)
@@ -137,7 +137,7 @@
 		case <-g.quarantine.write:
 		}
 		for ctx.Err() == nil && !g.futile() {
-			txn, states := g.quarantine.unwritten(time.Now())
+			txn, states := g.quarantine.pendingWrites(time.Now())
 			if len(states) == 0 {
 				break
 			}
@@ -145,7 +145,7 @@
 			_, err := g.Store.Write(ctx, txn)
 			g.sawStore(sent, err)
 			if err == nil {
-				g.quarantine.written(states)
+				g.quarantine.recordWritten(states)
 			} else {
 				g.Recorder.Log(recorder.Suspect, "msg", "crashes not written", "rows", len(states), "err", err)
 			}
@@ -154,51 +154,51 @@
 	}
 }
 
-// unwritten returns a transaction that brings rows into their desired states, and these
+// pendingWrites returns a transaction that brings rows into their desired states, and these
 // states.
-func (q *quarantine) unwritten(now time.Time) (tabler.Txn, map[quarantiner.Crash]rowState) {
+func (q *quarantine) pendingWrites(now time.Time) (tabler.Txn, map[quarantiner.Crash]rowState) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var txn tabler.Txn
 	states := make(map[quarantiner.Crash]rowState)
-	for c, state := range q.rows {
-		if state == rowWritten || len(states) == writeMost {
+	for c, state := range q.rowStates {
+		if state == rowWritten || len(states) == maxRowsPerWrite {
 			continue
 		}
 		states[c] = state
-		key := rowKey(c)
-		if state == rowDropped {
+		key := crashKey(c)
+		if state == rowDeleted {
 			txn.Deletes = append(txn.Deletes, key)
 			continue
 		}
 		word, _ := q.ledger.Word(c, now)
-		txn.Puts = append(txn.Puts, tabler.Put{Key: key, Value: crashValue(word.Row(now))})
+		txn.Puts = append(txn.Puts, tabler.Put{Key: key, Value: encodeCrashRow(word.Row(now))})
 	}
 	return txn, states
 }
 
-// written records that rows are in the states that were sent to the store.
-func (q *quarantine) written(states map[quarantiner.Crash]rowState) {
+// recordWritten records that rows are in the states that were sent to the store.
+func (q *quarantine) recordWritten(states map[quarantiner.Crash]rowState) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for c, state := range states {
 		switch {
-		case q.rows[c] != state: // changed again since it was sent
-		case state == rowDropped:
-			delete(q.rows, c)
+		case q.rowStates[c] != state: // changed again since it was sent
+		case state == rowDeleted:
+			delete(q.rowStates, c)
 		default:
-			q.rows[c] = rowWritten
+			q.rowStates[c] = rowWritten
 		}
 	}
 }
 
-func rowKey(c quarantiner.Crash) string {
-	return tableHolders + "/" + prefixCrash + string(c.Digest) + "/" + c.Runner
+func crashKey(c quarantiner.Crash) string {
+	return tableHolders + "/" + crashKeyPrefix + string(c.Digest) + "/" + c.Runner
 }
 
-// crashRowOf parses the key of a crash row; ok is false if it is another row.
-func crashRowOf(key string) (c quarantiner.Crash, ok bool) {
-	rest, ok := strings.CutPrefix(key, tableHolders+"/"+prefixCrash)
+// parseCrashKey parses the key of a crash row; ok is false if it is another row.
+func parseCrashKey(key string) (c quarantiner.Crash, ok bool) {
+	rest, ok := strings.CutPrefix(key, tableHolders+"/"+crashKeyPrefix)
 	if !ok {
 		return c, false
 	}
@@ -206,8 +206,8 @@
 	return quarantiner.Crash{Digest: quarantiner.Digest(digest), Runner: runner}, ok
 }
 
-// crashRow applies a crash row. A deleted row means that the crash was cleared or has expired.
-func (g *Gatekeeper) crashRow(c quarantiner.Crash, r tabler.Row) {
+// applyCrashRow applies a crash row. A deleted row means that the crash was cleared or has expired.
+func (g *Gatekeeper) applyCrashRow(c quarantiner.Crash, r tabler.Row) {
 	word := quarantiner.Word{Digest: c.Digest, Runner: c.Runner, Cleared: r.Removed}
 	if !r.Removed {
 		var row quarantiner.Row
@@ -218,13 +218,13 @@
 		word = row.Word(c, time.Now())
 	}
 	g.hearWords([]quarantiner.Word{word}, fromStore)
-	g.quarantine.stored(c, !r.Removed)
+	g.quarantine.recordStored(c, !r.Removed)
 	current, known := g.quarantine.ledger.Word(c, time.Now())
 	if !r.Removed && (known && current.Cleared || word.Age >= quarantiner.Memory) && g.holdsAny() {
 		// It was cleared before the row was written, or has expired. If the row stayed, the
 		// request would be suspected again after a restart of all instances, or the row would
 		// never be deleted.
-		g.quarantine.want(c, rowDropped)
+		g.quarantine.setDesired(c, rowDeleted)
 		signal(g.quarantine.write)
 	}
 }
--- a/internal/instance/gatekeeper/learn.go
+++ b/internal/instance/gatekeeper/learn.go
@@ -14,31 +14,31 @@
 // complete, so the duration is not measured directly. It has to be set before use; it is safe
 // for concurrent use.
 type estimate struct {
-	mu      sync.Mutex
-	late    time.Time // when a load last took longer than estimated
-	learnt  time.Time // when a load was last observed
-	current time.Duration
+	mu           sync.Mutex
+	lastLate     time.Time // when a load last took longer than estimated
+	lastObserved time.Time // when a load was last observed
+	current      time.Duration
 }
 
 const (
-	// above is the fraction by which a late load is assumed to have taken longer than observed.
-	above = 0.05
-	// shrink is the rate per second at which the estimate decreases right after a late load,
+	// lateMargin is the fraction by which a late load is assumed to have taken longer than observed.
+	lateMargin = 0.05
+	// shrinkRate is the rate per second at which the estimate decreases right after a late load,
 	// and shrinkTime the time until that rate has doubled; it goes on growing with the square
-	// of the time, up to mostShrink. The estimate then takes two seconds to come down to the
+	// of the time, up to maxShrinkRate. The estimate then takes two seconds to come down to the
 	// point where loads are late, which all loads started within one load time find out: one
 	// in seven. After a time in which all loads took twice as long it is right again within
 	// five seconds. When each load in time decreased it by a fixed fraction instead, hundreds
 	// of loads did so before the first late one was observed: two in five were late, and each
 	// cost one of the retries that all instances share.
-	shrink     = 0.02
-	shrinkTime = 1500 * time.Millisecond
-	mostShrink = 0.25
-	// oneStep bounds the time span that one load accounts for.
-	oneStep = 500 * time.Millisecond
-	// leastLoad and mostLoad bound the estimate against a series of outliers.
-	leastLoad = 10 * time.Millisecond
-	mostLoad  = 3 * time.Second
+	shrinkRate    = 0.02
+	shrinkTime    = 1500 * time.Millisecond
+	maxShrinkRate = 0.25
+	// maxStep bounds the time span that one load accounts for.
+	maxStep = 500 * time.Millisecond
+	// minLoadTime and maxLoadTime bound the estimate against a series of outliers.
+	minLoadTime = 10 * time.Millisecond
+	maxLoadTime = 3 * time.Second
 	// firstLoad is the initial estimate for loading an adapter from the weight store, and
 	// firstReturn for loading one that the runner held before.
 	firstLoad   = 270 * time.Millisecond
@@ -57,40 +57,40 @@
 	e.current = d
 }
 
-// learn records one load. A late load gives a lower bound for its duration, and the estimate
+// observe records one load. A late load gives a lower bound for its duration, and the estimate
 // does not grow far beyond that. When hundreds of loads were late at once, as after a start
 // with empty runners, growing by a fraction for each took the estimate to its bound of
 // seconds, and callers were refused for ten seconds because of loads that would have taken a
 // third of a second.
-func (e *estimate) learn(a placer.Arrival, now time.Time) {
+func (e *estimate) observe(a placer.Arrival, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if a.Least > 0 {
-		e.late = now
-		took := min(a.Most, time.Duration((1+above)*float64(a.Least)))
-		e.current = min(mostLoad, max(e.current, took))
+		e.lastLate = now
+		took := min(a.Most, time.Duration((1+lateMargin)*float64(a.Least)))
+		e.current = min(maxLoadTime, max(e.current, took))
 	} else {
-		e.current = max(leastLoad, time.Duration((1-e.step(now))*float64(e.current)))
+		e.current = max(minLoadTime, time.Duration((1-e.shrinkFraction(now))*float64(e.current)))
 	}
-	e.learnt = now
+	e.lastObserved = now
 }
 
-// step returns the fraction by which a load in time decreases the estimate.
-func (e *estimate) step(now time.Time) float64 {
-	since := float64(now.Sub(e.late)) / float64(shrinkTime)
-	rate := min(mostShrink, shrink*(1+since*since))
-	return rate * min(oneStep, now.Sub(e.learnt)).Seconds()
+// shrinkFraction returns the fraction by which a load in time decreases the estimate.
+func (e *estimate) shrinkFraction(now time.Time) float64 {
+	since := float64(now.Sub(e.lastLate)) / float64(shrinkTime)
+	rate := min(maxShrinkRate, shrinkRate*(1+since*since))
+	return rate * min(maxStep, now.Sub(e.lastObserved)).Seconds()
 }
 
-// learn records what the first use of a copy shows of load times.
-func (d *controller) learn(a placer.Arrival, ok bool) {
+// observeArrival records what the first use of a copy shows of load times.
+func (d *controller) observeArrival(a placer.Arrival, ok bool) {
 	switch {
 	case !ok:
 	case a.Return:
-		d.gatekeeper.returns.learn(a, time.Now())
+		d.gatekeeper.returns.observe(a, time.Now())
 	default:
 		now := time.Now()
-		d.gatekeeper.loads.learn(a, now)
+		d.gatekeeper.loads.observe(a, now)
 		d.window.Learn(d.gatekeeper.LoadTime(), now)
 	}
 }
@@ -114,7 +114,7 @@
 				"load", g.LoadTime(), "return", g.ReturnTime(), "members", g.Members())
 		}
 		for _, d := range g.controllers {
-			d.tellLoads()
+			d.logLoads()
 		}
 	})
 }
--- a/internal/instance/gatekeeper/learn_test.go
+++ b/internal/instance/gatekeeper/learn_test.go
@@ -7,20 +7,20 @@
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
 )
 
-var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // Guards against an estimate that grows without limit. All runners start empty and a burst of
 // callers arrives: hundreds of loads run at once, the weight store slows them all down, and the
 // first request for each finds no adapter. If each of them increased the estimate by a fraction, it
 // would reach its bound of three seconds, and callers would be refused for many seconds because no
 // adapter could be loaded in time.
-func TestManyLateLoadsAtOnceDoNotCarryTheEstimateAway(t *testing.T) {
+func TestManyLateLoadsDoNotInflateTheEstimate(t *testing.T) {
 	const actual = 500 * time.Millisecond
 	var e estimate
 	e.set(firstLoad)
 	for n := range 250 {
 		// The first request to find it loaded came seconds later, so Most is a loose bound.
-		e.learn(placer.Arrival{Least: 400 * time.Millisecond, Most: 4 * time.Second}, began.Add(time.Duration(n)*time.Millisecond))
+		e.observe(placer.Arrival{Least: 400 * time.Millisecond, Most: 4 * time.Second}, startTime.Add(time.Duration(n)*time.Millisecond))
 	}
 	if got := e.get(); got < 400*time.Millisecond || got > actual*5/4 {
 		t.Errorf("estimate %s after 250 late loads of %s", got, actual)
@@ -29,7 +29,7 @@
 
 // Guards against an estimate that stays high when loads become faster: requests would be held back
 // for a copy that is already loaded.
-func TestEstimateFollowsLoadsThatBecomeFaster(t *testing.T) {
+func TestEstimateFollowsFasterLoads(t *testing.T) {
 	var e estimate
 	e.set(time.Second)
 	const actual = 250 * time.Millisecond
@@ -38,7 +38,7 @@
 		if e.get() < actual {
 			a = placer.Arrival{Least: e.get(), Most: actual}
 		}
-		e.learn(a, began.Add(time.Duration(n)*100*time.Millisecond))
+		e.observe(a, startTime.Add(time.Duration(n)*100*time.Millisecond))
 	}
 	if got := e.get(); got < actual*9/10 || got > actual*5/4 {
 		t.Errorf("estimate %s, want about %s", got, actual)
@@ -50,7 +50,7 @@
 // with the same estimate. If each load in time decreased the estimate by a fraction, it would be
 // far too low before the first late load was observed, and two requests in five would arrive
 // before their adapter and be refused.
-func TestFewLoadsAreLateWhereManyAreUnderWay(t *testing.T) {
+func TestFewLoadsAreLateAmongConcurrentLoads(t *testing.T) {
 	const (
 		actual = 288 * time.Millisecond
 		pause  = 25 * time.Millisecond
@@ -65,9 +65,9 @@
 	var under []told
 	late, high := 0, 0
 	for n := range loads {
-		now := began.Add(time.Duration(n) * pause)
+		now := startTime.Add(time.Duration(n) * pause)
 		for len(under) > 0 && !under[0].at.After(now) {
-			e.learn(under[0].a, under[0].at)
+			e.observe(under[0].a, under[0].at)
 			under = under[1:]
 		}
 		expected := e.get()
--- a/internal/instance/gatekeeper/loads.go
+++ b/internal/instance/gatekeeper/loads.go
@@ -9,27 +9,27 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// loads summarizes the adapter loads of a failure domain.
-type loads struct {
+// loadStats summarizes the adapter loads of a failure domain.
+type loadStats struct {
 	engines  int
-	room     int // limit on concurrent loads from the weight store
+	limit    int // limit on concurrent loads from the weight store
 	fetching int // loads in progress from the weight store
 	waiting  int // adapters that requests wait for and that are not being loaded
 }
 
-// loads sums up the loads of all runners of the domain.
-func (d *controller) loads(now time.Time) loads {
-	var l loads
+// loadStats sums up the loads of all runners of the domain.
+func (d *controller) loadStats(now time.Time) loadStats {
+	var l loadStats
 	for _, c := range d.runners {
 		if c.placer != nil {
 			l.engines++
 			l.fetching += c.placer.Fetching(now)
-			if c.dark < dark {
+			if c.failures < unresponsive {
 				l.waiting += c.placer.Waiting()
 			}
 		}
 	}
-	l.room = d.window.Room(l.engines)
+	l.limit = d.window.Room(l.engines)
 	return l
 }
 
@@ -37,9 +37,9 @@
 // must not compete for the weight store with one that requests wait for: on a day without
 // faults of the Association, where adapter loads are the bottleneck, that cost 0.025 of the
 // day's value.
-func (l loads) allows() placer.Room {
+func (l loadStats) allows() placer.Room {
 	switch {
-	case l.fetching >= l.room:
+	case l.fetching >= l.limit:
 		return placer.NoRoom
 	case l.waiting > 0:
 		return placer.RoomForWaiting
@@ -48,9 +48,9 @@
 	}
 }
 
-// order returns the IDs of the runners, sorted by the number of waiting adapters, largest
+// runnersByWaiting returns the IDs of the runners, sorted by the number of waiting adapters, largest
 // first.
-func (d *controller) order() []string {
+func (d *controller) runnersByWaiting() []string {
 	ids := make([]string, 0, len(d.runners))
 	waiting := make(map[string]int, len(d.runners))
 	for id, c := range d.runners {
@@ -65,18 +65,18 @@
 
 // wait returns how long a newly requested adapter waits until its load begins.
 func (d *controller) wait(now time.Time) time.Duration {
-	if now.Sub(d.lined) >= leadEvery {
-		l := d.loads(now)
-		d.line, d.lined = time.Duration(l.waiting)*d.gatekeeper.LoadTime()/time.Duration(l.room), now
+	if now.Sub(d.queueWaitAt) >= leadInterval {
+		l := d.loadStats(now)
+		d.queueWait, d.queueWaitAt = time.Duration(l.waiting)*d.gatekeeper.LoadTime()/time.Duration(l.limit), now
 	}
-	return d.line
+	return d.queueWait
 }
 
-// perRunner is the number of concurrent loads per runner that engines allow.
-const perRunner = 4
+// maxLoadsPerRunner is the number of concurrent loads per runner that engines allow.
+const maxLoadsPerRunner = 4
 
-// copies returns how many runners of the domain hold or are loading a copy.
-func (d *controller) copies(copied placer.Copy) int {
+// copyCount returns how many runners of the domain hold or are loading a copy.
+func (d *controller) copyCount(copied placer.Copy) int {
 	copies := 0
 	for _, c := range d.runners {
 		if c.placer != nil && c.placer.Holds(copied) {
@@ -86,22 +86,22 @@
 	return copies
 }
 
-// tellLoads logs the loads of the domain, if this instance sends its orders.
-func (d *controller) tellLoads() {
+// logLoads logs the loads of the domain, if this instance sends its orders.
+func (d *controller) logLoads() {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.acting == 0 {
 		return
 	}
-	l := d.loads(now)
+	l := d.loadStats(now)
 	var use placer.Usage
 	for _, c := range d.runners {
 		if c.placer != nil {
 			use.Add(c.placer.Usage(now))
 		}
 	}
-	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "loads", "domain", d.domain, "engines", l.engines, "room", l.room,
+	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "loads", "domain", d.domain, "engines", l.engines, "room", l.limit,
 		"fetching", l.fetching, "waiting", l.waiting,
 		"places", use.Places, "loading", use.Loading, "running", use.Running, "vacant", use.Vacant)
 }
--- a/internal/instance/gatekeeper/needs.go
+++ b/internal/instance/gatekeeper/needs.go
@@ -48,7 +48,7 @@
 	d.mu.Lock()
 	others, members := d.others(g.Config.ID, now), d.count(now)
 	line := d.wait(now)
-	rooms := d.rooms(now)
+	rooms := d.slotWaits(now)
 	d.mu.Unlock()
 	g.Fleet.Line(domain, line)
 	g.Fleet.Rooms(rooms)
@@ -117,7 +117,7 @@
 // Spare implements forwarder.Placement.
 func (g *Gatekeeper) Spare(runner string, c placer.Copy) {
 	if l, ok := g.linkOf(runner); ok {
-		l.note(&l.needs.spare, keyOf(runner, c))
+		l.markIn(&l.needs.spare, keyOf(runner, c))
 	}
 }
 
@@ -173,10 +173,10 @@
 		l.needs.uses = make(map[gatherer.Key]int)
 	}
 	l.needs.uses[k]++
-	return func() { l.unuse(k) }
+	return func() { l.endUse(k) }
 }
 
-func (l *link) unuse(k gatherer.Key) {
+func (l *link) endUse(k gatherer.Key) {
 	l.mu.Lock()
 	l.needs.uses[k]--
 	over := l.needs.uses[k] <= 0
@@ -189,7 +189,7 @@
 	}
 }
 
-func (l *link) note(set *map[gatherer.Key]bool, k gatherer.Key) {
+func (l *link) markIn(set *map[gatherer.Key]bool, k gatherer.Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	*set = mark(*set, k)
@@ -209,7 +209,7 @@
 	if !ok {
 		return
 	}
-	l.note(&l.needs.missing, keyOf(runner, c))
+	l.markIn(&l.needs.missing, keyOf(runner, c))
 	l.hurry()
 }
 
--- a/internal/instance/gatekeeper/pending.go
+++ b/internal/instance/gatekeeper/pending.go
@@ -27,17 +27,17 @@
 const (
 	// removalGrace is how long after the end of a store outage a row may be written again.
 	removalGrace = 2500 * time.Millisecond
-	// settled is the time after any fault by which no instance uses a runner that has left. It is
+	// removalSpread is the time after any fault by which no instance uses a runner that has left. It is
 	// the shortest that any deployment requires.
-	settled = 3 * time.Second
-	// graceAfterTrouble limits the grace period relative to this instance's last failed store
-	// call, as the store may have recovered soon after it. The remainder of settled is for the
+	removalSpread = 3 * time.Second
+	// graceAfterFault limits the grace period relative to this instance's last failed store
+	// call, as the store may have recovered soon after it. The remainder of removalSpread is for the
 	// removal to reach all instances.
-	graceAfterTrouble = settled - 200*time.Millisecond
+	graceAfterFault = removalSpread - 200*time.Millisecond
 	// expireEvery is the interval of the checks whether the grace period is over.
 	expireEvery = 50 * time.Millisecond
-	// stoodStillFor is the gap between two such checks that shows that the process was paused.
-	stoodStillFor = time.Second
+	// pauseThreshold is the gap between two such checks that shows that the process was paused.
+	pauseThreshold = time.Second
 )
 
 // cancelRemoval cancels the pending removal of a runner for which a newer description arrived.
@@ -78,7 +78,7 @@
 	}
 	due := returned.Add(removalGrace)
 	trouble := g.storeUp.lastAway()
-	if latest := trouble.Add(graceAfterTrouble); returned.Sub(trouble) <= nextCall && latest.Before(due) {
+	if latest := trouble.Add(graceAfterFault); returned.Sub(trouble) <= nextCall && latest.Before(due) {
 		return latest
 	}
 	return due
@@ -94,7 +94,7 @@
 	g.learning.Lock()
 	defer g.learning.Unlock()
 	now := time.Now()
-	if !g.looked.IsZero() && now.Sub(g.looked) > stoodStillFor {
+	if !g.looked.IsZero() && now.Sub(g.looked) > pauseThreshold {
 		g.storeUp.stoodStill(now)
 	}
 	g.looked = now
--- a/internal/instance/gatekeeper/place.go
+++ b/internal/instance/gatekeeper/place.go
@@ -19,9 +19,9 @@
 		return forwarder.Place{}, nil, false
 	}
 	if d := g.controllers[l.domain]; d.holds() {
-		wait, done, err := d.place(runner, within)
+		wait, done, err := d.acquireSlot(runner, within)
 		if err != nil {
-			return noPlace(err)
+			return noSlot(err)
 		}
 		return forwarder.Place{Done: done, Wait: wait}, nil, true
 	}
@@ -31,7 +31,7 @@
 	}
 	conversation, message, err := g.askPeer(ctx, holder.address, relayer.Place{Domain: l.domain, Runner: runner, Within: within}, askTimeout)
 	if err != nil {
-		return noPlace(err)
+		return noSlot(err)
 	}
 	answer, is := message.(relayer.Placed)
 	if !is {
@@ -41,23 +41,23 @@
 	return forwarder.Place{Done: sync.OnceFunc(conversation.Close), Wait: answer.Wait}, nil, true
 }
 
-// noPlace returns the results of Place after an error: a refusal, or ok false if there is no
+// noSlot returns the results of Place after an error: a refusal, or ok false if there is no
 // answer.
-func noPlace(err error) (p forwarder.Place, refused *judge.Error, ok bool) {
-	refused = tooFull(err)
+func noSlot(err error) (p forwarder.Place, refused *judge.Error, ok bool) {
+	refused = capacityRefusal(err)
 	return forwarder.Place{}, refused, refused != nil
 }
 
-// tooFull returns err as a refusal if it was refused for lack of capacity, else nil.
-func tooFull(err error) *judge.Error {
+// capacityRefusal returns err as a refusal if it was refused for lack of capacity, else nil.
+func capacityRefusal(err error) *judge.Error {
 	if !is(err, judge.ReasonQueue) {
 		return nil
 	}
 	return judge.As(err)
 }
 
-// place takes a request slot at a runner until done is called, or refuses the request.
-func (d *controller) place(runner string, within time.Duration) (wait time.Duration, done func(), err error) {
+// acquireSlot takes a request slot at a runner until done is called, or refuses the request.
+func (d *controller) acquireSlot(runner string, within time.Duration) (wait time.Duration, done func(), err error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c, ok := d.runners[runner]
@@ -65,24 +65,24 @@
 		return 0, nil, judge.Refuse(judge.ReasonUpstream, "runner %s is not known here", runner)
 	}
 	now := time.Now()
-	wait = c.places.Wait(c.runner.Slots)
+	wait = c.slots.Wait(c.runner.Slots)
 	if wait > within {
 		return 0, nil, judge.Refuse(judge.ReasonQueue, "requests wait for %s there", wait.Round(time.Millisecond)).After(wait - within)
 	}
-	entry := c.places.Enter(now)
-	return wait, sync.OnceFunc(func() { d.leave(c, entry) }), nil
+	entry := c.slots.Enter(now)
+	return wait, sync.OnceFunc(func() { d.releaseSlot(c, entry) }), nil
 }
 
-// leave releases a request slot at a runner.
-func (d *controller) leave(c *runnerState, e tracker.Entry) {
+// releaseSlot releases a request slot at a runner.
+func (d *controller) releaseSlot(c *runnerState, e tracker.Entry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	c.places.Leave(e, c.runner.Slots, time.Now())
+	c.slots.Leave(e, c.runner.Slots, time.Now())
 }
 
 // holdPlace answers a Place, and holds the request slot until the sender cancels.
 func (d *controller) holdPlace(ctx context.Context, m relayer.Place, reply replier) error {
-	wait, done, err := d.place(m.Runner, m.Within)
+	wait, done, err := d.acquireSlot(m.Runner, m.Within)
 	if err != nil {
 		return err
 	}
--- a/internal/instance/gatekeeper/place_test.go
+++ b/internal/instance/gatekeeper/place_test.go
@@ -10,7 +10,7 @@
 
 // Guards against request slots that are never released, and against instances that each count the
 // slots of a runner by themselves.
-func TestPlacesAreCountedByTheHolderOfTheDomain(t *testing.T) {
+func TestRequestSlotsAreCountedByTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _ := newCalmSite(t, 4)
 		defer s.end()
--- a/internal/instance/gatekeeper/quarantine.go
+++ b/internal/instance/gatekeeper/quarantine.go
@@ -25,13 +25,13 @@
 type quarantine struct {
 	ledger quarantiner.Ledger
 
-	mu      sync.Mutex
-	changed time.Time                      // when a crash report last brought something new
-	own     map[quarantiner.Crash]ownWord  // crashes and clearances observed by this instance
-	held    map[quarantiner.Digest]bool    // as last logged
-	rows    map[quarantiner.Crash]rowState // desired states of the store's rows
-	write   chan struct{}                  // wakes the loop that writes rows
-	tell    chan struct{}                  // wakes the loop that reports crashes
+	mu         sync.Mutex
+	lastReport time.Time                      // when a crash report last brought something new
+	own        map[quarantiner.Crash]ownWord  // crashes and clearances observed by this instance
+	logged     map[quarantiner.Digest]bool    // as last logged
+	rowStates  map[quarantiner.Crash]rowState // desired states of the store's rows
+	write      chan struct{}                  // wakes the loop that writes rows
+	tell       chan struct{}                  // wakes the loop that reports crashes
 }
 
 func (q *quarantine) init() {
@@ -39,9 +39,9 @@
 	q.tell = make(chan struct{}, 1)
 }
 
-// suspicious is how long after a new crash report the store is polled frequently: a watch may
+// frequentPollTime is how long after a new crash report the store is polled frequently: a watch may
 // be a call that is never answered.
-const suspicious = 20 * time.Second
+const frequentPollTime = 20 * time.Second
 
 // Suspects implements forwarder.Quarantine.
 func (g *Gatekeeper) Suspects() bool { return !g.quarantine.ledger.Empty() }
@@ -59,7 +59,7 @@
 	}
 	g.Metrics.GetOrCreateCounter("sardinetiller_cleared_total").Inc()
 	g.Recorder.Log(recorder.Suspect, "msg", "request cleared", "digest", d, "crashes", len(words))
-	g.seen(words)
+	g.recordOwn(words)
 }
 
 // suspect records that a runner crashed while it ran the given requests, with how long each had
@@ -74,18 +74,18 @@
 		g.Metrics.GetOrCreateCounter("sardinetiller_suspected_total").Inc()
 		g.logCrash(w, "self")
 	}
-	g.seen(news)
+	g.recordOwn(news)
 }
 
-// seen records this instance's own observations, which it has to report.
-func (g *Gatekeeper) seen(words []quarantiner.Word) {
+// recordOwn records this instance's own observations, which it has to report.
+func (g *Gatekeeper) recordOwn(words []quarantiner.Word) {
 	if len(words) == 0 {
 		return
 	}
 	now := time.Now()
 	q := &g.quarantine
 	q.mu.Lock()
-	q.changed = now
+	q.lastReport = now
 	if q.own == nil {
 		q.own = make(map[quarantiner.Crash]ownWord)
 	}
@@ -93,8 +93,8 @@
 		q.own[w.Crash()] = ownWord{since: now}
 	}
 	q.mu.Unlock()
-	g.verdicts()
-	g.keepCrashes(words)
+	g.logVerdicts()
+	g.storeCrashes(words)
 	signal(g.quarantine.tell)
 }
 
@@ -114,11 +114,11 @@
 	}
 	q := &g.quarantine
 	q.mu.Lock()
-	q.changed = time.Now()
+	q.lastReport = time.Now()
 	q.mu.Unlock()
-	g.verdicts()
+	g.logVerdicts()
 	if from != fromStore {
-		g.keepCrashes(g.ownAmong(news))
+		g.storeCrashes(g.ownAmong(news))
 	}
 }
 
@@ -126,5 +126,5 @@
 func (q *quarantine) lately(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return !q.changed.IsZero() && now.Sub(q.changed) < suspicious
+	return !q.lastReport.IsZero() && now.Sub(q.lastReport) < frequentPollTime
 }
--- a/internal/instance/gatekeeper/quarantine_lab_test.go
+++ b/internal/instance/gatekeeper/quarantine_lab_test.go
@@ -13,218 +13,220 @@
 
 // A lab simulates a deployment step by step: its instances exchange crash reports while some
 // requests crash the runners that run them.
-type lab struct {
-	rng      *rand.Rand
-	domains  []string
-	members  []*labMember
-	holders  map[string]*labMember // leader of each domain, as all instances believe
-	apart    map[string]time.Time  // end of a domain's partition from the others
-	rows     map[string]tabler.Row // rows in the store
-	version  uint64
-	away     time.Time // end of the store outage
-	unstable time.Time // end of the last store outage
-	lossy    time.Time // until when reports from members get lost
-	flying   []flight
-	culprits []*labCulprit
-	without  safeguard
+type crashSimulation struct {
+	rng              *rand.Rand
+	domains          []string
+	members          []*simMember
+	leaders          map[string]*simMember // leader of each domain, as all instances believe
+	partitionedUntil map[string]time.Time  // end of a domain's partition from the others
+	rows             map[string]tabler.Row // rows in the store
+	version          uint64
+	storeDownUntil   time.Time // end of the store outage
+	lastStoreOutage  time.Time // end of the last store outage
+	lossyUntil       time.Time // until when reports from members get lost
+	inFlight         []simRequest
+	culprits         []*simCulprit
+	disabled         safeguard
 }
 
-// A labCulprit is a request that crashes the runners that run it.
-type labCulprit struct {
-	digest  quarantiner.Digest
-	next    time.Time // when it is sent next
-	pace    time.Duration
-	crashes []time.Time
-	late    int // requests sent that violate the rule
+// A simCulprit is a request that crashes the runners that run it.
+type simCulprit struct {
+	digest       quarantiner.Digest
+	next         time.Time // when it is sent next
+	interval     time.Duration
+	crashes      []time.Time
+	lateRequests int // requests sent that violate the rule
 }
 
 // A flight is a request on a runner whose response breaks off at a given time.
-type flight struct {
-	ends    time.Time
-	member  *labMember
-	runner  string
-	digest  quarantiner.Digest
-	beside  []flight
-	culprit *labCulprit
-	ran     time.Duration // when the runner crashed
+type simRequest struct {
+	ends       time.Time
+	member     *simMember
+	runner     string
+	digest     quarantiner.Digest
+	concurrent []simRequest
+	culprit    *simCulprit
+	ran        time.Duration // when the runner crashed
 }
 
-// A labMember is one instance.
-type labMember struct {
-	g         *Gatekeeper
-	id        string
-	domain    string
-	down      time.Time // until when it is down
-	paused    time.Time
-	alone     time.Time // until when it reaches no other instance
-	turned    time.Time // until when it does not reach the store
-	disturbed time.Time // when any of these faults last applied
-	rows      uint64    // highest row version that it has read
-	told      map[string]int
-	heard     time.Time // when the source last sent an update
-	teller    *labMember
-	pending   []flight // that broke off while it was paused
+// A simMember is one instance.
+type simMember struct {
+	g             *Gatekeeper
+	id            string
+	domain        string
+	downUntil     time.Time // until when it is down
+	pausedUntil   time.Time
+	isolatedUntil time.Time // until when it reaches no other instance
+	rejectedUntil time.Time // until when it does not reach the store
+	lastFault     time.Time // when any of these faults last applied
+	readVersion   uint64    // highest row version that it has read
+	nextNumber    map[string]int
+	lastUpdate    time.Time // when the source last sent an update
+	source        *simMember
+	pending       []simRequest // that broke off while it was paused
 }
 
 // A safeguard is a mechanism that can be disabled, to check that the test fails without it.
 type safeguard string
 
 const (
-	allSafeguards safeguard = ""
-	noStore       safeguard = "crash rows in the store"
-	noTelling     safeguard = "reports between instances"
-	noApart       safeguard = "first crash stored without updates from a leader"
-	noPassing     safeguard = "leaders forward reports to members"
+	allSafeguards  safeguard = ""
+	noStore        safeguard = "crash rows in the store"
+	noReports      safeguard = "reports between instances"
+	noEarlyStorage safeguard = "first crash stored without updates from a leader"
+	noForwarding   safeguard = "leaders forward reports to members"
 )
 
 const (
-	labStep  = 50 * time.Millisecond
-	labSpan  = 40 * time.Second
-	labRun   = 100 * time.Millisecond // from the start of a run to the crash
-	labCheck = 200 * time.Millisecond // from the crash to the result of the check
+	simStep      = 50 * time.Millisecond
+	simSpan      = 40 * time.Second
+	simRunTime   = 100 * time.Millisecond // from the start of a run to the crash
+	simCheckTime = 200 * time.Millisecond // from the crash to the result of the check
 )
 
-func newLab(rng *rand.Rand, members int, without safeguard) *lab {
-	w := &lab{rng: rng, holders: make(map[string]*labMember), apart: make(map[string]time.Time), rows: make(map[string]tabler.Row), without: without}
+func newCrashSimulation(rng *rand.Rand, members int, without safeguard) *crashSimulation {
+	w := &crashSimulation{rng: rng, leaders: make(map[string]*simMember), partitionedUntil: make(map[string]time.Time), rows: make(map[string]tabler.Row), disabled: without}
 	for n := range min(4, max(1, members/3)) {
 		w.domains = append(w.domains, string(rune('a'+n)))
 	}
 	for n := range members {
-		m := &labMember{id: fmt.Sprint("front-", n), domain: w.domains[n%len(w.domains)]}
-		w.begin(m)
+		m := &simMember{id: fmt.Sprint("front-", n), domain: w.domains[n%len(w.domains)]}
+		w.start(m)
 		w.members = append(w.members, m)
 		if n < len(w.domains) {
-			w.holders[m.domain] = m
+			w.leaders[m.domain] = m
 		}
 	}
 	return w
 }
 
-// begin starts an instance without state. The instances that publish to it start over.
-func (w *lab) begin(m *labMember) {
+// start starts an instance without state. The instances that publish to it start over.
+func (w *crashSimulation) start(m *simMember) {
 	for _, other := range w.members {
-		other.told[m.id] = 0
+		other.nextNumber[m.id] = 0
 		other.g.quarantine.begun(source{id: m.id})
 	}
 	g := newTestGatekeeper()
 	g.Config.ID, g.Config.Domain, g.Config.Domains = m.id, m.domain, w.domains
 	g.init()
-	m.g, m.rows, m.told, m.teller, m.pending = g, 0, make(map[string]int), nil, nil
+	m.g, m.readVersion, m.nextNumber, m.source, m.pending = g, 0, make(map[string]int), nil, nil
 }
 
-// lives reports whether an instance is running now.
-func (m *labMember) lives(now time.Time) bool { return !now.Before(m.down) && !now.Before(m.paused) }
+// running reports whether an instance is running now.
+func (m *simMember) running(now time.Time) bool {
+	return !now.Before(m.downUntil) && !now.Before(m.pausedUntil)
+}
 
-// reaches reports whether two instances can exchange messages now.
-func (w *lab) reaches(a, b *labMember, now time.Time) bool {
-	if !a.lives(now) || !b.lives(now) || now.Before(a.alone) || now.Before(b.alone) {
+// connected reports whether two instances can exchange messages now.
+func (w *crashSimulation) connected(a, b *simMember, now time.Time) bool {
+	if !a.running(now) || !b.running(now) || now.Before(a.isolatedUntil) || now.Before(b.isolatedUntil) {
 		return false
 	}
-	return a.domain == b.domain || !now.Before(w.apart[a.domain]) && !now.Before(w.apart[b.domain])
+	return a.domain == b.domain || !now.Before(w.partitionedUntil[a.domain]) && !now.Before(w.partitionedUntil[b.domain])
 }
 
-// serves reports whether an instance reaches the store now.
-func (w *lab) serves(m *labMember, now time.Time) bool {
-	return m.lives(now) && !now.Before(m.turned) && !now.Before(w.away)
+// reachesStore reports whether an instance reaches the store now.
+func (w *crashSimulation) reachesStore(m *simMember, now time.Time) bool {
+	return m.running(now) && !now.Before(m.rejectedUntil) && !now.Before(w.storeDownUntil)
 }
 
 // step lets all instances do what is due.
-func (w *lab) step(now time.Time) {
-	w.replaceHolders(now)
+func (w *crashSimulation) step(now time.Time) {
+	w.replaceLeaders(now)
 	for _, n := range w.rng.Perm(len(w.members)) {
 		m := w.members[n]
-		if !m.lives(now) {
+		if !m.running(now) {
 			continue
 		}
 		for _, f := range m.pending {
 			m.g.suspect(f.runner, map[quarantiner.Digest]time.Duration{f.digest: f.ran})
 		}
 		m.pending = nil
-		if w.holds(m) {
-			w.follow(m, now)
+		if w.leads(m) {
+			w.stepLeader(m, now)
 		} else {
-			w.obey(m, now)
+			w.stepMember(m, now)
 		}
-		if w.without == noApart {
+		if w.disabled == noEarlyStorage {
 			for _, domain := range w.domains {
-				m.hearsOf(domain, now)
+				m.observeLeader(domain, now)
 			}
 		}
 		m.g.keepApart()
-		w.write(m, now)
+		w.writeStore(m, now)
 	}
 }
 
-func (w *lab) holds(m *labMember) bool { return w.holders[m.domain] == m }
+func (w *crashSimulation) leads(m *simMember) bool { return w.leaders[m.domain] == m }
 
-// replaceHolders replaces leaders that are down or paused for long.
-func (w *lab) replaceHolders(now time.Time) {
+// replaceLeaders replaces leaders that are down or paused for long.
+func (w *crashSimulation) replaceLeaders(now time.Time) {
 	for _, domain := range w.domains {
-		h := w.holders[domain]
-		gone := later(h.down, h.paused)
+		h := w.leaders[domain]
+		gone := later(h.downUntil, h.pausedUntil)
 		if !now.Before(gone) || gone.Sub(now) < time.Second {
 			hold(h.g, domain)
 			continue
 		}
 		for _, n := range w.rng.Perm(len(w.members)) {
-			if m := w.members[n]; m.domain == domain && w.serves(m, now) && w.rng.IntN(60) == 0 {
-				w.holders[domain] = m
+			if m := w.members[n]; m.domain == domain && w.reachesStore(m, now) && w.rng.IntN(60) == 0 {
+				w.leaders[domain] = m
 				break
 			}
 		}
 	}
 }
 
-// follow lets a leader receive updates from the others and from the store.
-func (w *lab) follow(m *labMember, now time.Time) {
-	m.teller = nil
-	for domain, h := range w.holders {
-		if h == m || w.reaches(m, h, now) {
-			m.hearsOf(domain, now)
+// stepLeader lets a leader receive updates from the others and from the store.
+func (w *crashSimulation) stepLeader(m *simMember, now time.Time) {
+	m.source = nil
+	for domain, h := range w.leaders {
+		if h == m || w.connected(m, h, now) {
+			m.observeLeader(domain, now)
 		}
-		if h != m && w.reaches(m, h, now) {
-			w.tell(h, m)
+		if h != m && w.connected(m, h, now) {
+			w.deliver(h, m)
 		}
 	}
-	w.read(m, now)
+	w.readStore(m, now)
 }
 
-// obey lets a member receive updates from the leader of its domain, or from another one; without
+// stepMember lets a member receive updates from the leader of its domain, or from another one; without
 // a source it reads the store.
-func (w *lab) obey(m *labMember, now time.Time) {
-	t := w.holders[m.domain]
-	if !w.reaches(m, t, now) {
+func (w *crashSimulation) stepMember(m *simMember, now time.Time) {
+	t := w.leaders[m.domain]
+	if !w.connected(m, t, now) {
 		t = nil
 		for _, domain := range w.domains {
-			if h := w.holders[domain]; w.reaches(m, h, now) {
+			if h := w.leaders[domain]; w.connected(m, h, now) {
 				t = h
 			}
 		}
-		if now.Sub(m.heard) < unheard {
+		if now.Sub(m.lastUpdate) < unheard {
 			return // the member has not noticed yet
 		}
 	}
 	if t == nil {
-		w.read(m, now)
+		w.readStore(m, now)
 		return
 	}
-	m.teller, m.heard = t, now
-	w.tell(t, m)
-	for domain := range w.holders {
-		m.hearsOf(domain, now.Add(-t.g.links[domain].silence()))
+	m.source, m.lastUpdate = t, now
+	w.deliver(t, m)
+	for domain := range w.leaders {
+		m.observeLeader(domain, now.Add(-t.g.links[domain].silence()))
 	}
 	to := source{id: t.id}
 	words := m.g.quarantine.untold(to, now)
-	if w.without == noTelling || len(words) == 0 {
+	if w.disabled == noReports || len(words) == 0 {
 		return
 	}
-	if now.Before(w.lossy) || w.rng.IntN(4) == 0 {
+	if now.Before(w.lossyUntil) || w.rng.IntN(4) == 0 {
 		return // the report is lost
 	}
 	t.g.HeardCrashes(heartbeater.Instance{ID: m.id}, relayer.Crashes{Words: words})
 }
 
-func (m *labMember) hearsOf(domain string, at time.Time) {
+func (m *simMember) observeLeader(domain string, at time.Time) {
 	l := m.g.links[domain]
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -233,36 +235,36 @@
 	}
 }
 
-// tell sends an instance the changes in another one's ledger.
-func (w *lab) tell(from, to *labMember) {
-	if w.without == noTelling || w.without == noPassing && !w.holds(to) {
+// deliver sends an instance the changes in another one's ledger.
+func (w *crashSimulation) deliver(from, to *simMember) {
+	if w.disabled == noReports || w.disabled == noForwarding && !w.leads(to) {
 		return
 	}
-	words, next := from.g.quarantine.ledger.Since(to.told[from.id], time.Now())
-	to.told[from.id] = next
+	words, next := from.g.quarantine.ledger.Since(to.nextNumber[from.id], time.Now())
+	to.nextNumber[from.id] = next
 	to.g.quarantine.toldBack(source{id: from.id}, words)
 	to.g.hearWords(words, from.id)
 }
 
-// read applies the rows of the store that have changed.
-func (w *lab) read(m *labMember, now time.Time) {
-	if !w.serves(m, now) {
+// readStore applies the rows of the store that have changed.
+func (w *crashSimulation) readStore(m *simMember, now time.Time) {
+	if !w.reachesStore(m, now) {
 		return
 	}
 	for _, r := range w.rows {
-		if c, ok := crashRowOf(r.Key); ok && r.Version > m.rows {
-			m.g.crashRow(c, r)
+		if c, ok := parseCrashKey(r.Key); ok && r.Version > m.readVersion {
+			m.g.applyCrashRow(c, r)
 		}
 	}
-	m.rows = w.version
+	m.readVersion = w.version
 }
 
-// write writes the rows that an instance wants changed.
-func (w *lab) write(m *labMember, now time.Time) {
-	if w.without == noStore || !w.serves(m, now) {
+// writeStore writes the rows that an instance wants changed.
+func (w *crashSimulation) writeStore(m *simMember, now time.Time) {
+	if w.disabled == noStore || !w.reachesStore(m, now) {
 		return
 	}
-	txn, states := m.g.quarantine.unwritten(now)
+	txn, states := m.g.quarantine.pendingWrites(now)
 	if len(states) == 0 {
 		return
 	}
@@ -274,6 +276,6 @@
 		w.rows[key] = tabler.Row{Key: key, Removed: true, Version: w.version}
 	}
 	if w.rng.IntN(6) > 0 { // else the response is lost
-		m.g.quarantine.written(states)
+		m.g.quarantine.recordWritten(states)
 	}
 }
--- a/internal/instance/gatekeeper/quarantine_test.go
+++ b/internal/instance/gatekeeper/quarantine_test.go
@@ -16,7 +16,7 @@
 // report is lost, or the source dies with it, the next crash of the same request counts as its first
 // everywhere else. So it is sent until the source publishes it back, and again to the next source or
 // to one that has restarted; so is a completed run.
-func TestCrashIsToldUntilItIsToldBack(t *testing.T) {
+func TestCrashIsReportedUntilPublishedBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newChained("a-2", "a")
 		first, second := source{"a-1", "a-1"}, source{"b-1", "b-1"}
@@ -55,7 +55,7 @@
 // and most never again; if each were stored, a crash of sixty runners behind hundreds of instances
 // would write thousands of rows. Only requests suspected a second time are stored, or all of them
 // while another leader may not have received the first report.
-func TestWhichCrashesAreKept(t *testing.T) {
+func TestStoredCrashes(t *testing.T) {
 	hears := func(g *Gatekeeper, at time.Time) {
 		for _, l := range g.links {
 			l.heard = at
@@ -95,11 +95,11 @@
 		{"row read after it was cleared elsewhere", func(g *Gatekeeper) {
 			hold(g, "a")
 			g.hearWords([]quarantiner.Word{{Digest: "d", Runner: "i-1", Cleared: true}}, "a-1")
-			g.crashRow(quarantiner.Crash{Digest: "d", Runner: "i-1"}, tabler.Row{Value: crashValue(quarantiner.Row{At: time.Now().Unix()})})
+			g.applyCrashRow(quarantiner.Crash{Digest: "d", Runner: "i-1"}, tabler.Row{Value: encodeCrashRow(quarantiner.Row{At: time.Now().Unix()})})
 		}, tabler.Txn{Deletes: []string{"holder/crash/d/i-1"}}},
 		{"expired row", func(g *Gatekeeper) {
 			hold(g, "a")
-			g.crashRow(quarantiner.Crash{Digest: "d", Runner: "i-1"}, tabler.Row{Value: crashValue(quarantiner.Row{At: time.Now().Add(-25 * time.Hour).Unix()})})
+			g.applyCrashRow(quarantiner.Crash{Digest: "d", Runner: "i-1"}, tabler.Row{Value: encodeCrashRow(quarantiner.Row{At: time.Now().Add(-25 * time.Hour).Unix()})})
 		}, tabler.Txn{Deletes: []string{"holder/crash/d/i-1"}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 				g := newChained("a-2", "a")
 				hears(g, time.Now())
 				tc.do(g)
-				got, _ := g.quarantine.unwritten(time.Now())
+				got, _ := g.quarantine.pendingWrites(time.Now())
 				for i := range got.Puts {
 					got.Puts[i].Value = nil
 				}
@@ -122,7 +122,7 @@
 // Guards against a quarantine that is lost when all instances restart at once, and one that outlasts
 // its rows. A request with three stored crashes must be held before it crashes a fourth runner, and
 // must run when its rows are deleted because it was cleared.
-func TestRowsOfCrashesAreTakenIn(t *testing.T) {
+func TestCrashRowsAreApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newChained("a-2", "a")
 		held := func() bool {
@@ -132,7 +132,7 @@
 		row := func(runner string, removed bool) tabler.Row {
 			r := tabler.Row{Key: "holder/crash/d/" + runner, Removed: removed}
 			if !removed {
-				r.Value = crashValue(quarantiner.Row{At: time.Now().Add(-time.Minute).Unix()})
+				r.Value = encodeCrashRow(quarantiner.Row{At: time.Now().Add(-time.Minute).Unix()})
 			}
 			return r
 		}
--- a/internal/instance/gatekeeper/quota.go
+++ b/internal/instance/gatekeeper/quota.go
@@ -14,25 +14,25 @@
 )
 
 const (
-	// unknownPatience is how long a request waits for an instance that knows its quota, and
-	// unknownRetry the interval of its retries. A refused caller would retry later than that.
-	unknownPatience = 400 * time.Millisecond
-	unknownRetry    = 25 * time.Millisecond
-	// tokensPatience is the longest time that a request waits for tokens. A refused caller would
+	// unknownWaitLimit is how long a request waits for an instance that knows its quota, and
+	// unknownRetryInterval the interval of its retries. A refused caller would retry later than that.
+	unknownWaitLimit     = 400 * time.Millisecond
+	unknownRetryInterval = 25 * time.Millisecond
+	// tokensWaitLimit is the longest time that a request waits for tokens. A refused caller would
 	// be told to stay away for at least as long.
-	tokensPatience = 250 * time.Millisecond
-	// firstPart is the fraction of the tolerance that is divided among ledgers that start without
+	tokensWaitLimit = 250 * time.Millisecond
+	// initialFraction is the fraction of the tolerance that is divided among ledgers that start without
 	// usage data; the rest is for network partitions.
-	firstPart = 0.7
-	// namedAccounts bounds the accounts that have a counter of their own.
-	namedAccounts = 100
+	initialFraction = 0.7
+	// maxNamedAccounts bounds the accounts that have a counter of their own.
+	maxNamedAccounts = 100
 )
 
 // quotas is what this instance knows of the quotas of accounts.
 type quotas struct {
 	spender limiter.Spender
 	ledger  limiter.Ledger
-	born    time.Time
+	started time.Time
 
 	mu      sync.Mutex
 	source  source          // ledger with which this instance settles
@@ -40,12 +40,12 @@
 }
 
 func (q *quotas) init(g *Gatekeeper) {
-	q.born = time.Now()
+	q.started = time.Now()
 	q.counted = make(map[string]bool)
 	q.spender.Instances = g.Members
 	q.ledger.Limits = g.limitOf
 	q.ledger.Window = g.Config.Bounds.Quota
-	q.ledger.First = g.firstTokens
+	q.ledger.First = g.initialTokens
 }
 
 // limitOf returns the quota of an account in the current configuration.
@@ -61,13 +61,13 @@
 	return a.Limit, true
 }
 
-// firstTokens returns the tokens that a new ledger grants of a quota before it knows its usage:
+// initialTokens returns the tokens that a new ledger grants of a quota before it knows its usage:
 // its share of the tolerance. Without them a small account has nothing for seconds after a
 // restart of all instances.
-func (g *Gatekeeper) firstTokens(l limiter.Limit) float64 {
+func (g *Gatekeeper) initialTokens(l limiter.Limit) float64 {
 	b := g.Config.Bounds
 	tolerance := b.Over*(l.Rate*b.Quota.Seconds()+l.Burst) + b.Spare
-	return firstPart * tolerance / float64(len(g.domains()))
+	return initialFraction * tolerance / float64(len(g.domains()))
 }
 
 // Admit charges a request to the quota of its account, or refuses it.
@@ -76,7 +76,7 @@
 		return nil
 	}
 	decision, by := g.decide(ctx, r)
-	if over, is := decision.(limiter.Over); is && over.Soon <= tokensPatience {
+	if over, is := decision.(limiter.Over); is && over.Soon <= tokensWaitLimit {
 		pause(ctx, over.Soon)
 		decision, by = g.decide(ctx, r)
 	}
@@ -104,7 +104,7 @@
 	q := &g.quotas
 	q.mu.Lock()
 	if !q.counted[account] {
-		if len(q.counted) >= namedAccounts {
+		if len(q.counted) >= maxNamedAccounts {
 			account = "other"
 		}
 		q.counted[account] = true
@@ -123,9 +123,9 @@
 }
 
 // askUntilKnown retries while nothing is known of the quota yet. After a restart of all
-// instances there is a leader again within unknownPatience.
+// instances there is a leader again within unknownWaitLimit.
 func (g *Gatekeeper) askUntilKnown(ctx context.Context, r limiter.Request) (d limiter.Decision, by string) {
-	for end := time.Now().Add(unknownPatience); ; pause(ctx, unknownRetry) {
+	for end := time.Now().Add(unknownWaitLimit); ; pause(ctx, unknownRetryInterval) {
 		d, by = g.askLedger(ctx, r)
 		if _, unknown := d.(limiter.Unknown); !unknown || ctx.Err() != nil || !time.Now().Before(end) {
 			return d, by
@@ -139,22 +139,22 @@
 	s := &g.quotas.spender
 	asked := time.Now()
 	want := []limiter.Spent{s.Want(r)}
-	if balances, ok := g.quotas.ledger.Settle(g.party(asked), want, asked); ok {
-		return g.decided(r, balances, asked), g.Config.ID
+	if balances, ok := g.quotas.ledger.Settle(g.reporter(asked), want, asked); ok {
+		return g.applyAnswer(r, balances, asked), g.Config.ID
 	}
 	if to, ok := g.teller(); ok {
-		settled, err := g.exchange(ctx, to, relayer.Settle{Party: g.party(asked), Spent: want}, askTimeout)
+		settled, err := g.exchange(ctx, to, relayer.Settle{Party: g.reporter(asked), Spent: want}, askTimeout)
 		if err == nil {
-			return g.decided(r, settled.Balances, asked), to.id
+			return g.applyAnswer(r, settled.Balances, asked), to.id
 		}
 	}
 	s.Unanswered(r)
 	return s.SpendAlone(r, time.Now()), g.Config.ID
 }
 
-// decided applies a ledger's answer. A ledger that does not know the quota has an older
+// applyAnswer applies a ledger's answer. A ledger that does not know the quota has an older
 // configuration.
-func (g *Gatekeeper) decided(r limiter.Request, balances []limiter.Balance, asked time.Time) limiter.Decision {
+func (g *Gatekeeper) applyAnswer(r limiter.Request, balances []limiter.Balance, asked time.Time) limiter.Decision {
 	s := &g.quotas.spender
 	now := time.Now()
 	if len(balances) != 1 {
@@ -164,9 +164,9 @@
 	return s.Answered(r, balances[0], asked, now)
 }
 
-// mostLimitsLogged bounds the log lines for quotas changed by one configuration. The first
+// maxLimitsLogged bounds the log lines for quotas changed by one configuration. The first
 // configuration changes those of all accounts, and would crowd out other lines of its kind.
-const mostLimitsLogged = 8
+const maxLimitsLogged = 8
 
 // logLimits logs the number of accounts in a configuration, and some of the quotas that it changes.
 func (g *Gatekeeper) logLimits(old, current *matcher.Catalog) {
@@ -178,7 +178,7 @@
 			}
 		}
 		changed++
-		if changed <= mostLimitsLogged {
+		if changed <= maxLimitsLogged {
 			g.Recorder.Log(recorder.Config, "msg", "quota", "version", current.Version, "account", a.Name, "rate", a.Limit.Rate, "burst", a.Limit.Burst, "plain", a.Limit.Plain)
 		}
 	}
--- a/internal/instance/gatekeeper/quota_test.go
+++ b/internal/instance/gatekeeper/quota_test.go
@@ -56,17 +56,17 @@
 	return tokens
 }
 
-// flood is the pause between requests that add up to 25 times the quota, and calm between those
+// floodPause is the pause between requests that add up to 25 times the quota, and calm between those
 // that add up to 0.8 of it.
 const (
-	flood = 2 * time.Millisecond
-	calm  = 60 * time.Millisecond
+	floodPause = 2 * time.Millisecond
+	calmPause  = 60 * time.Millisecond
 )
 
-func TestQuotaHoldsOverAllInstances(t *testing.T) {
+func TestQuotaAppliesAcrossInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newQuotaSite(t)
-		if got := s.admitted(5*time.Second, flood); got < 5000 || got > 6600 {
+		if got := s.admitted(5*time.Second, floodPause); got < 5000 || got > 6600 {
 			t.Errorf("%d tokens admitted in 5 s, with rate 1000 and burst 1000", got)
 		}
 		s.end()
@@ -74,10 +74,10 @@
 }
 
 // Guards against a quota that is refilled, or empty, after its leader has been replaced.
-func TestQuotaOutlastsItsLeader(t *testing.T) {
+func TestQuotaSurvivesLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newQuotaSite(t)
-		spent := s.admitted(3*time.Second, flood)
+		spent := s.admitted(3*time.Second, floodPause)
 		leader := s.holder("a")
 		leader.kill()
 		leader.start()
@@ -88,7 +88,7 @@
 				break
 			}
 		}
-		spent += s.admitted(5*time.Second, flood)
+		spent += s.admitted(5*time.Second, floodPause)
 		if spent < 5000 || spent > 10000 {
 			t.Errorf("%d tokens admitted in 8 s, with rate 1000 and burst 1000", spent)
 		}
@@ -97,10 +97,10 @@
 }
 
 // Guards against an instance that is cut off and spends the whole quota.
-func TestInstanceThatIsCutOffKeepsItsShare(t *testing.T) {
+func TestPartitionedInstanceKeepsItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newQuotaSite(t)
-		s.admitted(10*time.Second, calm) // its share becomes a sixth
+		s.admitted(10*time.Second, calmPause) // its share becomes a sixth
 		alone := s.instances[5]
 		alone.disturb(&alone.cut, time.Now().Add(20*time.Second))
 		tokens := int64(0)
@@ -118,7 +118,7 @@
 }
 
 // Guards against a request that is refused although its tokens were charged to the account.
-func TestInstanceThatKnowsNothingOfAQuotaSaysSo(t *testing.T) {
+func TestUnknownQuotaIsRefusedAsStarting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newQuotaSite(t)
 		m := s.instances[5]
--- a/internal/instance/gatekeeper/reserve.go
+++ b/internal/instance/gatekeeper/reserve.go
@@ -24,7 +24,7 @@
 	r := relayer.Reserve{Domain: l.domain, Runner: a.Runner, Copy: a.Copy, Tokens: a.Tokens, Pause: a.Pause, Within: a.Within}
 	if d := g.controllers[l.domain]; d.holds() {
 		reserved, err := d.reserve(g.Config.ID, r)
-		return g.learnRoom(a, reserved, err)
+		return g.reservation(a, reserved, err)
 	}
 	holder, via, ok := l.orderer()
 	if !ok {
@@ -36,26 +36,26 @@
 	}
 	conversation, message, err := g.askPeer(ctx, holder.address, r, askTimeout)
 	if err != nil {
-		return g.learnRoom(a, relayer.Reserved{}, err)
+		return g.reservation(a, relayer.Reserved{}, err)
 	}
 	defer conversation.Close()
 	reserved, is := message.(relayer.Reserved)
 	if !is {
 		return forwarder.Room{}, nil, false
 	}
-	return g.learnRoom(a, reserved, nil)
+	return g.reservation(a, reserved, nil)
 }
 
-// learnRoom converts the leader's answer. Only a refusal for lack of capacity refuses the
+// reservation converts the leader's answer. Only a refusal for lack of capacity refuses the
 // request; any other failure has no effect on it.
-func (g *Gatekeeper) learnRoom(a forwarder.Ask, reserved relayer.Reserved, err error) (forwarder.Room, *judge.Error, bool) {
+func (g *Gatekeeper) reservation(a forwarder.Ask, reserved relayer.Reserved, err error) (forwarder.Room, *judge.Error, bool) {
 	if err == nil {
 		if !reserved.Absent {
 			g.Fleet.Reading(a.Runner, reserved.Reading)
 		}
 		return forwarder.Room{Absent: reserved.Absent, Wait: reserved.Wait}, nil, true
 	}
-	if refused := tooFull(err); refused != nil {
+	if refused := capacityRefusal(err); refused != nil {
 		g.Fleet.Reading(a.Runner, a.Within+refused.Retry)
 		return forwarder.Room{}, refused, true
 	}
@@ -79,12 +79,12 @@
 		d.used(cmp.Or(r.By, from), keyOf(r.Runner, r.Copy))
 	}
 	fleet := d.gatekeeper.Fleet
-	wait, ok := c.line.Reserve(admitter.Prompt{
+	wait, ok := c.prefillQueue.Reserve(admitter.Prompt{
 		Pause: r.Pause, Queue: fleet.Places(r.Runner), Read: fleet.Read(c.runner.Service, r.Tokens), Share: d.share.Value(), Within: r.Within,
 	}, now)
 	if !ok {
-		refused := judge.Refuse(judge.ReasonQueue, "%s of prompts are to be read there", c.line.Backlog(now).Round(time.Millisecond))
+		refused := judge.Refuse(judge.ReasonQueue, "%s of prompts are to be read there", c.prefillQueue.Backlog(now).Round(time.Millisecond))
 		return relayer.Reserved{}, refused.After(wait)
 	}
-	return relayer.Reserved{Wait: wait, Reading: c.line.Backlog(now)}, nil
+	return relayer.Reserved{Wait: wait, Reading: c.prefillQueue.Backlog(now)}, nil
 }
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -15,18 +15,18 @@
 // source, and the leaders of the failure domains settle with each other.
 
 const (
-	// settleEvery is how often an instance settles what it has spent. Leaders settle with each
-	// other at the first such time at least exchangeEvery after the last: traffic between
+	// settleInterval is how often an instance settles what it has spent. Leaders settle with each
+	// other at the first such time at least exchangeInterval after the last: traffic between
 	// domains is paid for.
-	settleEvery   = 150 * time.Millisecond
-	exchangeEvery = 250 * time.Millisecond
+	settleInterval   = 150 * time.Millisecond
+	exchangeInterval = 250 * time.Millisecond
 	// settleTimeout bounds such an exchange. No request waits for it.
 	settleTimeout = 400 * time.Millisecond
 )
 
-// party returns the reporter for this instance's own spending.
-func (g *Gatekeeper) party(now time.Time) limiter.Party {
-	born := g.quotas.born
+// reporter returns the reporter for this instance's own spending.
+func (g *Gatekeeper) reporter(now time.Time) limiter.Party {
+	born := g.quotas.started
 	return limiter.Party{Instance: g.Config.ID, Born: born.UnixNano(), Age: now.Sub(born)}
 }
 
@@ -62,20 +62,20 @@
 // settleQuotas settles this instance's spending periodically until ctx ends.
 func (g *Gatekeeper) settleQuotas(ctx context.Context) {
 	var exchanged time.Time
-	repeater.Every(ctx, settleEvery, nil, func() {
+	repeater.Every(ctx, settleInterval, nil, func() {
 		now := time.Now()
 		if !g.keepsLedger(now) {
 			exchanged = time.Time{}
-			g.settleOwn(ctx, now)
+			g.settleWithSource(ctx, now)
 			return
 		}
 		report := g.quotas.spender.Report(now)
-		if balances, ok := g.quotas.ledger.Settle(g.party(now), report, now); ok {
-			g.settled(balances, now)
+		if balances, ok := g.quotas.ledger.Settle(g.reporter(now), report, now); ok {
+			g.applyBalances(balances, now)
 		}
-		if now.Sub(exchanged) >= exchangeEvery {
+		if now.Sub(exchanged) >= exchangeInterval {
 			exchanged = now
-			g.settleWithHolders(ctx, now)
+			g.settleWithLeaders(ctx, now)
 		}
 	})
 }
@@ -96,26 +96,26 @@
 	return keeps
 }
 
-// settleOwn settles with the source of this instance.
-func (g *Gatekeeper) settleOwn(ctx context.Context, now time.Time) {
+// settleWithSource settles with the source of this instance.
+func (g *Gatekeeper) settleWithSource(ctx context.Context, now time.Time) {
 	to, ok := g.teller()
 	if !ok {
 		return
 	}
-	g.partFrom(ctx, to, now)
+	g.unsubscribeFormer(ctx, to, now)
 	report := g.quotas.spender.Report(now)
 	if len(report) == 0 {
 		return
 	}
 	// Failures need no handling: the spender notices that its balances get old.
-	if settled, err := g.exchange(ctx, to, relayer.Settle{Party: g.party(now), Spent: report}, settleTimeout); err == nil {
-		g.settled(settled.Balances, now)
+	if settled, err := g.exchange(ctx, to, relayer.Settle{Party: g.reporter(now), Spent: report}, settleTimeout); err == nil {
+		g.applyBalances(settled.Balances, now)
 	}
 }
 
-// partFrom unsubscribes from the ledger with which this instance settled before, which would
+// unsubscribeFormer unsubscribes from the ledger with which this instance settled before, which would
 // otherwise hold back a share for it.
-func (g *Gatekeeper) partFrom(ctx context.Context, to source, now time.Time) {
+func (g *Gatekeeper) unsubscribeFormer(ctx context.Context, to source, now time.Time) {
 	q := &g.quotas
 	q.mu.Lock()
 	former := q.source
@@ -124,7 +124,7 @@
 	if former == to || former == (source{}) {
 		return
 	}
-	update := relayer.Settle{Party: g.party(now), Parted: true}
+	update := relayer.Settle{Party: g.reporter(now), Parted: true}
 	go func() {
 		if _, err := g.exchange(ctx, former, update, settleTimeout); err != nil {
 			g.Recorder.Log(recorder.Belief, "msg", "quota unsubscribe failed", "instance", former.id, "err", err)
@@ -132,8 +132,8 @@
 	}()
 }
 
-// settled applies balances that were requested at the given time.
-func (g *Gatekeeper) settled(balances []limiter.Balance, asked time.Time) {
+// applyBalances applies balances that were requested at the given time.
+func (g *Gatekeeper) applyBalances(balances []limiter.Balance, asked time.Time) {
 	now := time.Now()
 	for _, b := range balances {
 		if limit, ok := g.limitOf(b.Account); ok {
@@ -142,9 +142,9 @@
 	}
 }
 
-// settleWithHolders reports to the leaders of the other domains what the instances that settle
+// settleWithLeaders reports to the leaders of the other domains what the instances that settle
 // here have spent.
-func (g *Gatekeeper) settleWithHolders(ctx context.Context, now time.Time) {
+func (g *Gatekeeper) settleWithLeaders(ctx context.Context, now time.Time) {
 	since, ok := g.quotas.ledger.Began()
 	if catalog := g.Catalog(); !ok || catalog == nil || catalog.Accounts == nil {
 		return
@@ -153,21 +153,21 @@
 		Party: limiter.Party{Instance: g.Config.ID, Born: since.UnixNano(), Domain: g.Config.Domain, Age: now.Sub(since)},
 		Spent: g.quotas.ledger.Report(now),
 	}
-	for _, to := range g.otherHolders() {
-		go g.settleWith(ctx, to, update)
+	for _, to := range g.otherLeaders() {
+		go g.settleWithLeader(ctx, to, update)
 	}
 }
 
-// settleWith settles with the leader of another domain. A failure needs no handling: the next
+// settleWithLeader settles with the leader of another domain. A failure needs no handling: the next
 // report repeats everything, and the other ledger notices the missing ones.
-func (g *Gatekeeper) settleWith(ctx context.Context, to source, update relayer.Settle) {
+func (g *Gatekeeper) settleWithLeader(ctx context.Context, to source, update relayer.Settle) {
 	if settled, err := g.exchange(ctx, to, update, settleTimeout); err == nil {
 		g.quotas.ledger.Adopt(settled.Balances, settled.Age, time.Now())
 	}
 }
 
-// otherHolders returns the leaders of other domains.
-func (g *Gatekeeper) otherHolders() []source {
+// otherLeaders returns the leaders of other domains.
+func (g *Gatekeeper) otherLeaders() []source {
 	var others []source
 	seen := make(map[source]bool)
 	for _, l := range g.links {
--- a/internal/instance/gatekeeper/takeover.go
+++ b/internal/instance/gatekeeper/takeover.go
@@ -13,26 +13,26 @@
 // which a third of the instances were cut off from them, one takeover in three ended with
 // the new leader stepping down again, at a cost of four seconds each.
 func (d *controller) takeOver(ctx context.Context, w elector.Write, runners []tracker.Runner) {
-	if d.reaches(ctx, runners) {
-		d.write(ctx, w)
+	if d.reachesRunners(ctx, runners) {
+		d.writeLease(ctx, w)
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.next = uptime() + lookEvery
+	d.nextCall = uptime() + pollInterval
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease left to others", "domain", d.domain, "why", "runners are not reached")
 }
 
 const (
-	// probed is how many runners are probed before a takeover: one may have crashed.
-	probed = 3
-	// deferredFor is how long a free lease is left to instances that reach the runners.
+	// maxProbes is how many runners are probed before a takeover: one may have crashed.
+	maxProbes = 3
+	// deferralTime is how long a free lease is left to instances that reach the runners.
 	// It is longer than they take to notice that the lease is free.
-	deferredFor = 5 * time.Second
+	deferralTime = 5 * time.Second
 )
 
-// some returns up to most runners of the domain that take orders.
-func (d *controller) some(most int) []tracker.Runner {
+// probeTargets returns up to most runners of the domain that take orders.
+func (d *controller) probeTargets(most int) []tracker.Runner {
 	var runners []tracker.Runner
 	for _, c := range d.runners {
 		if len(runners) < most && !c.runner.Leaving && c.runner.Slots > 0 && len(c.runner.Models) > 0 {
@@ -42,8 +42,8 @@
 	return runners
 }
 
-// reaches reports whether at least half of the given runners answer; true for none.
-func (d *controller) reaches(ctx context.Context, runners []tracker.Runner) bool {
+// reachesRunners reports whether at least half of the given runners answer; true for none.
+func (d *controller) reachesRunners(ctx context.Context, runners []tracker.Runner) bool {
 	answers := make(chan bool, len(runners))
 	for _, r := range runners {
 		go func() {
@@ -60,9 +60,9 @@
 	return 2*reached >= len(runners)
 }
 
-// deferred reports whether this instance leaves the lease to others for now, as it does not
+// defersTakeover reports whether this instance leaves the lease to others for now, as it does not
 // reach the runners of the domain.
-func (d *controller) deferred() bool {
+func (d *controller) defersTakeover() bool {
 	g := d.gatekeeper
-	return g.Fleet.Severed(d.domain, time.Now()) && g.links[d.domain].silence() < deferredFor
+	return g.Fleet.Severed(d.domain, time.Now()) && g.links[d.domain].silence() < deferralTime
 }
--- a/internal/instance/gatekeeper/tenure.go
+++ b/internal/instance/gatekeeper/tenure.go
@@ -25,32 +25,32 @@
 )
 
 const (
-	// leadEvery is how often a leader checks whether orders are due. A change in demand
+	// leadInterval is how often a leader checks whether orders are due. A change in demand
 	// triggers a check at once.
-	leadEvery = 25 * time.Millisecond
-	// leadLeast is the minimum pause after a check. The leader of dozens of runners receives
+	leadInterval = 25 * time.Millisecond
+	// minLeadPause is the minimum pause after a check. The leader of dozens of runners receives
 	// some hundred demand reports a second; with a check for each it was by far the busiest
 	// instance.
-	leadLeast = 4 * time.Millisecond
+	minLeadPause = 4 * time.Millisecond
 	// quietDomain is how long an instance receives no update from the leader of its own
-	// domain before it polls the lease row, and lookEvery the interval of the polls.
-	quietDomain = time.Second
-	lookEvery   = time.Second
-	// lookers is the target for the total number of polls in lookEvery by all instances of a
+	// domain before it polls the lease row, and pollInterval the interval of the polls.
+	quietDomain  = time.Second
+	pollInterval = time.Second
+	// maxPolls is the target for the total number of polls in pollInterval by all instances of a
 	// domain, if there are more instances than that. A leader that stopped gracefully is then
 	// replaced within an eighth of a second; with one poll a second by each instance, the
 	// death of a leader cost hundreds of calls.
-	lookers = 8
+	maxPolls = 8
 )
 
 // lead maintains the leases and sends orders until ctx ends.
 func (g *Gatekeeper) lead(ctx context.Context) {
-	repeater.Now(ctx, leadEvery, g.kicks, func() {
+	repeater.Now(ctx, leadInterval, g.kicks, func() {
 		for _, d := range g.controllers {
-			d.tenure(ctx)
+			d.maintainLease(ctx)
 			d.tick(ctx)
 		}
-		pause(ctx, leadLeast)
+		pause(ctx, minLeadPause)
 	})
 }
 
@@ -67,60 +67,60 @@
 	return false
 }
 
-// tenure reads or writes the lease row if that is due.
-func (d *controller) tenure(ctx context.Context) {
+// maintainLease reads or writes the lease row if that is due.
+func (d *controller) maintainLease(ctx context.Context) {
 	if d.gatekeeper.Leaving() {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := uptime()
-	if d.calling || now < d.next {
+	if d.callInFlight || now < d.nextCall {
 		return
 	}
 	holds := d.elector.Holds(now)
 	if !holds && !d.vacant() {
-		d.looking = false
+		d.polling = false
 		return
 	}
 	if d.elector.Stale() {
-		d.call(func() { d.read(ctx) })
+		d.startCall(func() { d.read(ctx) })
 		return
 	}
-	if w, ok := d.elector.Next(now); ok && (holds || !d.deferred()) {
+	if w, ok := d.elector.Next(now); ok && (holds || !d.defersTakeover()) {
 		if w.Takeover && w.Row.Fence > 1 && d.elector.Holder().Holder != d.gatekeeper.Config.ID {
-			runners := d.some(probed)
-			d.call(func() { d.takeOver(ctx, w, runners) })
+			runners := d.probeTargets(maxProbes)
+			d.startCall(func() { d.takeOver(ctx, w, runners) })
 		} else {
-			d.call(func() { d.write(ctx, w) })
+			d.startCall(func() { d.writeLease(ctx, w) })
 		}
 		return
 	}
-	if !holds && d.looks(now) {
-		d.call(func() { d.read(ctx) })
+	if !holds && d.pollDue(now) {
+		d.startCall(func() { d.read(ctx) })
 	}
 }
 
-// looks reports whether this instance polls the lease row now, while the domain appears
+// pollDue reports whether this instance polls the lease row now, while the domain appears
 // to have no leader. The polls of the domain's instances are staggered.
-func (d *controller) looks(now time.Duration) bool {
-	period := d.lookPeriod()
-	if !d.looking {
-		d.looking = true
-		d.look = now + rand.N(period)
+func (d *controller) pollDue(now time.Duration) bool {
+	period := d.pollPeriod()
+	if !d.polling {
+		d.polling = true
+		d.nextPoll = now + rand.N(period)
 	}
-	if now < d.look {
+	if now < d.nextPoll {
 		return false
 	}
-	d.look = now + period
+	d.nextPoll = now + period
 	return true
 }
 
-// lookPeriod returns the interval at which this instance polls the lease row.
-func (d *controller) lookPeriod() time.Duration {
+// pollPeriod returns the interval at which this instance polls the lease row.
+func (d *controller) pollPeriod() time.Duration {
 	g := d.gatekeeper
 	neighbours := g.headcount.told() / len(g.domains())
-	return max(lookEvery, time.Duration(neighbours)*lookEvery/lookers)
+	return max(pollInterval, time.Duration(neighbours)*pollInterval/maxPolls)
 }
 
 // vacant reports whether the domain appears to have no leader.
@@ -146,12 +146,12 @@
 	d.elector.Ended(fence, uptime())
 }
 
-func (d *controller) call(do func()) {
-	d.calling = true
+func (d *controller) startCall(do func()) {
+	d.callInFlight = true
 	go func() {
 		do()
 		d.mu.Lock()
-		d.calling = false
+		d.callInFlight = false
 		d.mu.Unlock()
 	}()
 }
@@ -172,15 +172,15 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
-		d.next = uptime() + lookEvery
+		d.nextCall = uptime() + pollInterval
 		return
 	}
 	d.elector.Read(tenure, row.Version, uptime())
 }
 
-func (d *controller) write(ctx context.Context, w elector.Write) {
+func (d *controller) writeLease(ctx context.Context, w elector.Write) {
 	sent := time.Now()
-	version, err := d.gatekeeper.Store.Write(ctx, d.txn(w))
+	version, err := d.gatekeeper.Store.Write(ctx, d.leaseTxn(w))
 	var conflict *tabler.ConflictError
 	if !errors.As(err, &conflict) {
 		d.gatekeeper.sawStore(sent, err)
@@ -189,7 +189,7 @@
 	defer d.mu.Unlock()
 	if err != nil {
 		d.elector.Lost()
-		d.next = uptime() + again
+		d.nextCall = uptime() + again
 		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease write failed", "domain", d.domain, "fence", w.Row.Fence,
 			"takeover", w.Takeover, "err", err)
 		return
@@ -208,26 +208,26 @@
 	for _, d := range g.controllers {
 		d.mu.Lock()
 		w, held := d.elector.Leave(uptime())
-		d.rest()
+		d.stopOrdering()
 		d.mu.Unlock()
 		if held {
-			go d.free(ctx, w)
+			go d.releaseRow(ctx, w)
 		}
 	}
 }
 
-// free clears the row. A renewal in flight may have changed the row meanwhile; if it were
+// releaseRow clears the row. A renewal in flight may have changed the row meanwhile; if it were
 // not cleared then, no orders would be sent until the lease had expired.
-func (d *controller) free(ctx context.Context, w elector.Write) {
-	_, err := d.gatekeeper.Store.Write(ctx, d.txn(w))
+func (d *controller) releaseRow(ctx context.Context, w elector.Write) {
+	_, err := d.gatekeeper.Store.Write(ctx, d.leaseTxn(w))
 	var conflict *tabler.ConflictError
 	if errors.As(err, &conflict) {
-		err = d.freeAgain(ctx, w)
+		err = d.retryReleaseRow(ctx, w)
 	}
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease released", "domain", d.domain, "fence", w.Row.Fence, "err", err)
 }
 
-func (d *controller) freeAgain(ctx context.Context, w elector.Write) error {
+func (d *controller) retryReleaseRow(ctx context.Context, w elector.Write) error {
 	row, err := d.gatekeeper.Store.Get(ctx, tableTenures+"/"+d.domain)
 	if err != nil {
 		return err
@@ -240,12 +240,12 @@
 		return nil // another instance leads already
 	}
 	w.Version = row.Version
-	_, err = d.gatekeeper.Store.Write(ctx, d.txn(w))
+	_, err = d.gatekeeper.Store.Write(ctx, d.leaseTxn(w))
 	return err
 }
 
-// txn returns the transaction that writes the lease row.
-func (d *controller) txn(w elector.Write) tabler.Txn {
+// leaseTxn returns the transaction that writes the lease row.
+func (d *controller) leaseTxn(w elector.Write) tabler.Txn {
 	value, err := encoder.Marshal(w.Row)
 	if err != nil {
 		panic(err) // a Tenure can always be encoded
@@ -265,8 +265,8 @@
 }
 
 func (g *Gatekeeper) holderRow(r tabler.Row) {
-	if c, ok := crashRowOf(r.Key); ok {
-		g.crashRow(c, r)
+	if c, ok := parseCrashKey(r.Key); ok {
+		g.applyCrashRow(c, r)
 		return
 	}
 	var tenure elector.Tenure
@@ -283,8 +283,8 @@
 	}
 }
 
-// ordered logs and counts an order.
-func (g *Gatekeeper) ordered(r tracker.Runner, o placer.Order, outcome placer.Outcome, fence uint64, took time.Duration, err error) {
+// logOrder logs and counts an order.
+func (g *Gatekeeper) logOrder(r tracker.Runner, o placer.Order, outcome placer.Outcome, fence uint64, took time.Duration, err error) {
 	operation := "load"
 	if o.Unload {
 		operation = "unload"
--- a/internal/instance/gatekeeper/tenure_test.go
+++ b/internal/instance/gatekeeper/tenure_test.go
@@ -14,8 +14,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// ownTenure decodes the lease row of domain a.
-func ownTenure(t *testing.T, s *feedStore) elector.Tenure {
+// readLease decodes the lease row of domain a.
+func readLease(t *testing.T, s *feedStore) elector.Tenure {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,8 +26,8 @@
 	return tenure
 }
 
-// putTenure writes the lease row of domain a.
-func putTenure(t *testing.T, s *feedStore, tenure elector.Tenure) {
+// putLease writes the lease row of domain a.
+func putLease(t *testing.T, s *feedStore, tenure elector.Tenure) {
 	t.Helper()
 	value, err := encoder.Marshal(tenure)
 	if err != nil {
@@ -39,34 +39,34 @@
 // Guards against a lease row that stays after a graceful stop: a renewal in flight changes the row
 // just before it is to be cleared. No adapter would be loaded in the domain until the lease
 // expired, for nine seconds.
-func TestPlannedStopFreesTheTenureBesideARenewal(t *testing.T) {
+func TestGracefulStopReleasesLeaseDuringRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
 		d := g.controllers["a"]
 		held := elector.Tenure{Holder: g.Config.ID, Fence: 1, Serial: 7, Settled: true}
-		putTenure(t, store, held)
+		putLease(t, store, held)
 		d.elector.Read(held, store.version, uptime())
 		w, _ := d.elector.Next(uptime())
 		d.elector.Written(w, store.version, uptime())
-		putTenure(t, store, w.Row) // the renewal; its response has not arrived yet
+		putLease(t, store, w.Row) // the renewal; its response has not arrived yet
 		free, _ := d.elector.Leave(uptime())
-		d.free(t.Context(), free)
-		if holder := ownTenure(t, store).Holder; holder != "" {
+		d.releaseRow(t.Context(), free)
+		if holder := readLease(t, store).Holder; holder != "" {
 			t.Errorf("lease row names %s, want no leader", holder)
 		}
 	})
 }
 
 // Guards against a stopping instance that clears the row of the next leader.
-func TestPlannedStopDoesNotFreeWhatAnotherHolds(t *testing.T) {
+func TestGracefulStopKeepsLeaseOfNextLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
 		d := g.controllers["a"]
 		hold(g, "a")
-		putTenure(t, store, elector.Tenure{Holder: "front-9", Fence: 2})
+		putLease(t, store, elector.Tenure{Holder: "front-9", Fence: 2})
 		free, _ := d.elector.Leave(uptime())
-		d.free(t.Context(), free)
-		if holder := ownTenure(t, store).Holder; holder != "front-9" {
+		d.releaseRow(t.Context(), free)
+		if holder := readLease(t, store).Holder; holder != "front-9" {
 			t.Errorf("lease row names %q, want front-9", holder)
 		}
 	})
@@ -74,19 +74,19 @@
 
 // Guards against a freed lease that is acquired only at the next poll: where 27 instances stagger
 // their polls, callers of the domain had no adapters for five seconds.
-func TestTenureThatIsSeenToBeFreeIsTakenAtOnce(t *testing.T) {
+func TestFreeLeaseIsAcquiredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
 		d := g.controllers["a"]
 		d.elector.Late = 0
 		d.elector.Heard(elector.Tenure{Holder: "front-1", Fence: 1}, store.version, 0, uptime())
-		putTenure(t, store, elector.Tenure{Fence: 1, Serial: 9})
-		d.looking, d.look = true, uptime()
-		d.tenure(t.Context()) // polls the row
+		putLease(t, store, elector.Tenure{Fence: 1, Serial: 9})
+		d.polling, d.nextPoll = true, uptime()
+		d.maintainLease(t.Context()) // polls the row
 		time.Sleep(100 * time.Millisecond)
-		d.tenure(t.Context())
+		d.maintainLease(t.Context())
 		time.Sleep(100 * time.Millisecond)
-		if holder := ownTenure(t, store).Holder; holder != g.Config.ID {
+		if holder := readLease(t, store).Holder; holder != g.Config.ID {
 			t.Errorf("lease row names %q, want this instance", holder)
 		}
 	})
@@ -94,7 +94,7 @@
 
 // Guards against polling too late or too often while a domain has no leader: the row may have been
 // cleared, but 35 instances that each poll once a second only cost calls.
-func TestInstancesLookAtATenureInTurns(t *testing.T) {
+func TestLeasePollsAreStaggered(t *testing.T) {
 	for _, instances := range []int{1, 8, 35, 100} {
 		t.Run(fmt.Sprint(instances, " instances"), func(t *testing.T) {
 			var all []*controller
@@ -107,7 +107,7 @@
 			const step, span = 25 * time.Millisecond, 9 * time.Second
 			for now := time.Duration(0); now < span; now += step {
 				for _, d := range all {
-					if d.looks(now) {
+					if d.pollDue(now) {
 						looks++
 						if first < 0 {
 							first = now
@@ -115,10 +115,10 @@
 					}
 				}
 			}
-			if first > lookEvery {
+			if first > pollInterval {
 				t.Errorf("first poll after %s", first)
 			}
-			if most := int(span/lookEvery+1) * max(lookers+1, min(instances, lookers+1)); looks > most {
+			if most := int(span/pollInterval+1) * max(maxPolls+1, min(instances, maxPolls+1)); looks > most {
 				t.Errorf("%d polls, want at most %d", looks, most)
 			}
 		})
@@ -142,7 +142,7 @@
 // Guards against a new leader that does not reach the runners. A third of the instances are cut off
 // from the runners but not from the store, and a lease is free; one of them that acquires it
 // loads nothing and keeps the others from leading.
-func TestOnlyWhoReachesTheRunnersTakesATenureOver(t *testing.T) {
+func TestTakeoverRequiresReachableRunners(t *testing.T) {
 	for _, answers := range []bool{true, false} {
 		t.Run(fmt.Sprint("answers: ", answers), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -152,11 +152,11 @@
 				d := g.controllers["a"]
 				d.elector.Late = 0
 				freed := elector.Tenure{Fence: 4}
-				putTenure(t, store, freed)
+				putLease(t, store, freed)
 				d.elector.Read(freed, store.version, uptime())
-				d.tenure(t.Context())
+				d.maintainLease(t.Context())
 				time.Sleep(100 * time.Millisecond)
-				if took := ownTenure(t, store).Holder == g.Config.ID; took != answers {
+				if took := readLease(t, store).Holder == g.Config.ID; took != answers {
 					t.Errorf("acquired the lease: %v", took)
 				}
 			})
--- a/internal/instance/gatekeeper/verdict.go
+++ b/internal/instance/gatekeeper/verdict.go
@@ -13,7 +13,7 @@
 func (q *quarantine) count() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return len(q.held)
+	return len(q.logged)
 }
 
 func (g *Gatekeeper) logCrash(w quarantiner.Word, from string) {
@@ -21,8 +21,8 @@
 		"crashes", len(g.quarantine.ledger.Open(w.Digest, time.Now())))
 }
 
-// verdicts logs and counts the requests that have entered or left quarantine.
-func (g *Gatekeeper) verdicts() {
+// logVerdicts logs and counts the requests that have entered or left quarantine.
+func (g *Gatekeeper) logVerdicts() {
 	now := time.Now()
 	cases := g.quarantine.ledger.Cases()
 	q := &g.quarantine
@@ -34,22 +34,22 @@
 			continue
 		}
 		held[c.Digest] = true
-		if !q.held[c.Digest] {
+		if !q.logged[c.Digest] {
 			g.Metrics.GetOrCreateCounter("sardinetiller_quarantined_total").Inc()
 			g.Recorder.Log(recorder.Suspect, "msg", "request quarantined", "digest", c.Digest, "crashes", c.Crashes, "for", c.Until.Sub(now))
 		}
 	}
-	for d := range q.held {
+	for d := range q.logged {
 		if !held[d] {
 			g.Metrics.GetOrCreateCounter("sardinetiller_quarantine_ended_total").Inc()
 			g.Recorder.Log(recorder.Suspect, "msg", "quarantine ended", "digest", d)
 		}
 	}
-	q.held = held
+	q.logged = held
 }
 
-// mostListed bounds how many requests in quarantine are logged.
-const mostListed = 8
+// maxListed bounds how many requests in quarantine are logged.
+const maxListed = 8
 
 // watchQuarantine logs the requests in quarantine and expires old crashes, until ctx ends.
 func (g *Gatekeeper) watchQuarantine(ctx context.Context) {
@@ -59,11 +59,11 @@
 			return
 		}
 		now := time.Now()
-		g.dropCrashes(g.quarantine.ledger.Expire(now))
-		g.verdicts()
+		g.deleteCrashRows(g.quarantine.ledger.Expire(now))
+		g.logVerdicts()
 		listed := 0
 		for _, c := range g.quarantine.ledger.Cases() {
-			if now.Before(c.Until) && listed < mostListed {
+			if now.Before(c.Until) && listed < maxListed {
 				listed++
 				g.Recorder.Log(recorder.Suspect, "msg", "in quarantine", "digest", c.Digest, "crashes", c.Crashes, "for", c.Until.Sub(now))
 			}
--- a/internal/instance/gatekeeper/yield.go
+++ b/internal/instance/gatekeeper/yield.go
@@ -13,92 +13,94 @@
 // lease is renewed and no adapter is loaded until the network recovers, unless the leader
 // steps down. Responses that other instances report from those runners prove that the
 // runners are alive; if all of them are down, no other leader could do better.
-type severance struct {
-	since     time.Time // since when most runners have been unresponsive
-	elsewhere time.Time // when another instance last reported a response of one
+type partitionDetector struct {
+	unresponsiveSince  time.Time // since when most runners have been unresponsive
+	respondedElsewhere time.Time // when another instance last reported a response of one
 }
 
 const (
-	// severedFor is how long most runners are unresponsive before the leader steps down. A
+	// partitionTimeout is how long most runners are unresponsive before the leader steps down. A
 	// lost packet or a slow second is over by then. The next leader sends orders after the
 	// quiet time, some four seconds later, so stepping down for a shorter fault costs more
 	// than it saves; the faults observed last five seconds or more.
-	severedFor = 700 * time.Millisecond
-	// severedAway is how long an instance that stepped down leaves the lease to others.
-	severedAway = 10 * time.Second
-	// answeredFor is how long a response reported by another instance proves that runners
+	partitionTimeout = 700 * time.Millisecond
+	// stepDownBackoff is how long an instance that stepped down leaves the lease to others.
+	stepDownBackoff = 10 * time.Second
+	// responseMaxAge is how long a response reported by another instance proves that runners
 	// are alive.
-	answeredFor = time.Second
+	responseMaxAge = time.Second
 )
 
-// look records how many of the runners are unresponsive, and reports whether the leader is
+// observe records how many of the runners are unresponsive, and reports whether the leader is
 // to step down.
-func (s *severance) look(dark, runners int, now time.Time) bool {
+func (s *partitionDetector) observe(dark, runners int, now time.Time) bool {
 	if 2*dark <= runners {
-		s.since = time.Time{}
+		s.unresponsiveSince = time.Time{}
 		return false
 	}
-	if s.since.IsZero() {
-		s.since = now
+	if s.unresponsiveSince.IsZero() {
+		s.unresponsiveSince = now
 	}
-	return now.Sub(s.since) >= severedFor && now.Sub(s.elsewhere) < answeredFor
+	return now.Sub(s.unresponsiveSince) >= partitionTimeout && now.Sub(s.respondedElsewhere) < responseMaxAge
 }
 
-// answered reports whether a member has reported a response of a runner.
-func answered(demand relayer.Demand) bool { return len(demand.There)+demand.Short+demand.Long > 0 }
+// reportsResponse reports whether a member has reported a response of a runner.
+func reportsResponse(demand relayer.Demand) bool {
+	return len(demand.There)+demand.Short+demand.Long > 0
+}
 
-// severed reports whether this instance is to step down because it does not reach the
+// partitioned reports whether this instance is to step down because it does not reach the
 // runners.
-func (d *controller) severed(now time.Time) bool {
+func (d *controller) partitioned(now time.Time) bool {
 	count, runners := 0, 0
 	for _, c := range d.runners {
 		if c.placer == nil || c.runner.Leaving {
 			continue
 		}
 		runners++
-		if c.dark >= dark {
+		if c.failures >= unresponsive {
 			count++
 		}
 	}
-	return d.cut.look(count, runners, now)
+	return d.partition.observe(count, runners, now)
 }
 
-// yield steps down in favour of an instance that reaches what this one does not.
-func (d *controller) yield(ctx context.Context, why string) {
+// stepDown steps down in favour of an instance that reaches what this one does not.
+func (d *controller) stepDown(ctx context.Context, why string) {
 	fence := d.elector.Holder().Fence
-	w, held := d.elector.Yield(uptime(), severedAway)
-	d.rest()
+	w, held := d.elector.Yield(uptime(), stepDownBackoff)
+	d.stopOrdering()
 	d.ended = fence
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "stepping down", "domain", d.domain, "fence", fence, "why", why)
 	if held {
-		go d.free(ctx, w)
+		go d.releaseRow(ctx, w)
 	}
 }
 
 const (
-	// strandedFor is the age of the last successful renewal from which on the leader may be
+	// maxRenewalAge is the age of the last successful renewal from which on the leader may be
 	// cut off from the store: one renewal has failed by then, and the next one is due.
-	strandedFor = 3 * time.Second
-	// strandedWait is how long other leaders must have reached the store meanwhile before the
+	maxRenewalAge = 3 * time.Second
+	// cutOffTimeout is how long other leaders must have reached the store meanwhile before the
 	// leader steps down. Without stepping down, the domain gets no orders from the end of the
 	// lease until the next leader may send them, four seconds. After an outage for all
 	// instances, one of them is the first to reach the store again; if the others stepped
 	// down at that point, each domain would lose four seconds that a renewal a moment later
 	// would have avoided.
-	strandedWait = 1500 * time.Millisecond
+	cutOffTimeout = 1500 * time.Millisecond
 )
 
-// stranded reports whether this leader does not reach the store while other leaders do, as
+// cutOffFromStore reports whether this leader does not reach the store while other leaders do, as
 // shown by the times of successful calls that they publish.
-func (d *controller) stranded(now time.Time) bool {
+func (d *controller) cutOffFromStore(now time.Time) bool {
 	_, age := d.elector.Renewal(uptime())
 	reached, ok := d.gatekeeper.reached.get()
-	if age < strandedFor || !ok || now.Sub(reached) > strandedWait {
-		d.stuck = time.Time{}
+	if age < maxRenewalAge || !ok || now.Sub(reached) > cutOffTimeout {
+		d.cutOffSince = time.Time{}
 		return false
 	}
-	if d.stuck.IsZero() {
-		d.stuck = now
+	if d.cutOffSince.IsZero() {
+		d.cutOffSince = now
 	}
-	return now.Sub(d.stuck) >= strandedWait
+	return now.Sub(d.cutOffSince) >= cutOffTimeout
 }
