--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -43,7 +43,7 @@
 	heard        retold    // last update from the leader, while another instance leads
 
 	followers   int           // members that subscribe to the domain here
-	queueWait   time.Duration // expected wait until a further load begins, as of lined
+	queueWait   time.Duration // expected wait until a further load begins, as of queueWaitAt
 	queueWaitAt time.Time
 }
 
--- a/internal/instance/gatekeeper/crash.go
+++ b/internal/instance/gatekeeper/crash.go
@@ -40,7 +40,7 @@
 	byRunner map[string]*crashCheck // by runner ID
 }
 
-// A check finds out whether a runner has crashed.
+// A crashCheck finds out whether a runner has crashed.
 type crashCheck struct {
 	started  time.Time                            // when the first response broke off there
 	crashed  bool                                 // the runner has crashed; requests that break off there later are suspected at once
--- a/internal/instance/gatekeeper/dark.go
+++ b/internal/instance/gatekeeper/dark.go
@@ -7,7 +7,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// A darkness is a score of the signs that a runner is down. After a crash its row stays for
+// A failureScore is a score of the signs that a runner is down. After a crash its row stays for
 // seconds, and requests that wait for an adapter do not fail there: with all its slots free
 // the runner looked like the best choice, 67 adapters queued for it, and their requests were
 // refused when they reached their wait limit.
--- a/internal/instance/gatekeeper/learn.go
+++ b/internal/instance/gatekeeper/learn.go
@@ -110,7 +110,7 @@
 				continue
 			}
 			base, read := g.Fleet.Paces(name)
-			g.Recorder.Log(recorder.Belief, "msg", "estimates", "service", name, "first", base, "token", read,
+			g.Recorder.Log(recorder.Belief, "msg", "paces", "service", name, "first", base, "token", read,
 				"load", g.LoadTime(), "return", g.ReturnTime(), "members", g.Members())
 		}
 		for _, d := range g.controllers {
--- a/internal/instance/gatekeeper/quarantine_lab_test.go
+++ b/internal/instance/gatekeeper/quarantine_lab_test.go
@@ -11,7 +11,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
 )
 
-// A lab simulates a deployment step by step: its instances exchange crash reports while some
+// A crashSimulation simulates a deployment step by step: its instances exchange crash reports while some
 // requests crash the runners that run them.
 type crashSimulation struct {
 	rng              *rand.Rand
@@ -38,7 +38,7 @@
 	lateRequests int // requests sent that violate the rule
 }
 
-// A flight is a request on a runner whose response breaks off at a given time.
+// A simRequest is a request on a runner whose response breaks off at a given time.
 type simRequest struct {
 	ends       time.Time
 	member     *simMember
--- a/internal/instance/gatekeeper/yield.go
+++ b/internal/instance/gatekeeper/yield.go
@@ -8,7 +8,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// A severance detects that a leader does not reach the runners of its domain while other
+// A partitionDetector detects that a leader does not reach the runners of its domain while other
 // instances do. Such a leader is cut off from the runners but not from the store, so its
 // lease is renewed and no adapter is loaded until the network recovers, unless the leader
 // steps down. Responses that other instances report from those runners prove that the
