--- a/internal/instance/gatekeeper/dark.go
+++ b/internal/instance/gatekeeper/dark.go
@@ -25,24 +25,24 @@
 	unresponsiveWait = 2 * time.Second
 )
 
-func (d *failureScore) recordOrder(o placer.Outcome) {
+func (s *failureScore) recordOrder(o placer.Outcome) {
 	switch o {
 	case placer.Lost:
-		*d += noResponsePenalty
+		*s += noResponsePenalty
 	case placer.Unreached:
-		*d += noConnectionPenalty
+		*s += noConnectionPenalty
 	default:
-		*d = 0
+		*s = 0
 	}
 }
 
-func (d *failureScore) recordReport(err error) {
+func (s *failureScore) recordReport(err error) {
 	switch {
 	case err == nil:
-		*d = 0
+		*s = 0
 	case judge.As(err).Verdict == judge.NotRun:
-		*d += noConnectionPenalty
+		*s += noConnectionPenalty
 	default:
-		*d += noResponsePenalty
+		*s += noResponsePenalty
 	}
 }
--- a/internal/instance/gatekeeper/dark_test.go
+++ b/internal/instance/gatekeeper/dark_test.go
@@ -16,32 +16,32 @@
 	refused := judge.Judge(judge.Dialed{Err: errors.New("connection refused")})
 	for _, tc := range []struct {
 		name   string
-		happen func(d *failureScore)
+		happen func(s *failureScore)
 		want   bool
 	}{
 		{"no sign", func(*failureScore) {}, false},
-		{"refuses connections", func(d *failureScore) { d.recordOrder(placer.Unreached); d.recordReport(refused) }, true},
-		{"never responds", func(d *failureScore) {
+		{"refuses connections", func(s *failureScore) { s.recordOrder(placer.Unreached); s.recordReport(refused) }, true},
+		{"never responds", func(s *failureScore) {
 			for range 4 {
-				d.recordOrder(placer.Lost)
+				s.recordOrder(placer.Lost)
 			}
 		}, true},
-		{"loses every other order", func(d *failureScore) {
+		{"loses every other order", func(s *failureScore) {
 			for range 10 {
-				d.recordOrder(placer.Lost)
-				d.recordOrder(placer.Accepted)
+				s.recordOrder(placer.Lost)
+				s.recordOrder(placer.Accepted)
 			}
 		}, false},
-		{"responds again", func(d *failureScore) {
-			d.recordOrder(placer.Unreached)
-			d.recordOrder(placer.Unreached)
-			d.recordReport(nil)
+		{"responds again", func(s *failureScore) {
+			s.recordOrder(placer.Unreached)
+			s.recordOrder(placer.Unreached)
+			s.recordReport(nil)
 		}, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var d failureScore
-			tc.happen(&d)
-			if got := d >= unresponsive; got != tc.want {
+			var s failureScore
+			tc.happen(&s)
+			if got := s >= unresponsive; got != tc.want {
 				t.Errorf("skipped: %v, want %v", got, tc.want)
 			}
 		})
--- a/internal/instance/gatekeeper/keep.go
+++ b/internal/instance/gatekeeper/keep.go
@@ -45,20 +45,20 @@
 // are stored, and that cleared ones are deleted. While some leaders send no updates the first
 // crash is stored too: the second may be observed by an instance that cannot be reached from
 // here.
-func (g *Gatekeeper) storeCrashes(words []quarantiner.Word) {
-	if len(words) == 0 {
+func (g *Gatekeeper) storeCrashes(reports []quarantiner.Word) {
+	if len(reports) == 0 {
 		return
 	}
 	now := time.Now()
 	q := &g.quarantine
-	apart := !g.receivesFromAllLeaders()
-	for _, w := range words {
+	partitioned := !g.receivesFromAllLeaders()
+	for _, w := range reports {
 		if w.Cleared {
 			q.setDesired(w.Crash(), rowDeleted)
 			continue
 		}
 		open := q.ledger.Open(w.Digest, now)
-		if len(open) < quarantiner.KeptFrom && !apart {
+		if len(open) < quarantiner.KeptFrom && !partitioned {
 			continue
 		}
 		for _, o := range open {
@@ -171,8 +171,8 @@
 			txn.Deletes = append(txn.Deletes, key)
 			continue
 		}
-		word, _ := q.ledger.Word(c, now)
-		txn.Puts = append(txn.Puts, tabler.Put{Key: key, Value: encodeCrashRow(word.Row(now))})
+		report, _ := q.ledger.Word(c, now)
+		txn.Puts = append(txn.Puts, tabler.Put{Key: key, Value: encodeCrashRow(report.Row(now))})
 	}
 	return txn, states
 }
@@ -208,19 +208,19 @@
 
 // applyCrashRow applies a crash row. A deleted row means that the crash was cleared or has expired.
 func (g *Gatekeeper) applyCrashRow(c quarantiner.Crash, r tabler.Row) {
-	word := quarantiner.Word{Digest: c.Digest, Runner: c.Runner, Cleared: r.Removed}
+	report := quarantiner.Word{Digest: c.Digest, Runner: c.Runner, Cleared: r.Removed}
 	if !r.Removed {
 		var row quarantiner.Row
 		if err := encoder.Unmarshal(r.Value, &row); err != nil {
 			g.Recorder.Log(recorder.Suspect, "msg", "malformed crash row", "row", r.Key, "err", err)
 			return
 		}
-		word = row.Word(c, time.Now())
+		report = row.Word(c, time.Now())
 	}
-	g.hearWords([]quarantiner.Word{word}, fromStore)
+	g.hearWords([]quarantiner.Word{report}, fromStore)
 	g.quarantine.recordStored(c, !r.Removed)
 	current, known := g.quarantine.ledger.Word(c, time.Now())
-	if !r.Removed && (known && current.Cleared || word.Age >= quarantiner.Memory) && g.holdsAny() {
+	if !r.Removed && (known && current.Cleared || report.Age >= quarantiner.Memory) && g.holdsAny() {
 		// It was cleared before the row was written, or has expired. If the row stayed, the
 		// request would be suspected again after a restart of all instances, or the row would
 		// never be deleted.
--- a/internal/instance/gatekeeper/learn_test.go
+++ b/internal/instance/gatekeeper/learn_test.go
@@ -62,13 +62,13 @@
 		at time.Time
 		a  placer.Arrival
 	}
-	var under []told
+	var pending []told
 	late, high := 0, 0
 	for n := range loads {
 		now := startTime.Add(time.Duration(n) * pause)
-		for len(under) > 0 && !under[0].at.After(now) {
-			e.observe(under[0].a, under[0].at)
-			under = under[1:]
+		for len(pending) > 0 && !pending[0].at.After(now) {
+			e.observe(pending[0].a, pending[0].at)
+			pending = pending[1:]
 		}
 		expected := e.get()
 		if expected > actual*5/4 {
@@ -82,7 +82,7 @@
 		if a.Least > 0 {
 			late++
 		}
-		under = append(under, told{now.Add(a.Most), a})
+		pending = append(pending, told{now.Add(a.Most), a})
 	}
 	if late > loads/6 || high > loads/20 {
 		t.Errorf("of %d loads %d were late, and %d had an estimate more than a quarter too high", loads, late, high)
--- a/internal/instance/gatekeeper/pending.go
+++ b/internal/instance/gatekeeper/pending.go
@@ -77,8 +77,8 @@
 		return time.Time{}
 	}
 	due := returned.Add(removalGrace)
-	trouble := g.storeUp.lastAway()
-	if latest := trouble.Add(graceAfterFault); returned.Sub(trouble) <= nextCall && latest.Before(due) {
+	lastFault := g.storeUp.lastAway()
+	if latest := lastFault.Add(graceAfterFault); returned.Sub(lastFault) <= nextCall && latest.Before(due) {
 		return latest
 	}
 	return due
--- a/internal/instance/gatekeeper/place.go
+++ b/internal/instance/gatekeeper/place.go
@@ -25,11 +25,11 @@
 		}
 		return forwarder.Place{Done: done, Wait: wait}, nil, true
 	}
-	holder, _, ok := l.orderer()
+	leader, _, ok := l.orderer()
 	if !ok {
 		return forwarder.Place{}, nil, false
 	}
-	conversation, message, err := g.askPeer(ctx, holder.address, relayer.Place{Domain: l.domain, Runner: runner, Within: within}, askTimeout)
+	conversation, message, err := g.askPeer(ctx, leader.address, relayer.Place{Domain: l.domain, Runner: runner, Within: within}, askTimeout)
 	if err != nil {
 		return noSlot(err)
 	}
--- a/internal/instance/gatekeeper/quarantine.go
+++ b/internal/instance/gatekeeper/quarantine.go
@@ -53,33 +53,33 @@
 
 // Whole implements forwarder.Quarantine.
 func (g *Gatekeeper) Whole(d quarantiner.Digest) {
-	words := g.quarantine.ledger.Clear(d, time.Now())
-	if len(words) == 0 {
+	reports := g.quarantine.ledger.Clear(d, time.Now())
+	if len(reports) == 0 {
 		return
 	}
 	g.Metrics.GetOrCreateCounter("sardinetiller_cleared_total").Inc()
-	g.Recorder.Log(recorder.Suspect, "msg", "request cleared", "digest", d, "crashes", len(words))
-	g.recordOwn(words)
+	g.Recorder.Log(recorder.Suspect, "msg", "request cleared", "digest", d, "crashes", len(reports))
+	g.recordOwn(reports)
 }
 
 // suspect records that a runner crashed while it ran the given requests, with how long each had
 // run.
 func (g *Gatekeeper) suspect(runner string, requests map[quarantiner.Digest]time.Duration) {
-	words := make([]quarantiner.Word, 0, len(requests))
+	reports := make([]quarantiner.Word, 0, len(requests))
 	for d, ran := range requests {
-		words = append(words, quarantiner.Word{Digest: d, Runner: runner, Ran: ran})
+		reports = append(reports, quarantiner.Word{Digest: d, Runner: runner, Ran: ran})
 	}
-	news := g.quarantine.ledger.Take(words, time.Now())
-	for _, w := range news {
+	added := g.quarantine.ledger.Take(reports, time.Now())
+	for _, w := range added {
 		g.Metrics.GetOrCreateCounter("sardinetiller_suspected_total").Inc()
 		g.logCrash(w, "self")
 	}
-	g.recordOwn(news)
+	g.recordOwn(added)
 }
 
 // recordOwn records this instance's own observations, which it has to report.
-func (g *Gatekeeper) recordOwn(words []quarantiner.Word) {
-	if len(words) == 0 {
+func (g *Gatekeeper) recordOwn(reports []quarantiner.Word) {
+	if len(reports) == 0 {
 		return
 	}
 	now := time.Now()
@@ -89,25 +89,25 @@
 	if q.own == nil {
 		q.own = make(map[quarantiner.Crash]ownWord)
 	}
-	for _, w := range words {
+	for _, w := range reports {
 		q.own[w.Crash()] = ownWord{since: now}
 	}
 	q.mu.Unlock()
 	g.logVerdicts()
-	g.storeCrashes(words)
+	g.storeCrashes(reports)
 	signal(g.quarantine.tell)
 }
 
 // hearWords applies crash reports of other instances or of the store.
-func (g *Gatekeeper) hearWords(words []quarantiner.Word, from string) {
-	if len(words) == 0 {
+func (g *Gatekeeper) hearWords(reports []quarantiner.Word, from string) {
+	if len(reports) == 0 {
 		return
 	}
-	news := g.quarantine.ledger.Take(words, time.Now())
-	if len(news) == 0 {
+	added := g.quarantine.ledger.Take(reports, time.Now())
+	if len(added) == 0 {
 		return
 	}
-	for _, w := range news {
+	for _, w := range added {
 		if !w.Cleared && len(g.quarantine.ledger.Open(w.Digest, time.Now())) >= quarantiner.KeptFrom {
 			g.logCrash(w, from) // other crashes are logged only where they were observed, as many innocent requests run beside each culprit
 		}
@@ -118,7 +118,7 @@
 	q.mu.Unlock()
 	g.logVerdicts()
 	if from != fromStore {
-		g.storeCrashes(g.ownAmong(news))
+		g.storeCrashes(g.ownAmong(added))
 	}
 }
 
--- a/internal/instance/gatekeeper/quarantine_lab_test.go
+++ b/internal/instance/gatekeeper/quarantine_lab_test.go
@@ -84,30 +84,30 @@
 	simCheckTime = 200 * time.Millisecond // from the crash to the result of the check
 )
 
-func newCrashSimulation(rng *rand.Rand, members int, without safeguard) *crashSimulation {
-	w := &crashSimulation{rng: rng, leaders: make(map[string]*simMember), partitionedUntil: make(map[string]time.Time), rows: make(map[string]tabler.Row), disabled: without}
+func newCrashSimulation(rng *rand.Rand, members int, disabled safeguard) *crashSimulation {
+	s := &crashSimulation{rng: rng, leaders: make(map[string]*simMember), partitionedUntil: make(map[string]time.Time), rows: make(map[string]tabler.Row), disabled: disabled}
 	for n := range min(4, max(1, members/3)) {
-		w.domains = append(w.domains, string(rune('a'+n)))
+		s.domains = append(s.domains, string(rune('a'+n)))
 	}
 	for n := range members {
-		m := &simMember{id: fmt.Sprint("front-", n), domain: w.domains[n%len(w.domains)]}
-		w.start(m)
-		w.members = append(w.members, m)
-		if n < len(w.domains) {
-			w.leaders[m.domain] = m
+		m := &simMember{id: fmt.Sprint("front-", n), domain: s.domains[n%len(s.domains)]}
+		s.start(m)
+		s.members = append(s.members, m)
+		if n < len(s.domains) {
+			s.leaders[m.domain] = m
 		}
 	}
-	return w
+	return s
 }
 
 // start starts an instance without state. The instances that publish to it start over.
-func (w *crashSimulation) start(m *simMember) {
-	for _, other := range w.members {
+func (s *crashSimulation) start(m *simMember) {
+	for _, other := range s.members {
 		other.nextNumber[m.id] = 0
 		other.g.quarantine.begun(source{id: m.id})
 	}
 	g := newTestGatekeeper()
-	g.Config.ID, g.Config.Domain, g.Config.Domains = m.id, m.domain, w.domains
+	g.Config.ID, g.Config.Domain, g.Config.Domains = m.id, m.domain, s.domains
 	g.init()
 	m.g, m.readVersion, m.nextNumber, m.source, m.pending = g, 0, make(map[string]int), nil, nil
 }
@@ -118,23 +118,23 @@
 }
 
 // connected reports whether two instances can exchange messages now.
-func (w *crashSimulation) connected(a, b *simMember, now time.Time) bool {
+func (s *crashSimulation) connected(a, b *simMember, now time.Time) bool {
 	if !a.running(now) || !b.running(now) || now.Before(a.isolatedUntil) || now.Before(b.isolatedUntil) {
 		return false
 	}
-	return a.domain == b.domain || !now.Before(w.partitionedUntil[a.domain]) && !now.Before(w.partitionedUntil[b.domain])
+	return a.domain == b.domain || !now.Before(s.partitionedUntil[a.domain]) && !now.Before(s.partitionedUntil[b.domain])
 }
 
 // reachesStore reports whether an instance reaches the store now.
-func (w *crashSimulation) reachesStore(m *simMember, now time.Time) bool {
-	return m.running(now) && !now.Before(m.rejectedUntil) && !now.Before(w.storeDownUntil)
+func (s *crashSimulation) reachesStore(m *simMember, now time.Time) bool {
+	return m.running(now) && !now.Before(m.rejectedUntil) && !now.Before(s.storeDownUntil)
 }
 
 // step lets all instances do what is due.
-func (w *crashSimulation) step(now time.Time) {
-	w.replaceLeaders(now)
-	for _, n := range w.rng.Perm(len(w.members)) {
-		m := w.members[n]
+func (s *crashSimulation) step(now time.Time) {
+	s.replaceLeaders(now)
+	for _, n := range s.rng.Perm(len(s.members)) {
+		m := s.members[n]
 		if !m.running(now) {
 			continue
 		}
@@ -142,35 +142,35 @@
 			m.g.suspect(f.runner, map[quarantiner.Digest]time.Duration{f.digest: f.ran})
 		}
 		m.pending = nil
-		if w.leads(m) {
-			w.stepLeader(m, now)
+		if s.leads(m) {
+			s.stepLeader(m, now)
 		} else {
-			w.stepMember(m, now)
+			s.stepMember(m, now)
 		}
-		if w.disabled == noEarlyStorage {
-			for _, domain := range w.domains {
+		if s.disabled == noEarlyStorage {
+			for _, domain := range s.domains {
 				m.observeLeader(domain, now)
 			}
 		}
 		m.g.keepApart()
-		w.writeStore(m, now)
+		s.writeStore(m, now)
 	}
 }
 
-func (w *crashSimulation) leads(m *simMember) bool { return w.leaders[m.domain] == m }
+func (s *crashSimulation) leads(m *simMember) bool { return s.leaders[m.domain] == m }
 
 // replaceLeaders replaces leaders that are down or paused for long.
-func (w *crashSimulation) replaceLeaders(now time.Time) {
-	for _, domain := range w.domains {
-		h := w.leaders[domain]
-		gone := later(h.downUntil, h.pausedUntil)
-		if !now.Before(gone) || gone.Sub(now) < time.Second {
+func (s *crashSimulation) replaceLeaders(now time.Time) {
+	for _, domain := range s.domains {
+		h := s.leaders[domain]
+		backAt := later(h.downUntil, h.pausedUntil)
+		if !now.Before(backAt) || backAt.Sub(now) < time.Second {
 			hold(h.g, domain)
 			continue
 		}
-		for _, n := range w.rng.Perm(len(w.members)) {
-			if m := w.members[n]; m.domain == domain && w.reachesStore(m, now) && w.rng.IntN(60) == 0 {
-				w.leaders[domain] = m
+		for _, n := range s.rng.Perm(len(s.members)) {
+			if m := s.members[n]; m.domain == domain && s.reachesStore(m, now) && s.rng.IntN(60) == 0 {
+				s.leaders[domain] = m
 				break
 			}
 		}
@@ -178,27 +178,27 @@
 }
 
 // stepLeader lets a leader receive updates from the others and from the store.
-func (w *crashSimulation) stepLeader(m *simMember, now time.Time) {
+func (s *crashSimulation) stepLeader(m *simMember, now time.Time) {
 	m.source = nil
-	for domain, h := range w.leaders {
-		if h == m || w.connected(m, h, now) {
+	for domain, h := range s.leaders {
+		if h == m || s.connected(m, h, now) {
 			m.observeLeader(domain, now)
 		}
-		if h != m && w.connected(m, h, now) {
-			w.deliver(h, m)
+		if h != m && s.connected(m, h, now) {
+			s.deliver(h, m)
 		}
 	}
-	w.readStore(m, now)
+	s.readStore(m, now)
 }
 
 // stepMember lets a member receive updates from the leader of its domain, or from another one; without
 // a source it reads the store.
-func (w *crashSimulation) stepMember(m *simMember, now time.Time) {
-	t := w.leaders[m.domain]
-	if !w.connected(m, t, now) {
+func (s *crashSimulation) stepMember(m *simMember, now time.Time) {
+	t := s.leaders[m.domain]
+	if !s.connected(m, t, now) {
 		t = nil
-		for _, domain := range w.domains {
-			if h := w.leaders[domain]; w.connected(m, h, now) {
+		for _, domain := range s.domains {
+			if h := s.leaders[domain]; s.connected(m, h, now) {
 				t = h
 			}
 		}
@@ -207,23 +207,23 @@
 		}
 	}
 	if t == nil {
-		w.readStore(m, now)
+		s.readStore(m, now)
 		return
 	}
 	m.source, m.lastUpdate = t, now
-	w.deliver(t, m)
-	for domain := range w.leaders {
+	s.deliver(t, m)
+	for domain := range s.leaders {
 		m.observeLeader(domain, now.Add(-t.g.links[domain].silence()))
 	}
 	to := source{id: t.id}
-	words := m.g.quarantine.untold(to, now)
-	if w.disabled == noReports || len(words) == 0 {
+	reports := m.g.quarantine.untold(to, now)
+	if s.disabled == noReports || len(reports) == 0 {
 		return
 	}
-	if now.Before(w.lossyUntil) || w.rng.IntN(4) == 0 {
+	if now.Before(s.lossyUntil) || s.rng.IntN(4) == 0 {
 		return // the report is lost
 	}
-	t.g.HeardCrashes(heartbeater.Instance{ID: m.id}, relayer.Crashes{Words: words})
+	t.g.HeardCrashes(heartbeater.Instance{ID: m.id}, relayer.Crashes{Words: reports})
 }
 
 func (m *simMember) observeLeader(domain string, at time.Time) {
@@ -236,46 +236,46 @@
 }
 
 // deliver sends an instance the changes in another one's ledger.
-func (w *crashSimulation) deliver(from, to *simMember) {
-	if w.disabled == noReports || w.disabled == noForwarding && !w.leads(to) {
+func (s *crashSimulation) deliver(from, to *simMember) {
+	if s.disabled == noReports || s.disabled == noForwarding && !s.leads(to) {
 		return
 	}
-	words, next := from.g.quarantine.ledger.Since(to.nextNumber[from.id], time.Now())
+	reports, next := from.g.quarantine.ledger.Since(to.nextNumber[from.id], time.Now())
 	to.nextNumber[from.id] = next
-	to.g.quarantine.toldBack(source{id: from.id}, words)
-	to.g.hearWords(words, from.id)
+	to.g.quarantine.toldBack(source{id: from.id}, reports)
+	to.g.hearWords(reports, from.id)
 }
 
 // readStore applies the rows of the store that have changed.
-func (w *crashSimulation) readStore(m *simMember, now time.Time) {
-	if !w.reachesStore(m, now) {
+func (s *crashSimulation) readStore(m *simMember, now time.Time) {
+	if !s.reachesStore(m, now) {
 		return
 	}
-	for _, r := range w.rows {
+	for _, r := range s.rows {
 		if c, ok := parseCrashKey(r.Key); ok && r.Version > m.readVersion {
 			m.g.applyCrashRow(c, r)
 		}
 	}
-	m.readVersion = w.version
+	m.readVersion = s.version
 }
 
 // writeStore writes the rows that an instance wants changed.
-func (w *crashSimulation) writeStore(m *simMember, now time.Time) {
-	if w.disabled == noStore || !w.reachesStore(m, now) {
+func (s *crashSimulation) writeStore(m *simMember, now time.Time) {
+	if s.disabled == noStore || !s.reachesStore(m, now) {
 		return
 	}
 	txn, states := m.g.quarantine.pendingWrites(now)
 	if len(states) == 0 {
 		return
 	}
-	w.version++
+	s.version++
 	for _, p := range txn.Puts {
-		w.rows[p.Key] = tabler.Row{Key: p.Key, Value: p.Value, Version: w.version}
+		s.rows[p.Key] = tabler.Row{Key: p.Key, Value: p.Value, Version: s.version}
 	}
 	for _, key := range txn.Deletes {
-		w.rows[key] = tabler.Row{Key: key, Removed: true, Version: w.version}
+		s.rows[key] = tabler.Row{Key: key, Removed: true, Version: s.version}
 	}
-	if w.rng.IntN(6) > 0 { // else the response is lost
+	if s.rng.IntN(6) > 0 { // else the response is lost
 		m.g.quarantine.recordWritten(states)
 	}
 }
--- a/internal/instance/gatekeeper/quarantine_random_test.go
+++ b/internal/instance/gatekeeper/quarantine_random_test.go
@@ -11,22 +11,22 @@
 )
 
 // restart restarts an instance without state after a delay.
-func (w *crashSimulation) restart(m *simMember, now time.Time, after time.Duration) {
-	w.start(m)
+func (s *crashSimulation) restart(m *simMember, now time.Time, after time.Duration) {
+	s.start(m)
 	m.downUntil = now.Add(after)
 	m.lastFault = m.downUntil
 }
 
 // injectFault injects a random fault.
-func (w *crashSimulation) injectFault(now time.Time) {
-	m := w.members[w.rng.IntN(len(w.members))]
-	if w.rng.IntN(3) == 0 {
-		m = w.leaders[w.domains[w.rng.IntN(len(w.domains))]]
+func (s *crashSimulation) injectFault(now time.Time) {
+	m := s.members[s.rng.IntN(len(s.members))]
+	if s.rng.IntN(3) == 0 {
+		m = s.leaders[s.domains[s.rng.IntN(len(s.domains))]]
 	}
-	until := now.Add(time.Duration(w.rng.Int64N(int64(4 * time.Second))))
-	switch w.rng.IntN(14) {
+	until := now.Add(time.Duration(s.rng.Int64N(int64(4 * time.Second))))
+	switch s.rng.IntN(14) {
 	case 0, 1, 2:
-		w.restart(m, now, time.Second)
+		s.restart(m, now, time.Second)
 	case 3, 4:
 		m.pausedUntil = until
 	case 5:
@@ -35,24 +35,24 @@
 	case 6:
 		m.rejectedUntil = until
 	case 7, 8:
-		w.partitionedUntil[w.domains[w.rng.IntN(len(w.domains))]] = until.Add(4 * time.Second)
+		s.partitionedUntil[s.domains[s.rng.IntN(len(s.domains))]] = until.Add(4 * time.Second)
 		return // instances that reach the store are held to the rule
 	case 9:
-		w.storeDownUntil, w.lastStoreOutage = until, until
+		s.storeDownUntil, s.lastStoreOutage = until, until
 	case 10: // reports get lost unnoticed
-		w.lossyUntil = now.Add(min(until.Sub(now), 2*time.Second))
+		s.lossyUntil = now.Add(min(until.Sub(now), 2*time.Second))
 		return
 	case 11: // no instance reaches another one, and all reach the store
-		for _, m := range w.members {
+		for _, m := range s.members {
 			m.isolatedUntil = until.Add(4 * time.Second)
 		}
 		return
 	case 12: // all restart while the store is up
-		if now.Before(w.storeDownUntil) || w.hasUnstoredCrash() {
+		if now.Before(s.storeDownUntil) || s.hasUnstoredCrash() {
 			return
 		}
-		for _, m := range w.members {
-			w.restart(m, now, time.Second)
+		for _, m := range s.members {
+			s.restart(m, now, time.Second)
 		}
 	}
 	m.lastFault = later(m.lastFault, until)
@@ -60,15 +60,15 @@
 
 // hasUnstoredCrash reports whether a crash of a culprit is not stored yet: it would be lost if all
 // instances restarted now.
-func (w *crashSimulation) hasUnstoredCrash() bool {
-	kept := make(map[quarantiner.Digest]int)
-	for _, r := range w.rows {
+func (s *crashSimulation) hasUnstoredCrash() bool {
+	stored := make(map[quarantiner.Digest]int)
+	for _, r := range s.rows {
 		if c, ok := parseCrashKey(r.Key); ok && !r.Removed {
-			kept[c.Digest]++
+			stored[c.Digest]++
 		}
 	}
-	for _, c := range w.culprits {
-		if kept[c.digest] < min(len(c.crashes), 3) {
+	for _, c := range s.culprits {
+		if stored[c.digest] < min(len(c.crashes), 3) {
 			return true
 		}
 	}
@@ -76,69 +76,69 @@
 }
 
 // countsForRule reports whether requests sent by an instance count for the rule.
-func (w *crashSimulation) countsForRule(m *simMember, now time.Time) bool {
+func (s *crashSimulation) countsForRule(m *simMember, now time.Time) bool {
 	const stable = 3 * time.Second
-	return m.running(now) && now.Sub(m.lastFault) >= stable && now.Sub(w.lastStoreOutage) >= stable
+	return m.running(now) && now.Sub(m.lastFault) >= stable && now.Sub(s.lastStoreOutage) >= stable
 }
 
 // send has an instance send a request that crashes its runner, beside other requests.
-func (w *crashSimulation) send(c *simCulprit, now time.Time) {
-	m := w.members[w.rng.IntN(len(w.members))]
+func (s *crashSimulation) send(c *simCulprit, now time.Time) {
+	m := s.members[s.rng.IntN(len(s.members))]
 	if !m.running(now) {
 		return
 	}
 	if _, held := m.g.Held(c.digest); held {
 		return
 	}
-	if len(c.crashes) >= 3 && now.Sub(c.crashes[2]) > 3*time.Second && w.countsForRule(m, now) {
+	if len(c.crashes) >= 3 && now.Sub(c.crashes[2]) > 3*time.Second && s.countsForRule(m, now) {
 		c.lateRequests++
 	}
-	f := simRequest{ends: now.Add(simRunTime + simCheckTime), member: m, runner: fmt.Sprint("i-", len(w.inFlight), "-", now.UnixNano()), culprit: c, digest: c.digest, ran: simRunTime}
-	for range w.rng.IntN(6) {
-		f.concurrent = append(f.concurrent, simRequest{member: w.members[w.rng.IntN(len(w.members))], runner: f.runner, digest: quarantiner.Digest(fmt.Sprint("beside-", w.rng.IntN(40))), ran: time.Duration(w.rng.Int64N(int64(2 * time.Second)))})
+	f := simRequest{ends: now.Add(simRunTime + simCheckTime), member: m, runner: fmt.Sprint("i-", len(s.inFlight), "-", now.UnixNano()), culprit: c, digest: c.digest, ran: simRunTime}
+	for range s.rng.IntN(6) {
+		f.concurrent = append(f.concurrent, simRequest{member: s.members[s.rng.IntN(len(s.members))], runner: f.runner, digest: quarantiner.Digest(fmt.Sprint("beside-", s.rng.IntN(40))), ran: time.Duration(s.rng.Int64N(int64(2 * time.Second)))})
 	}
-	w.inFlight = append(w.inFlight, f)
+	s.inFlight = append(s.inFlight, f)
 }
 
 // reportCrashes reports the crashes that are due to the instances.
-func (w *crashSimulation) reportCrashes(now time.Time) {
-	flying := w.inFlight
-	w.inFlight = nil
-	for _, f := range flying {
+func (s *crashSimulation) reportCrashes(now time.Time) {
+	requests := s.inFlight
+	s.inFlight = nil
+	for _, f := range requests {
 		if now.Before(f.ends) {
-			w.inFlight = append(w.inFlight, f)
+			s.inFlight = append(s.inFlight, f)
 			continue
 		}
 		f.culprit.crashes = append(f.culprit.crashes, f.ends.Add(-simCheckTime))
-		for _, s := range append(f.concurrent, f) {
-			if !now.Before(s.member.downUntil) {
-				s.member.pending = append(s.member.pending, s)
+		for _, r := range append(f.concurrent, f) {
+			if !now.Before(r.member.downUntil) {
+				r.member.pending = append(r.member.pending, r)
 			}
 		}
 	}
 }
 
-func (w *crashSimulation) run(faults bool) {
+func (s *crashSimulation) run(faults bool) {
 	for n := range 3 {
-		w.culprits = append(w.culprits, &simCulprit{
-			digest: quarantiner.Digest(fmt.Sprint("culprit-", n)), next: time.Now().Add(time.Duration(w.rng.Int64N(int64(simSpan / 2)))),
-			interval: 60*time.Millisecond + time.Duration(w.rng.Int64N(int64(2*time.Second))),
+		s.culprits = append(s.culprits, &simCulprit{
+			digest: quarantiner.Digest(fmt.Sprint("culprit-", n)), next: time.Now().Add(time.Duration(s.rng.Int64N(int64(simSpan / 2)))),
+			interval: 60*time.Millisecond + time.Duration(s.rng.Int64N(int64(2*time.Second))),
 		})
 	}
-	calm := 10 + w.rng.IntN(100) // steps between two faults
+	faultInterval := 10 + s.rng.IntN(100) // steps between two faults
 	for end := time.Now().Add(simSpan); time.Now().Before(end); time.Sleep(simStep) {
 		now := time.Now()
-		if faults && w.rng.IntN(calm) == 0 {
-			w.injectFault(now)
+		if faults && s.rng.IntN(faultInterval) == 0 {
+			s.injectFault(now)
 		}
-		for _, c := range w.culprits {
+		for _, c := range s.culprits {
 			for !now.Before(c.next) {
-				w.send(c, now)
-				c.next = c.next.Add(time.Duration(w.rng.Int64N(int64(2 * c.interval))))
+				s.send(c, now)
+				c.next = c.next.Add(time.Duration(s.rng.Int64N(int64(2 * c.interval))))
 			}
 		}
-		w.reportCrashes(now)
-		w.step(now)
+		s.reportCrashes(now)
+		s.step(now)
 	}
 }
 
@@ -147,16 +147,16 @@
 
 // runCrashSimulation runs one simulation. It returns the largest number of late requests and of crashes
 // that one culprit caused.
-func runCrashSimulation(t *testing.T, seed uint64, without safeguard) (late, crashes int) {
+func runCrashSimulation(t *testing.T, seed uint64, disabled safeguard) (late, crashes int) {
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(seed, 28))
 		members := simSizes[seed%uint64(len(simSizes))]
 		if seed%100 == 99 {
 			members = 300
 		}
-		w := newCrashSimulation(rng, members, without)
-		w.run(seed%5 != 0)
-		for _, c := range w.culprits {
+		s := newCrashSimulation(rng, members, disabled)
+		s.run(seed%5 != 0)
+		for _, c := range s.culprits {
 			late, crashes = max(late, c.lateRequests), max(crashes, len(c.crashes))
 		}
 	})
@@ -179,9 +179,9 @@
 
 // The test above must fail without any one of the safeguards, or it does not test them.
 func TestEachSafeguardOfTheQuarantineIsNeeded(t *testing.T) {
-	for without, seed := range map[safeguard]uint64{noStore: 116, noReports: 2, noEarlyStorage: 106, noForwarding: 2} {
-		t.Run(string(without), func(t *testing.T) {
-			if late, _ := runCrashSimulation(t, seed, without); late <= 3 {
+	for disabled, seed := range map[safeguard]uint64{noStore: 116, noReports: 2, noEarlyStorage: 106, noForwarding: 2} {
+		t.Run(string(disabled), func(t *testing.T) {
+			if late, _ := runCrashSimulation(t, seed, disabled); late <= 3 {
 				t.Errorf("seed %d passes without it", seed)
 			}
 		})
--- a/internal/instance/gatekeeper/reserve.go
+++ b/internal/instance/gatekeeper/reserve.go
@@ -26,15 +26,15 @@
 		reserved, err := d.reserve(g.Config.ID, r)
 		return g.reservation(a, reserved, err)
 	}
-	holder, via, ok := l.orderer()
+	leader, via, ok := l.orderer()
 	if !ok {
 		return forwarder.Room{}, nil, false
 	}
-	if via.id != holder.id {
+	if via.id != leader.id {
 		r.By = via.id
 		l.hurry() // the report of the instance that forwards this use must not arrive without it
 	}
-	conversation, message, err := g.askPeer(ctx, holder.address, r, askTimeout)
+	conversation, message, err := g.askPeer(ctx, leader.address, r, askTimeout)
 	if err != nil {
 		return g.reservation(a, relayer.Reserved{}, err)
 	}
--- a/internal/instance/gatekeeper/takeover.go
+++ b/internal/instance/gatekeeper/takeover.go
@@ -32,10 +32,10 @@
 )
 
 // probeTargets returns up to most runners of the domain that take orders.
-func (d *controller) probeTargets(most int) []tracker.Runner {
+func (d *controller) probeTargets(limit int) []tracker.Runner {
 	var runners []tracker.Runner
 	for _, c := range d.runners {
-		if len(runners) < most && !c.runner.Leaving && c.runner.Slots > 0 && len(c.runner.Models) > 0 {
+		if len(runners) < limit && !c.runner.Leaving && c.runner.Slots > 0 && len(c.runner.Models) > 0 {
 			runners = append(runners, c.runner)
 		}
 	}
--- a/internal/instance/gatekeeper/tenure.go
+++ b/internal/instance/gatekeeper/tenure.go
@@ -160,14 +160,14 @@
 	sent := time.Now()
 	row, err := d.gatekeeper.Store.Get(ctx, tableTenures+"/"+d.domain)
 	d.gatekeeper.sawStore(sent, err)
-	var tenure elector.Tenure
+	var lease elector.Tenure
 	if err == nil && row.Version > 0 {
-		err = encoder.Unmarshal(row.Value, &tenure)
+		err = encoder.Unmarshal(row.Value, &lease)
 	}
 	if err == nil {
 		// The watch on the leaders may be a call that is never answered, in which case this
 		// instance would not follow the new leader.
-		d.gatekeeper.links[d.domain].setHolder(tenure)
+		d.gatekeeper.links[d.domain].setHolder(lease)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -175,7 +175,7 @@
 		d.nextCall = uptime() + pollInterval
 		return
 	}
-	d.elector.Read(tenure, row.Version, uptime())
+	d.elector.Read(lease, row.Version, uptime())
 }
 
 func (d *controller) writeLease(ctx context.Context, w elector.Write) {
@@ -232,11 +232,11 @@
 	if err != nil {
 		return err
 	}
-	var tenure elector.Tenure
-	if err := encoder.Unmarshal(row.Value, &tenure); err != nil {
+	var lease elector.Tenure
+	if err := encoder.Unmarshal(row.Value, &lease); err != nil {
 		return err
 	}
-	if tenure.Holder != d.gatekeeper.Config.ID || tenure.Fence != w.Row.Fence {
+	if lease.Holder != d.gatekeeper.Config.ID || lease.Fence != w.Row.Fence {
 		return nil // another instance leads already
 	}
 	w.Version = row.Version
@@ -269,16 +269,16 @@
 		g.applyCrashRow(c, r)
 		return
 	}
-	var tenure elector.Tenure
-	if err := encoder.Unmarshal(r.Value, &tenure); err != nil {
+	var lease elector.Tenure
+	if err := encoder.Unmarshal(r.Value, &lease); err != nil {
 		g.Recorder.Log(recorder.Belief, "msg", "malformed lease row", "row", r.Key, "err", err)
 		return
 	}
 	domain := r.Key[len(tableHolders)+1:]
 	if l, ok := g.links[domain]; ok {
-		l.setHolder(tenure)
-		if tenure.Holder != g.Config.ID {
-			g.controllers[domain].heardOf(tenure, r.Version, 0) // both rows were written by one transaction
+		l.setHolder(lease)
+		if lease.Holder != g.Config.ID {
+			g.controllers[domain].heardOf(lease, r.Version, 0) // both rows were written by one transaction
 		}
 	}
 }
--- a/internal/instance/gatekeeper/tenure_test.go
+++ b/internal/instance/gatekeeper/tenure_test.go
@@ -19,17 +19,17 @@
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var tenure elector.Tenure
-	if err := encoder.Unmarshal(s.rows[tableTenures+"/a"].Value, &tenure); err != nil {
+	var lease elector.Tenure
+	if err := encoder.Unmarshal(s.rows[tableTenures+"/a"].Value, &lease); err != nil {
 		t.Fatal(err)
 	}
-	return tenure
+	return lease
 }
 
 // putLease writes the lease row of domain a.
-func putLease(t *testing.T, s *feedStore, tenure elector.Tenure) {
+func putLease(t *testing.T, s *feedStore, lease elector.Tenure) {
 	t.Helper()
-	value, err := encoder.Marshal(tenure)
+	value, err := encoder.Marshal(lease)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,10 +49,10 @@
 		w, _ := d.elector.Next(uptime())
 		d.elector.Written(w, store.version, uptime())
 		putLease(t, store, w.Row) // the renewal; its response has not arrived yet
-		free, _ := d.elector.Leave(uptime())
-		d.releaseRow(t.Context(), free)
-		if holder := readLease(t, store).Holder; holder != "" {
-			t.Errorf("lease row names %s, want no leader", holder)
+		release, _ := d.elector.Leave(uptime())
+		d.releaseRow(t.Context(), release)
+		if leader := readLease(t, store).Holder; leader != "" {
+			t.Errorf("lease row names %s, want no leader", leader)
 		}
 	})
 }
@@ -64,10 +64,10 @@
 		d := g.controllers["a"]
 		hold(g, "a")
 		putLease(t, store, elector.Tenure{Holder: "front-9", Fence: 2})
-		free, _ := d.elector.Leave(uptime())
-		d.releaseRow(t.Context(), free)
-		if holder := readLease(t, store).Holder; holder != "front-9" {
-			t.Errorf("lease row names %q, want front-9", holder)
+		release, _ := d.elector.Leave(uptime())
+		d.releaseRow(t.Context(), release)
+		if leader := readLease(t, store).Holder; leader != "front-9" {
+			t.Errorf("lease row names %q, want front-9", leader)
 		}
 	})
 }
@@ -86,8 +86,8 @@
 		time.Sleep(100 * time.Millisecond)
 		d.maintainLease(t.Context())
 		time.Sleep(100 * time.Millisecond)
-		if holder := readLease(t, store).Holder; holder != g.Config.ID {
-			t.Errorf("lease row names %q, want this instance", holder)
+		if leader := readLease(t, store).Holder; leader != g.Config.ID {
+			t.Errorf("lease row names %q, want this instance", leader)
 		}
 	})
 }
@@ -103,20 +103,20 @@
 				g.headcount.tell(instances, time.Now())
 				all = append(all, g.controllers["a"])
 			}
-			looks, first := 0, time.Duration(-1)
+			looks, firstPoll := 0, time.Duration(-1)
 			const step, span = 25 * time.Millisecond, 9 * time.Second
 			for now := time.Duration(0); now < span; now += step {
 				for _, d := range all {
 					if d.pollDue(now) {
 						looks++
-						if first < 0 {
-							first = now
+						if firstPoll < 0 {
+							firstPoll = now
 						}
 					}
 				}
 			}
-			if first > pollInterval {
-				t.Errorf("first poll after %s", first)
+			if firstPoll > pollInterval {
+				t.Errorf("first poll after %s", firstPoll)
 			}
 			if most := int(span/pollInterval+1) * max(maxPolls+1, min(instances, maxPolls+1)); looks > most {
 				t.Errorf("%d polls, want at most %d", looks, most)
--- a/internal/instance/gatekeeper/yield.go
+++ b/internal/instance/gatekeeper/yield.go
@@ -33,15 +33,15 @@
 
 // observe records how many of the runners are unresponsive, and reports whether the leader is
 // to step down.
-func (s *partitionDetector) observe(dark, runners int, now time.Time) bool {
-	if 2*dark <= runners {
-		s.unresponsiveSince = time.Time{}
+func (p *partitionDetector) observe(unresponsiveRunners, runners int, now time.Time) bool {
+	if 2*unresponsiveRunners <= runners {
+		p.unresponsiveSince = time.Time{}
 		return false
 	}
-	if s.unresponsiveSince.IsZero() {
-		s.unresponsiveSince = now
+	if p.unresponsiveSince.IsZero() {
+		p.unresponsiveSince = now
 	}
-	return now.Sub(s.unresponsiveSince) >= partitionTimeout && now.Sub(s.respondedElsewhere) < responseMaxAge
+	return now.Sub(p.unresponsiveSince) >= partitionTimeout && now.Sub(p.respondedElsewhere) < responseMaxAge
 }
 
 // reportsResponse reports whether a member has reported a response of a runner.
--- a/internal/instance/gatekeeper/yield_test.go
+++ b/internal/instance/gatekeeper/yield_test.go
@@ -29,15 +29,15 @@
 		{"a third unresponsive", runners / 3, true, 10 * partitionTimeout, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			var s partitionDetector
+			var detector partitionDetector
 			start := time.Now()
 			got := false
 			for at := time.Duration(0); at <= tc.after; at += leadInterval {
 				now := start.Add(at)
 				if tc.answered {
-					s.respondedElsewhere = now
+					detector.respondedElsewhere = now
 				}
-				got = s.observe(tc.dark, runners, now)
+				got = detector.observe(tc.dark, runners, now)
 			}
 			if got != tc.want {
 				t.Errorf("steps down: %v, want %v", got, tc.want)
@@ -126,14 +126,14 @@
 		l.take(relayer.News{Tenure: held, Renewal: store.version})
 		d.maintainLease(t.Context())
 		time.Sleep(100 * time.Millisecond)
-		if holder := readLease(t, store).Holder; holder != "front-1" {
-			t.Fatalf("lease row names %q before the leader stepped down", holder)
+		if leader := readLease(t, store).Holder; leader != "front-1" {
+			t.Fatalf("lease row names %q before the leader stepped down", leader)
 		}
 		l.take(relayer.News{Ended: 3})
 		d.maintainLease(t.Context())
 		time.Sleep(100 * time.Millisecond)
-		if holder := readLease(t, store).Holder; holder != g.Config.ID {
-			t.Errorf("lease row names %q, want this instance", holder)
+		if leader := readLease(t, store).Holder; leader != g.Config.ID {
+			t.Errorf("lease row names %q, want this instance", leader)
 		}
 		if _, acts := d.acts(); acts {
 			t.Error("sends orders within the quiet time")
