--- a/internal/instance/gatekeeper/load_time_test.go
+++ b/internal/instance/gatekeeper/load_time_test.go
@@ -58,11 +58,11 @@
 	)
 	var e estimate
 	e.set(firstLoad)
-	type told struct {
+	type observation struct {
 		at time.Time
 		a  placer.Arrival
 	}
-	var pending []told
+	var pending []observation
 	late, high := 0, 0
 	for n := range loads {
 		now := startTime.Add(time.Duration(n) * pause)
@@ -82,7 +82,7 @@
 		if a.Least > 0 {
 			late++
 		}
-		pending = append(pending, told{now.Add(a.Most), a})
+		pending = append(pending, observation{now.Add(a.Most), a})
 	}
 	if late > loads/6 || high > loads/20 {
 		t.Errorf("of %d loads %d were late, and %d had an estimate more than a quarter too high", loads, late, high)
--- a/internal/instance/gatekeeper/needs.go
+++ b/internal/instance/gatekeeper/needs.go
@@ -99,7 +99,7 @@
 }
 
 // Paused implements forwarder.Placement.
-func (g *Gatekeeper) Paused(runner string, longest, most time.Duration) {
+func (g *Gatekeeper) Paused(runner string, longest, limit time.Duration) {
 	l, ok := g.linkOf(runner)
 	if !ok {
 		return
@@ -107,9 +107,9 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case admitter.Short(longest, most):
+	case admitter.Short(longest, limit):
 		l.needs.short++
-	case admitter.Long(longest, most):
+	case admitter.Long(longest, limit):
 		l.needs.long++
 	}
 }
--- a/internal/instance/gatekeeper/slot_wait.go
+++ b/internal/instance/gatekeeper/slot_wait.go
@@ -35,11 +35,11 @@
 
 // slotWaits returns how long copies wait for adapter slots, by runner.
 func (d *controller) slotWaits(now time.Time) map[string]time.Duration {
-	rooms := make(map[string]time.Duration, len(d.runners))
+	waits := make(map[string]time.Duration, len(d.runners))
 	for id, c := range d.runners {
 		if c.placer != nil {
-			rooms[id] = d.slotWait(c, now)
+			waits[id] = d.slotWait(c, now)
 		}
 	}
-	return rooms
+	return waits
 }
--- a/internal/instance/gatekeeper/stepdown_test.go
+++ b/internal/instance/gatekeeper/stepdown_test.go
@@ -17,11 +17,11 @@
 func TestLeaderWithoutReachableRunnersStepsDown(t *testing.T) {
 	const runners = 30
 	for _, tc := range []struct {
-		name     string
-		dark     int
-		answered bool // other instances report responses
-		after    time.Duration
-		want     bool
+		name         string
+		unresponsive int
+		responses    bool // other instances report responses
+		after        time.Duration
+		want         bool
 	}{
 		{"all unresponsive, responses elsewhere", runners, true, partitionTimeout, true},
 		{"all unresponsive for a moment", runners, true, partitionTimeout / 2, false},
@@ -34,10 +34,10 @@
 			got := false
 			for at := time.Duration(0); at <= tc.after; at += leadInterval {
 				now := start.Add(at)
-				if tc.answered {
+				if tc.responses {
 					detector.respondedElsewhere = now
 				}
-				got = detector.observe(tc.dark, runners, now)
+				got = detector.observe(tc.unresponsive, runners, now)
 			}
 			if got != tc.want {
 				t.Errorf("steps down: %v, want %v", got, tc.want)
