--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -26,13 +26,13 @@
 	mu           sync.Mutex
 	elector      elector.Elector
 	acting       uint64        // fencing token for which the placers were created; 0 for none
-	nextCall     time.Duration // earliest time of the next store call, after a failed one
+	retryAt      time.Duration // earliest time of the next store call, after a failed one
 	nextPoll     time.Duration // earliest time of the next poll of the lease row
 	callInFlight bool          // a store call for the lease is in flight
 	polling      bool          // the domain appears to have no leader, and the lease row is polled
 	runners      map[string]*runnerState
 	sum          uint64            // checksum of the runner descriptions
-	gather       gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that forwards them to it
+	gather       gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that relays them to it
 	counting     time.Time         // when this instance received the first demand report as leader
 	news         journal
 	window       placer.Window
--- a/internal/instance/gatekeeper/crash.go
+++ b/internal/instance/gatekeeper/crash.go
@@ -20,14 +20,14 @@
 	// probePause is the pause before each probe of a runner. One that has just crashed may
 	// still accept a connection for a moment.
 	probePause = 80 * time.Millisecond
-	// maxRefusals is how many consecutive probes must be refused before a runner counts as
+	// crashRefusals is how many consecutive probes must be refused before a runner counts as
 	// crashed. A live runner that has run out of connections may refuse one.
-	maxRefusals = 2
+	crashRefusals = 2
 	// probeTimeout bounds the probes of a runner. One that does not respond for longer is not
 	// treated as crashed, as a network partition looks the same.
 	probeTimeout = 2 * time.Second
-	// crashRetention is how long a crash is remembered for requests whose responses break off later
-	// than others because of packet loss.
+	// crashRetention is how long a crash is remembered for requests whose responses break off
+	// later than others because of packet loss.
 	crashRetention = 10 * time.Second
 	// maxCheckRequests bounds the requests that wait for the result of one check. A runner runs up
 	// to 64 at once.
@@ -115,8 +115,8 @@
 	return !known || g.isLeaving(runner)
 }
 
-// checkRunner finds out whether a runner has crashed, and if so suspects the requests that broke off
-// there.
+// checkRunner finds out whether a runner has crashed, and if so suspects the requests that broke
+// off there.
 func (g *Gatekeeper) checkRunner(runner tracker.Runner) {
 	began := time.Now()
 	life := g.probeLife(runner)
@@ -150,7 +150,7 @@
 			return life
 		case tracker.Refuses:
 			refused++
-			if refused >= maxRefusals {
+			if refused >= crashRefusals {
 				return life
 			}
 		default:
--- a/internal/instance/gatekeeper/crash_rows.go
+++ b/internal/instance/gatekeeper/crash_rows.go
@@ -14,7 +14,7 @@
 // Crash records are stored in the table of the leaders, which all instances watch already, so
 // that they cost no store calls while there are none.
 
-// crashKeyPrefix is the key prefix of crash records; the digest, a slash and the runner follow. No
+// crashKeyPrefix starts the keys of crash records; the digest, a slash and the runner follow. No
 // failure domain has such a name.
 const crashKeyPrefix = "crash/"
 
@@ -41,8 +41,8 @@
 	return value
 }
 
-// storeCrashes requests that the crashes of requests with quarantiner.KeptFrom or more of them
-// are stored, and that cleared ones are deleted. While some leaders send no updates the first
+// storeCrashes marks for storage the crashes of requests with at least quarantiner.KeptFrom of
+// them, and for deletion those that are cleared. While some leaders send no updates, the first
 // crash is stored too: the second may be observed by an instance that cannot be reached from
 // here.
 func (g *Gatekeeper) storeCrashes(reports []quarantiner.Word) {
@@ -68,8 +68,8 @@
 	signal(q.write)
 }
 
-// keepApart has the crashes that this instance observed itself stored while some leaders
-// send no updates: its source may have been unable to pass its reports on.
+// keepApart marks for storage the crashes that this instance observed itself, while some leaders
+// send no updates: its source may have been unable to relay them.
 func (g *Gatekeeper) keepApart() {
 	if g.receivesFromAllLeaders() {
 		return
@@ -77,7 +77,8 @@
 	g.storeCrashes(g.quarantine.ownWords(time.Now(), func(ownWord) bool { return true }))
 }
 
-// receivesFromAllLeaders reports whether there are recent updates from the leaders of all failure domains.
+// receivesFromAllLeaders reports whether there are recent updates from the leaders of all failure
+// domains.
 func (g *Gatekeeper) receivesFromAllLeaders() bool {
 	for domain, l := range g.links {
 		if l.silence() > unheard && !g.controllers[domain].holds() {
@@ -117,7 +118,7 @@
 	}
 }
 
-// deleteCrashRows has the rows of expired crashes deleted.
+// deleteCrashRows marks the rows of expired crashes for deletion.
 func (g *Gatekeeper) deleteCrashRows(old []quarantiner.Crash) {
 	for _, c := range old {
 		g.quarantine.setDesired(c, rowDeleted)
--- a/internal/instance/gatekeeper/crash_test.go
+++ b/internal/instance/gatekeeper/crash_test.go
@@ -102,8 +102,8 @@
 		if got := len(g.quarantine.ledger.Cases()); got != 21 {
 			t.Errorf("%d requests suspected, want 21", got)
 		}
-		if engine.probes != maxRefusals {
-			t.Errorf("runner probed %d times, want %d", engine.probes, maxRefusals)
+		if engine.probes != crashRefusals {
+			t.Errorf("runner probed %d times, want %d", engine.probes, crashRefusals)
 		}
 		time.Sleep(crashRetention) // lets the timer run out
 	})
--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -10,11 +10,11 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// silent is the time after its last demand report when a member is dropped.
+// silent is the time after its last demand report at which a member is dropped.
 const silent = 3 * time.Second
 
 // Demanded implements relayer.Demander: it handles a member's demand report as the leader of
-// the domain, or forwards it to the leader.
+// the domain, or relays it to the leader.
 func (g *Gatekeeper) Demanded(from heartbeater.Instance, demand relayer.Demand) {
 	d, ok := g.controllers[demand.Domain]
 	switch {
@@ -30,7 +30,7 @@
 	}
 }
 
-// relaysFor reports whether this instance forwards a member's reports. An instance that has just
+// relaysFor reports whether this instance relays a member's reports. An instance that has just
 // stepped down goes on until the member receives updates from another one; otherwise the
 // uses of a whole domain would not be counted in between.
 func (d *controller) relaysFor(member string) bool {
--- a/internal/instance/gatekeeper/lease.go
+++ b/internal/instance/gatekeeper/lease.go
@@ -36,11 +36,11 @@
 	// domain before it polls the lease row, and pollInterval the interval of the polls.
 	quietDomain  = time.Second
 	pollInterval = time.Second
-	// maxPolls is the target for the total number of polls in pollInterval by all instances of a
+	// pollsPerInterval is the target for the total number of polls in pollInterval by all instances of a
 	// domain, if there are more instances than that. A leader that stopped gracefully is then
 	// replaced within an eighth of a second; with one poll a second by each instance, the
 	// death of a leader cost hundreds of calls.
-	maxPolls = 8
+	pollsPerInterval = 8
 )
 
 // lead maintains the leases and sends orders until ctx ends.
@@ -75,7 +75,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := uptime()
-	if d.callInFlight || now < d.nextCall {
+	if d.callInFlight || now < d.retryAt {
 		return
 	}
 	holds := d.elector.Holds(now)
@@ -120,7 +120,7 @@
 func (d *controller) pollPeriod() time.Duration {
 	g := d.gatekeeper
 	neighbours := g.headcount.told() / len(g.domains())
-	return max(pollInterval, time.Duration(neighbours)*pollInterval/maxPolls)
+	return max(pollInterval, time.Duration(neighbours)*pollInterval/pollsPerInterval)
 }
 
 // vacant reports whether the domain appears to have no leader.
@@ -172,7 +172,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
-		d.nextCall = uptime() + pollInterval
+		d.retryAt = uptime() + pollInterval
 		return
 	}
 	d.elector.Read(lease, row.Version, uptime())
@@ -189,14 +189,14 @@
 	defer d.mu.Unlock()
 	if err != nil {
 		d.elector.Lost()
-		d.nextCall = uptime() + again
+		d.retryAt = uptime() + again
 		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease write failed", "domain", d.domain, "fence", w.Row.Fence,
 			"takeover", w.Takeover, "err", err)
 		return
 	}
 	d.elector.Written(w, version, uptime())
 	if w.Takeover {
-		d.counting = time.Time{} // members whose reports were forwarded are not all members
+		d.counting = time.Time{} // members whose reports were relayed are not all members
 		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease acquired", "domain", d.domain, "fence", w.Row.Fence, "version", version)
 		d.gatekeeper.links[d.domain].setHolder(w.Row)
 	}
--- a/internal/instance/gatekeeper/lease_test.go
+++ b/internal/instance/gatekeeper/lease_test.go
@@ -118,7 +118,7 @@
 			if firstPoll > pollInterval {
 				t.Errorf("first poll after %s", firstPoll)
 			}
-			if most := int(span/pollInterval+1) * max(maxPolls+1, min(instances, maxPolls+1)); looks > most {
+			if most := int(span/pollInterval+1) * max(pollsPerInterval+1, min(instances, pollsPerInterval+1)); looks > most {
 				t.Errorf("%d polls, want at most %d", looks, most)
 			}
 		})
--- a/internal/instance/gatekeeper/load_time.go
+++ b/internal/instance/gatekeeper/load_time.go
@@ -21,7 +21,8 @@
 }
 
 const (
-	// lateMargin is the fraction by which a late load is assumed to have taken longer than observed.
+	// lateMargin is the fraction by which a late load is assumed to have taken longer than
+	// observed.
 	lateMargin = 0.05
 	// shrinkRate is the rate per second at which the estimate decreases right after a late load,
 	// and shrinkTime the time until that rate has doubled; it goes on growing with the square
--- a/internal/instance/gatekeeper/loads.go
+++ b/internal/instance/gatekeeper/loads.go
@@ -48,8 +48,8 @@
 	}
 }
 
-// runnersByWaiting returns the IDs of the runners, sorted by the number of waiting adapters, largest
-// first.
+// runnersByWaiting returns the IDs of the runners, sorted by the number of waiting adapters,
+// largest first.
 func (d *controller) runnersByWaiting() []string {
 	ids := make([]string, 0, len(d.runners))
 	waiting := make(map[string]int, len(d.runners))
--- a/internal/instance/gatekeeper/quarantine.go
+++ b/internal/instance/gatekeeper/quarantine.go
@@ -28,7 +28,7 @@
 	mu         sync.Mutex
 	lastReport time.Time                      // when a crash report last brought something new
 	own        map[quarantiner.Crash]ownWord  // crashes and clearances observed by this instance
-	logged     map[quarantiner.Digest]bool    // as last logged
+	logged     map[quarantiner.Digest]bool    // requests in quarantine, as last logged
 	rowStates  map[quarantiner.Crash]rowState // desired states of the store's rows
 	write      chan struct{}                  // wakes the loop that writes rows
 	tell       chan struct{}                  // wakes the loop that reports crashes
@@ -39,8 +39,8 @@
 	q.tell = make(chan struct{}, 1)
 }
 
-// frequentPollTime is how long after a new crash report the store is polled frequently: a watch may
-// be a call that is never answered.
+// frequentPollTime is how long after a new crash report the store is polled frequently: a watch
+// may be a call that is never answered.
 const frequentPollTime = 20 * time.Second
 
 // Suspects implements forwarder.Quarantine.
@@ -122,7 +122,7 @@
 	}
 }
 
-// lately reports whether there was a new crash report within suspicious.
+// lately reports whether there was a new crash report within frequentPollTime.
 func (q *quarantine) lately(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/instance/gatekeeper/quarantine_random_test.go
+++ b/internal/instance/gatekeeper/quarantine_random_test.go
@@ -145,8 +145,8 @@
 // simSizes holds the numbers of instances to simulate.
 var simSizes = []int{3, 4, 9, 9, 12, 24, 60, 9, 20, 9}
 
-// runCrashSimulation runs one simulation. It returns the largest number of late requests and of crashes
-// that one culprit caused.
+// runCrashSimulation runs one simulation. It returns the largest number of late requests and of
+// crashes that one culprit caused.
 func runCrashSimulation(t *testing.T, seed uint64, disabled safeguard) (late, crashes int) {
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(seed, 28))
--- a/internal/instance/gatekeeper/quarantine_simulation_test.go
+++ b/internal/instance/gatekeeper/quarantine_simulation_test.go
@@ -60,7 +60,7 @@
 	rejectedUntil time.Time // until when it does not reach the store
 	lastFault     time.Time // when any of these faults last applied
 	readVersion   uint64    // highest row version that it has read
-	nextNumber    map[string]int
+	nextSequence  map[string]int
 	lastUpdate    time.Time // when the source last sent an update
 	source        *simMember
 	pending       []simRequest // that broke off while it was paused
@@ -74,7 +74,7 @@
 	noStore        safeguard = "crash rows in the store"
 	noReports      safeguard = "reports between instances"
 	noEarlyStorage safeguard = "first crash stored without updates from a leader"
-	noForwarding   safeguard = "leaders forward reports to members"
+	noForwarding   safeguard = "leaders relay reports to members"
 )
 
 const (
@@ -103,13 +103,13 @@
 // start starts an instance without state. The instances that publish to it start over.
 func (s *crashSimulation) start(m *simMember) {
 	for _, other := range s.members {
-		other.nextNumber[m.id] = 0
+		other.nextSequence[m.id] = 0
 		other.g.quarantine.begun(source{id: m.id})
 	}
 	g := newTestGatekeeper()
 	g.Config.ID, g.Config.Domain, g.Config.Domains = m.id, m.domain, s.domains
 	g.init()
-	m.g, m.readVersion, m.nextNumber, m.source, m.pending = g, 0, make(map[string]int), nil, nil
+	m.g, m.readVersion, m.nextSequence, m.source, m.pending = g, 0, make(map[string]int), nil, nil
 }
 
 // running reports whether an instance is running now.
@@ -240,8 +240,8 @@
 	if s.disabled == noReports || s.disabled == noForwarding && !s.leads(to) {
 		return
 	}
-	reports, next := from.g.quarantine.ledger.Since(to.nextNumber[from.id], time.Now())
-	to.nextNumber[from.id] = next
+	reports, next := from.g.quarantine.ledger.Since(to.nextSequence[from.id], time.Now())
+	to.nextSequence[from.id] = next
 	to.g.quarantine.toldBack(source{id: from.id}, reports)
 	to.g.hearWords(reports, from.id)
 }
--- a/internal/instance/gatekeeper/quota.go
+++ b/internal/instance/gatekeeper/quota.go
@@ -15,14 +15,14 @@
 
 const (
 	// unknownWaitLimit is how long a request waits for an instance that knows its quota, and
-	// unknownRetryInterval the interval of its retries. A refused caller would retry later than that.
+	// unknownRetryInterval the interval of its retries. A refused caller would retry later.
 	unknownWaitLimit     = 400 * time.Millisecond
 	unknownRetryInterval = 25 * time.Millisecond
 	// tokensWaitLimit is the longest time that a request waits for tokens. A refused caller would
 	// be told to stay away for at least as long.
 	tokensWaitLimit = 250 * time.Millisecond
-	// initialFraction is the fraction of the tolerance that is divided among ledgers that start without
-	// usage data; the rest is for network partitions.
+	// initialFraction is the fraction of the tolerance that is divided among ledgers that start
+	// without usage data; the rest is for network partitions.
 	initialFraction = 0.7
 	// maxNamedAccounts bounds the accounts that have a counter of their own.
 	maxNamedAccounts = 100
--- a/internal/instance/gatekeeper/removal.go
+++ b/internal/instance/gatekeeper/removal.go
@@ -27,12 +27,12 @@
 const (
 	// removalGrace is how long after the end of a store outage a row may be written again.
 	removalGrace = 2500 * time.Millisecond
-	// removalSpread is the time after any fault by which no instance uses a runner that has left. It is
-	// the shortest that any deployment requires.
+	// removalSpread is the time after any fault by which no instance uses a runner that has
+	// left. It is the shortest that any deployment requires.
 	removalSpread = 3 * time.Second
 	// graceAfterFault limits the grace period relative to this instance's last failed store
-	// call, as the store may have recovered soon after it. The remainder of removalSpread is for the
-	// removal to reach all instances.
+	// call, as the store may have recovered soon after it. The remainder of removalSpread is
+	// for the removal to reach all instances.
 	graceAfterFault = removalSpread - 200*time.Millisecond
 	// expireEvery is the interval of the checks whether the grace period is over.
 	expireEvery = 50 * time.Millisecond
--- a/internal/instance/gatekeeper/reserve.go
+++ b/internal/instance/gatekeeper/reserve.go
@@ -32,7 +32,7 @@
 	}
 	if via.id != leader.id {
 		r.By = via.id
-		l.hurry() // the report of the instance that forwards this use must not arrive without it
+		l.hurry() // the report of the instance that relays this use must not arrive without it
 	}
 	conversation, message, err := g.askPeer(ctx, leader.address, r, askTimeout)
 	if err != nil {
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -113,8 +113,8 @@
 	}
 }
 
-// unsubscribeFormer unsubscribes from the ledger with which this instance settled before, which would
-// otherwise hold back a share for it.
+// unsubscribeFormer unsubscribes from the ledger with which this instance settled before, which
+// would otherwise reserve a share for it.
 func (g *Gatekeeper) unsubscribeFormer(ctx context.Context, to source, now time.Time) {
 	q := &g.quotas
 	q.mu.Lock()
--- a/internal/instance/gatekeeper/takeover.go
+++ b/internal/instance/gatekeeper/takeover.go
@@ -19,7 +19,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.nextCall = uptime() + pollInterval
+	d.retryAt = uptime() + pollInterval
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease left to others", "domain", d.domain, "why", "runners are not reached")
 }
 
@@ -31,7 +31,7 @@
 	deferralTime = 5 * time.Second
 )
 
-// probeTargets returns up to most runners of the domain that take orders.
+// probeTargets returns up to limit runners of the domain that take orders.
 func (d *controller) probeTargets(limit int) []tracker.Runner {
 	var runners []tracker.Runner
 	for _, c := range d.runners {
--- a/internal/instance/gatekeeper/unresponsive.go
+++ b/internal/instance/gatekeeper/unresponsive.go
@@ -10,13 +10,14 @@
 // A failureScore is a score of the signs that a runner is down. After a crash its row stays for
 // seconds, and requests that wait for an adapter do not fail there: with all its slots free
 // the runner looked like the best choice, 67 adapters queued for it, and their requests were
-// refused when they reached their wait limit.
+// refused when they reached their wait limit. Any response resets the score.
 type failureScore int
 
 const (
-	// noResponsePenalty and unreached are the penalties for an order without a response and for a
-	// failed connection, and dark is the score from which on a runner is skipped. If half of
-	// the orders get no response, one runner in sixteen is skipped until its next response.
+	// noResponsePenalty and noConnectionPenalty are added for an order without a response and
+	// for a failed connection, and unresponsive is the score from which on a runner is skipped.
+	// If half of the orders get no response, one runner in sixteen is skipped until its next
+	// response.
 	noResponsePenalty   failureScore = 1
 	noConnectionPenalty failureScore = 2
 	unresponsive        failureScore = 4
