--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -17,54 +17,54 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// A controller is the work of one failure domain's tenure: whoever holds it gives
-// orders to the domain's runners and tells everybody what they hold.
+// A controller manages one failure domain. The instance that holds the domain's lease,
+// its leader, sends orders to the domain's runners and publishes which adapters they hold.
 type controller struct {
 	gatekeeper *Gatekeeper
 	domain     string
 
-	mu       sync.Mutex
-	elector  elector.Elector
-	acting   uint64        // fencing number under which the placers were begun; 0 for none
-	next     time.Duration // before which the store is not asked again, after a call that failed
-	look     time.Duration // before which the row of the tenure is not looked at again
-	calling  bool          // a call to the store about the tenure is under way
-	looking  bool          // nobody seems to hold the tenure
-	runners  map[string]*runnerState
-	sum      uint64            // checksum of the runners
-	gather   gatherer.Gatherer // of what members tell, or of what is passed on to the holder
-	counting time.Time         // since when members have told the holder here
-	news     journal
-	window   placer.Window
-	share    admitter.Share
-	cut      severance
-	stuck    time.Time // since when other holders reach the store and this one does not
-	ended    uint64    // fencing number of the tenure that was given up last
-	heard    retold    // of the holder, while another instance is that
+	mu           sync.Mutex
+	elector      elector.Elector
+	acting       uint64        // fencing token for which the placers were created; 0 for none
+	retryAt      time.Duration // earliest time of the next store call, after a failed one
+	nextPoll     time.Duration // earliest time of the next poll of the lease row
+	callInFlight bool          // a store call for the lease is in flight
+	polling      bool          // the domain appears to have no leader, and the lease row is polled
+	runners      map[string]*runnerState
+	sum          uint64            // checksum of the runner descriptions
+	gather       gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that relays them to it
+	counting     time.Time         // when this instance received the first demand report as leader
+	news         journal
+	window       placer.Window
+	share        admitter.Share
+	partition    partitionDetector
+	cutOffSince  time.Time // since when other leaders have reached the store and this one has not
+	ended        uint64    // fencing token of the lease that was released last
+	heard        retold    // last update from the leader, while another instance leads
 
-	followers int           // members that are told of the domain here
-	line      time.Duration // until a further load begins, as of lined
-	lined     time.Time
+	followers   int           // members that subscribe to the domain here
+	queueWait   time.Duration // expected wait until a further load begins, as of queueWaitAt
+	queueWaitAt time.Time
 }
 
-// A runnerState is one runner as the holder of the tenure sees it.
+// A runnerState is the leader's view of one runner.
 type runnerState struct {
-	runner tracker.Runner
-	placer *placer.Placer // nil while this instance does not act, or for a plain service
-	busy   bool           // an order or a report is under way
-	asked  time.Time      // for the last report
-	line   admitter.Timeline
-	places tracker.Places // of a plain service
-	told   map[placer.Copy]time.Time
-	wait   time.Duration // for a place, as last told
-	dark   darkness
+	runner          tracker.Runner
+	placer          *placer.Placer // nil while this instance sends no orders, and for a plain service
+	busy            bool           // an order or a report request is in flight
+	reportRequested time.Time      // when the last report was requested
+	prefillQueue    admitter.Timeline
+	slots           tracker.Places // request slots of a plain service
+	told            map[placer.Copy]time.Time
+	wait            time.Duration // for an adapter slot, as last published
+	failures        failureScore
 }
 
-// reportEvery bounds how often a runner is asked what it holds. A report is as
-// old as some hundred milliseconds, so a sooner one says the same.
-const reportEvery = 250 * time.Millisecond
+// reportInterval limits how often a runner is asked for a report. A report is already some
+// hundred milliseconds old on arrival, so more frequent ones add nothing.
+const reportInterval = 250 * time.Millisecond
 
-// set takes in the description of a runner.
+// set adds or replaces the description of a runner.
 func (d *controller) set(r tracker.Runner, changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,7 +93,7 @@
 	return runners
 }
 
-// gone takes a runner out, if it is known.
+// gone removes a runner, if it is known.
 func (d *controller) gone(id string, revision uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -106,47 +106,47 @@
 	d.news.add(event{gone: &relayer.Gone{Runner: id, Revision: revision}})
 }
 
-// acts reports whether orders may be sent now, and with which fencing number.
+// acts returns the fencing token of the lease and whether orders may be sent now.
 func (d *controller) acts() (uint64, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.elector.Acts(uptime())
 }
 
-// holds reports whether this instance holds the tenure.
+// holds reports whether this instance leads the domain.
 func (d *controller) holds() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.elector.Holds(uptime())
 }
 
-// tick sends what is due to the runners.
+// tick sends the orders and report requests that are due.
 func (d *controller) tick(ctx context.Context) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	fence, acts := d.elector.Acts(uptime())
 	if !acts {
-		d.rest()
+		d.stopOrdering()
 		return
 	}
 	if d.acting != fence {
-		d.begin(fence)
+		d.startOrdering(fence)
 	}
 	switch {
-	case d.severed(now):
-		d.yield(ctx, "runners are not reached")
+	case d.partitioned(now):
+		d.stepDown(ctx, "runners are not reached")
 		return
-	case d.stranded(now):
-		d.yield(ctx, "the store is not reached")
+	case d.cutOffFromStore(now):
+		d.stepDown(ctx, "the store is not reached")
 		return
 	}
 	catalog := d.gatekeeper.Catalog()
-	l := d.loads(now)
-	for _, id := range d.order() {
+	l := d.loadStats(now)
+	for _, id := range d.runnersByWaiting() {
 		c := d.runners[id]
 		if c.placer == nil {
-			c.placer = d.placer(catalog, c.runner)
+			c.placer = d.newPlacer(catalog, c.runner)
 		}
 		if c.placer == nil || c.busy || c.runner.Leaving {
 			continue
@@ -154,26 +154,26 @@
 		c.placer.Load, c.placer.Return = d.gatekeeper.LoadTime(), d.gatekeeper.ReturnTime()
 		switch {
 		case !c.placer.Known():
-			if now.Sub(c.asked) >= reportEvery {
-				c.asked = now
-				d.report(ctx, c)
+			if now.Sub(c.reportRequested) >= reportInterval {
+				c.reportRequested = now
+				d.requestReport(ctx, c)
 			}
 		default:
 			if o, ok := c.placer.Next(now, l.allows()); ok {
 				if !o.Unload && o.Copy.Adapter != "" && !c.placer.Kept(o.Copy) {
 					l.fetching++
 				}
-				d.send(ctx, c, o)
+				d.sendOrder(ctx, c, o)
 			}
 		}
-		d.tell(c)
-		d.tellRoom(c, now)
+		d.publishHeld(c)
+		d.publishSlotWait(c, now)
 	}
 }
 
-// begin starts with fresh knowledge: what was known under an earlier tenure may
-// have been changed by another holder since.
-func (d *controller) begin(fence uint64) {
+// startOrdering discards all placer state: another leader may have changed what the runners hold
+// since the earlier lease.
+func (d *controller) startOrdering(fence uint64) {
 	d.acting = fence
 	for _, c := range d.runners {
 		c.placer = nil
@@ -182,13 +182,13 @@
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "giving orders", "domain", d.domain, "fence", fence, "runners", len(d.runners))
 }
 
-// rest drops what is only valid for a holder.
-func (d *controller) rest() {
+// stopOrdering drops the state that is only valid on the leader.
+func (d *controller) stopOrdering() {
 	if d.acting == 0 {
 		return
 	}
 	d.acting = 0
-	d.gather.Clear() // members tell the next holder
+	d.gather.Clear() // members report to the next leader
 	d.counting = time.Time{}
 	for _, c := range d.runners {
 		c.placer = nil
@@ -196,8 +196,8 @@
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "giving no more orders", "domain", d.domain)
 }
 
-// placer returns the state of a runner's places, or nil for a plain service.
-func (d *controller) placer(catalog *matcher.Catalog, r tracker.Runner) *placer.Placer {
+// newPlacer returns a new placer for a runner's adapter slots, or nil for a plain service.
+func (d *controller) newPlacer(catalog *matcher.Catalog, r tracker.Runner) *placer.Placer {
 	if catalog == nil {
 		return nil
 	}
@@ -217,11 +217,11 @@
 		places = min(places, (engine.Memory-model.Size)/model.AdapterSize)
 	}
 	inUse := func(c placer.Copy) bool { return d.gather.Uses(keyOf(r.ID, c)) > 0 }
-	return &placer.Placer{Copies: d.copies, InUse: inUse, Model: model.Name, Places: places, Loads: perRunner}
+	return &placer.Placer{Copies: d.copyCount, InUse: inUse, Model: model.Name, Places: places, Loads: maxLoadsPerRunner}
 }
 
-// report asks a runner what it holds.
-func (d *controller) report(ctx context.Context, c *runnerState) {
+// requestReport asks a runner which adapters it holds.
+func (d *controller) requestReport(ctx context.Context, c *runnerState) {
 	c.busy = true
 	p, runner := c.placer, c.runner
 	go func() {
@@ -229,9 +229,9 @@
 		d.mu.Lock()
 		defer d.mu.Unlock()
 		c.busy = false
-		c.dark.report(err)
+		c.failures.recordReport(err)
 		if err != nil {
-			d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "no report", "runner", runner.ID, "err", err)
+			d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "runner report failed", "runner", runner.ID, "err", err)
 			return
 		}
 		taken := p.Take(report, time.Now())
@@ -240,8 +240,8 @@
 	}()
 }
 
-// send sends an order, if the tenure still allows it when it goes out.
-func (d *controller) send(ctx context.Context, c *runnerState, o placer.Order) {
+// sendOrder sends an order, provided that the lease is still valid when it goes out.
+func (d *controller) sendOrder(ctx context.Context, c *runnerState, o placer.Order) {
 	c.busy = true
 	p, runner, fence := c.placer, c.runner, d.acting
 	go func() {
@@ -252,22 +252,21 @@
 		}
 		d.mu.Lock()
 		p.Finish(outcome, time.Now())
-		c.dark.order(outcome)
+		c.failures.recordOrder(outcome)
 		c.busy = false
 		d.mu.Unlock()
-		d.gatekeeper.ordered(runner, o, outcome, fence, time.Since(began), err)
+		d.gatekeeper.logOrder(runner, o, outcome, fence, time.Since(began), err)
 		d.gatekeeper.kickLead()
 	}()
 }
 
-// tell notes for the members what a runner holds that it did not when they were
-// last told.
-func (d *controller) tell(c *runnerState) {
+// publishHeld publishes the changes in what a runner holds since the last call.
+func (d *controller) publishHeld(c *runnerState) {
 	held := c.placer.Held()
 	now := time.Now()
 	for copied, at := range held {
 		before, ok := c.told[copied]
-		if !ok || !before.Equal(at) && (at.After(now) || before.After(now)) { // members know that what was to come has come
+		if !ok || !before.Equal(at) && (at.After(now) || before.After(now)) { // a load that completes as expected is no change for members
 			d.news.add(event{held: &heldEvent{runner: c.runner.ID, copy: copied, at: at, there: true}})
 		}
 	}
--- /dev/null
+++ b/internal/instance/gatekeeper/lease.go
@@ -0,0 +1,295 @@
+package gatekeeper
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"math/rand/v2"
+	"time"
+
+	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
+	"github.com/sardinetiller/sardinetiller/internal/clock/repeater"
+	"github.com/sardinetiller/sardinetiller/internal/member/elector"
+	"github.com/sardinetiller/sardinetiller/internal/platform/tabler"
+	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
+	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
+	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
+)
+
+// The tables of this program. Renewals change rows of the tenure table several times a
+// minute, and nobody waits for them; a takeover changes a row of the holder table, which
+// every instance watches.
+const (
+	tableHolders = "holder"
+	tableTenures = "tenure"
+)
+
+const (
+	// leadInterval is how often a leader checks whether orders are due. A change in demand
+	// triggers a check at once.
+	leadInterval = 25 * time.Millisecond
+	// minLeadPause is the minimum pause after a check. The leader of dozens of runners receives
+	// some hundred demand reports a second; with a check for each it was by far the busiest
+	// instance.
+	minLeadPause = 4 * time.Millisecond
+	// quietDomain is how long an instance receives no update from the leader of its own
+	// domain before it polls the lease row, and pollInterval the interval of the polls.
+	quietDomain  = time.Second
+	pollInterval = time.Second
+	// pollsPerInterval is the target for the total number of polls in pollInterval by all instances of a
+	// domain, if there are more instances than that. A leader that stopped gracefully is then
+	// replaced within an eighth of a second; with one poll a second by each instance, the
+	// death of a leader cost hundreds of calls.
+	pollsPerInterval = 8
+)
+
+// lead maintains the leases and sends orders until ctx ends.
+func (g *Gatekeeper) lead(ctx context.Context) {
+	repeater.Now(ctx, leadInterval, g.kicks, func() {
+		for _, d := range g.controllers {
+			d.maintainLease(ctx)
+			d.tick(ctx)
+		}
+		pause(ctx, minLeadPause)
+	})
+}
+
+// kickLead makes a leader check for due orders at once.
+func (g *Gatekeeper) kickLead() { signal(g.kicks) }
+
+// holdsAny reports whether this instance leads any failure domain.
+func (g *Gatekeeper) holdsAny() bool {
+	for _, d := range g.controllers {
+		if d.holds() {
+			return true
+		}
+	}
+	return false
+}
+
+// maintainLease reads or writes the lease row if that is due.
+func (d *controller) maintainLease(ctx context.Context) {
+	if d.gatekeeper.Leaving() {
+		return
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	now := uptime()
+	if d.callInFlight || now < d.retryAt {
+		return
+	}
+	holds := d.elector.Holds(now)
+	if !holds && !d.vacant() {
+		d.polling = false
+		return
+	}
+	if d.elector.Stale() {
+		d.startCall(func() { d.read(ctx) })
+		return
+	}
+	if w, ok := d.elector.Next(now); ok && (holds || !d.defersTakeover()) {
+		if w.Takeover && w.Row.Fence > 1 && d.elector.Holder().Holder != d.gatekeeper.Config.ID {
+			runners := d.probeTargets(maxProbes)
+			d.startCall(func() { d.takeOver(ctx, w, runners) })
+		} else {
+			d.startCall(func() { d.writeLease(ctx, w) })
+		}
+		return
+	}
+	if !holds && d.pollDue(now) {
+		d.startCall(func() { d.read(ctx) })
+	}
+}
+
+// pollDue reports whether this instance polls the lease row now, while the domain appears
+// to have no leader. The polls of the domain's instances are staggered.
+func (d *controller) pollDue(now time.Duration) bool {
+	period := d.pollPeriod()
+	if !d.polling {
+		d.polling = true
+		d.nextPoll = now + rand.N(period)
+	}
+	if now < d.nextPoll {
+		return false
+	}
+	d.nextPoll = now + period
+	return true
+}
+
+// pollPeriod returns the interval at which this instance polls the lease row.
+func (d *controller) pollPeriod() time.Duration {
+	g := d.gatekeeper
+	neighbours := g.headcount.told() / len(g.domains())
+	return max(pollInterval, time.Duration(neighbours)*pollInterval/pollsPerInterval)
+}
+
+// vacant reports whether the domain appears to have no leader.
+func (d *controller) vacant() bool {
+	limit := quietDomain
+	if d.domain != d.gatekeeper.Config.Domain {
+		limit += foreignLate
+	}
+	return d.gatekeeper.links[d.domain].silence() > limit
+}
+
+// heardOf records a renewal of the lease that the leader published.
+func (d *controller) heardOf(row elector.Tenure, version uint64, age time.Duration) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.elector.Heard(row, version, age, uptime())
+}
+
+// over records that the leader with the given fencing token has stepped down.
+func (d *controller) over(fence uint64) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.elector.Ended(fence, uptime())
+}
+
+func (d *controller) startCall(do func()) {
+	d.callInFlight = true
+	go func() {
+		do()
+		d.mu.Lock()
+		d.callInFlight = false
+		d.mu.Unlock()
+	}()
+}
+
+func (d *controller) read(ctx context.Context) {
+	sent := time.Now()
+	row, err := d.gatekeeper.Store.Get(ctx, tableTenures+"/"+d.domain)
+	d.gatekeeper.sawStore(sent, err)
+	var lease elector.Tenure
+	if err == nil && row.Version > 0 {
+		err = encoder.Unmarshal(row.Value, &lease)
+	}
+	if err == nil {
+		// The watch on the leaders may be a call that is never answered, in which case this
+		// instance would not follow the new leader.
+		d.gatekeeper.links[d.domain].setHolder(lease)
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if err != nil {
+		d.retryAt = uptime() + pollInterval
+		return
+	}
+	d.elector.Read(lease, row.Version, uptime())
+}
+
+func (d *controller) writeLease(ctx context.Context, w elector.Write) {
+	sent := time.Now()
+	version, err := d.gatekeeper.Store.Write(ctx, d.leaseTxn(w))
+	var conflict *tabler.ConflictError
+	if !errors.As(err, &conflict) {
+		d.gatekeeper.sawStore(sent, err)
+	}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	if err != nil {
+		d.elector.Lost()
+		d.retryAt = uptime() + again
+		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease write failed", "domain", d.domain, "fence", w.Row.Fence,
+			"takeover", w.Takeover, "err", err)
+		return
+	}
+	d.elector.Written(w, version, uptime())
+	if w.Takeover {
+		d.counting = time.Time{} // members whose reports were relayed are not all members
+		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease acquired", "domain", d.domain, "fence", w.Row.Fence, "version", version)
+		d.gatekeeper.links[d.domain].setHolder(w.Row)
+	}
+}
+
+// resign releases all leases and clears their rows if the store can be reached. Otherwise
+// the next leader waits as long as after a crash.
+func (g *Gatekeeper) resign(ctx context.Context) {
+	for _, d := range g.controllers {
+		d.mu.Lock()
+		w, held := d.elector.Leave(uptime())
+		d.stopOrdering()
+		d.mu.Unlock()
+		if held {
+			go d.releaseRow(ctx, w)
+		}
+	}
+}
+
+// releaseRow clears the row. A renewal in flight may have changed the row meanwhile; if it were
+// not cleared then, no orders would be sent until the lease had expired.
+func (d *controller) releaseRow(ctx context.Context, w elector.Write) {
+	_, err := d.gatekeeper.Store.Write(ctx, d.leaseTxn(w))
+	var conflict *tabler.ConflictError
+	if errors.As(err, &conflict) {
+		err = d.retryReleaseRow(ctx, w)
+	}
+	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease released", "domain", d.domain, "fence", w.Row.Fence, "err", err)
+}
+
+func (d *controller) retryReleaseRow(ctx context.Context, w elector.Write) error {
+	row, err := d.gatekeeper.Store.Get(ctx, tableTenures+"/"+d.domain)
+	if err != nil {
+		return err
+	}
+	var lease elector.Tenure
+	if err := encoder.Unmarshal(row.Value, &lease); err != nil {
+		return err
+	}
+	if lease.Holder != d.gatekeeper.Config.ID || lease.Fence != w.Row.Fence {
+		return nil // another instance leads already
+	}
+	w.Version = row.Version
+	_, err = d.gatekeeper.Store.Write(ctx, d.leaseTxn(w))
+	return err
+}
+
+// leaseTxn returns the transaction that writes the lease row.
+func (d *controller) leaseTxn(w elector.Write) tabler.Txn {
+	value, err := encoder.Marshal(w.Row)
+	if err != nil {
+		panic(err) // a Tenure can always be encoded
+	}
+	key := tableTenures + "/" + d.domain
+	txn := tabler.Txn{Checks: []tabler.Check{{Key: key, Version: w.Version}}, Puts: []tabler.Put{{Key: key, Value: value}}}
+	if w.Takeover {
+		txn.Puts = append(txn.Puts, tabler.Put{Key: tableHolders + "/" + d.domain, Value: value})
+	}
+	return txn
+}
+
+// watchHolders keeps track of the leaders of all domains.
+func (g *Gatekeeper) watchHolders(ctx context.Context) {
+	g.setViews()
+	g.follow(ctx, &g.holders, longWatch)
+}
+
+func (g *Gatekeeper) holderRow(r tabler.Row) {
+	if c, ok := parseCrashKey(r.Key); ok {
+		g.applyCrashRow(c, r)
+		return
+	}
+	var lease elector.Tenure
+	if err := encoder.Unmarshal(r.Value, &lease); err != nil {
+		g.Recorder.Log(recorder.Belief, "msg", "malformed lease row", "row", r.Key, "err", err)
+		return
+	}
+	domain := r.Key[len(tableHolders)+1:]
+	if l, ok := g.links[domain]; ok {
+		l.setHolder(lease)
+		if lease.Holder != g.Config.ID {
+			g.controllers[domain].heardOf(lease, r.Version, 0) // both rows were written by one transaction
+		}
+	}
+}
+
+// logOrder logs and counts an order.
+func (g *Gatekeeper) logOrder(r tracker.Runner, o placer.Order, outcome placer.Outcome, fence uint64, took time.Duration, err error) {
+	operation := "load"
+	if o.Unload {
+		operation = "unload"
+	}
+	g.Metrics.GetOrCreateCounter(fmt.Sprintf(`sardinetiller_orders_total{operation=%q,outcome=%q}`, operation, outcome.String())).Inc()
+	g.Recorder.Log(recorder.Order, "runner", r.ID, "operation", operation, "copy", o.Copy, "expected", o.Expected, "fence", fence,
+		"outcome", outcome, "took", took, "err", err)
+}
--- a/internal/instance/gatekeeper/quarantine.go
+++ b/internal/instance/gatekeeper/quarantine.go
@@ -8,29 +8,30 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// What instances know of requests that crash runners goes three ways, each of which
-// serves when another fails:
+// Crash reports, on requests that crashed runners, spread in three ways, each of which covers
+// for failures of the others:
 //
-//   - A member tells its teller what it saw itself, in each word until it hears it back.
-//   - Whoever tells others tells them everything that it knows, its own and what it was
-//     told. A crash is told once each way, as what is known already is no news.
-//   - The store keeps the crashes of a request with two or more of them. So they outlast
-//     a restart of all instances, and reach those that no instance tells.
+//   - A member sends its own observations to its source, with each report until the source
+//     publishes them back.
+//   - Every source publishes all it knows, its own observations and what it received. Each
+//     crash is sent once per connection, since a known crash is not published again.
+//   - The store keeps the crashes of requests with two or more of them. They survive a restart
+//     of all instances, and reach instances that receive no updates.
 //
-// Nobody counts for the others: each comes to its own verdicts from the same set.
+// There is no coordinator: each instance derives its own verdicts from the same set.
 
-// A quarantine is what one instance knows of requests that crash runners, and whom it
-// has still to tell.
+// A quarantine is what one instance knows of requests that crash runners, and which of its
+// observations it has yet to report.
 type quarantine struct {
 	ledger quarantiner.Ledger
 
-	mu      sync.Mutex
-	changed time.Time                      // when there was news last
-	own     map[quarantiner.Crash]ownWord  // crashes and clearances that were seen here
-	held    map[quarantiner.Digest]bool    // as logged
-	rows    map[quarantiner.Crash]rowState // of the store
-	write   chan struct{}                  // wakes whoever writes rows
-	tell    chan struct{}                  // wakes whoever tells
+	mu         sync.Mutex
+	lastReport time.Time                      // when a crash report last brought something new
+	own        map[quarantiner.Crash]ownWord  // crashes and clearances observed by this instance
+	logged     map[quarantiner.Digest]bool    // requests in quarantine, as last logged
+	rowStates  map[quarantiner.Crash]rowState // desired states of the store's rows
+	write      chan struct{}                  // wakes the loop that writes rows
+	tell       chan struct{}                  // wakes the loop that reports crashes
 }
 
 func (q *quarantine) init() {
@@ -38,9 +39,9 @@
 	q.tell = make(chan struct{}, 1)
 }
 
-// suspicious is how long after news of a crash the store is asked often whether there
-// is more: a call that waits for changes may be one that nobody answers.
-const suspicious = 20 * time.Second
+// frequentPollTime is how long after a new crash report the store is polled frequently: a watch
+// may be a call that is never answered.
+const frequentPollTime = 20 * time.Second
 
 // Suspects implements forwarder.Quarantine.
 func (g *Gatekeeper) Suspects() bool { return !g.quarantine.ledger.Empty() }
@@ -52,77 +53,78 @@
 
 // Whole implements forwarder.Quarantine.
 func (g *Gatekeeper) Whole(d quarantiner.Digest) {
-	words := g.quarantine.ledger.Clear(d, time.Now())
-	if len(words) == 0 {
+	reports := g.quarantine.ledger.Clear(d, time.Now())
+	if len(reports) == 0 {
 		return
 	}
 	g.Metrics.GetOrCreateCounter("sardinetiller_cleared_total").Inc()
-	g.Recorder.Log(recorder.Suspect, "msg", "request cleared", "digest", d, "crashes", len(words))
-	g.seen(words)
+	g.Recorder.Log(recorder.Suspect, "msg", "request cleared", "digest", d, "crashes", len(reports))
+	g.recordOwn(reports)
 }
 
-// suspect takes in that a runner crashed while it ran some requests, for how long each.
+// suspect records that a runner crashed while it ran the given requests, with how long each had
+// run.
 func (g *Gatekeeper) suspect(runner string, requests map[quarantiner.Digest]time.Duration) {
-	words := make([]quarantiner.Word, 0, len(requests))
+	reports := make([]quarantiner.Word, 0, len(requests))
 	for d, ran := range requests {
-		words = append(words, quarantiner.Word{Digest: d, Runner: runner, Ran: ran})
+		reports = append(reports, quarantiner.Word{Digest: d, Runner: runner, Ran: ran})
 	}
-	news := g.quarantine.ledger.Take(words, time.Now())
-	for _, w := range news {
+	added := g.quarantine.ledger.Take(reports, time.Now())
+	for _, w := range added {
 		g.Metrics.GetOrCreateCounter("sardinetiller_suspected_total").Inc()
 		g.logCrash(w, "self")
 	}
-	g.seen(news)
+	g.recordOwn(added)
 }
 
-// seen takes in what this instance saw itself, which it has to tell.
-func (g *Gatekeeper) seen(words []quarantiner.Word) {
-	if len(words) == 0 {
+// recordOwn records this instance's own observations, which it has to report.
+func (g *Gatekeeper) recordOwn(reports []quarantiner.Word) {
+	if len(reports) == 0 {
 		return
 	}
 	now := time.Now()
 	q := &g.quarantine
 	q.mu.Lock()
-	q.changed = now
+	q.lastReport = now
 	if q.own == nil {
 		q.own = make(map[quarantiner.Crash]ownWord)
 	}
-	for _, w := range words {
+	for _, w := range reports {
 		q.own[w.Crash()] = ownWord{since: now}
 	}
 	q.mu.Unlock()
-	g.verdicts()
-	g.keepCrashes(words)
+	g.logVerdicts()
+	g.storeCrashes(reports)
 	signal(g.quarantine.tell)
 }
 
-// hearWords takes in what others tell.
-func (g *Gatekeeper) hearWords(words []quarantiner.Word, from string) {
-	if len(words) == 0 {
+// hearWords applies crash reports of other instances or of the store.
+func (g *Gatekeeper) hearWords(reports []quarantiner.Word, from string) {
+	if len(reports) == 0 {
 		return
 	}
-	news := g.quarantine.ledger.Take(words, time.Now())
-	if len(news) == 0 {
+	added := g.quarantine.ledger.Take(reports, time.Now())
+	if len(added) == 0 {
 		return
 	}
-	for _, w := range news {
+	for _, w := range added {
 		if !w.Cleared && len(g.quarantine.ledger.Open(w.Digest, time.Now())) >= quarantiner.KeptFrom {
-			g.logCrash(w, from) // the rest is logged by who saw it: there is much beside each culprit
+			g.logCrash(w, from) // other crashes are logged only where they were observed, as many innocent requests run beside each culprit
 		}
 	}
 	q := &g.quarantine
 	q.mu.Lock()
-	q.changed = time.Now()
+	q.lastReport = time.Now()
 	q.mu.Unlock()
-	g.verdicts()
+	g.logVerdicts()
 	if from != fromStore {
-		g.keepCrashes(g.ownAmong(news))
+		g.storeCrashes(g.ownAmong(added))
 	}
 }
 
-// lately reports whether there was news of a crash a moment ago.
+// lately reports whether there was a new crash report within frequentPollTime.
 func (q *quarantine) lately(now time.Time) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	return !q.changed.IsZero() && now.Sub(q.changed) < suspicious
+	return !q.lastReport.IsZero() && now.Sub(q.lastReport) < frequentPollTime
 }
--- a/internal/instance/gatekeeper/quarantine_random_test.go
+++ b/internal/instance/gatekeeper/quarantine_random_test.go
@@ -10,179 +10,179 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
 )
 
-// restart has an instance begin anew.
-func (w *lab) restart(m *labMember, now time.Time, after time.Duration) {
-	w.begin(m)
-	m.down = now.Add(after)
-	m.disturbed = m.down
+// restart restarts an instance without state after a delay.
+func (s *crashSimulation) restart(m *simMember, now time.Time, after time.Duration) {
+	s.start(m)
+	m.downUntil = now.Add(after)
+	m.lastFault = m.downUntil
 }
 
-// strike disturbs something.
-func (w *lab) strike(now time.Time) {
-	m := w.members[w.rng.IntN(len(w.members))]
-	if w.rng.IntN(3) == 0 {
-		m = w.holders[w.domains[w.rng.IntN(len(w.domains))]]
+// injectFault injects a random fault.
+func (s *crashSimulation) injectFault(now time.Time) {
+	m := s.members[s.rng.IntN(len(s.members))]
+	if s.rng.IntN(3) == 0 {
+		m = s.leaders[s.domains[s.rng.IntN(len(s.domains))]]
 	}
-	until := now.Add(time.Duration(w.rng.Int64N(int64(4 * time.Second))))
-	switch w.rng.IntN(14) {
+	until := now.Add(time.Duration(s.rng.Int64N(int64(4 * time.Second))))
+	switch s.rng.IntN(14) {
 	case 0, 1, 2:
-		w.restart(m, now, time.Second)
+		s.restart(m, now, time.Second)
 	case 3, 4:
-		m.paused = until
+		m.pausedUntil = until
 	case 5:
-		m.alone = until.Add(4 * time.Second)
+		m.isolatedUntil = until.Add(4 * time.Second)
 		return
 	case 6:
-		m.turned = until
+		m.rejectedUntil = until
 	case 7, 8:
-		w.apart[w.domains[w.rng.IntN(len(w.domains))]] = until.Add(4 * time.Second)
-		return // who reaches the store is held to the rule
+		s.partitionedUntil[s.domains[s.rng.IntN(len(s.domains))]] = until.Add(4 * time.Second)
+		return // instances that reach the store are held to the rule
 	case 9:
-		w.away, w.unstable = until, until
-	case 10: // words get lost that nobody missed
-		w.lossy = now.Add(min(until.Sub(now), 2*time.Second))
+		s.storeDownUntil, s.lastStoreOutage = until, until
+	case 10: // reports get lost unnoticed
+		s.lossyUntil = now.Add(min(until.Sub(now), 2*time.Second))
 		return
 	case 11: // no instance reaches another one, and all reach the store
-		for _, m := range w.members {
-			m.alone = until.Add(4 * time.Second)
+		for _, m := range s.members {
+			m.isolatedUntil = until.Add(4 * time.Second)
 		}
 		return
-	case 12: // all start again, as the store lives
-		if now.Before(w.away) || w.unwrittenCrash() {
+	case 12: // all restart while the store is up
+		if now.Before(s.storeDownUntil) || s.hasUnstoredCrash() {
 			return
 		}
-		for _, m := range w.members {
-			w.restart(m, now, time.Second)
+		for _, m := range s.members {
+			s.restart(m, now, time.Second)
 		}
 	}
-	m.disturbed = later(m.disturbed, until)
+	m.lastFault = later(m.lastFault, until)
 }
 
-// unwrittenCrash reports whether a crash of the culprit is not kept yet: who restarts all
-// instances in that moment takes it along.
-func (w *lab) unwrittenCrash() bool {
-	kept := make(map[quarantiner.Digest]int)
-	for _, r := range w.rows {
-		if c, ok := crashRowOf(r.Key); ok && !r.Removed {
-			kept[c.Digest]++
+// hasUnstoredCrash reports whether a crash of a culprit is not stored yet: it would be lost if all
+// instances restarted now.
+func (s *crashSimulation) hasUnstoredCrash() bool {
+	stored := make(map[quarantiner.Digest]int)
+	for _, r := range s.rows {
+		if c, ok := parseCrashKey(r.Key); ok && !r.Removed {
+			stored[c.Digest]++
 		}
 	}
-	for _, c := range w.culprits {
-		if kept[c.digest] < min(len(c.crashes), 3) {
+	for _, c := range s.culprits {
+		if stored[c.digest] < min(len(c.crashes), 3) {
 			return true
 		}
 	}
 	return false
 }
 
-// inTouch reports whether the rule counts what an instance does.
-func (w *lab) inTouch(m *labMember, now time.Time) bool {
+// countsForRule reports whether requests sent by an instance count for the rule.
+func (s *crashSimulation) countsForRule(m *simMember, now time.Time) bool {
 	const stable = 3 * time.Second
-	return m.lives(now) && now.Sub(m.disturbed) >= stable && now.Sub(w.unstable) >= stable
+	return m.running(now) && now.Sub(m.lastFault) >= stable && now.Sub(s.lastStoreOutage) >= stable
 }
 
-// send has an instance take a request that crashes runners, beside others.
-func (w *lab) send(c *labCulprit, now time.Time) {
-	m := w.members[w.rng.IntN(len(w.members))]
-	if !m.lives(now) {
+// send has an instance send a request that crashes its runner, beside other requests.
+func (s *crashSimulation) send(c *simCulprit, now time.Time) {
+	m := s.members[s.rng.IntN(len(s.members))]
+	if !m.running(now) {
 		return
 	}
 	if _, held := m.g.Held(c.digest); held {
 		return
 	}
-	if len(c.crashes) >= 3 && now.Sub(c.crashes[2]) > 3*time.Second && w.inTouch(m, now) {
-		c.late++
+	if len(c.crashes) >= 3 && now.Sub(c.crashes[2]) > 3*time.Second && s.countsForRule(m, now) {
+		c.lateRequests++
 	}
-	f := flight{ends: now.Add(labRun + labCheck), member: m, runner: fmt.Sprint("i-", len(w.flying), "-", now.UnixNano()), culprit: c, digest: c.digest, ran: labRun}
-	for range w.rng.IntN(6) {
-		f.beside = append(f.beside, flight{member: w.members[w.rng.IntN(len(w.members))], runner: f.runner, digest: quarantiner.Digest(fmt.Sprint("beside-", w.rng.IntN(40))), ran: time.Duration(w.rng.Int64N(int64(2 * time.Second)))})
+	f := simRequest{ends: now.Add(simRunTime + simCheckTime), member: m, runner: fmt.Sprint("i-", len(s.inFlight), "-", now.UnixNano()), culprit: c, digest: c.digest, ran: simRunTime}
+	for range s.rng.IntN(6) {
+		f.concurrent = append(f.concurrent, simRequest{member: s.members[s.rng.IntN(len(s.members))], runner: f.runner, digest: quarantiner.Digest(fmt.Sprint("beside-", s.rng.IntN(40))), ran: time.Duration(s.rng.Int64N(int64(2 * time.Second)))})
 	}
-	w.flying = append(w.flying, f)
+	s.inFlight = append(s.inFlight, f)
 }
 
-// land has the instances see the crashes that are due.
-func (w *lab) land(now time.Time) {
-	flying := w.flying
-	w.flying = nil
-	for _, f := range flying {
+// reportCrashes reports the crashes that are due to the instances.
+func (s *crashSimulation) reportCrashes(now time.Time) {
+	requests := s.inFlight
+	s.inFlight = nil
+	for _, f := range requests {
 		if now.Before(f.ends) {
-			w.flying = append(w.flying, f)
+			s.inFlight = append(s.inFlight, f)
 			continue
 		}
-		f.culprit.crashes = append(f.culprit.crashes, f.ends.Add(-labCheck))
-		for _, s := range append(f.beside, f) {
-			if !now.Before(s.member.down) {
-				s.member.pending = append(s.member.pending, s)
+		f.culprit.crashes = append(f.culprit.crashes, f.ends.Add(-simCheckTime))
+		for _, r := range append(f.concurrent, f) {
+			if !now.Before(r.member.downUntil) {
+				r.member.pending = append(r.member.pending, r)
 			}
 		}
 	}
 }
 
-func (w *lab) play(faults bool) {
+func (s *crashSimulation) run(faults bool) {
 	for n := range 3 {
-		w.culprits = append(w.culprits, &labCulprit{
-			digest: quarantiner.Digest(fmt.Sprint("culprit-", n)), next: time.Now().Add(time.Duration(w.rng.Int64N(int64(labSpan / 2)))),
-			pace: 60*time.Millisecond + time.Duration(w.rng.Int64N(int64(2*time.Second))),
+		s.culprits = append(s.culprits, &simCulprit{
+			digest: quarantiner.Digest(fmt.Sprint("culprit-", n)), next: time.Now().Add(time.Duration(s.rng.Int64N(int64(simSpan / 2)))),
+			interval: 60*time.Millisecond + time.Duration(s.rng.Int64N(int64(2*time.Second))),
 		})
 	}
-	calm := 10 + w.rng.IntN(100) // steps between two faults
-	for end := time.Now().Add(labSpan); time.Now().Before(end); time.Sleep(labStep) {
+	faultInterval := 10 + s.rng.IntN(100) // steps between two faults
+	for end := time.Now().Add(simSpan); time.Now().Before(end); time.Sleep(simStep) {
 		now := time.Now()
-		if faults && w.rng.IntN(calm) == 0 {
-			w.strike(now)
+		if faults && s.rng.IntN(faultInterval) == 0 {
+			s.injectFault(now)
 		}
-		for _, c := range w.culprits {
+		for _, c := range s.culprits {
 			for !now.Before(c.next) {
-				w.send(c, now)
-				c.next = c.next.Add(time.Duration(w.rng.Int64N(int64(2 * c.pace))))
+				s.send(c, now)
+				c.next = c.next.Add(time.Duration(s.rng.Int64N(int64(2 * c.interval))))
 			}
 		}
-		w.land(now)
-		w.step(now)
+		s.reportCrashes(now)
+		s.step(now)
 	}
 }
 
-// labSizes are the numbers of instances that are played.
-var labSizes = []int{3, 4, 9, 9, 12, 24, 60, 9, 20, 9}
+// simSizes holds the numbers of instances to simulate.
+var simSizes = []int{3, 4, 9, 9, 12, 24, 60, 9, 20, 9}
 
-// playLab returns the most sendings of one request that came too late, and the most
-// runners that one crashed.
-func playLab(t *testing.T, seed uint64, without safeguard) (late, crashes int) {
+// runCrashSimulation runs one simulation. It returns the largest number of late requests and of
+// crashes that one culprit caused.
+func runCrashSimulation(t *testing.T, seed uint64, disabled safeguard) (late, crashes int) {
 	synctest.Test(t, func(t *testing.T) {
 		rng := rand.New(rand.NewPCG(seed, 28))
-		members := labSizes[seed%uint64(len(labSizes))]
+		members := simSizes[seed%uint64(len(simSizes))]
 		if seed%100 == 99 {
 			members = 300
 		}
-		w := newLab(rng, members, without)
-		w.play(seed%5 != 0)
-		for _, c := range w.culprits {
-			late, crashes = max(late, c.late), max(crashes, len(c.crashes))
+		s := newCrashSimulation(rng, members, disabled)
+		s.run(seed%5 != 0)
+		for _, c := range s.culprits {
+			late, crashes = max(late, c.lateRequests), max(crashes, len(c.crashes))
 		}
 	})
 	return late, crashes
 }
 
-// One request crashes whatever runs it and comes again at any instance, while instances,
-// tellers and holders die, start again with nothing known, stand still and are cut off,
-// words and answers are lost and the store is away. From three seconds after the third
-// crash on, instances that nothing disturbs may let no more than three of it reach
+// Guards against requests that go on crashing runners. Each culprit crashes every runner and is
+// sent through any instance, while instances, sources and leaders die, restart without state, are
+// paused and cut off, reports and responses are lost and the store is down. From three seconds
+// after its third crash on, instances without faults may let at most three of its requests reach
 // runners.
-func TestCrashingRequestIsHeldWhateverFails(t *testing.T) {
+func TestCrashingRequestIsQuarantinedDespiteFaults(t *testing.T) {
 	for seed := range uint64(200) {
-		late, crashes := playLab(t, seed, allSafeguards)
+		late, crashes := runCrashSimulation(t, seed, allSafeguards)
 		if late > 3 {
-			t.Errorf("seed %d: %d sendings reached runners too late, %d crashed in all", seed, late, crashes)
+			t.Errorf("seed %d: %d requests reached runners too late, %d crashes in all", seed, late, crashes)
 		}
 	}
 }
 
-// The check above must tell when a safeguard is missing, or it shows nothing of it.
+// The test above must fail without any one of the safeguards, or it does not test them.
 func TestEachSafeguardOfTheQuarantineIsNeeded(t *testing.T) {
-	for without, seed := range map[safeguard]uint64{noStore: 116, noTelling: 2, noApart: 106, noPassing: 2} {
-		t.Run(string(without), func(t *testing.T) {
-			if late, _ := playLab(t, seed, without); late <= 3 {
-				t.Errorf("seed %d does not tell that it is missing", seed)
+	for disabled, seed := range map[safeguard]uint64{noStore: 116, noReports: 2, noEarlyStorage: 106, noForwarding: 2} {
+		t.Run(string(disabled), func(t *testing.T) {
+			if late, _ := runCrashSimulation(t, seed, disabled); late <= 3 {
+				t.Errorf("seed %d passes without it", seed)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/instance/gatekeeper/stepdown_test.go
@@ -0,0 +1,142 @@
+package gatekeeper
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/sardinetiller/sardinetiller/internal/member/elector"
+	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
+	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
+)
+
+// Guards against a leader that is cut off from its runners but not from the store and goes on
+// renewing its lease. No adapter is loaded in its domain meanwhile: callers of 30 runners were
+// refused for twelve seconds. It must step down for an instance that reaches them, and must not
+// where a single runner fails or all runners are down.
+func TestLeaderWithoutReachableRunnersStepsDown(t *testing.T) {
+	const runners = 30
+	for _, tc := range []struct {
+		name         string
+		unresponsive int
+		responses    bool // other instances report responses
+		after        time.Duration
+		want         bool
+	}{
+		{"all unresponsive, responses elsewhere", runners, true, partitionTimeout, true},
+		{"all unresponsive for a moment", runners, true, partitionTimeout / 2, false},
+		{"all down", runners, false, partitionTimeout, false},
+		{"a third unresponsive", runners / 3, true, 10 * partitionTimeout, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			var detector partitionDetector
+			start := time.Now()
+			got := false
+			for at := time.Duration(0); at <= tc.after; at += leadInterval {
+				now := start.Add(at)
+				if tc.responses {
+					detector.respondedElsewhere = now
+				}
+				got = detector.observe(tc.unresponsive, runners, now)
+			}
+			if got != tc.want {
+				t.Errorf("steps down: %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
+
+// Guards against an instance that does not reach the runners either and acquires the freed lease
+// before those that do had time to.
+func TestTakeoverIsDeferredWithoutReachableRunners(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		g := newTestGatekeeper()
+		g.links["a"].heard = time.Now()
+		for n := range 4 {
+			id := string(rune('a' + n))
+			g.Fleet.Set(tracker.Runner{ID: id, Domain: "a", Service: "llm", Revision: 1})
+			end := tracker.Dark
+			if n == 0 {
+				end = tracker.Done
+			}
+			g.Fleet.Begin(id, 0, time.Now()).End(end, time.Now())
+		}
+		d := g.controllers["a"]
+		time.Sleep(quietDomain)
+		if !d.defersTakeover() {
+			t.Error("acquires a lease without reaching the runners")
+		}
+		time.Sleep(deferralTime)
+		if d.defersTakeover() {
+			t.Error("never acquires the lease")
+		}
+	})
+}
+
+// Guards against a leader that cannot reach the store while others can, as they publish. Its lease
+// lasts for seconds, and what it publishes about runners that leave is stale: it must step down.
+// In an outage for all instances it stays leader, as no other could acquire the lease.
+func TestLeaderCutOffFromStoreStepsDown(t *testing.T) {
+	for _, tc := range []struct {
+		name    string
+		renewed time.Duration // ago
+		reached time.Duration // ago, by another leader; negative for never
+		after   time.Duration // duration of this state
+		want    bool
+	}{
+		{"both reach the store", time.Second, 0, cutOffTimeout, false},
+		{"only this one does not", maxRenewalAge + time.Second, 200 * time.Millisecond, cutOffTimeout, true},
+		{"another one just has, after an outage for all", maxRenewalAge + time.Second, 200 * time.Millisecond, cutOffTimeout / 2, false},
+		{"no instance does", maxRenewalAge + time.Second, maxRenewalAge, cutOffTimeout, false},
+		{"there is no other leader", maxRenewalAge + time.Second, -1, cutOffTimeout, false},
+	} {
+		t.Run(tc.name, func(t *testing.T) {
+			g := newTestGatekeeper()
+			d := g.controllers["a"]
+			d.elector.Late = 0
+			sent := uptime() - tc.renewed
+			d.elector.Read(elector.Tenure{}, 0, sent)
+			w, _ := d.elector.Next(sent)
+			d.elector.Written(w, 1, sent)
+			start, got := time.Now(), false
+			for at := time.Duration(0); at <= tc.after; at += leadInterval {
+				now := start.Add(at)
+				if tc.reached >= 0 {
+					g.reached.advance(now.Add(-tc.reached))
+				}
+				got = d.cutOffFromStore(now)
+			}
+			if got != tc.want {
+				t.Errorf("steps down: %v, want %v", got, tc.want)
+			}
+		})
+	}
+}
+
+// Guards against a domain without a leader for the rest of a lease: a leader that does not reach the
+// store cannot clear its row, and publishes to its members that it stepped down. One of them must
+// acquire the lease at once, although the row still names the old leader.
+func TestMemberAcquiresLeasePublishedAsReleased(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		g, store := newFedGatekeeper()
+		d, l := g.controllers["a"], g.links["a"]
+		d.elector.Late = 0
+		held := elector.Tenure{Holder: "front-1", Fence: 3}
+		putLease(t, store, held)
+		l.take(relayer.News{Tenure: held, Renewal: store.version})
+		d.maintainLease(t.Context())
+		time.Sleep(100 * time.Millisecond)
+		if leader := readLease(t, store).Holder; leader != "front-1" {
+			t.Fatalf("lease row names %q before the leader stepped down", leader)
+		}
+		l.take(relayer.News{Ended: 3})
+		d.maintainLease(t.Context())
+		time.Sleep(100 * time.Millisecond)
+		if leader := readLease(t, store).Holder; leader != g.Config.ID {
+			t.Errorf("lease row names %q, want this instance", leader)
+		}
+		if _, acts := d.acts(); acts {
+			t.Error("sends orders within the quiet time")
+		}
+	})
+}
