--- a/internal/request/admitter/queue.go
+++ b/internal/request/admitter/queue.go
@@ -27,9 +27,9 @@
 	served map[string]float64 // account to requests served, ageing
 }
 
-// ageing shrinks what an account was served with every further request, so
+// servedDecay shrinks what an account was served with every further request, so
 // that a burst long ago does not count against it.
-const ageing = 0.98
+const servedDecay = 0.98
 
 // Ahead returns how many waiting items are served before a further one of the
 // account, if all ask for the same: its own, and of each other account as many
@@ -78,7 +78,7 @@
 		if !ready(q.items[i]) {
 			continue
 		}
-		if best < 0 || q.before(&q.items[i], &q.items[best]) {
+		if best < 0 || q.goesBefore(&q.items[i], &q.items[best]) {
 			best = i
 		}
 	}
@@ -87,7 +87,7 @@
 	}
 	item := q.items[best]
 	q.items = slices.Delete(q.items, best, best+1)
-	q.serve(item.Account)
+	q.countServed(item.Account)
 	return item, true
 }
 
@@ -96,17 +96,17 @@
 // its last item, which is returned and is to be refused with Displaced. Without
 // that the first herd to arrive would keep everyone else out.
 func (q *Queue) Offer(item Item) (displaced *Item, err error) {
-	if 2*len(q.items) >= q.Limit && float64(q.held(item.Account)) >= q.Share*float64(q.Limit) {
+	if 2*len(q.items) >= q.Limit && float64(q.countOf(item.Account)) >= q.Share*float64(q.Limit) {
 		return nil, judge.Refuse(judge.ReasonShare, "account %s holds its share of the queue", item.Account).After(time.Second)
 	}
 	if len(q.items) >= q.Limit {
-		last := q.surplus(item.Account)
-		if last < 0 {
+		index := q.displaceable(item.Account)
+		if index < 0 {
 			return nil, judge.Refuse(judge.ReasonQueue, "the queue holds %d requests", len(q.items)).After(time.Second)
 		}
-		given := q.items[last]
-		displaced = &given
-		q.items = slices.Delete(q.items, last, last+1)
+		removed := q.items[index]
+		displaced = &removed
+		q.items = slices.Delete(q.items, index, index+1)
 	}
 	q.items = append(q.items, item)
 	return displaced, nil
@@ -117,23 +117,23 @@
 	return judge.Refuse(judge.ReasonShare, "the queue is full and account %s holds the most of it", item.Account).After(time.Second)
 }
 
-// surplus returns the place of the last item of the account that holds the most,
+// displaceable returns the place of the last item of the account that holds the most,
 // or -1 if the newcomer's account would hold as much.
-func (q *Queue) surplus(newcomer string) int {
+func (q *Queue) displaceable(newcomer string) int {
 	held := make(map[string]int)
-	heaviest := ""
+	largest := ""
 	for i := range q.items {
 		account := q.items[i].Account
 		held[account]++
-		if held[account] > held[heaviest] {
-			heaviest = account
+		if held[account] > held[largest] {
+			largest = account
 		}
 	}
-	if held[newcomer]+1 >= held[heaviest] {
+	if held[newcomer]+1 >= held[largest] {
 		return -1
 	}
 	for i := len(q.items) - 1; i >= 0; i-- {
-		if q.items[i].Account == heaviest {
+		if q.items[i].Account == largest {
 			return i
 		}
 	}
@@ -151,7 +151,7 @@
 	return true
 }
 
-func (q *Queue) before(a, b *Item) bool {
+func (q *Queue) goesBefore(a, b *Item) bool {
 	if a.Account != b.Account {
 		return q.served[a.Account] < q.served[b.Account]
 	}
@@ -164,7 +164,7 @@
 	return b.Deadline.IsZero() || a.Deadline.Before(b.Deadline)
 }
 
-func (q *Queue) held(account string) int {
+func (q *Queue) countOf(account string) int {
 	held := 0
 	for i := range q.items {
 		if q.items[i].Account == account {
@@ -174,12 +174,12 @@
 	return held
 }
 
-func (q *Queue) serve(account string) {
+func (q *Queue) countServed(account string) {
 	if q.served == nil {
 		q.served = make(map[string]float64)
 	}
 	for a, n := range q.served {
-		q.served[a] = n * ageing
+		q.served[a] = n * servedDecay
 	}
 	q.served[account]++
 }
--- a/internal/request/admitter/queue_test.go
+++ b/internal/request/admitter/queue_test.go
@@ -13,13 +13,13 @@
 
 var start = time.Unix(1000, 0)
 
-func any1(admitter.Item) bool { return true }
+func anyItem(admitter.Item) bool { return true }
 
 // drain returns the IDs in the order in which they are served.
 func drain(q *admitter.Queue) []string {
 	var ids []string
 	for {
-		item, ok := q.Next(any1)
+		item, ok := q.Next(anyItem)
 		if !ok {
 			return ids
 		}
@@ -48,7 +48,7 @@
 
 // One account sends a herd. It fills half the queue, then only its share; the
 // other account still finds room, and is served as often.
-func TestHerdLeavesRoomForOthers(t *testing.T) {
+func TestBurstOfOneAccountLeavesCapacityForOthers(t *testing.T) {
 	q := &admitter.Queue{Limit: 20, Share: 0.5}
 	refused := 0
 	for i := range 30 {
@@ -79,7 +79,7 @@
 
 // Two loud accounts have filled the queue. A quiet one still gets in, at the cost
 // of whoever holds the most, until all hold about as much.
-func TestQuietAccountGetsIntoAFullQueue(t *testing.T) {
+func TestSmallAccountDisplacesLargestInFullQueue(t *testing.T) {
 	q := &admitter.Queue{Limit: 10, Share: 1}
 	for i := range 10 {
 		_, _ = q.Offer(admitter.Item{ID: fmt.Sprint("l", i), Account: []string{"loud", "loud", "louder", "louder", "louder"}[i%5]})
--- a/internal/request/admitter/share_test.go
+++ b/internal/request/admitter/share_test.go
@@ -12,7 +12,7 @@
 // a bounded piece between two tokens, pauses never grow long and no prompt is to
 // be held back; on one that reads all there is, callers see long pauses as soon as
 // it reads more than half of the time, and few of them may.
-func TestShareFollowsWhatRunsBear(t *testing.T) {
+func TestShareConvergesToPrefillThatEngineTolerates(t *testing.T) {
 	const most = 300 * time.Millisecond
 	for _, tc := range []struct {
 		name        string
--- a/internal/request/admitter/timeline.go
+++ b/internal/request/admitter/timeline.go
@@ -12,8 +12,8 @@
 // bear. So the time of reading within one pause is bounded: a prompt is held
 // back until it fits, and refused if that is too late.
 type Timeline struct {
-	paced time.Time // when the reading would end at the pace that the runs bear
-	until time.Time // when it ends
+	pacedUntil time.Time // when the reading would end at the pace that the runs bear
+	busyUntil  time.Time // when it ends
 }
 
 // A Prompt is the prompt of a request that wants to go to a runner.
@@ -25,35 +25,35 @@
 	Within time.Duration // in which the reading has to be done
 }
 
-// burst is the part of a pause that a runner may read beyond its share, for each
+// burstFraction is the part of a pause that a runner may read beyond its share, for each
 // unit of the share. With the least share it then reads for at most 0.8 of a
 // pause within one; what is left is for the tokens of an event.
-const burst = 0.6
+const burstFraction = 0.6
 
 // Reserve returns how long the request is held back. If it would be too late,
 // ok is false, nothing is reserved, and wait is the time by which it is.
 func (t *Timeline) Reserve(p Prompt, now time.Time) (wait time.Duration, ok bool) {
 	share := p.Share
 	if share == 0 {
-		share = firstShare
+		share = initialShare
 	}
 	wait = p.Queue
 	if p.Pause > 0 {
-		ahead := max(0, t.paced.Sub(now)) // bounded first: the first time of all is long ago
-		wait = max(wait, ahead-time.Duration(burst*share*float64(p.Pause)))
+		ahead := max(0, t.pacedUntil.Sub(now)) // bounded first: the first time of all is long ago
+		wait = max(wait, ahead-time.Duration(burstFraction*share*float64(p.Pause)))
 	}
-	before := max(wait, t.until.Sub(now))
+	before := max(wait, t.busyUntil.Sub(now))
 	if late := before + p.Read - p.Within; late > 0 {
 		return late, false
 	}
 	sent := now.Add(wait)
-	t.until = now.Add(before + p.Read)
-	if t.paced.Before(sent) {
-		t.paced = sent
+	t.busyUntil = now.Add(before + p.Read)
+	if t.pacedUntil.Before(sent) {
+		t.pacedUntil = sent
 	}
-	t.paced = t.paced.Add(time.Duration(float64(p.Read) / share))
+	t.pacedUntil = t.pacedUntil.Add(time.Duration(float64(p.Read) / share))
 	return wait, true
 }
 
 // Backlog returns how long the runner still reads.
-func (t *Timeline) Backlog(now time.Time) time.Duration { return max(0, t.until.Sub(now)) }
+func (t *Timeline) Backlog(now time.Time) time.Duration { return max(0, t.busyUntil.Sub(now)) }
--- a/internal/request/admitter/timeline_test.go
+++ b/internal/request/admitter/timeline_test.go
@@ -27,14 +27,14 @@
 // prompts are read one after the other and every run on the runner pauses for
 // as long. Held back, what is read within one pause stays below it, those that
 // are admitted are on time, and the others are told at once.
-func TestReserveKeepsReadingWithinAPauseBelowTheBound(t *testing.T) {
+func TestReserveBoundsPrefillPerGap(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	const read, pause, within = 20 * time.Millisecond, 250 * time.Millisecond, 900 * time.Millisecond
-	var line admitter.Timeline
+	var timeline admitter.Timeline
 	var sent []time.Duration
 	refused := 0
 	for range 60 {
-		wait, ok := line.Reserve(admitter.Prompt{Pause: pause, Read: read, Within: within}, start)
+		wait, ok := timeline.Reserve(admitter.Prompt{Pause: pause, Read: read, Within: within}, start)
 		if !ok {
 			refused++
 			continue
--- a/internal/request/forwarder/attempt.go
+++ b/internal/request/forwarder/attempt.go
@@ -11,15 +11,15 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// errGone is a caller that went away.
-var errGone = &judge.Error{Verdict: judge.MayHaveRun, Reason: judge.ReasonCancelled, Message: "the caller went away"}
+// errCallerGone is a caller that went away.
+var errCallerGone = &judge.Error{Verdict: judge.MayHaveRun, Reason: judge.ReasonCancelled, Message: "the caller went away"}
 
 const (
 	// readSize is how much of a body is read at once, in bytes. An event has
 	// about 60.
 	readSize = 4 << 10
-	// wholeLimit bounds an answer that is read whole, in bytes.
-	wholeLimit = 16 << 20
+	// maxBodySize bounds an answer that is read whole, in bytes.
+	maxBodySize = 16 << 20
 )
 
 // try sends the request to one runner and passes its answer on.
@@ -29,79 +29,79 @@
 	now := time.Now()
 	deadline, _ := ctx.Deadline()
 	run := p.Fleet.Begin(runner.ID, p.request.Tokens, now)
-	p.at, p.sent = runner.ID, now
-	p.use(runner.ID)
-	defer p.unuse()
-	defer p.leavePlace()
-	watch := p.watch(runner.ID, cancel)
-	defer watch.stop()
-	reply, seen := p.Upstream.Send(ctx, Attempt{Request: p.request, Runner: runner, After: p.after, Left: deadline.Sub(now)})
-	if seen != nil {
-		return p.unanswered(ctx, run, runner, seen)
-	}
-	p.arrivals++
+	p.lastRunner, p.sentAt = runner.ID, now
+	p.acquireCopy(runner.ID)
+	defer p.releaseCopy()
+	defer p.releaseSlot()
+	dog := p.newWatchdog(runner.ID, cancel)
+	defer dog.stop()
+	reply, observation := p.Upstream.Send(ctx, Attempt{Request: p.request, Runner: runner, After: p.lastEventID, Left: deadline.Sub(now)})
+	if observation != nil {
+		return p.handleNoResponse(ctx, run, runner, observation)
+	}
+	p.delivered++
 	if reply.NotRun {
-		return p.refused(run, runner, reply)
+		return p.handleRefusal(run, runner, reply)
 	}
-	p.runs++
+	p.executions++
 	run.First(time.Now())
-	p.there(runner.ID, now)
+	p.reportHit(runner.ID, now)
 	var err *judge.Error
 	if p.request.Route.Kind == matcher.Streaming && reply.Status < 300 {
-		err = p.stream(ctx, runner, reply, watch)
-		if gap := p.request.Route.Gap; err == nil && p.runs == 1 && p.pause > 0 && gap > 0 {
-			p.Placement.Paused(runner.ID, p.pause, gap)
+		err = p.relayStream(ctx, runner, reply, dog)
+		if gap := p.request.Route.Gap; err == nil && p.executions == 1 && p.longestGap > 0 && gap > 0 {
+			p.Placement.Paused(runner.ID, p.longestGap, gap)
 		}
 	} else {
-		watch.stop()
-		err = p.whole(ctx, runner, reply)
+		dog.stop()
+		err = p.relayComplete(ctx, runner, reply)
 	}
-	run.End(ended(ctx, err), time.Now())
+	run.End(runEnd(ctx, err), time.Now())
 	return err
 }
 
-func ended(ctx context.Context, err *judge.Error) tracker.End {
+func runEnd(ctx context.Context, err *judge.Error) tracker.End {
 	switch {
 	case err == nil:
 		return tracker.Done
-	case errors.Is(err, errGone), errors.Is(context.Cause(ctx), context.Canceled):
+	case errors.Is(err, errCallerGone), errors.Is(context.Cause(ctx), context.Canceled):
 		return tracker.Left
 	default:
 		return tracker.Failed
 	}
 }
 
-// unanswered judges an attempt without an answer.
-func (p *exchange) unanswered(ctx context.Context, run *tracker.Run, runner tracker.Runner, seen judge.Observation) *judge.Error {
-	err := judge.Judge(seen)
-	_, dark := seen.(judge.Dialed)
-	if !dark {
-		p.arrivals++
+// handleNoResponse judges an attempt without an answer.
+func (p *exchange) handleNoResponse(ctx context.Context, run *tracker.Run, runner tracker.Runner, observation judge.Observation) *judge.Error {
+	err := judge.Judge(observation)
+	_, unreachable := observation.(judge.Dialed)
+	if !unreachable {
+		p.delivered++
 	}
 	if err.Verdict != judge.NotRun {
-		p.runs++
+		p.executions++
 	}
 	end := tracker.Failed
 	switch {
 	case errors.Is(context.Cause(ctx), context.Canceled):
 		end = tracker.Left
-		err = errGone
+		err = errCallerGone
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		err = &judge.Error{Verdict: err.Verdict, Reason: judge.ReasonDeadline, Message: "the deadline passed at the runner"}
-	case dark:
+	case unreachable:
 		end = tracker.Dark
 	}
 	run.End(end, time.Now())
 	p.tried[runner.ID] = true
-	if _, broken := seen.(judge.Broken); broken {
-		p.broke(ctx, runner, err)
+	if _, broken := observation.(judge.Broken); broken {
+		p.reportBroken(ctx, runner, err)
 	}
 	return err
 }
 
-// refused takes in that the runner did not run the request.
-func (p *exchange) refused(run *tracker.Run, runner tracker.Runner, reply *Reply) *judge.Error {
-	_, err := io.Copy(io.Discard, io.LimitReader(reply.Body, wholeLimit))
+// handleRefusal takes in that the runner did not run the request.
+func (p *exchange) handleRefusal(run *tracker.Run, runner tracker.Runner, reply *Reply) *judge.Error {
+	_, err := io.Copy(io.Discard, io.LimitReader(reply.Body, maxBodySize))
 	reply.Close(err == nil) // a refusal that breaks off is one still
 	run.End(tracker.Refused, time.Now())
 	switch {
@@ -116,63 +116,63 @@
 	return judge.Judge(judge.Refused{Status: reply.Status})
 }
 
-// whole passes an answer on once all of it is there.
-func (p *exchange) whole(ctx context.Context, runner tracker.Runner, reply *Reply) *judge.Error {
-	body, err := io.ReadAll(io.LimitReader(reply.Body, wholeLimit))
+// relayComplete passes an answer on once all of it is there.
+func (p *exchange) relayComplete(ctx context.Context, runner tracker.Runner, reply *Reply) *judge.Error {
+	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBodySize))
 	reply.Close(err == nil)
 	if err != nil {
 		p.tried[runner.ID] = true
-		return p.cut(ctx, runner, reply, err)
+		return p.brokenError(ctx, runner, reply, err)
 	}
-	p.ranWhole()
-	if p.answered {
+	p.reportCompleted()
+	if p.headSent {
 		return judge.Judge(judge.Failed{Status: reply.Status})
 	}
-	if reply.Status >= 500 && p.request.Route.Repeatable() && p.runs < p.request.Route.Attempts && p.budget.Withdraw() {
+	if reply.Status >= 500 && p.request.Route.Repeatable() && p.executions < p.request.Route.Attempts && p.budget.Withdraw() {
 		p.tried[runner.ID] = true
 		p.Retried(judge.Judge(judge.Failed{Status: reply.Status}))
-		return p.once(ctx, reply, body)
+		return p.retryFailed(ctx, reply, body)
 	}
-	return p.give(reply, body)
+	return p.deliver(reply, body)
 }
 
-// give passes a whole answer on.
-func (p *exchange) give(reply *Reply, body []byte) *judge.Error {
+// deliver passes a whole answer on.
+func (p *exchange) deliver(reply *Reply, body []byte) *judge.Error {
 	if p.sink.Whole(reply, body) != nil {
-		return errGone
+		return errCallerGone
 	}
 	p.status = reply.Status
 	return nil
 }
 
-// once sends a request whose runner failed to another one. If that brings
+// retryFailed sends a request whose runner failed to another one. If that brings
 // nothing, the caller is given the failure that is at hand.
-func (p *exchange) once(ctx context.Context, reply *Reply, body []byte) *judge.Error {
-	p.renew()
+func (p *exchange) retryFailed(ctx context.Context, reply *Reply, body []byte) *judge.Error {
+	p.useNewestVersion()
 	if runner, err := p.choose(ctx); err == nil {
 		failed := p.try(ctx, runner)
-		if failed == nil || errors.Is(failed, errGone) {
+		if failed == nil || errors.Is(failed, errCallerGone) {
 			// A caller that left while it was given this answer is not given another: the
 			// second one ended the process, and the requests of all its other callers.
 			return failed
 		}
 	}
-	if p.answered {
-		return errGone
+	if p.headSent {
+		return errCallerGone
 	}
-	return p.give(reply, body)
+	return p.deliver(reply, body)
 }
 
-// cut judges an answer that broke off.
-func (p *exchange) cut(ctx context.Context, runner tracker.Runner, reply *Reply, err error) *judge.Error {
+// brokenError judges an answer that broke off.
+func (p *exchange) brokenError(ctx context.Context, runner tracker.Runner, reply *Reply, err error) *judge.Error {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, context.DeadlineExceeded):
 		return &judge.Error{Verdict: judge.MayHaveRun, Reason: judge.ReasonDeadline, Message: "the deadline passed while the runner worked"}
 	case errors.Is(cause, context.Canceled):
-		return errGone
+		return errCallerGone
 	default:
 		broken := judge.Judge(reply.Broken(err))
-		p.broke(ctx, runner, broken)
+		p.reportBroken(ctx, runner, broken)
 		return broken
 	}
 }
--- a/internal/request/forwarder/choose.go
+++ b/internal/request/forwarder/choose.go
@@ -12,26 +12,26 @@
 
 // choose returns the runner to send to, when it holds the adapter.
 func (p *exchange) choose(ctx context.Context) (tracker.Runner, *judge.Error) {
-	began := time.Now()
+	started := time.Now()
 	for {
 		if refused := p.quarantined(); refused != nil {
 			return tracker.Runner{}, refused
 		}
-		p.leavePlace()
-		if runner, refused, asked := p.choosePlace(ctx); asked {
+		p.releaseSlot()
+		if runner, refused, asked := p.chooseWithSlot(ctx); asked {
 			if refused != nil {
-				refused = refused.After(comeBack(refused.Retry))
+				refused = refused.After(retryAfter(refused.Retry))
 			}
 			return runner, refused
 		}
 		now := time.Now()
-		terms, refused := p.best(now)
+		terms, refused := p.rankRunners(now)
 		if refused != nil {
 			return tracker.Runner{}, refused
 		}
 		best := terms[0]
 		if best.Stall > 0 {
-			if refused := p.await(ctx, best, now); refused != nil {
+			if refused := p.awaitAdapter(ctx, best, now); refused != nil {
 				return tracker.Runner{}, refused
 			}
 			continue
@@ -40,12 +40,12 @@
 		if !ok {
 			continue // gone since
 		}
-		p.waited += now.Sub(began)
-		p.queue = time.Duration(best.Queue * float64(time.Second))
-		p.use(runner.ID) // it must not make way while the request is held back
-		there, refused := p.reserve(ctx, runner, terms)
-		if !there {
-			p.unuse()
+		p.adapterWait += now.Sub(started)
+		p.queueWait = time.Duration(best.Queue * float64(time.Second))
+		p.acquireCopy(runner.ID) // it must not make way while the request is held back
+		resident, refused := p.reserve(ctx, runner, terms)
+		if !resident {
+			p.releaseCopy()
 			p.Fleet.HeldOne(runner.ID, p.request.Copy, time.Time{}, false)
 			continue
 		}
@@ -55,87 +55,87 @@
 		if refused == nil {
 			refused = p.quarantined() // it may have been held back until now
 		}
-		if refused == nil || refused.Reason != judge.ReasonQueue || len(p.full) >= otherRunners {
+		if refused == nil || refused.Reason != judge.ReasonQueue || len(p.fullRunners) >= maxFullRunners {
 			return runner, refused
 		}
-		p.full[runner.ID] = true
-		p.noRoom = refused
+		p.fullRunners[runner.ID] = true
+		p.lastFull = refused
 	}
 }
 
-// await asks for the adapter at a runner and waits for the next look, or refuses
+// awaitAdapter asks for the adapter at a runner and waits for the next look, or refuses
 // the request if the adapter comes too late for it.
-func (p *exchange) await(ctx context.Context, best router.Terms, now time.Time) *judge.Error {
+func (p *exchange) awaitAdapter(ctx context.Context, best router.Terms, now time.Time) *judge.Error {
 	if p.Ending() {
-		return judge.Refuse(judge.ReasonStopping, "the instance ends before the adapter is there").After(comeBack(0))
+		return judge.Refuse(judge.ReasonStopping, "the instance ends before the adapter is there").After(retryAfter(0))
 	}
 	stall := time.Duration(best.Stall * float64(time.Second))
 	waited := now.Sub(p.request.Arrived)
-	if waited+stall > p.patience() {
-		return judge.Refuse(judge.ReasonLoad, "the adapter comes in %s", stall.Round(time.Millisecond)).After(comeBack(stall))
+	if waited+stall > p.adapterWaitLimit() {
+		return judge.Refuse(judge.ReasonLoad, "the adapter comes in %s", stall.Round(time.Millisecond)).After(retryAfter(stall))
 	}
-	p.asked = best.Runner
-	p.unuse()
+	p.loadRunner = best.Runner
+	p.releaseCopy()
 	p.Placement.Wait(Waiter{
 		Copy: p.request.Copy, InTime: waited+stall < p.request.Route.Goal, Priority: p.request.Priority, Request: p.request.Account + "/" + p.request.ID, Runner: best.Runner,
 	})
-	if !p.rest(ctx) {
-		return p.over(ctx)
+	if !p.waitForPoll(ctx) {
+		return p.contextError(ctx)
 	}
 	return nil
 }
 
 // reserve asks for room at the runner and holds the request back as long as it
 // is told to. Without anybody to ask the request goes at once.
-func (p *exchange) reserve(ctx context.Context, runner tracker.Runner, terms []router.Terms) (there bool, refused *judge.Error) {
+func (p *exchange) reserve(ctx context.Context, runner tracker.Runner, terms []router.Terms) (resident bool, refused *judge.Error) {
 	r := p.request
-	if r.Engine == nil || p.answered {
+	if r.Engine == nil || p.headSent {
 		return true, nil
 	}
-	room, refused, ok := p.Placement.Reserve(ctx, Ask{
-		Copy: r.Copy, Runner: runner.ID, Tokens: r.Tokens, Pause: p.request.Route.Gap, Within: p.within(time.Now()),
+	reservation, refused, ok := p.Placement.Reserve(ctx, Ask{
+		Copy: r.Copy, Runner: runner.ID, Tokens: r.Tokens, Pause: p.request.Route.Gap, Within: p.prefillTimeout(time.Now()),
 	})
 	switch {
 	case !ok:
 		return true, nil
 	case refused != nil:
-		p.spread(terms, p.limit())
-		return true, refused.After(comeBack(refused.Retry))
-	case room.Absent:
+		p.requestSpareCopy(terms, p.queueLimit())
+		return true, refused.After(retryAfter(refused.Retry))
+	case reservation.Absent:
 		return false, nil
-	case room.Wait <= 0:
+	case reservation.Wait <= 0:
 		return true, nil
 	}
-	p.queue = room.Wait
-	p.spread(terms, room.Wait)
-	hold := time.NewTimer(room.Wait)
+	p.queueWait = reservation.Wait
+	p.requestSpareCopy(terms, reservation.Wait)
+	hold := time.NewTimer(reservation.Wait)
 	defer hold.Stop()
 	select {
 	case <-ctx.Done():
-		return true, p.over(ctx)
+		return true, p.contextError(ctx)
 	case <-hold.C:
 		return true, nil
 	}
 }
 
-// within returns the time in which a prompt has to be read to be on time. One
+// prefillTimeout returns the time in which a prompt has to be read to be on time. One
 // that waited for its adapter until it was late is served late: the adapter is
 // there for it now.
-func (p *exchange) within(now time.Time) time.Duration {
-	left := p.limit() - now.Sub(p.request.Arrived) - p.Fleet.Base(p.request.Service)
-	if p.waited > 0 && left < p.limit()/2 || p.arrivals > 0 {
-		return p.limit()
+func (p *exchange) prefillTimeout(now time.Time) time.Duration {
+	left := p.queueLimit() - now.Sub(p.request.Arrived) - p.Fleet.Base(p.request.Service)
+	if p.adapterWait > 0 && left < p.queueLimit()/2 || p.delivered > 0 {
+		return p.queueLimit()
 	}
 	return left
 }
 
-func (p *exchange) crowd() time.Duration {
-	return time.Duration(crowdPart * float64(p.request.Route.Gap))
+func (p *exchange) prefillLimit() time.Duration {
+	return time.Duration(prefillGapFraction * float64(p.request.Route.Gap))
 }
 
-// rest waits for the next look. It returns false if ctx has ended.
-func (p *exchange) rest(ctx context.Context) bool {
-	wait := time.NewTimer(look)
+// waitForPoll waits for the next look. It returns false if ctx has ended.
+func (p *exchange) waitForPoll(ctx context.Context) bool {
+	wait := time.NewTimer(pollInterval)
 	defer wait.Stop()
 	select {
 	case <-ctx.Done():
@@ -149,64 +149,64 @@
 func (p *exchange) demand(tried map[string]bool) tracker.Demand {
 	r := p.request
 	return tracker.Demand{
-		Asked: p.asked, Copy: r.Copy, Crowd: p.crowd(), Full: p.full, Load: p.LoadTime(), Return: p.ReturnTime(), Service: r.Service, Tokens: r.Tokens,
+		Asked: p.loadRunner, Copy: r.Copy, Crowd: p.prefillLimit(), Full: p.fullRunners, Load: p.LoadTime(), Return: p.ReturnTime(), Service: r.Service, Tokens: r.Tokens,
 		Tried: tried,
 	}
 }
 
-// best returns the runners in the order in which they are expected to answer, or
+// rankRunners returns the runners in the order in which they are expected to answer, or
 // refuses the request at once if even the first would be too late.
-func (p *exchange) best(now time.Time) ([]router.Terms, *judge.Error) {
+func (p *exchange) rankRunners(now time.Time) ([]router.Terms, *judge.Error) {
 	r := p.request
 	candidates := p.Fleet.Candidates(p.demand(p.tried), now)
-	if len(candidates) == 0 && len(p.tried) > 0 && p.after > r.After {
+	if len(candidates) == 0 && len(p.tried) > 0 && p.lastEventID > r.After {
 		clear(p.tried) // a stream that has begun is worth trying anywhere
 		candidates = p.Fleet.Candidates(p.demand(p.tried), now)
 	}
 	if len(candidates) == 0 {
-		return nil, p.nobody(now)
+		return nil, p.noRunner(now)
 	}
-	choice := router.Router{Policy: router.First{Away: away}}
+	choice := router.Router{Policy: router.FirstToken{CrossDomain: crossDomainCost}}
 	terms := choice.Choose(router.Request{Adapter: r.Copy.Adapter, Left: r.Deadline.Sub(now)}, candidates)
 	best := terms[0]
-	if p.full[best.Runner] {
-		return nil, p.noRoom // and no other runner is better
+	if p.fullRunners[best.Runner] {
+		return nil, p.lastFull // and no other runner is better
 	}
-	if limit := p.limit(); best.Queue > limit.Seconds() && p.arrivals == 0 {
-		p.spread(terms, limit)
+	if limit := p.queueLimit(); best.Queue > limit.Seconds() && p.delivered == 0 {
+		p.requestSpareCopy(terms, limit)
 		over := time.Duration(best.Queue*float64(time.Second)) - limit
-		return nil, judge.Refuse(judge.ReasonQueue, "%.0f ms of work are before it", best.Queue*1000).After(comeBack(over))
+		return nil, judge.Refuse(judge.ReasonQueue, "%.0f ms of work are before it", best.Queue*1000).After(retryAfter(over))
 	}
 	return terms, nil
 }
 
-// nobody refuses a request that no runner can take: there is none, or those
+// noRunner refuses a request that no runner can take: there is none, or those
 // that there are do not hold the adapter and nobody can order it now.
-func (p *exchange) nobody(now time.Time) *judge.Error {
+func (p *exchange) noRunner(now time.Time) *judge.Error {
 	if p.request.Copy.Adapter != "" && p.Fleet.Takes(p.demand(p.tried), now) {
-		return judge.Refuse(judge.ReasonLoad, "nobody gives orders to the runners now").After(comeBack(noneWait))
+		return judge.Refuse(judge.ReasonLoad, "nobody gives orders to the runners now").After(retryAfter(noRunnerRetryAfter))
 	}
-	return judge.Refuse(judge.ReasonUpstream, "no runner of service %s takes requests", p.request.Service).After(comeBack(noneWait))
+	return judge.Refuse(judge.ReasonUpstream, "no runner of service %s takes requests", p.request.Service).After(retryAfter(noRunnerRetryAfter))
 }
 
-// limit returns how much work may be before the request when it is admitted.
-func (p *exchange) limit() time.Duration {
+// queueLimit returns how much work may be before the request when it is admitted.
+func (p *exchange) queueLimit() time.Duration {
 	route := p.request.Route
-	part := admitPart - admitStep*float64(min(p.request.Priority, 5))
+	part := admitFraction - admitPriorityStep*float64(min(p.request.Priority, 5))
 	return time.Duration(part * float64(route.Goal))
 }
 
 const (
-	// noneWait is when asking again makes sense if no runner takes requests: a
+	// noRunnerRetryAfter is when asking again makes sense if no runner takes requests: a
 	// runner that restarts needs about that long.
-	noneWait = time.Second
-	// shortest is the least time that a caller is told to wait: less would
+	noRunnerRetryAfter = time.Second
+	// minRetryAfter is the least time that a caller is told to wait: less would
 	// bring it back into the same second.
-	shortest = 200 * time.Millisecond
+	minRetryAfter = 200 * time.Millisecond
 )
 
-// over returns the error of a request whose time is up or whose caller left.
-func (p *exchange) over(ctx context.Context) *judge.Error {
+// contextError returns the error of a request whose time is up or whose caller left.
+func (p *exchange) contextError(ctx context.Context) *judge.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return judge.Refuse(judge.ReasonDeadline, "the deadline passed before the request was sent")
 	}
--- a/internal/request/forwarder/leaver_test.go
+++ b/internal/request/forwarder/disconnect_test.go
@@ -14,24 +14,24 @@
 )
 
 // A leaver is a caller that goes away just as an answer is given to it.
-type leaver struct{ given int }
+type disconnectingSink struct{ responses int }
 
-var errLeft = errors.New("the caller has left")
+var errDisconnected = errors.New("the caller has left")
 
-func (l *leaver) give() error {
-	l.given++
-	return errLeft
+func (l *disconnectingSink) respond() error {
+	l.responses++
+	return errDisconnected
 }
 
-func (l *leaver) Head(*forwarder.Reply) error          { return l.give() }
-func (l *leaver) Event([]byte) error                   { return errLeft }
-func (l *leaver) Whole(*forwarder.Reply, []byte) error { return l.give() }
+func (l *disconnectingSink) Head(*forwarder.Reply) error          { return l.respond() }
+func (l *disconnectingSink) Event([]byte) error                   { return errDisconnected }
+func (l *disconnectingSink) Whole(*forwarder.Reply, []byte) error { return l.respond() }
 
 // A runner fails a request, which is sent to another one; the caller leaves just as
 // the answer of that one is given to it. The failure at hand must not be given as
 // well: a second answer to one request ends the process, and with it the requests of
 // all its other callers.
-func TestCallerThatLeavesIsGivenOneAnswer(t *testing.T) {
+func TestDisconnectedCallerGetsOneResponse(t *testing.T) {
 	failed := func() *forwarder.Reply {
 		return &forwarder.Reply{Status: 500, Body: strings.NewReader("failed"), Close: func(bool) {}}
 	}
@@ -45,7 +45,7 @@
 			return &forwarder.Reply{Status: 200, Body: strings.NewReader("body"), Close: func(bool) {}}
 		}},
 		{"that is a stream", matcher.Streaming, func(ctx context.Context) *forwarder.Reply {
-			return streamed(&body{ctx: ctx, from: 1, to: 3, end: io.EOF})
+			return streamReply(&body{ctx: ctx, from: 1, to: 3, end: io.EOF})
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -56,10 +56,10 @@
 				return tc.second(ctx), nil
 			}}
 			route := &matcher.Route{Kind: tc.kind, Resumes: true, Attempts: 2, Goal: time.Second, Timeout: 12 * time.Second}
-			var caller leaver
+			var caller disconnectingSink
 			err := newForwarder(u, placement{}, 2).Forward(t.Context(), newRequest(route), &caller)
-			if caller.given != 1 {
-				t.Errorf("given %d answers, want 1", caller.given)
+			if caller.responses != 1 {
+				t.Errorf("given %d answers, want 1", caller.responses)
 			}
 			if err == nil || err.Reason != judge.ReasonCancelled {
 				t.Errorf("error %v, want that the caller went away", err)
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -37,10 +37,10 @@
 	budgets map[string]*retrier.Budget // by service
 }
 
-// away is what a runner in another failure domain costs in the choice, in
+// crossDomainCost is what a runner in another failure domain costs in the choice, in
 // seconds: more than the way there and back, so that a request leaves its domain
 // only for a real difference, as bytes between domains are paid for.
-const away = 0.015
+const crossDomainCost = 0.015
 
 // An exchange is one request on its way through the forwarder.
 type exchange struct {
@@ -48,28 +48,28 @@
 	request *Request
 	sink    Sink
 	budget  *retrier.Budget
-	using   use // of a copy now
+	ref     copyRef // of a copy now
 
-	asked    string          // runner where the adapter was asked for
-	at       string          // runner that it was sent to last
-	queue    time.Duration   // of work that was thought to be before it there
-	after    int             // last event that the caller was given
-	answered bool            // the caller has the head of an answer
-	arrivals int             // sendings that reached a runner
-	full     map[string]bool // runners that refused it for want of room
-	noRoom   *judge.Error    // what the last of them said
-	identity quarantiner.Digest
-	first    time.Duration // from the arrival to the first part of the answer
-	last     time.Time     // when the last event was passed on
-	pause    time.Duration // the longest between two events
-	place    Place         // at a runner of a plain service
-	paid     atomic.Bool   // the next retry is withdrawn already
-	runs     int           // of the arrivals, the ones that may have run
-	sent     time.Time     // to that runner
-	split    streamer.Splitter
-	status   int // of the answer that the caller was given; 0 for none
-	tried    map[string]bool
-	waited   time.Duration // for an adapter
+	loadRunner   string          // runner where the adapter was asked for
+	lastRunner   string          // runner that it was sent to last
+	queueWait    time.Duration   // of work that was thought to be before it there
+	lastEventID  int             // last event that the caller was given
+	headSent     bool            // the caller has the head of an answer
+	delivered    int             // sendings that reached a runner
+	fullRunners  map[string]bool // runners that refused it for want of room
+	lastFull     *judge.Error    // what the last of them said
+	cachedDigest quarantiner.Digest
+	timeToFirst  time.Duration // from the arrival to the first part of the answer
+	lastEventAt  time.Time     // when the last event was passed on
+	longestGap   time.Duration // the longest between two events
+	slot         Place         // at a runner of a plain service
+	retryPaid    atomic.Bool   // the next retry is withdrawn already
+	executions   int           // of the arrivals, the ones that may have run
+	sentAt       time.Time     // to that runner
+	splitter     streamer.Splitter
+	status       int // of the answer that the caller was given; 0 for none
+	tried        map[string]bool
+	adapterWait  time.Duration // for an adapter
 }
 
 // Forward answers a request. It returns nil after a whole answer, else an error
@@ -81,11 +81,11 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	p := &exchange{Forwarder: f, request: r, sink: sink, budget: f.budget(r.Service), after: r.After, full: make(map[string]bool), tried: make(map[string]bool)}
+	p := &exchange{Forwarder: f, request: r, sink: sink, budget: f.budget(r.Service), lastEventID: r.After, fullRunners: make(map[string]bool), tried: make(map[string]bool)}
 	p.budget.Deposit()
 	err := p.run(ctx)
-	p.unuse()
-	p.leavePlace()
+	p.releaseCopy()
+	p.releaseSlot()
 	p.log(err)
 	return err
 }
@@ -109,53 +109,53 @@
 	for {
 		runner, refused := p.choose(ctx)
 		if refused != nil {
-			return p.final(refused)
+			return p.finalError(refused)
 		}
 		failed := p.try(ctx, runner)
 		if failed == nil {
 			return nil
 		}
-		if !p.again(ctx, failed) {
-			return p.final(failed)
+		if !p.mayRetry(ctx, failed) {
+			return p.finalError(failed)
 		}
-		p.renew()
+		p.useNewestVersion()
 		p.Retried(failed)
 		p.Recorder.Log(recorder.Retry, "request", p.request.ID, "digest", p.digest(), "copy", p.request.Copy, "runner", runner.ID, "reason", failed.Reason,
-			"verdict", failed.Verdict, "after", p.after, "arrivals", p.arrivals)
+			"verdict", failed.Verdict, "after", p.lastEventID, "arrivals", p.delivered)
 	}
 }
 
-// renew makes the next run begin on the newest version of the adapter. A stream
+// useNewestVersion makes the next run begin on the newest version of the adapter. A stream
 // may be cut seconds after it began, when its version is no longer to be used;
 // the runner says in the stream that the version has changed.
-func (p *exchange) renew() {
+func (p *exchange) useNewestVersion() {
 	c := &p.request.Copy
 	if c.Adapter != "" {
 		c.Version = p.Newest(c.Model, c.Adapter)
 	}
 }
 
-// again reports whether the request may be sent once more.
-func (p *exchange) again(ctx context.Context, failed *judge.Error) bool {
+// mayRetry reports whether the request may be sent once more.
+func (p *exchange) mayRetry(ctx context.Context, failed *judge.Error) bool {
 	switch {
-	case ctx.Err() != nil, errors.Is(failed, errGone):
+	case ctx.Err() != nil, errors.Is(failed, errCallerGone):
 		return false
 	case failed.Verdict == judge.NotRun:
-	case !p.request.Route.Repeatable(), p.runs >= p.request.Route.Attempts:
+	case !p.request.Route.Repeatable(), p.executions >= p.request.Route.Attempts:
 		return false
 	}
-	return p.arrivals == 0 || p.paid.Swap(false) || p.budget.Withdraw()
+	return p.delivered == 0 || p.retryPaid.Swap(false) || p.budget.Withdraw()
 }
 
-// final returns the error with a verdict that covers all attempts: a refusal of
+// finalError returns the error with a verdict that covers all attempts: a refusal of
 // the last one says nothing of those before it.
-func (p *exchange) final(err *judge.Error) *judge.Error {
+func (p *exchange) finalError(err *judge.Error) *judge.Error {
 	if err.Verdict != judge.NotRun {
 		return err
 	}
-	if p.runs == 0 {
+	if p.executions == 0 {
 		if err.Retry == 0 && err.Reason != judge.ReasonCancelled {
-			return err.After(comeBack(0))
+			return err.After(retryAfter(0))
 		}
 		return err
 	}
@@ -164,8 +164,8 @@
 	return &after
 }
 
-// there tells that a copy is where it was expected.
-func (p *exchange) there(runner string, sent time.Time) {
+// reportHit tells that a copy is where it was expected.
+func (p *exchange) reportHit(runner string, sent time.Time) {
 	if p.request.Copy != (placer.Copy{}) {
 		p.Placement.There(runner, p.request.Copy, sent)
 	}
@@ -174,8 +174,8 @@
 func (p *exchange) log(err *judge.Error) {
 	r := p.request
 	fields := []any{
-		"request", r.ID, "account", r.Account, "route", r.Route.Name, "service", r.Service, "copy", r.Copy, "runner", p.at, "tokens", r.Tokens,
-		"queue", p.queue, "arrivals", p.arrivals, "runs", p.runs, "after", p.after, "waited", p.waited, "first", p.first, "pause", p.pause, "took", time.Since(r.Arrived),
+		"request", r.ID, "account", r.Account, "route", r.Route.Name, "service", r.Service, "copy", r.Copy, "runner", p.lastRunner, "tokens", r.Tokens,
+		"queue", p.queueWait, "arrivals", p.delivered, "runs", p.executions, "after", p.lastEventID, "waited", p.adapterWait, "first", p.timeToFirst, "pause", p.longestGap, "took", time.Since(r.Arrived),
 	}
 	if err == nil {
 		p.Recorder.Log(recorder.Answered, append(fields, "status", p.status)...)
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -42,13 +42,13 @@
 type placement struct {
 	place   func(runner string, within time.Duration) (forwarder.Place, *judge.Error, bool)
 	reserve func(a forwarder.Ask) (forwarder.Room, *judge.Error, bool)
-	want    func(runner string)
+	spare   func(runner string)
 }
 
 func (p placement) Wait(w forwarder.Waiter) { p.Spare(w.Runner, w.Copy) }
 func (p placement) Spare(runner string, _ placer.Copy) {
-	if p.want != nil {
-		p.want(runner)
+	if p.spare != nil {
+		p.spare(runner)
 	}
 }
 
@@ -71,9 +71,9 @@
 
 // A quarantine holds what its script says, and keeps what it was told.
 type quarantine struct {
-	held  func() bool
-	broke []string // runners
-	whole int
+	held      func() bool
+	broken    []string // runners
+	completed int
 }
 
 func (*quarantine) Suspects() bool { return true }
@@ -82,9 +82,9 @@
 }
 
 func (q *quarantine) Broke(_ quarantiner.Digest, r tracker.Runner, _ time.Time) {
-	q.broke = append(q.broke, r.ID)
+	q.broken = append(q.broken, r.ID)
 }
-func (q *quarantine) Whole(quarantiner.Digest) { q.whole++ }
+func (q *quarantine) Whole(quarantiner.Digest) { q.completed++ }
 
 // A sink keeps what the caller saw.
 type sink struct{ got string }
@@ -101,7 +101,7 @@
 	ctx    context.Context
 	from   int
 	to     int
-	before map[int]time.Duration // pause before an event
+	delays map[int]time.Duration // pause before an event
 	end    error
 }
 
@@ -110,7 +110,7 @@
 		return 0, b.end
 	}
 	select {
-	case <-time.After(b.before[b.from]):
+	case <-time.After(b.delays[b.from]):
 	case <-b.ctx.Done():
 		return 0, context.Cause(b.ctx)
 	}
@@ -121,7 +121,7 @@
 
 func event(id int) string { return fmt.Sprintf("id: %d\n\n", id) }
 
-func streamed(b *body) *forwarder.Reply {
+func streamReply(b *body) *forwarder.Reply {
 	return &forwarder.Reply{
 		Status: 200, Body: b, Close: func(bool) {},
 		Broken: func(err error) judge.Observation { return judge.Broken{Written: 1, Head: true, Err: err} },
@@ -148,7 +148,7 @@
 	}
 }
 
-func resuming() *matcher.Route {
+func resumableRoute() *matcher.Route {
 	return &matcher.Route{Kind: matcher.Streaming, Resumes: true, Attempts: 2, Goal: time.Second, Gap: 250 * time.Millisecond, Timeout: 12 * time.Second}
 }
 
@@ -156,13 +156,13 @@
 // and is silent for 2.5 s. No other runner can take over. Taking the silence
 // for a failure cut the answer, although the runner would have gone on and the
 // caller still waited.
-func TestSilenceAloneDoesNotCutAnAnswer(t *testing.T) {
+func TestIdleStreamIsNotCutWithoutAnotherRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(ctx context.Context, _ int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
-			return streamed(&body{ctx: ctx, from: 1, to: 3, before: map[int]time.Duration{1: 2500 * time.Millisecond, 3: 3500 * time.Millisecond}, end: io.EOF}), nil
+			return streamReply(&body{ctx: ctx, from: 1, to: 3, delays: map[int]time.Duration{1: 2500 * time.Millisecond, 3: 3500 * time.Millisecond}, end: io.EOF}), nil
 		}}
 		var got sink
-		err := newForwarder(u, placement{}, 1).Forward(t.Context(), newRequest(resuming()), &got)
+		err := newForwarder(u, placement{}, 1).Forward(t.Context(), newRequest(resumableRoute()), &got)
 		if diff := cmp.Diff(event(1)+event(2)+event(3), got.got); err != nil || diff != "" {
 			t.Errorf("%v %s", err, diff)
 		}
@@ -171,22 +171,22 @@
 
 // The same with another runner that is free: after a while without a first
 // event it gets the request, and the caller is served in time.
-func TestSilentRunnerIsReplacedByAFreeOne(t *testing.T) {
+func TestUnresponsiveRunnerIsReplacedByFreeRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(ctx context.Context, n int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 			b := &body{ctx: ctx, from: 1, to: 2, end: io.EOF}
 			if n == 1 {
-				b.before = map[int]time.Duration{1: time.Hour}
+				b.delays = map[int]time.Duration{1: time.Hour}
 			}
-			return streamed(b), nil
+			return streamReply(b), nil
 		}}
 		var got sink
-		began := time.Now()
-		err := newForwarder(u, placement{}, 2).Forward(t.Context(), newRequest(resuming()), &got)
+		started := time.Now()
+		err := newForwarder(u, placement{}, 2).Forward(t.Context(), newRequest(resumableRoute()), &got)
 		if diff := cmp.Diff(event(1)+event(2), got.got); err != nil || diff != "" {
 			t.Errorf("%v %s", err, diff)
 		}
-		if took := time.Since(began); took > 3*time.Second {
+		if took := time.Since(started); took > 3*time.Second {
 			t.Errorf("took %s", took)
 		}
 	})
@@ -196,12 +196,12 @@
 // there one after the other. Each wait is shorter than a load, so nobody goes
 // elsewhere, and all are late. One more copy is asked for at the other runner,
 // for those who come after; not for a short wait, and not while one is coming.
-func TestMuchWantedAdapterGetsOneMoreCopy(t *testing.T) {
+func TestPopularAdapterGetsSpareCopy(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		wait   time.Duration
-		coming bool
-		want   []string
+		name    string
+		wait    time.Duration
+		loading bool
+		want    []string
 	}{
 		{"long wait", 400 * time.Millisecond, false, []string{"i-1"}},
 		{"short wait", 50 * time.Millisecond, false, nil},
@@ -210,28 +210,28 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				u := &upstream{answer: func(ctx context.Context, _ int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
-					return streamed(&body{ctx: ctx, from: 1, to: 1, end: io.EOF}), nil
+					return streamReply(&body{ctx: ctx, from: 1, to: 1, end: io.EOF}), nil
 				}}
-				var wanted []string
+				var requested []string
 				f := newForwarder(u, placement{
 					reserve: func(forwarder.Ask) (forwarder.Room, *judge.Error, bool) {
 						return forwarder.Room{Wait: tc.wait}, nil, true
 					},
-					want: func(runner string) { wanted = append(wanted, runner) },
+					spare: func(runner string) { requested = append(requested, runner) },
 				}, 2)
 				adapter := placer.Copy{Model: "m", Adapter: "a1", Version: 2}
 				f.Fleet.Held("i-0", map[placer.Copy]time.Time{adapter: {}})
 				f.Fleet.Held("i-1", nil)
-				if tc.coming {
+				if tc.loading {
 					f.Fleet.HeldOne("i-1", adapter, time.Now().Add(time.Second), true)
 				}
-				r := newRequest(resuming())
+				r := newRequest(resumableRoute())
 				r.Copy = adapter
 				var got sink
 				if err := f.Forward(t.Context(), r, &got); err != nil {
 					t.Fatal(err)
 				}
-				if diff := cmp.Diff(tc.want, wanted); diff != "" {
+				if diff := cmp.Diff(tc.want, requested); diff != "" {
 					t.Error(diff)
 				}
 			})
@@ -242,7 +242,7 @@
 // A much wanted adapter lies at two runners and the first has no room. The
 // caller is served by the second one; only when none has room it is refused,
 // with the time to come back and the promise that nothing ran.
-func TestNoRoomAtOneRunnerIsNoRefusal(t *testing.T) {
+func TestRequestFallsBackFromFullRunner(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		full int
@@ -251,7 +251,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				u := &upstream{answer: func(ctx context.Context, _ int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
-					return streamed(&body{ctx: ctx, from: 1, to: 1, end: io.EOF}), nil
+					return streamReply(&body{ctx: ctx, from: 1, to: 1, end: io.EOF}), nil
 				}}
 				full := make(map[string]bool)
 				p := placement{reserve: func(a forwarder.Ask) (forwarder.Room, *judge.Error, bool) {
@@ -262,7 +262,7 @@
 					return forwarder.Room{}, nil, true
 				}}
 				var got sink
-				err := newForwarder(u, p, 2).Forward(t.Context(), newRequest(resuming()), &got)
+				err := newForwarder(u, p, 2).Forward(t.Context(), newRequest(resumableRoute()), &got)
 				if diff := cmp.Diff(tc.want, got.got); diff != "" {
 					t.Error(diff)
 				}
@@ -277,10 +277,10 @@
 // A caller's prompt is held back until its runner has read what is before it.
 // Meanwhile the runner says that it leaves. Sent to it, the request would reach
 // a runner that takes nothing new; it has to go to the other one.
-func TestRunnerThatLeavesWhileARequestIsHeldBackDoesNotGetIt(t *testing.T) {
+func TestDelayedRequestIsNotSentToLeavingRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(ctx context.Context, _ int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
-			return streamed(&body{ctx: ctx, from: 1, to: 1, end: io.EOF}), nil
+			return streamReply(&body{ctx: ctx, from: 1, to: 1, end: io.EOF}), nil
 		}}
 		leaving := ""
 		var f *forwarder.Forwarder
@@ -295,7 +295,7 @@
 			return forwarder.Room{}, nil, true
 		}}, 2)
 		var got sink
-		err := f.Forward(t.Context(), newRequest(resuming()), &got)
+		err := f.Forward(t.Context(), newRequest(resumableRoute()), &got)
 		if err != nil || len(u.attempts) != 1 || u.attempts[0].Runner.ID == leaving {
 			t.Errorf("%v; %s leaves, sent to %+v", err, leaving, u.attempts)
 		}
@@ -305,19 +305,19 @@
 // A caller reads a stream on version 1 of an adapter. Version 2 is named, and
 // seconds later the runner breaks off. The run that goes on begins now, so it has
 // to begin on version 2.
-func TestRunThatGoesOnBeginsOnTheNewestVersion(t *testing.T) {
+func TestResumedStreamUsesNewestVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(ctx context.Context, n int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 			if n == 1 {
-				return streamed(&body{ctx: ctx, from: 1, to: 2, end: io.ErrUnexpectedEOF}), nil
+				return streamReply(&body{ctx: ctx, from: 1, to: 2, end: io.ErrUnexpectedEOF}), nil
 			}
-			return streamed(&body{ctx: ctx, from: 3, to: 3, end: io.EOF}), nil
+			return streamReply(&body{ctx: ctx, from: 3, to: 3, end: io.EOF}), nil
 		}}
 		f := newForwarder(u, placement{}, 2)
-		old, fresh := placer.Copy{Model: "m", Adapter: "a", Version: 1}, placer.Copy{Model: "m", Adapter: "a", Version: 2}
+		old, newest := placer.Copy{Model: "m", Adapter: "a", Version: 1}, placer.Copy{Model: "m", Adapter: "a", Version: 2}
 		f.Fleet.Held("i-0", map[placer.Copy]time.Time{old: {}})
-		f.Fleet.Held("i-1", map[placer.Copy]time.Time{fresh: {}})
-		r := newRequest(resuming())
+		f.Fleet.Held("i-1", map[placer.Copy]time.Time{newest: {}})
+		r := newRequest(resumableRoute())
 		r.Copy = old
 		var got sink
 		err := f.Forward(t.Context(), r, &got)
@@ -325,7 +325,7 @@
 			t.Fatal(err, diff)
 		}
 		last := u.attempts[len(u.attempts)-1]
-		if last.Runner.ID != "i-1" || last.Request.Copy != fresh {
+		if last.Runner.ID != "i-1" || last.Request.Copy != newest {
 			t.Errorf("went on at %s with %v", last.Runner.ID, last.Request.Copy)
 		}
 	})
@@ -334,7 +334,7 @@
 // A runner breaks off after its first byte, another one refuses. The refusal
 // says nothing of the first: the caller of a stream that may not go on must not
 // be promised that nothing ran.
-func TestRefusalAfterARunIsNoPromise(t *testing.T) {
+func TestRefusalAfterExecutionIsMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(ctx context.Context, n int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 			if n == 1 {
@@ -346,7 +346,7 @@
 			}, nil
 		}}
 		var got sink
-		err := newForwarder(u, placement{}, 2).Forward(t.Context(), newRequest(resuming()), &got)
+		err := newForwarder(u, placement{}, 2).Forward(t.Context(), newRequest(resumableRoute()), &got)
 		if err == nil || err.Verdict != judge.MayHaveRun {
 			t.Errorf("err = %+v", err)
 		}
@@ -356,7 +356,7 @@
 // A caller complains of a failure, and the log has its request as answered: the
 // runner itself had failed. The line must say so, or whoever looks for the cause
 // looks in the wrong place.
-func TestLogTellsTheStatusOfAnAnswer(t *testing.T) {
+func TestLogIncludesResponseStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(context.Context, int, forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 			return &forwarder.Reply{Status: 500, Body: strings.NewReader("failed"), Close: func(bool) {}}, nil
@@ -381,7 +381,7 @@
 // not come. When the grace time was over the request was cut off with the
 // process, and its caller could not know that it had not run. It is told so, and
 // to come back, while there is time.
-func TestRequestThatWaitsIsGivenBackBeforeTheInstanceEnds(t *testing.T) {
+func TestWaitingRequestIsRefusedBeforeShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(context.Context, int, forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 			t.Error("sent")
@@ -390,14 +390,14 @@
 		f := newForwarder(u, placement{}, 1)
 		ends := time.Now().Add(time.Second)
 		f.Ending = func() bool { return !time.Now().Before(ends) }
-		r := newRequest(resuming())
+		r := newRequest(resumableRoute())
 		r.Copy = placer.Copy{Model: "m", Adapter: "a1", Version: 2}
-		began := time.Now()
+		started := time.Now()
 		err := f.Forward(t.Context(), r, &sink{})
 		if err == nil || err.Verdict != judge.NotRun || err.Reason != judge.ReasonStopping || err.Retry == 0 {
 			t.Errorf("got %+v", err)
 		}
-		if took := time.Since(began); took > 1100*time.Millisecond {
+		if took := time.Since(started); took > 1100*time.Millisecond {
 			t.Errorf("after %s", took)
 		}
 	})
--- a/internal/request/forwarder/patience_test.go
+++ b/internal/request/forwarder/limits_test.go
@@ -16,7 +16,7 @@
 // request would wait until its patience ends and be refused then, a place in the
 // line taken from those that can still be served: it has to be refused at once,
 // with the time at which a place can be had. One that can be served waits.
-func TestRequestThatCannotBeServedIsRefusedAtOnce(t *testing.T) {
+func TestRequestIsRefusedAtOnceWhenAdapterWaitExceedsLimit(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		wait    time.Duration // for a place
@@ -28,24 +28,24 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				u := &upstream{answer: func(ctx context.Context, _ int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
-					return streamed(&body{ctx: ctx, from: 1, to: 1, end: io.EOF}), nil
+					return streamReply(&body{ctx: ctx, from: 1, to: 1, end: io.EOF}), nil
 				}}
 				f := newForwarder(u, placement{}, 1)
-				r := newRequest(resuming())
+				r := newRequest(resumableRoute())
 				r.Copy = placer.Copy{Model: "m", Adapter: "a1", Version: 2}
 				f.Fleet.Rooms(map[string]time.Duration{"i-0": tc.wait})
 				time.AfterFunc(time.Second, func() { f.Fleet.HeldOne("i-0", r.Copy, time.Time{}, true) })
 				var got sink
-				began := time.Now()
+				started := time.Now()
 				err := f.Forward(t.Context(), r, &got)
 				if !tc.refused {
-					if err != nil || time.Since(began) < time.Second {
-						t.Errorf("%v after %s", err, time.Since(began))
+					if err != nil || time.Since(started) < time.Second {
+						t.Errorf("%v after %s", err, time.Since(started))
 					}
 					return
 				}
-				if err == nil || err.Verdict != judge.NotRun || err.Retry < tc.wait || time.Since(began) > 0 {
-					t.Errorf("%+v after %s", err, time.Since(began))
+				if err == nil || err.Verdict != judge.NotRun || err.Retry < tc.wait || time.Since(started) > 0 {
+					t.Errorf("%+v after %s", err, time.Since(started))
 				}
 			})
 		})
--- a/internal/request/forwarder/suspect.go
+++ b/internal/request/forwarder/quarantine.go
@@ -38,23 +38,23 @@
 
 // digest returns the digest of the request, which is worked out once.
 func (p *exchange) digest() quarantiner.Digest {
-	if p.identity == "" {
+	if p.cachedDigest == "" {
 		r := p.request
-		p.identity = quarantiner.DigestOf(r.owner(), r.Message.Method, r.Message.Target, r.Message.Body)
+		p.cachedDigest = quarantiner.DigestOf(r.quarantineScope(), r.Message.Method, r.Message.Target, r.Message.Body)
 	}
-	return p.identity
+	return p.cachedDigest
 }
 
-// broke tells that the connection to a runner ended while it may have run the request,
+// reportBroken tells that the connection to a runner ended while it may have run the request,
 // unless this instance ended it.
-func (p *exchange) broke(ctx context.Context, runner tracker.Runner, err *judge.Error) {
+func (p *exchange) reportBroken(ctx context.Context, runner tracker.Runner, err *judge.Error) {
 	if ctx.Err() == nil && err.Verdict != judge.NotRun {
-		p.Quarantine.Broke(p.digest(), runner, p.sent)
+		p.Quarantine.Broke(p.digest(), runner, p.sentAt)
 	}
 }
 
-// ranWhole tells that a runner ran the request to its end.
-func (p *exchange) ranWhole() {
+// reportCompleted tells that a runner ran the request to its end.
+func (p *exchange) reportCompleted() {
 	if p.Quarantine.Suspects() {
 		p.Quarantine.Whole(p.digest())
 	}
--- a/internal/request/forwarder/suspect_test.go
+++ b/internal/request/forwarder/quarantine_test.go
@@ -15,8 +15,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/matcher"
 )
 
-// quarantined returns a forwarder with a quarantine, and both.
-func quarantined(u *upstream, p placement, q *quarantine) *forwarder.Forwarder {
+// newQuarantineForwarder returns a forwarder with a quarantine, and both.
+func newQuarantineForwarder(u *upstream, p placement, q *quarantine) *forwarder.Forwarder {
 	f := newForwarder(u, p, 2)
 	f.Quarantine = q
 	return f
@@ -26,8 +26,8 @@
 // that it has not run and when to come back, and no runner may be reached: neither by a
 // copy that arrives after the verdict, nor by one that waited for room as the verdict
 // came, nor by the second try of one whose first runner crashed.
-func TestRequestInQuarantineReachesNoRunner(t *testing.T) {
-	whole := func() *forwarder.Reply {
+func TestQuarantinedRequestReachesNoRunner(t *testing.T) {
+	complete := func() *forwarder.Reply {
 		return &forwarder.Reply{Status: 200, Body: strings.NewReader("body"), Close: func(bool) {}}
 	}
 	for _, tc := range []struct {
@@ -44,19 +44,19 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				began := time.Now()
-				q := &quarantine{held: func() bool { return time.Since(began) >= tc.verdict }}
+				started := time.Now()
+				q := &quarantine{held: func() bool { return time.Since(started) >= tc.verdict }}
 				u := &upstream{answer: func(context.Context, int, forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 					if tc.crash > 0 {
 						time.Sleep(tc.crash)
 						return nil, judge.Broken{Written: 9, Err: io.EOF}
 					}
-					return whole(), nil
+					return complete(), nil
 				}}
 				p := placement{reserve: func(forwarder.Ask) (forwarder.Room, *judge.Error, bool) {
 					return forwarder.Room{Wait: tc.hold}, nil, true
 				}}
-				err := quarantined(u, p, q).Forward(t.Context(), newRequest(&matcher.Route{Kind: matcher.Idempotent, Attempts: 3, Goal: time.Second, Timeout: 12 * time.Second}), &sink{})
+				err := newQuarantineForwarder(u, p, q).Forward(t.Context(), newRequest(&matcher.Route{Kind: matcher.Idempotent, Attempts: 3, Goal: time.Second, Timeout: 12 * time.Second}), &sink{})
 				if len(u.attempts) != tc.attempts {
 					t.Errorf("%d sendings, want %d", len(u.attempts), tc.attempts)
 				}
@@ -70,16 +70,16 @@
 
 // What ends a runner's answer early is mostly no crash, and is not even asked about
 // where this instance or the caller ended it.
-func TestBrokenAnswersAreReported(t *testing.T) {
+func TestBrokenResponsesAreReported(t *testing.T) {
 	cut := func(ctx context.Context) *forwarder.Reply {
-		return streamed(&body{ctx: ctx, from: 1, to: 2, end: io.ErrUnexpectedEOF})
+		return streamReply(&body{ctx: ctx, from: 1, to: 2, end: io.ErrUnexpectedEOF})
 	}
 	for _, tc := range []struct {
-		name   string
-		answer func(ctx context.Context) (*forwarder.Reply, judge.Observation)
-		leave  time.Duration // when the caller leaves; 0 if it does not
-		broke  []string
-		whole  int
+		name       string
+		answer     func(ctx context.Context) (*forwarder.Reply, judge.Observation)
+		disconnect time.Duration // when the caller leaves; 0 if it does not
+		broken     []string
+		completed  int
 	}{
 		{"no answer", func(context.Context) (*forwarder.Reply, judge.Observation) {
 			return nil, judge.Broken{Written: 9, Err: io.EOF}
@@ -103,7 +103,7 @@
 			return nil, judge.Broken{Written: 9, Err: context.Cause(ctx)}
 		}, 0, nil, 0},
 		{"whole", func(ctx context.Context) (*forwarder.Reply, judge.Observation) {
-			return streamed(&body{ctx: ctx, from: 1, to: 2, end: io.EOF}), nil
+			return streamReply(&body{ctx: ctx, from: 1, to: 2, end: io.EOF}), nil
 		}, 0, nil, 1},
 		{"an answer that says that it failed", func(context.Context) (*forwarder.Reply, judge.Observation) {
 			return &forwarder.Reply{Status: 500, Body: strings.NewReader(""), Close: func(bool) {}}, nil
@@ -117,17 +117,17 @@
 				}}
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				if tc.leave > 0 {
-					time.AfterFunc(tc.leave, cancel)
+				if tc.disconnect > 0 {
+					time.AfterFunc(tc.disconnect, cancel)
 				}
-				f := quarantined(u, placement{}, q)
+				f := newQuarantineForwarder(u, placement{}, q)
 				f.Fleet.Remove("i-1", 0)
 				_ = f.Forward(ctx, newRequest(&matcher.Route{Kind: matcher.Streaming, Attempts: 1, Goal: time.Second, Timeout: 12 * time.Second}), &sink{})
-				if diff := cmp.Diff(tc.broke, q.broke); diff != "" {
+				if diff := cmp.Diff(tc.broken, q.broken); diff != "" {
 					t.Error(diff)
 				}
-				if q.whole != tc.whole {
-					t.Errorf("%d whole runs, want %d", q.whole, tc.whole)
+				if q.completed != tc.completed {
+					t.Errorf("%d whole runs, want %d", q.completed, tc.completed)
 				}
 			})
 		})
--- a/internal/request/forwarder/request.go
+++ b/internal/request/forwarder/request.go
@@ -34,8 +34,8 @@
 	Tokens   int // of the prompt; 0 if unknown
 }
 
-// owner tells apart the same request of two accounts. A host has no slash.
-func (r *Request) owner() string {
+// quarantineScope tells apart the same request of two accounts. A host has no slash.
+func (r *Request) quarantineScope() string {
 	if r.Account == "" {
 		return r.Route.Host
 	}
--- a/internal/request/forwarder/comeback.go
+++ b/internal/request/forwarder/retryafter.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// comeBack returns when a caller may try again after a refusal: not before the
+// retryAfter returns when a caller may try again after a refusal: not before the
 // time that is known to be needed, and spread over as much again, so that those
 // who were refused together do not return together.
-func comeBack(least time.Duration) time.Duration {
-	least = max(least, shortest)
+func retryAfter(least time.Duration) time.Duration {
+	least = max(least, minRetryAfter)
 	return least + time.Duration(rand.Float64()*float64(least))
 }
--- a/internal/request/forwarder/place_test.go
+++ b/internal/request/forwarder/slot_test.go
@@ -18,13 +18,13 @@
 )
 
 // A ward gives out the places of plain runners, and keeps who holds one.
-type ward struct {
+type slotAllocator struct {
 	waits map[string]time.Duration // by runner; without one nobody answers
 	asked []string
 	held  map[string]int
 }
 
-func (w *ward) place(runner string, within time.Duration) (forwarder.Place, *judge.Error, bool) {
+func (w *slotAllocator) place(runner string, within time.Duration) (forwarder.Place, *judge.Error, bool) {
 	w.asked = append(w.asked, runner)
 	wait, ok := w.waits[runner]
 	switch {
@@ -42,7 +42,7 @@
 
 // Requests of a plain service go to the runner of their own failure domain, to a second one
 // where they would wait there, and are refused at once where they would be late.
-func TestPlaces(t *testing.T) {
+func TestRequestSlots(t *testing.T) {
 	const goal = 300 * time.Millisecond
 	for _, tc := range []struct {
 		name   string
@@ -63,7 +63,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := &ward{waits: tc.waits}
+				w := &slotAllocator{waits: tc.waits}
 				sent := ""
 				u := &upstream{answer: func(_ context.Context, _ int, a forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 					sent = a.Runner.ID
@@ -108,9 +108,9 @@
 }
 
 // Guards against a place that is held for good as its request went out again.
-func TestPlaceIsGivenBackBeforeAnotherTry(t *testing.T) {
+func TestSlotIsReleasedBeforeRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &ward{waits: map[string]time.Duration{"i-0": 0, "i-1": 0}}
+		w := &slotAllocator{waits: map[string]time.Duration{"i-0": 0, "i-1": 0}}
 		u := &upstream{answer: func(_ context.Context, n int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 			if n == 1 {
 				return nil, judge.Broken{Written: 1, Err: io.EOF}
--- a/internal/request/forwarder/stream.go
+++ b/internal/request/forwarder/stream.go
@@ -11,17 +11,17 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// stream passes the events of an answer on as they come. The caller gets whole
+// relayStream passes the events of an answer on as they come. The caller gets whole
 // events only, each once and in order, also when they come from two runs.
-func (p *exchange) stream(ctx context.Context, runner tracker.Runner, reply *Reply, watch *watch) *judge.Error {
-	p.split.Reset()
+func (p *exchange) relayStream(ctx context.Context, runner tracker.Runner, reply *Reply, dog *watchdog) *judge.Error {
+	p.splitter.Reset()
 	buffer := make([]byte, readSize)
 	for {
 		n, err := reply.Body.Read(buffer)
 		if n > 0 {
-			watch.heard()
+			dog.reset()
 		}
-		if failed := p.pass(reply, buffer[:n]); failed != nil {
+		if failed := p.relayEvents(reply, buffer[:n]); failed != nil {
 			reply.Close(false)
 			p.tried[runner.ID] = true
 			return failed
@@ -29,57 +29,57 @@
 		if err == nil {
 			continue
 		}
-		return p.end(ctx, runner, reply, err)
+		return p.finishStream(ctx, runner, reply, err)
 	}
 }
 
-// end judges how a stream ended. One whose last event is not whole was cut,
+// finishStream judges how a stream ended. One whose last event is not whole was cut,
 // also if its framing is complete.
-func (p *exchange) end(ctx context.Context, runner tracker.Runner, reply *Reply, err error) *judge.Error {
+func (p *exchange) finishStream(ctx context.Context, runner tracker.Runner, reply *Reply, err error) *judge.Error {
 	// A reader says io.EOF itself at the end; an error that wraps it is another.
 	ended := err == io.EOF //nolint:errorlint // see above
-	if ended && p.split.Rest() > 0 {
+	if ended && p.splitter.Buffered() > 0 {
 		ended = false
 		err = fmt.Errorf("the stream ended within an event: %w", io.ErrUnexpectedEOF)
 	}
 	reply.Close(ended)
 	if !ended {
 		p.tried[runner.ID] = true
-		return p.cut(ctx, runner, reply, err)
+		return p.brokenError(ctx, runner, reply, err)
 	}
-	p.ranWhole()
-	if !p.answered { // a stream without events
+	p.reportCompleted()
+	if !p.headSent { // a stream without events
 		if p.sink.Head(reply) != nil {
-			return errGone
+			return errCallerGone
 		}
 		p.status = reply.Status
 	}
 	return nil
 }
 
-// pass gives the caller the events that the bytes complete.
-func (p *exchange) pass(reply *Reply, data []byte) *judge.Error {
-	events, err := p.split.Split(data)
+// relayEvents gives the caller the events that the bytes complete.
+func (p *exchange) relayEvents(reply *Reply, data []byte) *judge.Error {
+	events, err := p.splitter.Split(data)
 	for _, e := range events {
-		if err := p.inOrder(e); err != nil {
+		if err := p.checkOrder(e); err != nil {
 			return err
 		}
-		if e.ID != 0 && e.ID <= p.after {
+		if e.ID != 0 && e.ID <= p.lastEventID {
 			continue // came already, from the run before
 		}
-		if !p.answered {
+		if !p.headSent {
 			if p.sink.Head(reply) != nil {
-				return errGone
+				return errCallerGone
 			}
-			p.answered = true
+			p.headSent = true
 			p.status = reply.Status
 		}
 		if p.sink.Event(e.Data) != nil {
-			return errGone
+			return errCallerGone
 		}
-		p.timed(time.Now())
+		p.recordEventTime(time.Now())
 		if e.ID != 0 {
-			p.after = e.ID
+			p.lastEventID = e.ID
 		}
 	}
 	if err != nil {
@@ -88,21 +88,21 @@
 	return nil
 }
 
-// timed notes when an event was passed on.
-func (p *exchange) timed(now time.Time) {
-	if p.last.IsZero() {
-		p.first = now.Sub(p.request.Arrived)
+// recordEventTime notes when an event was passed on.
+func (p *exchange) recordEventTime(now time.Time) {
+	if p.lastEventAt.IsZero() {
+		p.timeToFirst = now.Sub(p.request.Arrived)
 	} else {
-		p.pause = max(p.pause, now.Sub(p.last))
+		p.longestGap = max(p.longestGap, now.Sub(p.lastEventAt))
 	}
-	p.last = now
+	p.lastEventAt = now
 }
 
-// inOrder refuses an event after a gap: the events between are lost, and a
+// checkOrder refuses an event after a gap: the events between are lost, and a
 // later run that goes on from the last one can bring them.
-func (p *exchange) inOrder(e streamer.Event) *judge.Error {
-	if e.ID > p.after+1 {
-		return &judge.Error{Verdict: judge.MayHaveRun, Reason: judge.ReasonCut, Message: fmt.Sprintf("event %d came after event %d", e.ID, p.after)}
+func (p *exchange) checkOrder(e streamer.Event) *judge.Error {
+	if e.ID > p.lastEventID+1 {
+		return &judge.Error{Verdict: judge.MayHaveRun, Reason: judge.ReasonCut, Message: fmt.Sprintf("event %d came after event %d", e.ID, p.lastEventID)}
 	}
 	return nil
 }
--- a/internal/request/judge/judge_test.go
+++ b/internal/request/judge/judge_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestAsNeverPromisesForUnknownErrors(t *testing.T) {
+func TestAsJudgesUnknownErrorsMayHaveRun(t *testing.T) {
 	if got := judge.As(errors.New("odd")).Verdict; got != judge.MayHaveRun {
 		t.Errorf("verdict = %s, want %s", got, judge.MayHaveRun)
 	}
--- a/internal/request/matcher/matcher_test.go
+++ b/internal/request/matcher/matcher_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestServiceSplitsByWeightAndStaysWithTheRequest(t *testing.T) {
+func TestServiceSplitIsWeightedAndStablePerRequest(t *testing.T) {
 	r := matcher.Route{Shares: []matcher.Share{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
 	count := map[string]int{}
 	for i := range 10000 {
--- a/internal/request/retrier/budget.go
+++ b/internal/request/retrier/budget.go
@@ -31,45 +31,45 @@
 	Part   float64       // retries that one request pays for; 0 is defaultPart
 	Window time.Duration // 0: what is spent comes back with requests only
 
-	mu    sync.Mutex
-	begun bool
-	last  time.Time
-	spent float64 // retries not yet paid for
+	mu         sync.Mutex
+	started    bool
+	lastRefill time.Time
+	debt       float64 // retries not yet paid for
 }
 
 const (
-	defaultPart  = 0.2
+	defaultRatio = 0.2
 	defaultBurst = 40
-	// savedPart is the part of Part that a request pays where half of Burst is
+	// accumulationFactor is the part of Part that a request pays where half of Burst is
 	// less than one retry. The rest covers one saved retry of each instance.
-	savedPart = 0.85
+	accumulationFactor = 0.85
 )
 
 // Deposit counts one request.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
-	part := b.Part
-	if part == 0 {
-		part = defaultPart
+	b.start()
+	ratio := b.Part
+	if ratio == 0 {
+		ratio = defaultRatio
 	}
-	if b.saves() {
-		part *= savedPart
+	if b.accumulates() {
+		ratio *= accumulationFactor
 	}
-	b.spent = max(0, b.spent-part)
+	b.debt = max(0, b.debt-ratio)
 }
 
 // Withdraw takes one retry, or returns false if the budget is used up.
 func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
-	b.flow(time.Now())
-	if b.spent+1 > b.atOnce() {
+	b.start()
+	b.refill(time.Now())
+	if b.debt+1 > b.capacity() {
 		return false
 	}
-	b.spent++
+	b.debt++
 	return true
 }
 
@@ -88,41 +88,41 @@
 	return b.Burst
 }
 
-// saves reports whether the share of the burst is too small for a retry.
-func (b *Budget) saves() bool { return b.burst()/2 < 1 }
+// accumulates reports whether the share of the burst is too small for a retry.
+func (b *Budget) accumulates() bool { return b.burst()/2 < 1 }
 
-// atOnce returns how many retries may be taken at once.
-func (b *Budget) atOnce() float64 { return max(1, b.burst()/2) }
+// capacity returns how many retries may be taken at once.
+func (b *Budget) capacity() float64 { return max(1, b.burst()/2) }
 
-// begin spends what a budget that saves has not saved yet.
-func (b *Budget) begin() {
-	if !b.begun && b.saves() {
-		b.spent = b.atOnce()
+// start spends what a budget that saves has not saved yet.
+func (b *Budget) start() {
+	if !b.started && b.accumulates() {
+		b.debt = b.capacity()
 	}
-	b.begun = true
+	b.started = true
 }
 
-// flow pays back what the time since the last look allows.
-func (b *Budget) flow(now time.Time) {
-	if b.Window > 0 && !b.last.IsZero() {
-		b.spent = max(0, b.spent-b.burst()/2*now.Sub(b.last).Seconds()/b.Window.Seconds())
+// refill pays back what the time since the last look allows.
+func (b *Budget) refill(now time.Time) {
+	if b.Window > 0 && !b.lastRefill.IsZero() {
+		b.debt = max(0, b.debt-b.burst()/2*now.Sub(b.lastRefill).Seconds()/b.Window.Seconds())
 	}
-	b.last = now
+	b.lastRefill = now
 }
 
 // May reports whether a failed attempt may be followed by another: always if it
 // did not run, and if it may have run only when the request is idempotent and
 // nothing of an answer has reached the caller.
-func May(err *judge.Error, once, answered bool) bool {
-	if answered || final(err.Reason) {
+func May(err *judge.Error, nonIdempotent, responseStarted bool) bool {
+	if responseStarted || nonRetryable(err.Reason) {
 		return false
 	}
-	return err.Verdict == judge.NotRun || !once
+	return err.Verdict == judge.NotRun || !nonIdempotent
 }
 
-// final reports whether the reason lies with the request or its caller, so that
+// nonRetryable reports whether the reason lies with the request or its caller, so that
 // another attempt would end the same.
-func final(r judge.Reason) bool {
+func nonRetryable(r judge.Reason) bool {
 	switch r {
 	case judge.ReasonAdapter, judge.ReasonAuth, judge.ReasonBody, judge.ReasonCancelled,
 		judge.ReasonDeadline, judge.ReasonHeader, judge.ReasonQuarantine, judge.ReasonShare, judge.ReasonMismatch:
@@ -133,14 +133,14 @@
 }
 
 const (
-	firstWait = 20 * time.Millisecond
-	lastWait  = 500 * time.Millisecond
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
 )
 
 // Backoff returns the waits between the attempts of one request, with jitter.
 func Backoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstWait
-	b.MaxInterval = lastWait
+	b.InitialInterval = initialBackoff
+	b.MaxInterval = maxBackoff
 	return b
 }
--- a/internal/request/retrier/budget_test.go
+++ b/internal/request/retrier/budget_test.go
@@ -11,11 +11,11 @@
 
 func TestMay(t *testing.T) {
 	for _, tc := range []struct {
-		name           string
-		verdict        judge.Verdict
-		reason         judge.Reason
-		once, answered bool
-		want           bool
+		name                           string
+		verdict                        judge.Verdict
+		reason                         judge.Reason
+		nonIdempotent, responseStarted bool
+		want                           bool
 	}{
 		{"not run", judge.NotRun, judge.ReasonDial, true, false, true},
 		{"may have run, idempotent", judge.MayHaveRun, judge.ReasonWritten, false, false, true},
@@ -26,7 +26,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			err := &judge.Error{Verdict: tc.verdict, Reason: tc.reason}
-			if got := retrier.May(err, tc.once, tc.answered); got != tc.want {
+			if got := retrier.May(err, tc.nonIdempotent, tc.responseStarted); got != tc.want {
 				t.Errorf("May = %v, want %v", got, tc.want)
 			}
 		})
@@ -35,7 +35,7 @@
 
 // Every attempt fails. The first requests may still be retried, then retries
 // are only a fifth of the requests: no storm.
-func TestBudgetBoundsAStorm(t *testing.T) {
+func TestBudgetBoundsRetryStorm(t *testing.T) {
 	var b retrier.Budget
 	retries := 0
 	const requests = 1000
--- a/internal/request/router/policy.go
+++ b/internal/request/router/policy.go
@@ -13,19 +13,19 @@
 	Batch float64 // weight of a step that runs empty
 }
 
-// A First policy takes the runner that is expected to give the first token
+// A FirstToken policy takes the runner that is expected to give the first token
 // earliest. Requests go straight to runners there, so what waits at a runner is
 // an estimate in time, not a queue of the owner.
-type First struct {
-	Away float64 // seconds that a runner in another failure domain costs
+type FirstToken struct {
+	CrossDomain float64 // seconds that a runner in another failure domain costs
 }
 
 // A Spread policy takes any of the runners that answer well, those of the own failure domain
 // first. Which of them has the least work is told too late: instances that all chose the
 // runner which seemed free a moment ago filled it up, one runner after the other.
 type Spread struct {
-	Away float64        // seconds that a runner in another failure domain costs
-	Draw func() float64 // from 0 to 1
+	CrossDomain float64        // seconds that a runner in another failure domain costs
+	Draw        func() float64 // from 0 to 1
 }
 
 // A Hash policy takes the runner that the adapter's name ranks first, whatever
@@ -36,11 +36,11 @@
 // resident there.
 type Least struct{}
 
-func (Cost) policy()   {}
-func (First) policy()  {}
-func (Hash) policy()   {}
-func (Least) policy()  {}
-func (Spread) policy() {}
+func (Cost) policy()       {}
+func (FirstToken) policy() {}
+func (Hash) policy()       {}
+func (Least) policy()      {}
+func (Spread) policy()     {}
 
 // A Candidate is a runner as the choosing instance knows it. Load reports lag,
 // so Sent counts what this instance has sent since the last one.
--- a/internal/request/router/router.go
+++ b/internal/request/router/router.go
@@ -20,21 +20,21 @@
 	// evictPenalty is the part of a load that giving up another adapter costs:
 	// it will be loaded again with about this probability soon.
 	evictPenalty = 0.5
-	// loadingPart is the part of a load still to wait for when it has begun.
-	loadingPart = 0.5
-	// preference is the largest cost in seconds that a runner's rank for the
+	// loadingFraction is the part of a load still to wait for when it has begun.
+	loadingFraction = 0.5
+	// rendezvousCost is the largest cost in seconds that a runner's rank for the
 	// adapter adds. It is small beside any real difference; its use is that
 	// instances with the same view choose the same runner for a cold adapter,
 	// so that it is loaded once.
-	preference = 0.02
-	// urgencyLimit bounds how much a near deadline raises the weight of waiting.
-	urgencyLimit = 4
+	rendezvousCost = 0.02
+	// maxUrgency bounds how much a near deadline raises the weight of waiting.
+	maxUrgency = 4
 )
 
 // Choose returns the candidates' terms, best first. It returns none if there
 // is no candidate.
 func (r *Router) Choose(request Request, candidates []Candidate) []Terms {
-	f := field{mean: meanRunning(candidates), copied: slices.ContainsFunc(candidates, copied)}
+	f := fleetState{meanRunning: meanRunning(candidates), available: slices.ContainsFunc(candidates, hasCopy)}
 	terms := make([]Terms, 0, len(candidates))
 	for i := range candidates {
 		terms = append(terms, r.terms(request, &candidates[i], f))
@@ -53,21 +53,21 @@
 }
 
 // A field is what a candidate is compared with.
-type field struct {
-	copied bool    // some runner has the adapter, gets it, or kept it
-	mean   float64 // requests at a runner
+type fleetState struct {
+	available   bool    // some runner has the adapter, gets it, or kept it
+	meanRunning float64 // requests at a runner
 }
 
-// copied reports whether a runner needs no fetch from the weight store.
-func copied(c Candidate) bool { return c.Resident || c.Loading || c.Kept }
+// hasCopy reports whether a runner needs no fetch from the weight store.
+func hasCopy(c Candidate) bool { return c.Resident || c.Loading || c.Kept }
 
-func (r *Router) terms(request Request, c *Candidate, f field) Terms {
-	rank := float64(rank(request.Adapter, c.Runner)) / math.MaxUint64
+func (r *Router) terms(request Request, c *Candidate, f fleetState) Terms {
+	rank := float64(rendezvousHash(request.Adapter, c.Runner)) / math.MaxUint64
 	switch p := r.Policy.(type) {
 	case Cost:
 		return r.cost(p, request, c, rank)
-	case First:
-		return r.first(p, request, c, rank, f)
+	case FirstToken:
+		return r.firstToken(p, request, c, rank, f)
 	case Spread:
 		return p.terms(c)
 	case Hash:
@@ -83,34 +83,34 @@
 	t := Terms{Runner: c.Runner}
 	t.Stall = r.stall(c)
 	t.Queue = r.queue(c)
-	t.Empty = empty(c)
+	t.Empty = idleFraction(c)
 	waiting := (t.Stall + t.Queue) * r.urgency(request.Left)
-	t.Total = p.Stall*waiting + p.Batch*t.Empty*r.Service.Seconds() + preference*rank
+	t.Total = p.Stall*waiting + p.Batch*t.Empty*r.Service.Seconds() + rendezvousCost*rank
 	return t
 }
 
 const (
-	// failedCost is what a failed request costs in seconds: about the time
+	// failureCost is what a failed request costs in seconds: about the time
 	// until a caller has found out and come back.
-	failedCost = 2
-	// homeCost spreads the runners of an adapter that is resident nowhere over
+	failureCost = 2
+	// coldRendezvousCost spreads the runners of an adapter that is resident nowhere over
 	// this many seconds by rank. All instances then load it on the same runner,
 	// which fetches an adapter that it held before in a tenth of the time; only
 	// a backlog of this order sends it elsewhere. At less, runners with few places
 	// fetch more from the weight store and answer less in time.
-	homeCost = 0.8
+	coldRendezvousCost = 0.8
 )
 
 const (
-	// busyCost is what it costs, in seconds, that a runner has as many requests
+	// imbalanceCost is what it costs, in seconds, that a runner has as many requests
 	// more than the mean as the mean is. Reading their prompts makes all its runs
 	// pause; at this price a much wanted adapter gets a second copy before the
 	// first one's runner is at its bounds. Without it one runner
 	// had most of the pauses. On runners with few places each copy more is paid for
 	// dearly, so it is not higher.
-	busyCost = 0.08
-	// evenEnough is how far above the mean a runner may be at no cost.
-	evenEnough = 1.3
+	imbalanceCost = 0.08
+	// imbalanceTolerance is how far above the mean a runner may be at no cost.
+	imbalanceTolerance = 1.3
 )
 
 // meanRunning returns how many requests the candidates have on average.
@@ -125,19 +125,19 @@
 	return float64(sum) / float64(len(candidates))
 }
 
-// crowdCost is what holding up the runs of a runner costs, in seconds: each of
+// congestionCost is what holding up the runs of a runner costs, in seconds: each of
 // them pauses longer between its events, so it is worth a short wait or a way to
 // another failure domain, but not a fetch. How much runs bear is looked after where
 // prompts are held back.
-const crowdCost = 0.05
+const congestionCost = 0.05
 
-// copyCost is how much later, in seconds, a runner that holds the adapter, or
+// extraCopyCost is how much later, in seconds, a runner that holds the adapter, or
 // gets it already, may answer than one that would have to load one more copy of
 // it. Each copy takes a place from another adapter and a share of the weight
 // store from whoever waits for one.
-const copyCost = 0.03
+const extraCopyCost = 0.03
 
-// fetchCost is the same for a copy that has to be fetched from the weight store
+// duplicateFetchCost is the same for a copy that has to be fetched from the weight store
 // although a runner has the adapter, gets it, or kept it. A fetch holds a place for
 // a quarter of a second, takes the store from a first load, and is paid for; a
 // request that waits a third of its goal at the runner that has the adapter is on
@@ -145,45 +145,45 @@
 // five places were of adapters that another runner had; 0.3 answered 1 to 2
 // requests in 100 more in time there, and none fewer on runners with thirty. From
 // 0.2 to 0.4 it made no difference that was seen.
-const fetchCost = 0.3
+const duplicateFetchCost = 0.3
 
-// first estimates the time to the first token.
-func (r *Router) first(p First, request Request, c *Candidate, rank float64, f field) Terms {
+// firstToken estimates the time to the first token.
+func (r *Router) firstToken(p FirstToken, request Request, c *Candidate, rank float64, f fleetState) Terms {
 	t := Terms{
 		Absent: !c.Resident && !c.Loading, Crowded: c.Crowded, Runner: c.Runner, Queue: c.Backlog.Seconds(), Stall: c.Ready.Seconds(),
 	}
-	t.Total = max(t.Queue, t.Stall) + failedCost*c.Failing
+	t.Total = max(t.Queue, t.Stall) + failureCost*c.Failing
 	switch {
 	case request.Adapter == "" || c.Resident || c.Loading:
 	case c.Kept:
-		t.Total += copyCost
-	case f.copied:
-		t.Total += homeCost*rank + fetchCost
+		t.Total += extraCopyCost
+	case f.available:
+		t.Total += coldRendezvousCost*rank + duplicateFetchCost
 	default:
-		t.Total += homeCost*rank + copyCost
+		t.Total += coldRendezvousCost*rank + extraCopyCost
 	}
 	if c.Away {
-		t.Total += p.Away
+		t.Total += p.CrossDomain
 	}
-	t.Total += busyCost * max(0, (float64(c.Running)+1)/(f.mean+1)-evenEnough)
+	t.Total += imbalanceCost * max(0, (float64(c.Running)+1)/(f.meanRunning+1)-imbalanceTolerance)
 	if c.Crowded {
-		t.Total += crowdCost
+		t.Total += congestionCost
 	}
 	return t
 }
 
 // terms tells only runners apart that answer badly or are far away.
 func (p Spread) terms(c *Candidate) Terms {
-	t := Terms{Runner: c.Runner, Queue: c.Backlog.Seconds(), Total: failedCost*c.Failing + p.Away*p.Draw()}
+	t := Terms{Runner: c.Runner, Queue: c.Backlog.Seconds(), Total: failureCost*c.Failing + p.CrossDomain*p.Draw()}
 	if c.Away {
-		t.Total += p.Away
+		t.Total += p.CrossDomain
 	}
 	return t
 }
 
-// Another returns the best runner that could hold one more copy of the adapter.
+// SpareRunner returns the best runner that could hold one more copy of the adapter.
 // ok is false if there is none, or if a copy is on its way to some runner.
-func Another(terms []Terms) (runner string, ok bool) {
+func SpareRunner(terms []Terms) (runner string, ok bool) {
 	for _, t := range terms {
 		switch {
 		case t.Absent && !ok:
@@ -197,7 +197,7 @@
 
 // queue estimates the wait for a place in the batch.
 func (r *Router) queue(c *Candidate) float64 {
-	batch := batch(c)
+	batch := effectiveBatch(c)
 	ahead := float64(c.Running+c.Waiting+c.Sent+1) - batch
 	if ahead <= 0 {
 		return 0
@@ -212,7 +212,7 @@
 	case c.Resident:
 		return 0
 	case c.Loading:
-		return loadingPart * load
+		return loadingFraction * load
 	case c.Free > 0:
 		return load
 	default:
@@ -227,21 +227,21 @@
 		return 1
 	}
 	need := (r.Load + r.Service).Seconds()
-	return 1 + min(urgencyLimit, need/left.Seconds())
+	return 1 + min(maxUrgency, need/left.Seconds())
 }
 
-func batch(c *Candidate) float64 {
+func effectiveBatch(c *Candidate) float64 {
 	return max(1, float64(c.Batch)*c.Ramp)
 }
 
-// empty is the part of the engine's step that stays unused with this request
+// idleFraction is the part of the engine's step that stays unused with this request
 // on it.
-func empty(c *Candidate) float64 {
-	fill := float64(c.Running+c.Waiting+c.Sent+1) / batch(c)
+func idleFraction(c *Candidate) float64 {
+	fill := float64(c.Running+c.Waiting+c.Sent+1) / effectiveBatch(c)
 	return max(0, 1-fill)
 }
 
-func rank(adapter, runner string) uint64 {
+func rendezvousHash(adapter, runner string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
 	_, _ = d.WriteString(adapter)
--- a/internal/request/router/router_test.go
+++ b/internal/request/router/router_test.go
@@ -9,8 +9,8 @@
 )
 
 var (
-	association = router.Cost{Stall: 1, Batch: 0.1}
-	tsh         = router.Cost{Stall: 0.3, Batch: 1}
+	latencyWeights = router.Cost{Stall: 1, Batch: 0.1}
+	batchWeights   = router.Cost{Stall: 0.3, Batch: 1}
 )
 
 func newRouter(p router.Policy) *router.Router {
@@ -36,37 +36,37 @@
 		want       string
 	}{
 		{
-			"resident before idle", association, 0,
+			"resident before idle", latencyWeights, 0,
 			[]router.Candidate{{Runner: "idle", Batch: 8, Ramp: 1, Free: 4}, {Runner: "busy", Batch: 8, Ramp: 1, Resident: true, Running: 7}},
 			"busy",
 		},
 		{
-			"second copy when the first is drowned", association, 0,
+			"second copy when the first is drowned", latencyWeights, 0,
 			[]router.Candidate{{Runner: "idle", Batch: 8, Ramp: 1, Free: 4}, {Runner: "drowned", Batch: 8, Ramp: 1, Resident: true, Running: 8, Waiting: 40}},
 			"idle",
 		},
 		{
-			"spread for stall", association, 0,
+			"spread for stall", latencyWeights, 0,
 			[]router.Candidate{{Runner: "full", Batch: 8, Ramp: 1, Resident: true, Running: 8}, {Runner: "empty", Batch: 8, Ramp: 1, Resident: true}},
 			"empty",
 		},
 		{
-			"gather for batch", tsh, 0,
+			"gather for batch", batchWeights, 0,
 			[]router.Candidate{{Runner: "half", Batch: 8, Ramp: 1, Resident: true, Running: 5}, {Runner: "empty", Batch: 8, Ramp: 1, Resident: true}},
 			"half",
 		},
 		{
-			"free slot before eviction", association, 0,
+			"free slot before eviction", latencyWeights, 0,
 			[]router.Candidate{{Runner: "full", Batch: 8, Ramp: 1}, {Runner: "free", Batch: 8, Ramp: 1, Free: 1}},
 			"free",
 		},
 		{
-			"own sends count before the report", association, 0,
+			"own sends count before the report", latencyWeights, 0,
 			[]router.Candidate{{Runner: "sent", Batch: 8, Ramp: 1, Resident: true, Sent: 12}, {Runner: "other", Batch: 8, Ramp: 1, Resident: true, Running: 8}},
 			"other",
 		},
 		{
-			"cold engine takes little", association, 0,
+			"cold engine takes little", latencyWeights, 0,
 			[]router.Candidate{{Runner: "cold", Batch: 8, Ramp: 0.1, Resident: true, Running: 3}, {Runner: "warm", Batch: 8, Ramp: 1, Resident: true, Running: 8}},
 			"warm",
 		},
@@ -95,7 +95,7 @@
 			for i := range candidates {
 				candidates[i] = router.Candidate{Runner: fmt.Sprintf("runner-%d", i), Batch: 16, Ramp: 1, Running: i % 16}
 			}
-			r := newRouter(association)
+			r := newRouter(latencyWeights)
 			b.ReportAllocs()
 			for b.Loop() {
 				r.Choose(router.Request{Adapter: "mill-1@1", Left: time.Second}, candidates)
@@ -107,8 +107,8 @@
 // The terms of the policy that looks for the earliest first token: a load of
 // several callers' prompts, the way to another failure domain, a copy that is
 // there against one that is not.
-func TestFirst(t *testing.T) {
-	first := router.First{Away: 0.015}
+func TestFirstToken(t *testing.T) {
+	first := router.FirstToken{CrossDomain: 0.015}
 	busy := func(id string, running int) router.Candidate {
 		return router.Candidate{Runner: id, Resident: true, Running: running}
 	}
--- a/internal/request/streamer/splitter_test.go
+++ b/internal/request/streamer/splitter_test.go
@@ -12,15 +12,15 @@
 func ExampleSplitter_Split() {
 	var s streamer.Splitter
 	events, _ := s.Split([]byte("id: 1\ndata: a\n\nid: 2\nda"))
-	fmt.Println(len(events), events[0].ID, s.Rest())
+	fmt.Println(len(events), events[0].ID, s.Buffered())
 	events, _ = s.Split([]byte("ta: b\n\n"))
-	fmt.Println(len(events), events[0].ID, s.Rest())
+	fmt.Println(len(events), events[0].ID, s.Buffered())
 	// Output:
 	// 1 1 8
 	// 1 2 0
 }
 
-func TestSplitIsTheSameHoweverTheBytesArrive(t *testing.T) {
+func TestSplitIsIndependentOfChunkSize(t *testing.T) {
 	const stream = "weights: 2\nid: 1\ndata: one\n\nid: 2\ndata: two\n\nid: 3\ndata: three\n\n"
 	for size := 1; size <= len(stream); size++ {
 		var s streamer.Splitter
@@ -50,7 +50,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var s streamer.Splitter
 		events, err := s.Split(data)
-		n := s.Rest()
+		n := s.Buffered()
 		for _, e := range events {
 			n += len(e.Data)
 		}
