--- a/internal/request/admitter/queue.go
+++ b/internal/request/admitter/queue.go
@@ -17,22 +17,21 @@
 	Deadline time.Time // zero if there is none
 }
 
-// A Queue holds the requests that wait for one runner. Limit and Share are set
-// before use.
+// A Queue holds the requests that wait for one runner. Limit and Share are set before use.
 type Queue struct {
-	Limit int     // items that may wait
-	Share float64 // part of Limit that one account may hold once the queue is half full
+	Limit int     // maximum number of waiting items
+	Share float64 // fraction of Limit that one account may hold once the queue is half full
 
 	items  []Item
-	served map[string]float64 // account to requests served, ageing
+	served map[string]float64 // requests served by account, decaying
 }
 
-// servedDecay shrinks what an account was served with every further request, so
-// that a burst long ago does not count against it.
+// servedDecay is the factor by which the served counts shrink with every request served, so
+// that an old burst does not count against an account.
 const servedDecay = 0.98
 
-// Ahead returns how many waiting items are served before a further one of the
-// account, if all ask for the same: its own, and of each other account as many
+// Ahead returns how many waiting items would be served before another one of the account,
+// if all had the same priority and no deadline: its own, and of each other account as many
 // as it would hold itself.
 func (q *Queue) Ahead(account string) int {
 	held := make(map[string]int)
@@ -49,8 +48,8 @@
 	return ahead
 }
 
-// Expired removes and returns the items that cannot be answered in time: their
-// deadline is nearer than the least time a run takes.
+// Expired removes and returns the items whose deadline is nearer than run, the minimum time
+// of an execution.
 func (q *Queue) Expired(now time.Time, run time.Duration) []Item {
 	var expired []Item
 	q.items = slices.DeleteFunc(q.items, func(i Item) bool {
@@ -63,15 +62,13 @@
 	return expired
 }
 
-// Items returns the waiting items in order of arrival. The caller does not
-// change them.
+// Items returns the waiting items in order of arrival. The caller must not change them.
 func (q *Queue) Items() []Item { return q.items }
 
-// Len returns how many items wait.
+// Len returns the number of waiting items.
 func (q *Queue) Len() int { return len(q.items) }
 
-// Next removes and returns the item that goes next among those that ready
-// accepts.
+// Next removes and returns the next item to serve among those that ready accepts.
 func (q *Queue) Next(ready func(Item) bool) (Item, bool) {
 	best := -1
 	for i := range q.items {
@@ -91,10 +88,10 @@
 	return item, true
 }
 
-// Offer enters an item or refuses it with a NotRun error. Into a full queue an
-// account that holds little still gets: the account that holds the most gives up
-// its last item, which is returned and is to be refused with Displaced. Without
-// that the first herd to arrive would keep everyone else out.
+// Offer adds an item or refuses it with a NotRun error. If the queue is full, an account
+// with few items may still add one: the account with the most items loses its last one,
+// which is returned and must be refused with Displaced. Otherwise the first burst to arrive
+// would keep everyone else out.
 func (q *Queue) Offer(item Item) (displaced *Item, err error) {
 	if 2*len(q.items) >= q.Limit && float64(q.countOf(item.Account)) >= q.Share*float64(q.Limit) {
 		return nil, judge.Refuse(judge.ReasonShare, "account %s holds its share of the queue", item.Account).After(time.Second)
@@ -112,13 +109,13 @@
 	return displaced, nil
 }
 
-// Displaced is what the caller of a displaced item is told.
+// Displaced returns the error for the caller of a displaced item.
 func Displaced(item *Item) *judge.Error {
 	return judge.Refuse(judge.ReasonShare, "the queue is full and account %s holds the most of it", item.Account).After(time.Second)
 }
 
-// displaceable returns the place of the last item of the account that holds the most,
-// or -1 if the newcomer's account would hold as much.
+// displaceable returns the index of the last item of the account with the most items, or -1
+// if the newcomer's account would hold as many.
 func (q *Queue) displaceable(newcomer string) int {
 	held := make(map[string]int)
 	largest := ""
@@ -140,8 +137,8 @@
 	return -1
 }
 
-// Remove takes out an item whose caller went away. It returns whether the item
-// still waited.
+// Remove removes an item whose caller disconnected. It returns whether the item was still
+// waiting.
 func (q *Queue) Remove(id string) bool {
 	i := slices.IndexFunc(q.items, func(i Item) bool { return i.ID == id })
 	if i < 0 {
--- a/internal/request/admitter/queue_test.go
+++ b/internal/request/admitter/queue_test.go
@@ -15,7 +15,7 @@
 
 func anyItem(admitter.Item) bool { return true }
 
-// drain returns the IDs in the order in which they are served.
+// drain returns the IDs of all items in the order in which they are served.
 func drain(q *admitter.Queue) []string {
 	var ids []string
 	for {
@@ -46,8 +46,8 @@
 	}
 }
 
-// One account sends a herd. It fills half the queue, then only its share; the
-// other account still finds room, and is served as often.
+// A burst of one account may fill half of the queue and is then limited to its share. The
+// other account must still get in and be served as often.
 func TestBurstOfOneAccountLeavesCapacityForOthers(t *testing.T) {
 	q := &admitter.Queue{Limit: 20, Share: 0.5}
 	refused := 0
@@ -58,7 +58,7 @@
 		}
 	}
 	if refused != 20 {
-		t.Errorf("refused %d for the share, want 20", refused)
+		t.Errorf("refused %d because of the share, want 20", refused)
 	}
 	for i := range 5 {
 		if _, err := q.Offer(admitter.Item{ID: fmt.Sprint("q", i), Account: "quiet"}); err != nil {
@@ -77,8 +77,8 @@
 	}
 }
 
-// Two loud accounts have filled the queue. A quiet one still gets in, at the cost
-// of whoever holds the most, until all hold about as much.
+// Two accounts have filled the queue. An account without items must still get in,
+// displacing items of the account that holds the most, until all hold about as many.
 func TestSmallAccountDisplacesLargestInFullQueue(t *testing.T) {
 	q := &admitter.Queue{Limit: 10, Share: 1}
 	for i := range 10 {
--- a/internal/request/admitter/share.go
+++ b/internal/request/admitter/share.go
@@ -2,37 +2,40 @@
 
 import "time"
 
-// A Share is the part of the time that runners may read prompts while others run
-// there, learned from the pauses that their callers saw. It is not safe for
-// concurrent use; its zero value is ready.
+// A Share is the fraction of the time that runners may spend on prefill while other
+// requests run there, learned from the gaps between events that callers observed. It is not
+// safe for concurrent use; its zero value is ready.
 //
-// How much reading a run bears between two of its events differs: some engines
-// read a bounded piece between two tokens, whatever waits, others all there is.
-// With a fixed half, prompts were held back by 0.1 to 0.2 s on runners whose
-// pauses stayed below two thirds of what their callers bear.
+// How much prefill a running request tolerates between two of its events depends on the
+// engine: some prefill a bounded chunk between two tokens, however much is queued, others
+// everything that is queued. With a fixed share of one half, prompts were delayed by 0.1 to
+// 0.2 s on runners whose gaps stayed below two thirds of the maximum.
 type Share struct {
-	offset float64 // over firstShare; below it if negative
+	offset float64 // from initialShare
 }
 
 const (
-	// initialShare is assumed before anything was learned, and leastShare where even that
-	// makes too many runs pause: the runners of a service differ in speed.
+	// initialShare is used before anything was learned. minShare is the lower limit, for
+	// services where even initialShare makes too many requests exceed the maximum gap:
+	// their runners differ in speed.
 	initialShare = 0.5
 	minShare     = 0.3
-	// maxShare is where a prompt is never held back for the runs' sake.
+	// maxShare is the upper limit, at which prompts are never delayed for the sake of
+	// running requests.
 	maxShare = 2
-	// shareIncrement is by how much an answer with short pauses makes the share larger,
-	// and longStep by how much one with a long pause makes it smaller. They balance
-	// where one answer in two hundred has a long pause; at ten answers a second the share
-	// doubles in ten seconds.
+	// shareIncrement is how much a response with short gaps raises the share, and
+	// shareDecrement how much one with a long gap lowers it. They balance at one response
+	// with a long gap in two hundred; at ten responses a second the share doubles in ten
+	// seconds.
 	shareIncrement = 0.005
 	shareDecrement = 1
-	// lowShareIncrement and lowLongStep are the same below firstShare: there nobody knows how far
-	// down it goes, and one long pause in a hundred is borne rather than that all wait.
+	// lowShareIncrement and lowShareDecrement apply below initialShare. It is unknown how
+	// far down the share has to go there, so one long gap in a hundred is tolerated rather
+	// than delaying all prompts.
 	lowShareIncrement = 0.0005
 	lowShareDecrement = 0.05
-	// shortGap and longPause are parts of the longest pause that callers bear.
-	// Between them the share stays as it is.
+	// shortGap and longGap are fractions of the maximum gap. Between them the share does
+	// not change.
 	shortGap = 0.75
 	longGap  = 0.9
 )
@@ -40,7 +43,7 @@
 // Value returns the share.
 func (s *Share) Value() float64 { return initialShare + s.offset }
 
-// Learn takes in how many answers had only short pauses, and how many a long one.
+// Learn records how many responses had only short gaps, and how many had a long one.
 func (s *Share) Learn(short, long int) {
 	s.increase(float64(short))
 	for range long {
@@ -65,9 +68,10 @@
 	s.offset = max(0, s.offset-shareDecrement)
 }
 
-// Short and Long report whether a pause leaves the runner time to read more, and
-// whether it was all that callers bear.
+// Short reports whether the longest gap of a response leaves its runner time for more
+// prefill.
 func Short(gap, limit time.Duration) bool { return float64(gap) < shortGap*float64(limit) }
 
-// Long is the opposite of Short, with a gap between them.
+// Long reports whether the longest gap of a response was about the maximum or above. Gaps
+// between the two bounds are neither short nor long.
 func Long(gap, limit time.Duration) bool { return float64(gap) > longGap*float64(limit) }
--- a/internal/request/admitter/share_test.go
+++ b/internal/request/admitter/share_test.go
@@ -8,25 +8,25 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/admitter"
 )
 
-// Two engines bear different amounts of reading between events. On one that reads
-// a bounded piece between two tokens, pauses never grow long and no prompt is to
-// be held back; on one that reads all there is, callers see long pauses as soon as
-// it reads more than half of the time, and few of them may.
+// The share must follow the engine. On an engine that prefills a bounded chunk between two
+// tokens, gaps never grow long and no prompt may be delayed. On an engine that prefills
+// everything that is queued, callers see long gaps once the share exceeds about one half,
+// and only few responses may have one.
 func TestShareConvergesToPrefillThatEngineTolerates(t *testing.T) {
 	const most = 300 * time.Millisecond
 	for _, tc := range []struct {
 		name        string
 		pause       func(rng *rand.Rand, share float64) time.Duration
 		least, most float64
-		long        float64 // part of the answers that may have one
+		long        float64 // fraction of the responses that may have a gap above the maximum
 	}{
-		{"a bounded piece", func(rng *rand.Rand, _ float64) time.Duration {
+		{"bounded chunk", func(rng *rand.Rand, _ float64) time.Duration {
 			return time.Duration(rng.Float64() * 0.6 * float64(most))
 		}, 2, 2, 0},
-		{"all there is", func(rng *rand.Rand, share float64) time.Duration {
+		{"whole queue", func(rng *rand.Rand, share float64) time.Duration {
 			return time.Duration(rng.Float64() * share * 1.5 * float64(most))
 		}, 0.5, 0.8, 0.02},
-		{"all there is, on slow engines", func(rng *rand.Rand, share float64) time.Duration {
+		{"whole queue, slow engines", func(rng *rand.Rand, share float64) time.Duration {
 			return time.Duration(rng.Float64() * share * 2.5 * float64(most))
 		}, 0.3, 0.5, 0.02},
 	} {
@@ -54,7 +54,7 @@
 				t.Errorf("share %.2f, want %.2f to %.2f", mean, tc.least, tc.most)
 			}
 			if part := float64(late) / answers; part > tc.long {
-				t.Errorf("%.3f of the answers had a pause beyond what callers bear", part)
+				t.Errorf("%.3f of the responses had a gap above the maximum", part)
 			}
 		})
 	}
--- a/internal/request/admitter/timeline.go
+++ b/internal/request/admitter/timeline.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// A Timeline is when one runner reads the prompts that it was promised. Whoever
-// sees all requests of a runner keeps it, so that those who send them need not
-// know of each other. Its zero value is ready.
+// A Timeline is the schedule of the prompts that one runner has been sent for prefill. It
+// is kept by the instance that sees all requests of the runner, so that the instances that
+// send them need no coordination. Its zero value is ready.
 //
-// A runner reads prompts between the tokens of its runs. While it reads, each
-// event of each run takes as long as the reading between its tokens, so a runner
-// that reads all the time makes all its runs pause beyond what their callers
-// bear. So the time of reading within one pause is bounded: a prompt is held
-// back until it fits, and refused if that is too late.
+// A runner interleaves prefill with the tokens of its running requests. While it prefills,
+// each event of each running request is delayed by the prefill between its tokens, so a
+// runner that prefills all the time makes all gaps exceed the maximum. Therefore the
+// prefill time within one maximum gap is limited: a prompt is delayed until it fits, and
+// refused if that is too late.
 type Timeline struct {
-	pacedUntil time.Time // when the reading would end at the pace that the runs bear
-	busyUntil  time.Time // when it ends
+	pacedUntil time.Time // when the prefill would end at the rate that the running requests tolerate
+	busyUntil  time.Time // when the prefill ends
 }
 
-// A Prompt is the prompt of a request that wants to go to a runner.
+// A Prompt is the prompt of a request that is to be sent to a runner.
 type Prompt struct {
-	Pause  time.Duration // that its runs bear between events; 0 for no bound
-	Queue  time.Duration // until a place in the batch is free
-	Read   time.Duration // that its prompt takes
-	Share  float64       // of the time that the runner may read; 0 if nothing was learned
-	Within time.Duration // in which the reading has to be done
+	Pause  time.Duration // maximum gap between events of the running requests; 0 for no limit
+	Queue  time.Duration // until a slot in the batch is free
+	Read   time.Duration // prefill time of the prompt
+	Share  float64       // fraction of the time that the runner may spend on prefill; 0 if unknown
+	Within time.Duration // by when the prefill has to be done
 }
 
-// burstFraction is the part of a pause that a runner may read beyond its share, for each
-// unit of the share. With the least share it then reads for at most 0.8 of a
-// pause within one; what is left is for the tokens of an event.
+// burstFraction is the fraction of a maximum gap that a runner may spend on prefill beyond
+// its share, per unit of the share. With the minimum share it then prefills for at most 0.8
+// of one such gap; the rest is for the tokens of an event.
 const burstFraction = 0.6
 
-// Reserve returns how long the request is held back. If it would be too late,
-// ok is false, nothing is reserved, and wait is the time by which it is.
+// Reserve returns how long to delay the request. If its prefill would be late, ok is false,
+// nothing is reserved, and wait is by how much it would be late.
 func (t *Timeline) Reserve(p Prompt, now time.Time) (wait time.Duration, ok bool) {
 	share := p.Share
 	if share == 0 {
@@ -39,7 +39,7 @@
 	}
 	wait = p.Queue
 	if p.Pause > 0 {
-		ahead := max(0, t.pacedUntil.Sub(now)) // bounded first: the first time of all is long ago
+		ahead := max(0, t.pacedUntil.Sub(now)) // limited first: the zero time is long ago
 		wait = max(wait, ahead-time.Duration(burstFraction*share*float64(p.Pause)))
 	}
 	before := max(wait, t.busyUntil.Sub(now))
@@ -55,5 +55,5 @@
 	return wait, true
 }
 
-// Backlog returns how long the runner still reads.
+// Backlog returns how long the prefill of the reserved prompts still takes.
 func (t *Timeline) Backlog(now time.Time) time.Duration { return max(0, t.busyUntil.Sub(now)) }
--- a/internal/request/admitter/timeline_test.go
+++ b/internal/request/admitter/timeline_test.go
@@ -23,10 +23,10 @@
 	// 10ms false
 }
 
-// Many callers come to one runner in the same instant. Sent together, their
-// prompts are read one after the other and every run on the runner pauses for
-// as long. Held back, what is read within one pause stays below it, those that
-// are admitted are on time, and the others are told at once.
+// Many requests for one runner arrive at the same time. Sent together, their prompts would
+// be prefilled one after the other and every running request would stall for that long. The
+// prefill started within one maximum gap must stay below it, every admitted prompt must be
+// on time, and the others must be refused.
 func TestReserveBoundsPrefillPerGap(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	const read, pause, within = 20 * time.Millisecond, 250 * time.Millisecond, 900 * time.Millisecond
@@ -40,7 +40,7 @@
 			continue
 		}
 		if wait+read > within {
-			t.Errorf("sent after %s, too late to be read within %s", wait, within)
+			t.Errorf("sent after %s, too late for prefill within %s", wait, within)
 		}
 		sent = append(sent, wait)
 	}
@@ -55,7 +55,7 @@
 			}
 		}
 		if reading > pause*85/100 {
-			t.Errorf("%s of reading begin within %s from %s on", reading, pause, from)
+			t.Errorf("%s of prefill start within %s from %s on", reading, pause, from)
 		}
 	}
 }
--- a/internal/request/forwarder/attempt.go
+++ b/internal/request/forwarder/attempt.go
@@ -11,18 +11,18 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// errCallerGone is a caller that went away.
+// errCallerGone reports that the caller disconnected.
 var errCallerGone = &judge.Error{Verdict: judge.MayHaveRun, Reason: judge.ReasonCancelled, Message: "the caller went away"}
 
 const (
-	// readSize is how much of a body is read at once, in bytes. An event has
-	// about 60.
+	// readSize is the size of the read buffer for response bodies, in bytes. One event is
+	// about 60 bytes.
 	readSize = 4 << 10
-	// maxBodySize bounds an answer that is read whole, in bytes.
+	// maxBodySize limits the body of a response that is not streamed, in bytes.
 	maxBodySize = 16 << 20
 )
 
-// try sends the request to one runner and passes its answer on.
+// try sends the request to one runner and forwards the response to the caller.
 func (p *exchange) try(ctx context.Context, runner tracker.Runner) *judge.Error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -71,7 +71,7 @@
 	}
 }
 
-// handleNoResponse judges an attempt without an answer.
+// handleNoResponse derives the error of an attempt that got no response head.
 func (p *exchange) handleNoResponse(ctx context.Context, run *tracker.Run, runner tracker.Runner, observation judge.Observation) *judge.Error {
 	err := judge.Judge(observation)
 	_, unreachable := observation.(judge.Dialed)
@@ -99,14 +99,14 @@
 	return err
 }
 
-// handleRefusal takes in that the runner did not run the request.
+// handleRefusal handles a response that says the runner did not run the request.
 func (p *exchange) handleRefusal(run *tracker.Run, runner tracker.Runner, reply *Reply) *judge.Error {
 	_, err := io.Copy(io.Discard, io.LimitReader(reply.Body, maxBodySize))
-	reply.Close(err == nil) // a refusal that breaks off is one still
+	reply.Close(err == nil) // a refusal whose body is cut off is still a refusal
 	run.End(tracker.Refused, time.Now())
 	switch {
 	case reply.Instance != "" && reply.Instance != runner.Name():
-		p.Fleet.Remove(runner.ID, 0) // its address belongs to another one now
+		p.Fleet.Remove(runner.ID, 0) // its address now belongs to another runner
 	case reply.Absent:
 		p.Fleet.Missing(runner.ID, p.request.Copy)
 		p.Placement.Missing(runner.ID, p.request.Copy)
@@ -116,7 +116,7 @@
 	return judge.Judge(judge.Refused{Status: reply.Status})
 }
 
-// relayComplete passes an answer on once all of it is there.
+// relayComplete reads the whole response before it passes it on.
 func (p *exchange) relayComplete(ctx context.Context, runner tracker.Runner, reply *Reply) *judge.Error {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBodySize))
 	reply.Close(err == nil)
@@ -136,7 +136,7 @@
 	return p.deliver(reply, body)
 }
 
-// deliver passes a whole answer on.
+// deliver passes a complete response to the caller.
 func (p *exchange) deliver(reply *Reply, body []byte) *judge.Error {
 	if p.sink.Whole(reply, body) != nil {
 		return errCallerGone
@@ -145,15 +145,16 @@
 	return nil
 }
 
-// retryFailed sends a request whose runner failed to another one. If that brings
-// nothing, the caller is given the failure that is at hand.
+// retryFailed sends a request that failed on its runner to another runner. If that yields
+// no response, the caller gets the failed response at hand.
 func (p *exchange) retryFailed(ctx context.Context, reply *Reply, body []byte) *judge.Error {
 	p.useNewestVersion()
 	if runner, err := p.choose(ctx); err == nil {
 		failed := p.try(ctx, runner)
 		if failed == nil || errors.Is(failed, errCallerGone) {
-			// A caller that left while it was given this answer is not given another: the
-			// second one ended the process, and the requests of all its other callers.
+			// A caller that disconnected during this response gets no second one: writing a
+			// second response to one request crashed the process and failed the requests of
+			// all other callers.
 			return failed
 		}
 	}
@@ -163,7 +164,7 @@
 	return p.deliver(reply, body)
 }
 
-// brokenError judges an answer that broke off.
+// brokenError derives the error of a response that broke off.
 func (p *exchange) brokenError(ctx context.Context, runner tracker.Runner, reply *Reply, err error) *judge.Error {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, context.DeadlineExceeded):
--- a/internal/request/forwarder/choose.go
+++ b/internal/request/forwarder/choose.go
@@ -10,7 +10,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// choose returns the runner to send to, when it holds the adapter.
+// choose selects the runner to send the request to and waits until the runner can serve it.
 func (p *exchange) choose(ctx context.Context) (tracker.Runner, *judge.Error) {
 	started := time.Now()
 	for {
@@ -38,11 +38,11 @@
 		}
 		runner, ok := p.Fleet.Get(best.Runner)
 		if !ok {
-			continue // gone since
+			continue // removed in the meantime
 		}
 		p.adapterWait += now.Sub(started)
 		p.queueWait = time.Duration(best.Queue * float64(time.Second))
-		p.acquireCopy(runner.ID) // it must not make way while the request is held back
+		p.acquireCopy(runner.ID) // prevents eviction of the copy while the request is delayed
 		resident, refused := p.reserve(ctx, runner, terms)
 		if !resident {
 			p.releaseCopy()
@@ -50,10 +50,10 @@
 			continue
 		}
 		if runner, ok = p.Fleet.Get(runner.ID); refused == nil && (!ok || runner.Leaving) {
-			continue // it began to leave while the request was held back
+			continue // it started draining while the request was delayed
 		}
 		if refused == nil {
-			refused = p.quarantined() // it may have been held back until now
+			refused = p.quarantined() // quarantined while the request was delayed
 		}
 		if refused == nil || refused.Reason != judge.ReasonQueue || len(p.fullRunners) >= maxFullRunners {
 			return runner, refused
@@ -63,8 +63,8 @@
 	}
 }
 
-// awaitAdapter asks for the adapter at a runner and waits for the next look, or refuses
-// the request if the adapter comes too late for it.
+// awaitAdapter requests the adapter at a runner and waits for the next poll. It refuses the
+// request if the adapter is expected too late.
 func (p *exchange) awaitAdapter(ctx context.Context, best router.Terms, now time.Time) *judge.Error {
 	if p.Ending() {
 		return judge.Refuse(judge.ReasonStopping, "the instance ends before the adapter is there").After(retryAfter(0))
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// reserve asks for room at the runner and holds the request back as long as it
-// is told to. Without anybody to ask the request goes at once.
+// reserve reserves prefill capacity at the runner and delays the request as long as the
+// reservation requires. If nobody can grant a reservation, the request is sent immediately.
 func (p *exchange) reserve(ctx context.Context, runner tracker.Runner, terms []router.Terms) (resident bool, refused *judge.Error) {
 	r := p.request
 	if r.Engine == nil || p.headSent {
@@ -118,9 +118,10 @@
 	}
 }
 
-// prefillTimeout returns the time in which a prompt has to be read to be on time. One
-// that waited for its adapter until it was late is served late: the adapter is
-// there for it now.
+// prefillTimeout returns the time within which the prompt has to be prefilled for the
+// response to be on time. A request that waited for its adapter until less than half of the
+// limit is left, or that has already reached a runner, gets the full limit: its response is
+// late either way, and the adapter is resident now.
 func (p *exchange) prefillTimeout(now time.Time) time.Duration {
 	left := p.queueLimit() - now.Sub(p.request.Arrived) - p.Fleet.Base(p.request.Service)
 	if p.adapterWait > 0 && left < p.queueLimit()/2 || p.delivered > 0 {
@@ -133,7 +134,7 @@
 	return time.Duration(prefillGapFraction * float64(p.request.Route.Gap))
 }
 
-// waitForPoll waits for the next look. It returns false if ctx has ended.
+// waitForPoll waits for the next poll. It returns false if ctx has ended.
 func (p *exchange) waitForPoll(ctx context.Context) bool {
 	wait := time.NewTimer(pollInterval)
 	defer wait.Stop()
@@ -145,7 +146,7 @@
 	}
 }
 
-// demand returns what the choice of a runner depends on.
+// demand returns the inputs for the choice of a runner.
 func (p *exchange) demand(tried map[string]bool) tracker.Demand {
 	r := p.request
 	return tracker.Demand{
@@ -154,13 +155,13 @@
 	}
 }
 
-// rankRunners returns the runners in the order in which they are expected to answer, or
-// refuses the request at once if even the first would be too late.
+// rankRunners returns the runners ordered by the expected time of their response. It
+// refuses the request if even the first would respond too late.
 func (p *exchange) rankRunners(now time.Time) ([]router.Terms, *judge.Error) {
 	r := p.request
 	candidates := p.Fleet.Candidates(p.demand(p.tried), now)
 	if len(candidates) == 0 && len(p.tried) > 0 && p.lastEventID > r.After {
-		clear(p.tried) // a stream that has begun is worth trying anywhere
+		clear(p.tried) // a stream that has started is retried on any runner
 		candidates = p.Fleet.Candidates(p.demand(p.tried), now)
 	}
 	if len(candidates) == 0 {
@@ -170,7 +171,7 @@
 	terms := choice.Choose(router.Request{Adapter: r.Copy.Adapter, Left: r.Deadline.Sub(now)}, candidates)
 	best := terms[0]
 	if p.fullRunners[best.Runner] {
-		return nil, p.lastFull // and no other runner is better
+		return nil, p.lastFull // and no other runner ranks better
 	}
 	if limit := p.queueLimit(); best.Queue > limit.Seconds() && p.delivered == 0 {
 		p.requestSpareCopy(terms, limit)
@@ -180,8 +181,8 @@
 	return terms, nil
 }
 
-// noRunner refuses a request that no runner can take: there is none, or those
-// that there are do not hold the adapter and nobody can order it now.
+// noRunner refuses a request that no runner can serve: either there is no runner, or none
+// holds the adapter and no instance can order it now.
 func (p *exchange) noRunner(now time.Time) *judge.Error {
 	if p.request.Copy.Adapter != "" && p.Fleet.Takes(p.demand(p.tried), now) {
 		return judge.Refuse(judge.ReasonLoad, "nobody gives orders to the runners now").After(retryAfter(noRunnerRetryAfter))
@@ -189,7 +190,7 @@
 	return judge.Refuse(judge.ReasonUpstream, "no runner of service %s takes requests", p.request.Service).After(retryAfter(noRunnerRetryAfter))
 }
 
-// queueLimit returns how much work may be before the request when it is admitted.
+// queueLimit returns how much queued work may be ahead of the request when it is admitted.
 func (p *exchange) queueLimit() time.Duration {
 	route := p.request.Route
 	part := admitFraction - admitPriorityStep*float64(min(p.request.Priority, 5))
@@ -197,15 +198,16 @@
 }
 
 const (
-	// noRunnerRetryAfter is when asking again makes sense if no runner takes requests: a
-	// runner that restarts needs about that long.
+	// noRunnerRetryAfter is the minimum Retry-After if no runner accepts requests.
+	// Restarting a runner takes about that long.
 	noRunnerRetryAfter = time.Second
-	// minRetryAfter is the least time that a caller is told to wait: less would
-	// bring it back into the same second.
+	// minRetryAfter is the minimum Retry-After. A shorter one would bring the caller back
+	// within the same second.
 	minRetryAfter = 200 * time.Millisecond
 )
 
-// contextError returns the error of a request whose time is up or whose caller left.
+// contextError returns the error of a request whose deadline passed or whose caller
+// disconnected.
 func (p *exchange) contextError(ctx context.Context) *judge.Error {
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return judge.Refuse(judge.ReasonDeadline, "the deadline passed before the request was sent")
--- a/internal/request/forwarder/copyref.go
+++ b/internal/request/forwarder/copyref.go
@@ -2,15 +2,15 @@
 
 import "github.com/sardinetiller/sardinetiller/internal/adapter/placer"
 
-// A use is a copy that has to stay at a runner.
+// A copyRef is a reference that keeps a copy at a runner.
 type copyRef struct {
 	runner  string
 	copy    placer.Copy
 	release func()
 }
 
-// acquireCopy tells that a copy is in use, for plain services nothing. One use ends where
-// the next begins.
+// acquireCopy acquires a reference to the request's copy at the runner; for plain services
+// it does nothing. A reference at another runner is released first.
 func (p *exchange) acquireCopy(runner string) {
 	c := p.request.Copy
 	if c == (placer.Copy{}) || p.ref.release != nil && p.ref.runner == runner && p.ref.copy == c {
--- a/internal/request/forwarder/disconnect_test.go
+++ b/internal/request/forwarder/disconnect_test.go
@@ -13,10 +13,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/matcher"
 )
 
-// A leaver is a caller that goes away just as an answer is given to it.
+// A disconnectingSink is a caller that disconnects while a response is passed to it.
 type disconnectingSink struct{ responses int }
 
-var errDisconnected = errors.New("the caller has left")
+var errDisconnected = errors.New("caller disconnected")
 
 func (l *disconnectingSink) respond() error {
 	l.responses++
@@ -27,10 +27,10 @@
 func (l *disconnectingSink) Event([]byte) error                   { return errDisconnected }
 func (l *disconnectingSink) Whole(*forwarder.Reply, []byte) error { return l.respond() }
 
-// A runner fails a request, which is sent to another one; the caller leaves just as
-// the answer of that one is given to it. The failure at hand must not be given as
-// well: a second answer to one request ends the process, and with it the requests of
-// all its other callers.
+// A runner fails a request, which is retried on another runner, and the caller disconnects
+// while it receives the second response. It must not be given the failed response as well:
+// a second response to one request crashes the process and fails the requests of all other
+// callers.
 func TestDisconnectedCallerGetsOneResponse(t *testing.T) {
 	failed := func() *forwarder.Reply {
 		return &forwarder.Reply{Status: 500, Body: strings.NewReader("failed"), Close: func(bool) {}}
@@ -40,11 +40,11 @@
 		kind   matcher.Kind
 		second func(ctx context.Context) *forwarder.Reply
 	}{
-		{"that fails too", matcher.Idempotent, func(context.Context) *forwarder.Reply { return failed() }},
-		{"that is whole", matcher.Idempotent, func(context.Context) *forwarder.Reply {
+		{"second attempt fails", matcher.Idempotent, func(context.Context) *forwarder.Reply { return failed() }},
+		{"second attempt completes", matcher.Idempotent, func(context.Context) *forwarder.Reply {
 			return &forwarder.Reply{Status: 200, Body: strings.NewReader("body"), Close: func(bool) {}}
 		}},
-		{"that is a stream", matcher.Streaming, func(ctx context.Context) *forwarder.Reply {
+		{"second attempt streams", matcher.Streaming, func(ctx context.Context) *forwarder.Reply {
 			return streamReply(&body{ctx: ctx, from: 1, to: 3, end: io.EOF})
 		}},
 	} {
@@ -59,10 +59,10 @@
 			var caller disconnectingSink
 			err := newForwarder(u, placement{}, 2).Forward(t.Context(), newRequest(route), &caller)
 			if caller.responses != 1 {
-				t.Errorf("given %d answers, want 1", caller.responses)
+				t.Errorf("caller received %d responses, want 1", caller.responses)
 			}
 			if err == nil || err.Reason != judge.ReasonCancelled {
-				t.Errorf("error %v, want that the caller went away", err)
+				t.Errorf("error %v, want reason cancelled", err)
 			}
 		})
 	}
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -16,64 +16,64 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// A Forwarder answers requests. Its fields are set before use; it is safe for
-// concurrent use.
+// A Forwarder serves requests by forwarding them to runners. Its fields are set before use;
+// it is safe for concurrent use.
 type Forwarder struct {
-	Burst      func() float64 // this instance's share of the retries beyond the part
-	Ending     func() bool    // the instance ends so soon that a request which still waits cannot be answered
+	Burst      func() float64 // this instance's share of the retries allowed beyond Part
+	Ending     func() bool    // this instance stops too soon for waiting requests to be served
 	Fleet      *tracker.Fleet
-	LoadTime   func() time.Duration            // that an adapter takes from the weight store
-	Newest     func(model, adapter string) int // version of an adapter that a run is to begin on
-	Part       float64                         // retries that a request pays for
+	LoadTime   func() time.Duration            // expected time of an adapter load from the weight store
+	Newest     func(model, adapter string) int // adapter version that new executions use
+	Part       float64                         // retries allowed per request
 	Placement  Placement
 	Quarantine Quarantine
 	Recorder   *recorder.Recorder
-	ReturnTime func() time.Duration   // that one takes which the runner held before
-	Retried    func(err *judge.Error) // counts what made a request go out again
+	ReturnTime func() time.Duration   // expected load time of an adapter that the runner held before
+	Retried    func(err *judge.Error) // called with the error that caused a retry
 	Upstream   Upstream
-	Window     time.Duration // in which the burst of retries comes back
+	Window     time.Duration // in which the burst of retries refills
 
 	mu      sync.Mutex
 	budgets map[string]*retrier.Budget // by service
 }
 
-// crossDomainCost is what a runner in another failure domain costs in the choice, in
-// seconds: more than the way there and back, so that a request leaves its domain
-// only for a real difference, as bytes between domains are paid for.
+// crossDomainCost is the cost of a runner in another failure domain, in seconds. It exceeds
+// the round trip between domains, so that a request leaves its domain only for a real gain:
+// traffic between domains is billed.
 const crossDomainCost = 0.015
 
-// An exchange is one request on its way through the forwarder.
+// An exchange is the state of one request in the forwarder.
 type exchange struct {
 	*Forwarder
 	request *Request
 	sink    Sink
 	budget  *retrier.Budget
-	ref     copyRef // of a copy now
+	ref     copyRef // to the copy in use
 
-	loadRunner   string          // runner where the adapter was asked for
-	lastRunner   string          // runner that it was sent to last
-	queueWait    time.Duration   // of work that was thought to be before it there
-	lastEventID  int             // last event that the caller was given
-	headSent     bool            // the caller has the head of an answer
-	delivered    int             // sendings that reached a runner
-	fullRunners  map[string]bool // runners that refused it for want of room
-	lastFull     *judge.Error    // what the last of them said
-	cachedDigest quarantiner.Digest
-	timeToFirst  time.Duration // from the arrival to the first part of the answer
-	lastEventAt  time.Time     // when the last event was passed on
-	longestGap   time.Duration // the longest between two events
-	slot         Place         // at a runner of a plain service
-	retryPaid    atomic.Bool   // the next retry is withdrawn already
-	executions   int           // of the arrivals, the ones that may have run
-	sentAt       time.Time     // to that runner
+	loadRunner   string             // where the adapter load was requested
+	lastRunner   string             // of the last attempt
+	queueWait    time.Duration      // estimated wait at that runner
+	lastEventID  int                // of the last event passed to the caller
+	headSent     bool               // the caller has received a response head
+	delivered    int                // attempts that reached a runner
+	fullRunners  map[string]bool    // runners that refused it for lack of capacity
+	lastFull     *judge.Error       // the last of these refusals
+	cachedDigest quarantiner.Digest // empty until digest is called
+	timeToFirst  time.Duration      // from arrival to the first event of the response
+	lastEventAt  time.Time          // when the last event was passed on
+	longestGap   time.Duration      // between two events
+	slot         Place              // held at a runner of a plain service
+	retryPaid    atomic.Bool        // the next retry has already been withdrawn from the budget
+	executions   int                // delivered attempts that may have run
+	sentAt       time.Time          // of the last attempt
 	splitter     streamer.Splitter
-	status       int // of the answer that the caller was given; 0 for none
+	status       int // of the response passed to the caller; 0 if none
 	tried        map[string]bool
-	adapterWait  time.Duration // for an adapter
+	adapterWait  time.Duration // time spent waiting for the adapter
 }
 
-// Forward answers a request. It returns nil after a whole answer, else an error
-// whose verdict holds for everything that was tried.
+// Forward serves a request. It returns nil after a complete response, otherwise an error
+// whose verdict covers all attempts.
 func (f *Forwarder) Forward(ctx context.Context, r *Request, sink Sink) *judge.Error {
 	end := r.Deadline
 	if limit := r.Arrived.Add(r.Route.Timeout); r.Route.Timeout > 0 && limit.Before(end) {
@@ -125,9 +125,9 @@
 	}
 }
 
-// useNewestVersion makes the next run begin on the newest version of the adapter. A stream
-// may be cut seconds after it began, when its version is no longer to be used;
-// the runner says in the stream that the version has changed.
+// useNewestVersion makes the next execution use the newest version of the adapter. A stream
+// may break off seconds after it started, when its version must no longer be used; the
+// runner reports the version change in the stream.
 func (p *exchange) useNewestVersion() {
 	c := &p.request.Copy
 	if c.Adapter != "" {
@@ -135,7 +135,7 @@
 	}
 }
 
-// mayRetry reports whether the request may be sent once more.
+// mayRetry reports whether the request may be retried.
 func (p *exchange) mayRetry(ctx context.Context, failed *judge.Error) bool {
 	switch {
 	case ctx.Err() != nil, errors.Is(failed, errCallerGone):
@@ -147,8 +147,8 @@
 	return p.delivered == 0 || p.retryPaid.Swap(false) || p.budget.Withdraw()
 }
 
-// finalError returns the error with a verdict that covers all attempts: a refusal of
-// the last one says nothing of those before it.
+// finalError returns the error with a verdict that covers all attempts: a refusal of the
+// last attempt says nothing about the earlier ones.
 func (p *exchange) finalError(err *judge.Error) *judge.Error {
 	if err.Verdict != judge.NotRun {
 		return err
@@ -164,7 +164,7 @@
 	return &after
 }
 
-// reportHit tells that a copy is where it was expected.
+// reportHit reports that the runner held the copy as expected.
 func (p *exchange) reportHit(runner string, sent time.Time) {
 	if p.request.Copy != (placer.Copy{}) {
 		p.Placement.There(runner, p.request.Copy, sent)
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -23,7 +23,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// An upstream answers attempts as its script says.
+// An upstream is a scripted forwarder.Upstream that records its attempts.
 type upstream struct {
 	mu       sync.Mutex
 	attempts []forwarder.Attempt
@@ -38,7 +38,7 @@
 	return u.answer(ctx, n, a)
 }
 
-// A placement has every adapter there and room as its script says.
+// A placement is a scripted forwarder.Placement. Unset functions grant nothing.
 type placement struct {
 	place   func(runner string, within time.Duration) (forwarder.Place, *judge.Error, bool)
 	reserve func(a forwarder.Ask) (forwarder.Room, *judge.Error, bool)
@@ -69,7 +69,7 @@
 	return p.reserve(a)
 }
 
-// A quarantine holds what its script says, and keeps what it was told.
+// A quarantine is a scripted forwarder.Quarantine that records the reports it receives.
 type quarantine struct {
 	held      func() bool
 	broken    []string // runners
@@ -86,7 +86,7 @@
 }
 func (q *quarantine) Whole(quarantiner.Digest) { q.completed++ }
 
-// A sink keeps what the caller saw.
+// A sink records the body that the caller receives.
 type sink struct{ got string }
 
 func (s *sink) Head(*forwarder.Reply) error { return nil }
@@ -96,12 +96,12 @@
 	return nil
 }
 
-// A body gives events with pauses between them, and ends with its context.
+// A body produces events with delays between them and ends with its context.
 type body struct {
 	ctx    context.Context
 	from   int
 	to     int
-	delays map[int]time.Duration // pause before an event
+	delays map[int]time.Duration // before an event, by ID
 	end    error
 }
 
@@ -152,10 +152,9 @@
 	return &matcher.Route{Kind: matcher.Streaming, Resumes: true, Attempts: 2, Goal: time.Second, Gap: 250 * time.Millisecond, Timeout: 12 * time.Second}
 }
 
-// A caller reads a stream whose runner puts the run back for more urgent ones
-// and is silent for 2.5 s. No other runner can take over. Taking the silence
-// for a failure cut the answer, although the runner would have gone on and the
-// caller still waited.
+// A runner preempts a streaming request for more urgent ones and sends nothing for 2.5 s,
+// and no other runner can take over. The idle time must not be treated as a failure: the
+// runner continues, and the caller still waits.
 func TestIdleStreamIsNotCutWithoutAnotherRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(ctx context.Context, _ int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
@@ -169,8 +168,8 @@
 	})
 }
 
-// The same with another runner that is free: after a while without a first
-// event it gets the request, and the caller is served in time.
+// If another runner is free, a request whose runner sends no first event is retried there,
+// so that the caller is served in time.
 func TestUnresponsiveRunnerIsReplacedByFreeRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(ctx context.Context, n int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
@@ -192,10 +191,10 @@
 	})
 }
 
-// A much wanted adapter lies at one of two runners, and its callers are held back
-// there one after the other. Each wait is shorter than a load, so nobody goes
-// elsewhere, and all are late. One more copy is asked for at the other runner,
-// for those who come after; not for a short wait, and not while one is coming.
+// A popular adapter is resident on one of two runners, and its requests queue there. Each
+// wait is shorter than a load, so no request would choose the other runner, and all would
+// be late. A long wait must request one more copy at the other runner; a short wait must
+// not, nor must a long one while a copy is being loaded.
 func TestPopularAdapterGetsSpareCopy(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -205,7 +204,7 @@
 	}{
 		{"long wait", 400 * time.Millisecond, false, []string{"i-1"}},
 		{"short wait", 50 * time.Millisecond, false, nil},
-		{"a copy is on its way", 400 * time.Millisecond, true, nil},
+		{"a copy is being loaded", 400 * time.Millisecond, true, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -239,9 +238,9 @@
 	}
 }
 
-// A much wanted adapter lies at two runners and the first has no room. The
-// caller is served by the second one; only when none has room it is refused,
-// with the time to come back and the promise that nothing ran.
+// Of two runners that hold the adapter, the first has no capacity. The request must be
+// served by the second one. Only if neither has capacity is it refused, with a Retry-After
+// and the verdict that it did not run.
 func TestRequestFallsBackFromFullRunner(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -274,9 +273,9 @@
 	}
 }
 
-// A caller's prompt is held back until its runner has read what is before it.
-// Meanwhile the runner says that it leaves. Sent to it, the request would reach
-// a runner that takes nothing new; it has to go to the other one.
+// A request is delayed until its runner has prefilled the prompts ahead of it, and the
+// runner starts draining in the meantime. The request must go to the other runner, as a
+// draining runner accepts nothing new.
 func TestDelayedRequestIsNotSentToLeavingRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(ctx context.Context, _ int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
@@ -297,14 +296,13 @@
 		var got sink
 		err := f.Forward(t.Context(), newRequest(resumableRoute()), &got)
 		if err != nil || len(u.attempts) != 1 || u.attempts[0].Runner.ID == leaving {
-			t.Errorf("%v; %s leaves, sent to %+v", err, leaving, u.attempts)
+			t.Errorf("%v; %s is draining, attempts %+v", err, leaving, u.attempts)
 		}
 	})
 }
 
-// A caller reads a stream on version 1 of an adapter. Version 2 is named, and
-// seconds later the runner breaks off. The run that goes on begins now, so it has
-// to begin on version 2.
+// A stream of version 1 of an adapter breaks off after version 2 was published. The resumed
+// execution starts now, so it must use version 2.
 func TestResumedStreamUsesNewestVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(ctx context.Context, n int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
@@ -326,14 +324,14 @@
 		}
 		last := u.attempts[len(u.attempts)-1]
 		if last.Runner.ID != "i-1" || last.Request.Copy != newest {
-			t.Errorf("went on at %s with %v", last.Runner.ID, last.Request.Copy)
+			t.Errorf("resumed at %s with %v", last.Runner.ID, last.Request.Copy)
 		}
 	})
 }
 
-// A runner breaks off after its first byte, another one refuses. The refusal
-// says nothing of the first: the caller of a stream that may not go on must not
-// be promised that nothing ran.
+// A runner breaks the connection after the request was sent, and another one refuses the
+// retry. The refusal says nothing about the first attempt, so the caller must not be told
+// that nothing ran.
 func TestRefusalAfterExecutionIsMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(ctx context.Context, n int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
@@ -353,9 +351,8 @@
 	})
 }
 
-// A caller complains of a failure, and the log has its request as answered: the
-// runner itself had failed. The line must say so, or whoever looks for the cause
-// looks in the wrong place.
+// A runner's own failure response counts as answered. The log line must include the status,
+// so that the failure can be traced to the runner.
 func TestLogIncludesResponseStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(context.Context, int, forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
@@ -377,10 +374,9 @@
 	})
 }
 
-// An instance is told to stop while a request waits for its adapter, which does
-// not come. When the grace time was over the request was cut off with the
-// process, and its caller could not know that it had not run. It is told so, and
-// to come back, while there is time.
+// An instance is told to stop while a request waits for an adapter that does not arrive.
+// The request must be refused before the grace period ends, with a Retry-After and the
+// verdict that it did not run: cut off with the process, its caller could not know that.
 func TestWaitingRequestIsRefusedBeforeShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(context.Context, int, forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
--- a/internal/request/forwarder/limits_test.go
+++ b/internal/request/forwarder/limits_test.go
@@ -12,18 +12,18 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// A caller's adapter is nowhere, and others stand in line for every place. Its
-// request would wait until its patience ends and be refused then, a place in the
-// line taken from those that can still be served: it has to be refused at once,
-// with the time at which a place can be had. One that can be served waits.
+// An adapter is resident nowhere and every adapter slot has a queue. A request that cannot
+// be served within its wait limit must be refused immediately, with a Retry-After of at
+// least the expected wait, instead of waiting until the limit and taking a queue position
+// from requests that can still be served. A request that can be served in time must wait.
 func TestRequestIsRefusedAtOnceWhenAdapterWaitExceedsLimit(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		wait    time.Duration // for a place
+		wait    time.Duration // for an adapter slot
 		refused bool
 	}{
-		{"the line is short", time.Second, false},
-		{"the line is longer than the caller's patience", 4 * time.Second, true},
+		{"wait is within the limit", time.Second, false},
+		{"wait exceeds the limit", 4 * time.Second, true},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -9,22 +9,22 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// A Quarantine knows which requests crash the runners that run them.
+// A Quarantine tracks which requests crash the runners that run them.
 type Quarantine interface {
-	// Suspects reports whether any request is suspected. Without one nobody needs digests.
+	// Suspects reports whether any request is suspected. If none is, no digests are needed.
 	Suspects() bool
-	// Held reports whether a request is not to be run, and for how long yet.
+	// Held reports whether a request is quarantined, and for how much longer.
 	Held(d quarantiner.Digest) (left time.Duration, held bool)
-	// Broke tells that the connection ended on which a request was sent to a runner at a
-	// time. Whether the runner has crashed is for the Quarantine to find out.
+	// Broke reports that a connection broke on which a request had been sent to a runner,
+	// and when it was sent. The Quarantine determines whether the runner crashed.
 	Broke(d quarantiner.Digest, runner tracker.Runner, sent time.Time)
-	// Whole tells that a runner ran a request to its end.
+	// Whole reports that a runner completed a request.
 	Whole(d quarantiner.Digest)
 }
 
-// quarantined refuses a request that crashes runners. It is asked at every look and
-// right before each sending: a copy that arrived before the verdict may have waited for
-// its adapter for a second and more.
+// quarantined refuses a request that crashes runners. It is called at every poll and right
+// before each attempt: a copy of the request that arrived before the verdict may have
+// waited for its adapter for more than a second.
 func (p *exchange) quarantined() *judge.Error {
 	if !p.Quarantine.Suspects() {
 		return nil
@@ -36,7 +36,7 @@
 	return judge.Refuse(judge.ReasonQuarantine, "the runners that ran this request crashed").After(left)
 }
 
-// digest returns the digest of the request, which is worked out once.
+// digest returns the digest of the request. It is computed once.
 func (p *exchange) digest() quarantiner.Digest {
 	if p.cachedDigest == "" {
 		r := p.request
@@ -45,15 +45,15 @@
 	return p.cachedDigest
 }
 
-// reportBroken tells that the connection to a runner ended while it may have run the request,
-// unless this instance ended it.
+// reportBroken reports that the connection to a runner broke while the runner may have been
+// running the request, unless this instance ended the connection.
 func (p *exchange) reportBroken(ctx context.Context, runner tracker.Runner, err *judge.Error) {
 	if ctx.Err() == nil && err.Verdict != judge.NotRun {
 		p.Quarantine.Broke(p.digest(), runner, p.sentAt)
 	}
 }
 
-// reportCompleted tells that a runner ran the request to its end.
+// reportCompleted reports that a runner completed the request.
 func (p *exchange) reportCompleted() {
 	if p.Quarantine.Suspects() {
 		p.Quarantine.Whole(p.digest())
--- a/internal/request/forwarder/quarantine_test.go
+++ b/internal/request/forwarder/quarantine_test.go
@@ -15,31 +15,31 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/matcher"
 )
 
-// newQuarantineForwarder returns a forwarder with a quarantine, and both.
+// newQuarantineForwarder returns a forwarder with two runners that uses q.
 func newQuarantineForwarder(u *upstream, p placement, q *quarantine) *forwarder.Forwarder {
 	f := newForwarder(u, p, 2)
 	f.Quarantine = q
 	return f
 }
 
-// A request that crashes runners is asked for again. Its caller must be told at once
-// that it has not run and when to come back, and no runner may be reached: neither by a
-// copy that arrives after the verdict, nor by one that waited for room as the verdict
-// came, nor by the second try of one whose first runner crashed.
+// A request that crashes runners must be refused with a Retry-After once it is quarantined,
+// and must reach no runner: neither a copy of it that arrives after the verdict, nor one
+// that was delayed for capacity when the verdict came, nor the retry of one whose first
+// runner crashed.
 func TestQuarantinedRequestReachesNoRunner(t *testing.T) {
 	complete := func() *forwarder.Reply {
 		return &forwarder.Reply{Status: 200, Body: strings.NewReader("body"), Close: func(bool) {}}
 	}
 	for _, tc := range []struct {
 		name     string
-		verdict  time.Duration // when it comes
-		hold     time.Duration // of the prompt
-		crash    time.Duration // of the first runner; 0 for none
+		verdict  time.Duration // when the request is quarantined
+		hold     time.Duration // delay of the prompt
+		crash    time.Duration // when the first runner crashes; 0 for never
 		attempts int
 		want     judge.Verdict
 	}{
 		{"arrives after the verdict", 0, 0, 0, 0, judge.NotRun},
-		{"is held back as the verdict comes", time.Second, 2 * time.Second, 0, 0, judge.NotRun},
+		{"delayed while the verdict comes", time.Second, 2 * time.Second, 0, 0, judge.NotRun},
 		{"crashed a runner before the verdict", time.Second, 0, 2 * time.Second, 1, judge.MayHaveRun},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -58,7 +58,7 @@
 				}}
 				err := newQuarantineForwarder(u, p, q).Forward(t.Context(), newRequest(&matcher.Route{Kind: matcher.Idempotent, Attempts: 3, Goal: time.Second, Timeout: 12 * time.Second}), &sink{})
 				if len(u.attempts) != tc.attempts {
-					t.Errorf("%d sendings, want %d", len(u.attempts), tc.attempts)
+					t.Errorf("%d attempts, want %d", len(u.attempts), tc.attempts)
 				}
 				if err == nil || err.Reason != judge.ReasonQuarantine || err.Verdict != tc.want || err.Retry != time.Minute {
 					t.Errorf("error %v, retry %s", err, err.Retry)
@@ -68,8 +68,9 @@
 	}
 }
 
-// What ends a runner's answer early is mostly no crash, and is not even asked about
-// where this instance or the caller ended it.
+// A response that breaks off is reported to the quarantine, which determines whether the
+// runner crashed. Nothing is reported if this instance or the caller ended the connection,
+// or if the request was not sent.
 func TestBrokenResponsesAreReported(t *testing.T) {
 	cut := func(ctx context.Context) *forwarder.Reply {
 		return streamReply(&body{ctx: ctx, from: 1, to: 2, end: io.ErrUnexpectedEOF})
@@ -77,14 +78,14 @@
 	for _, tc := range []struct {
 		name       string
 		answer     func(ctx context.Context) (*forwarder.Reply, judge.Observation)
-		disconnect time.Duration // when the caller leaves; 0 if it does not
+		disconnect time.Duration // when the caller disconnects; 0 for never
 		broken     []string
 		completed  int
 	}{
 		{"no answer", func(context.Context) (*forwarder.Reply, judge.Observation) {
 			return nil, judge.Broken{Written: 9, Err: io.EOF}
 		}, 0, []string{"i-0"}, 0},
-		{"cut within the stream", func(ctx context.Context) (*forwarder.Reply, judge.Observation) { return cut(ctx), nil }, 0, []string{"i-0"}, 0},
+		{"stream cut off", func(ctx context.Context) (*forwarder.Reply, judge.Observation) { return cut(ctx), nil }, 0, []string{"i-0"}, 0},
 		{"nothing was sent", func(context.Context) (*forwarder.Reply, judge.Observation) {
 			return nil, judge.Broken{Err: io.EOF}
 		}, 0, nil, 0},
@@ -94,18 +95,18 @@
 		{"refused", func(context.Context) (*forwarder.Reply, judge.Observation) {
 			return &forwarder.Reply{Status: 503, NotRun: true, Body: strings.NewReader(""), Close: func(bool) {}}, nil
 		}, 0, nil, 0},
-		{"the caller leaves", func(ctx context.Context) (*forwarder.Reply, judge.Observation) {
+		{"caller disconnects", func(ctx context.Context) (*forwarder.Reply, judge.Observation) {
 			<-ctx.Done()
 			return nil, judge.Broken{Written: 9, Err: context.Cause(ctx)}
 		}, time.Second, nil, 0},
-		{"the time is up", func(ctx context.Context) (*forwarder.Reply, judge.Observation) {
+		{"deadline passes", func(ctx context.Context) (*forwarder.Reply, judge.Observation) {
 			<-ctx.Done()
 			return nil, judge.Broken{Written: 9, Err: context.Cause(ctx)}
 		}, 0, nil, 0},
-		{"whole", func(ctx context.Context) (*forwarder.Reply, judge.Observation) {
+		{"complete", func(ctx context.Context) (*forwarder.Reply, judge.Observation) {
 			return streamReply(&body{ctx: ctx, from: 1, to: 2, end: io.EOF}), nil
 		}, 0, nil, 1},
-		{"an answer that says that it failed", func(context.Context) (*forwarder.Reply, judge.Observation) {
+		{"complete failure response", func(context.Context) (*forwarder.Reply, judge.Observation) {
 			return &forwarder.Reply{Status: 500, Body: strings.NewReader(""), Close: func(bool) {}}, nil
 		}, 0, nil, 1},
 	} {
@@ -127,7 +128,7 @@
 					t.Error(diff)
 				}
 				if q.completed != tc.completed {
-					t.Errorf("%d whole runs, want %d", q.completed, tc.completed)
+					t.Errorf("%d completed runs, want %d", q.completed, tc.completed)
 				}
 			})
 		})
--- a/internal/request/forwarder/request.go
+++ b/internal/request/forwarder/request.go
@@ -1,8 +1,8 @@
-// Package forwarder answers requests by sending them straight to runners.
+// Package forwarder serves requests by sending them directly to runners.
 //
-// It chooses the runner, waits until the adapter is there, sends the request,
-// and passes the answer on. When something fails it sends the request to
-// another runner if, and only if, that cannot make it run twice.
+// It chooses the runner, waits until the adapter is resident, sends the request and passes
+// the response on. After a failure it retries on another runner if, and only if, the
+// request cannot run more often than its route allows.
 package forwarder
 
 import (
@@ -19,11 +19,11 @@
 
 // A Request is one request of a caller.
 type Request struct {
-	ID       string // of this client attempt
+	ID       string // of this attempt of the caller
 	Account  string // of the caller; empty for none
 	Arrived  time.Time
-	Deadline time.Time // until when the caller waits
-	After    int       // last event that the caller has; 0 for none
+	Deadline time.Time // when the caller stops waiting
+	After    int       // ID of the last event that the caller has received; 0 for none
 	Copy     placer.Copy
 	Engine   *matcher.Engine // of the service; nil for a plain one
 	Message  Message
@@ -34,7 +34,8 @@
 	Tokens   int // of the prompt; 0 if unknown
 }
 
-// quarantineScope tells apart the same request of two accounts. A host has no slash.
+// quarantineScope distinguishes equal requests of different accounts in the digest. A host
+// contains no slash.
 func (r *Request) quarantineScope() string {
 	if r.Account == "" {
 		return r.Route.Host
@@ -42,29 +43,29 @@
 	return r.Account + "/" + r.Route.Host
 }
 
-// A Message is an HTTP request as it came, less what concerns one connection.
+// A Message is an HTTP request as received, without its hop-by-hop headers.
 type Message struct {
 	Body   []byte
-	Head   []byte // header lines, each with its line end
+	Head   []byte // header lines, each with its line ending
 	Method string
 	Target string // path and query
 }
 
-// An Attempt is a request on its way to one runner.
+// An Attempt is one attempt of a request at a runner.
 type Attempt struct {
 	Request *Request
 	Runner  tracker.Runner
-	After   int           // the answer is to go on after this event; 0 for the whole
-	Left    time.Duration // that the runner may take
+	After   int           // the response resumes after this event; 0 for the complete response
+	Left    time.Duration // time limit for the runner
 }
 
-// A Reply is the head of a runner's answer and its body.
+// A Reply is the head of a runner's response and its body.
 type Reply struct {
 	Status   int
-	Head     any    // for the Sink; of the Upstream that made it
-	Instance string // the runner that answered, if it says so
-	NotRun   bool   // the runner says that the request did not run
-	Absent   bool   // it is another runner, or it does not hold the adapter
+	Head     any    // specific to the Upstream; for the Sink
+	Instance string // the runner that responded, if stated
+	NotRun   bool   // the runner states that the request did not run
+	Absent   bool   // the runner is another one or does not hold the adapter
 	Body     io.Reader
 	Close    func(whole bool) // whole: the body was read to its end
 	Broken   func(err error) judge.Observation
@@ -72,73 +73,76 @@
 
 // An Upstream sends requests to runners.
 type Upstream interface {
-	// Send sends a request and returns the head of the answer, or how far the
-	// request got. The request ends with ctx.
+	// Send sends a request and returns the head of the response, or an observation of how
+	// far the request got. It is cancelled with ctx.
 	Send(ctx context.Context, a Attempt) (*Reply, judge.Observation)
 }
 
-// A Sink takes one answer in. One that returns an error takes no more: its
-// caller went away.
+// A Sink receives one response. After an error it accepts nothing more: the caller has
+// disconnected.
 type Sink interface {
-	// Head begins an answer whose parts follow.
+	// Head starts a response whose parts follow.
 	Head(r *Reply) error
-	// Event passes a part of it on.
+	// Event passes on one part of the response.
 	Event(data []byte) error
-	// Whole gives an answer in one piece.
+	// Whole passes on a response in one piece.
 	Whole(r *Reply, body []byte) error
 }
 
-// Placement is who can bring an adapter to a runner.
+// Placement reports demand for adapters and reserves capacity at runners.
 type Placement interface {
-	// Wait tells that a request waits for a copy at a runner. It is called again
-	// while it does.
+	// Wait reports that a request waits for a copy at a runner. It is called repeatedly
+	// while the request waits.
 	Wait(w Waiter)
-	// Spare tells that one more copy at a runner would serve those that come
-	// later.
+	// Spare requests one more copy at a runner, for later requests.
 	Spare(runner string, c placer.Copy)
-	// Reserve asks for room at a runner that holds what the request needs. It
-	// returns how long to hold the request back, or a refusal. ok is false if
-	// nobody can tell.
+	// Reserve reserves prefill capacity at a runner that holds what the request needs. It
+	// returns how long to delay the request, or a refusal. ok is false if nobody can grant
+	// a reservation.
 	Reserve(ctx context.Context, a Ask) (r Room, refused *judge.Error, ok bool)
-	// Place asks for a place at a runner of a plain service. It returns how long the request
-	// waits there, or a refusal that says how much too long. ok is false if nobody can tell.
+	// Place acquires a request slot at a runner of a plain service. It returns how long the
+	// request waits there, or a refusal with the time by which that wait is too long. ok is
+	// false if nobody can grant a slot.
 	Place(ctx context.Context, runner string, within time.Duration) (p Place, refused *judge.Error, ok bool)
-	// There tells that a runner took a request for a copy that was sent at a time.
+	// There reports that a runner accepted a request for a copy, and when the request was
+	// sent.
 	There(runner string, c placer.Copy, sent time.Time)
-	// Use tells that a request needs a copy to stay at a runner until done.
+	// Use acquires a reference to a copy at a runner, which keeps the copy there until done
+	// is called.
 	Use(runner string, c placer.Copy) (done func())
-	// Paused tells of the longest pause between the events of an answer, beside
-	// the most that its caller bears.
+	// Paused reports the longest gap between the events of a response, and the maximum of
+	// its route.
 	Paused(runner string, longest, most time.Duration)
-	// Missing tells that a runner refused a request for want of a copy.
+	// Missing reports that a runner refused a request because it does not hold the copy.
 	Missing(runner string, c placer.Copy)
 }
 
-// An Ask is for room at a runner.
+// An Ask is a request for prefill capacity at a runner.
 type Ask struct {
 	Copy   placer.Copy
 	Runner string
 	Tokens int           // of the prompt
-	Pause  time.Duration // between events that the runs there bear
-	Within time.Duration // in which the prompt has to be read
+	Pause  time.Duration // maximum gap between events that the requests running there tolerate
+	Within time.Duration // by when the prompt has to be prefilled
 }
 
-// A Place is one at a runner of a plain service, which is held until it is given back.
+// A Place is a request slot at a runner of a plain service. It is held until it is
+// released.
 type Place struct {
-	Done func() // gives it back
+	Done func() // releases the slot
 	Wait time.Duration
 }
 
-// A Room is what a request is given at a runner.
+// A Room is the result of a reservation.
 type Room struct {
-	Absent bool          // the copy has made way meanwhile
-	Wait   time.Duration // before the request is sent
+	Absent bool          // the copy has been evicted in the meantime
+	Wait   time.Duration // delay before the request is sent
 }
 
 // A Waiter is a request that waits for a copy.
 type Waiter struct {
 	Copy     placer.Copy
-	InTime   bool // it is still on time if the copy comes next
+	InTime   bool // the response is still on time if the copy is loaded next
 	Priority int
 	Request  string
 	Runner   string
--- a/internal/request/forwarder/retryafter.go
+++ b/internal/request/forwarder/retryafter.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// retryAfter returns when a caller may try again after a refusal: not before the
-// time that is known to be needed, and spread over as much again, so that those
-// who were refused together do not return together.
+// retryAfter returns the time after which a caller may retry: the minimum plus a random
+// part of up to the same length, so that callers refused at the same time do not retry at
+// the same time.
 func retryAfter(least time.Duration) time.Duration {
 	least = max(least, minRetryAfter)
 	return least + time.Duration(rand.Float64()*float64(least))
--- a/internal/request/forwarder/slot.go
+++ b/internal/request/forwarder/slot.go
@@ -11,24 +11,26 @@
 )
 
 const (
-	// slotProbes is how many runners of a plain service are asked for a place. A third one
-	// is hardly ever much freer than the better of two. Where none of them has one, up to
-	// mostAsked are: nobody is to be refused while there is a place.
+	// slotProbes is how many runners of a plain service are asked for a request slot: a
+	// third one rarely has a much shorter wait than the better of two. If none of them
+	// grants a slot, up to maxSlotProbes runners are asked, so that no request is refused
+	// while a slot is free.
 	slotProbes    = 2
 	maxSlotProbes = 8
-	// shortWaitFraction is the part of the goal for which a request may wait without that another
-	// runner is asked.
+	// shortWaitFraction is the fraction of the latency target below which a wait is short
+	// enough not to ask another runner.
 	shortWaitFraction = 1. / 6
-	// slotWaitFraction is the part of the goal for which it may wait at all. What is left is for
-	// its run, and for those that come after it.
+	// slotWaitFraction is the fraction of the latency target that a request may wait for a
+	// slot. The rest is for its execution and for the requests behind it.
 	slotWaitFraction = 0.5
-	// retrySlotWaitFraction is the same, of the time that its caller still has, for a request that has
-	// been sent before.
+	// retrySlotWaitFraction is the limit for a request that has already reached a runner,
+	// as a fraction of the time until its deadline.
 	retrySlotWaitFraction = 1. / 3
 )
 
-// chooseWithSlot returns a runner of a plain service where the request has a place; asked is false
-// if nobody can tell.
+// chooseWithSlot returns a runner of a plain service that granted the request a slot.
+// decided is false if no runner granted or refused one; the caller then chooses without a
+// slot.
 func (p *exchange) chooseWithSlot(ctx context.Context) (runner tracker.Runner, refused *judge.Error, decided bool) {
 	if p.request.Engine != nil {
 		return tracker.Runner{}, nil, false
@@ -45,7 +47,7 @@
 		slot, full, ok := p.Placement.Place(ctx, t.Runner, p.slotWaitLimit(now))
 		switch {
 		case !ok:
-			unanswered++ // each may have taken the time that an answer is awaited
+			unanswered++ // each may have taken the full timeout
 			continue
 		case full != nil:
 			refused = soonerRetry(refused, full)
@@ -68,14 +70,14 @@
 	return runner, nil, true
 }
 
-// A placed is a place at a runner.
+// A runnerSlot is a request slot at a runner.
 type runnerSlot struct {
 	Place
 
 	runner string
 }
 
-// better returns the place where the request waits less, and gives the other one back.
+// better returns the slot with the shorter wait and releases the other one.
 func (p runnerSlot) better(other runnerSlot) runnerSlot {
 	switch {
 	case p.Done == nil:
@@ -89,7 +91,7 @@
 	}
 }
 
-// soonerRetry returns the refusal with the shorter wait.
+// soonerRetry returns the refusal with the shorter Retry-After.
 func soonerRetry(a, b *judge.Error) *judge.Error {
 	if a == nil || b.Retry < a.Retry {
 		return b
@@ -97,7 +99,7 @@
 	return a
 }
 
-// slotWaitLimit returns for how long the request may wait at a runner.
+// slotWaitLimit returns how long the request may wait for a slot at a runner.
 func (p *exchange) slotWaitLimit(now time.Time) time.Duration {
 	if p.delivered > 0 {
 		return time.Duration(retrySlotWaitFraction * float64(p.request.Deadline.Sub(now)))
@@ -105,7 +107,7 @@
 	return time.Duration(slotWaitFraction*float64(p.request.Route.Goal)) - now.Sub(p.request.Arrived)
 }
 
-// releaseSlot gives the place at a runner back.
+// releaseSlot releases the slot that the request holds, if any.
 func (p *exchange) releaseSlot() {
 	if p.slot.Done != nil {
 		p.slot.Done()
--- a/internal/request/forwarder/slot_test.go
+++ b/internal/request/forwarder/slot_test.go
@@ -17,9 +17,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// A ward gives out the places of plain runners, and keeps who holds one.
+// A slotAllocator grants request slots at runners of a plain service and counts the slots
+// held.
 type slotAllocator struct {
-	waits map[string]time.Duration // by runner; without one nobody answers
+	waits map[string]time.Duration // by runner; a runner that is not listed is not answered for
 	asked []string
 	held  map[string]int
 }
@@ -40,26 +41,27 @@
 	return forwarder.Place{Wait: wait, Done: func() { w.held[runner]-- }}, nil, true
 }
 
-// Requests of a plain service go to the runner of their own failure domain, to a second one
-// where they would wait there, and are refused at once where they would be late.
+// Requests of a plain service go to the runner of their own failure domain, or to a second
+// one if the wait at the first is long, and are refused immediately if they would be late
+// everywhere.
 func TestRequestSlots(t *testing.T) {
 	const goal = 300 * time.Millisecond
 	for _, tc := range []struct {
 		name   string
 		waits  map[string]time.Duration
 		sent   string // runner; empty for none
-		asked  int    // runners; 0: any number
+		asked  int    // number of runners asked; 0: any
 		reason judge.Reason
 	}{
-		{"free", map[string]time.Duration{"own": 0, "far": 0}, "own", 1, ""},
-		{"almost free", map[string]time.Duration{"own": 40 * time.Millisecond, "far": 0}, "own", 1, ""},
-		{"the other one is freer", map[string]time.Duration{"own": 100 * time.Millisecond, "far": 0}, "far", 2, ""},
-		{"the other one is not", map[string]time.Duration{"own": 100 * time.Millisecond, "far": 120 * time.Millisecond}, "own", 2, ""},
-		{"the own one is full", map[string]time.Duration{"own": time.Second, "far": 120 * time.Millisecond}, "far", 2, ""},
-		{"both are full", map[string]time.Duration{"own": time.Second, "far": 200 * time.Millisecond}, "", 2, judge.ReasonQueue},
-		{"a third one is free", map[string]time.Duration{"own": time.Second, "far": time.Second, "farther": 0}, "farther", 0, ""},
-		{"nobody tells of the own one", map[string]time.Duration{"far": 0}, "far", 2, ""},
-		{"nobody tells", nil, "own", 2, ""},
+		{"own runner free", map[string]time.Duration{"own": 0, "far": 0}, "own", 1, ""},
+		{"own runner almost free", map[string]time.Duration{"own": 40 * time.Millisecond, "far": 0}, "own", 1, ""},
+		{"other runner has the shorter wait", map[string]time.Duration{"own": 100 * time.Millisecond, "far": 0}, "far", 2, ""},
+		{"own runner has the shorter wait", map[string]time.Duration{"own": 100 * time.Millisecond, "far": 120 * time.Millisecond}, "own", 2, ""},
+		{"own runner full", map[string]time.Duration{"own": time.Second, "far": 120 * time.Millisecond}, "far", 2, ""},
+		{"both runners full", map[string]time.Duration{"own": time.Second, "far": 200 * time.Millisecond}, "", 2, judge.ReasonQueue},
+		{"third runner free", map[string]time.Duration{"own": time.Second, "far": time.Second, "farther": 0}, "farther", 0, ""},
+		{"no answer for the own runner", map[string]time.Duration{"far": 0}, "far", 2, ""},
+		{"no answer for any runner", nil, "own", 2, ""},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -68,7 +70,7 @@
 				u := &upstream{answer: func(_ context.Context, _ int, a forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 					sent = a.Runner.ID
 					if w.waits != nil && w.held[sent] != 1 {
-						t.Errorf("it is sent to %s without a place there: %v", sent, w.held)
+						t.Errorf("sent to %s without a slot there: %v", sent, w.held)
 					}
 					return &forwarder.Reply{Status: 200, Body: strings.NewReader("body"), Close: func(bool) {}}, nil
 				}}
@@ -92,14 +94,14 @@
 				}
 				asked := len(w.asked)
 				if tc.asked == 0 {
-					asked = 0 // two or three, by chance
+					asked = 0 // two or three, depending on the random order
 				}
 				if diff := cmp.Diff([]any{tc.sent, tc.asked, tc.reason}, []any{sent, asked, reason}); diff != "" {
 					t.Error(diff)
 				}
 				for runner, n := range w.held {
 					if n != 0 {
-						t.Errorf("%d places are held at %s afterwards", n, runner)
+						t.Errorf("%d slots still held at %s", n, runner)
 					}
 				}
 			})
@@ -107,7 +109,7 @@
 	}
 }
 
-// Guards against a place that is held for good as its request went out again.
+// A slot that was held by a failed attempt must be released when the request is retried.
 func TestSlotIsReleasedBeforeRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		w := &slotAllocator{waits: map[string]time.Duration{"i-0": 0, "i-1": 0}}
--- a/internal/request/forwarder/sparecopy.go
+++ b/internal/request/forwarder/sparecopy.go
@@ -6,17 +6,17 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/router"
 )
 
-// spareCopyFraction is the part of the goal that a request may be held back where its
-// adapter is before one more copy of it is asked for.
+// spareCopyFraction is the fraction of the latency target that a request may wait where its
+// adapter is resident before one more copy is requested.
 const spareCopyFraction = 0.2
 
-// requestSpareCopy asks for one more copy of an adapter whose requests wait for each other.
+// requestSpareCopy requests one more copy of an adapter whose requests queue behind each
+// other.
 //
-// A much wanted adapter draws its requests to the runners that hold it. As long
-// as waiting there is shorter than a load, no request would choose a runner
-// without a copy, so all of them wait almost that long and many are late. The
-// copy that is asked for here serves those that come after. While one is on its
-// way no other is asked for.
+// A popular adapter attracts its requests to the runners that hold it. As long as the wait
+// there is shorter than a load, no request chooses a runner without a copy, so all of them
+// wait almost that long and many are late. The copy requested here serves later requests.
+// While a copy is being loaded, no other is requested.
 func (p *exchange) requestSpareCopy(terms []router.Terms, wait time.Duration) {
 	if p.request.Copy.Adapter == "" || wait < time.Duration(spareCopyFraction*float64(p.request.Route.Goal)) {
 		return
--- a/internal/request/forwarder/stream.go
+++ b/internal/request/forwarder/stream.go
@@ -11,8 +11,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// relayStream passes the events of an answer on as they come. The caller gets whole
-// events only, each once and in order, also when they come from two runs.
+// relayStream passes the events of a response on as they arrive. The caller receives only
+// complete events, each once and in order, even if they come from two executions.
 func (p *exchange) relayStream(ctx context.Context, runner tracker.Runner, reply *Reply, dog *watchdog) *judge.Error {
 	p.splitter.Reset()
 	buffer := make([]byte, readSize)
@@ -33,10 +33,10 @@
 	}
 }
 
-// finishStream judges how a stream ended. One whose last event is not whole was cut,
-// also if its framing is complete.
+// finishStream evaluates how a stream ended. A stream that ends within an event was cut
+// off, even if its framing is complete.
 func (p *exchange) finishStream(ctx context.Context, runner tracker.Runner, reply *Reply, err error) *judge.Error {
-	// A reader says io.EOF itself at the end; an error that wraps it is another.
+	// A reader returns io.EOF itself at the end; an error that wraps it is a failure.
 	ended := err == io.EOF //nolint:errorlint // see above
 	if ended && p.splitter.Buffered() > 0 {
 		ended = false
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// relayEvents gives the caller the events that the bytes complete.
+// relayEvents passes on the events that data completes.
 func (p *exchange) relayEvents(reply *Reply, data []byte) *judge.Error {
 	events, err := p.splitter.Split(data)
 	for _, e := range events {
@@ -65,7 +65,7 @@
 			return err
 		}
 		if e.ID != 0 && e.ID <= p.lastEventID {
-			continue // came already, from the run before
+			continue // already received from the previous execution
 		}
 		if !p.headSent {
 			if p.sink.Head(reply) != nil {
@@ -88,7 +88,7 @@
 	return nil
 }
 
-// recordEventTime notes when an event was passed on.
+// recordEventTime records when an event was passed on.
 func (p *exchange) recordEventTime(now time.Time) {
 	if p.lastEventAt.IsZero() {
 		p.timeToFirst = now.Sub(p.request.Arrived)
@@ -98,8 +98,8 @@
 	p.lastEventAt = now
 }
 
-// checkOrder refuses an event after a gap: the events between are lost, and a
-// later run that goes on from the last one can bring them.
+// checkOrder rejects an event after a gap in the event IDs: the events in between are lost,
+// and only a retry that resumes after the last event can deliver them.
 func (p *exchange) checkOrder(e streamer.Event) *judge.Error {
 	if e.ID > p.lastEventID+1 {
 		return &judge.Error{Verdict: judge.MayHaveRun, Reason: judge.ReasonCut, Message: fmt.Sprintf("event %d came after event %d", e.ID, p.lastEventID)}
--- a/internal/request/forwarder/watchdog.go
+++ b/internal/request/forwarder/watchdog.go
@@ -10,25 +10,26 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// errUnresponsive is a runner that gives no sign for longer than one that works.
+// errUnresponsive reports that a runner sent nothing for longer than a working one does.
 var errUnresponsive = errors.New("the runner gives no sign")
 
 const (
-	// firstByteTargets is how long a runner may stay without the first byte of its
-	// answer before another one is tried, as a multiple of the goal.
+	// firstByteTargets is how long a runner may take to send the first byte of its response
+	// before another one is tried, as a multiple of the latency target or of the maximum
+	// gap, whichever is longer.
 	firstByteTargets = 2
-	// minFirstByteTimeout keeps goals of a few milliseconds from making every pause a
-	// failure.
+	// minFirstByteTimeout prevents latency targets of a few milliseconds from turning every
+	// delay into a failure.
 	minFirstByteTimeout = 500 * time.Millisecond
-	// idleFraction is the part of the time after which callers give up a stream
-	// that a runner may stay silent within it.
+	// idleFraction is how long a runner may send nothing within a stream, as a fraction of
+	// the time after which callers give up.
 	idleFraction = 0.75
 )
 
-// A watch ends an attempt whose runner gives no sign, but only when another
-// runner can take over at once and a retry is allowed: silence alone is no
-// reason to take an answer from a caller that still waits for it. A runner that
-// has put a run back for more urgent ones may be silent for seconds and go on.
+// A watchdog cancels an attempt whose runner sends nothing, but only if another runner can
+// take over immediately and a retry is allowed: a time-out alone is no reason to cut a
+// response that the caller still waits for. A runner that has preempted a request for more
+// urgent ones may send nothing for seconds and then continue.
 type watchdog struct {
 	p      *exchange
 	cancel context.CancelCauseFunc
@@ -36,10 +37,10 @@
 
 	mu      sync.Mutex
 	timeout time.Duration
-	timer   *time.Timer // nil after the end
+	timer   *time.Timer // nil once stopped
 }
 
-// newWatchdog returns the watch of an attempt at a runner.
+// newWatchdog starts the watchdog of an attempt at a runner.
 func (p *exchange) newWatchdog(runner string, cancel context.CancelCauseFunc) *watchdog {
 	tried := maps.Clone(p.tried)
 	tried[runner] = true
@@ -53,8 +54,8 @@
 	return w
 }
 
-// reset takes in a sign of the runner; from now on a pause may be longer than
-// the wait for the first one.
+// reset restarts the timer after data from the runner. From then on the idle timeout
+// applies, which may be longer than the first-byte timeout.
 func (w *watchdog) reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -73,7 +74,7 @@
 	}
 }
 
-// expire is called when the runner has given no sign for the limit.
+// expire is called when the runner has sent nothing for the timeout.
 func (w *watchdog) expire() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -89,7 +90,7 @@
 	w.cancel(errUnresponsive)
 }
 
-// hasFreeRunner reports whether another runner could take the request at once.
+// hasFreeRunner reports whether another runner could take the request immediately.
 func (p *exchange) hasFreeRunner(d tracker.Demand) bool {
 	for _, c := range p.Fleet.Candidates(d, time.Now()) {
 		if c.Resident && !c.Crowded {
--- a/internal/request/judge/error.go
+++ b/internal/request/judge/error.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// An Error is a failed request with the verdict that its caller is told.
+// An Error is a failed request with the verdict reported to its caller.
 type Error struct {
 	Verdict Verdict
 	Reason  Reason
 	Message string
-	Retry   time.Duration // when asking again makes sense; 0 if never
+	Retry   time.Duration // time after which a retry makes sense; 0 if none does
 }
 
-// Refuse returns an Error that promises the request did not run.
+// Refuse returns an Error that guarantees that the request did not run.
 func Refuse(reason Reason, format string, args ...any) *Error {
 	return &Error{Verdict: NotRun, Reason: reason, Message: fmt.Sprintf(format, args...)}
 }
 
-// As returns the Error in err's chain. An error without one is judged
-// MayHaveRun, because nothing is known that would exclude it.
+// As returns the Error in err's chain. Any other error yields MayHaveRun, because nothing
+// rules it out.
 func As(err error) *Error {
 	var judged *Error
 	if errors.As(err, &judged) {
@@ -29,7 +29,7 @@
 	return &Error{Verdict: MayHaveRun, Reason: ReasonPeer, Message: err.Error()}
 }
 
-// After returns a copy of e that tells the caller to come back after d.
+// After returns a copy of e with a Retry-After of d.
 func (e *Error) After(d time.Duration) *Error {
 	after := *e
 	after.Retry = d
--- a/internal/request/judge/judge_test.go
+++ b/internal/request/judge/judge_test.go
@@ -27,7 +27,7 @@
 		{"connection refused", judge.Dialed{Err: reset}, judge.NotRun, judge.ReasonDial},
 		{"reset before a byte", judge.Broken{Err: reset}, judge.NotRun, judge.ReasonDial},
 		{"reset after one byte", judge.Broken{Written: 1, Err: reset}, judge.MayHaveRun, judge.ReasonWritten},
-		{"reset in the answer", judge.Broken{Written: 9, Head: true, Err: reset}, judge.MayHaveRun, judge.ReasonCut},
+		{"reset in the response", judge.Broken{Written: 9, Head: true, Err: reset}, judge.MayHaveRun, judge.ReasonCut},
 		{"explicit refusal", judge.Refused{Status: 409}, judge.NotRun, judge.ReasonRefused},
 		{"failure while running", judge.Failed{Status: 500}, judge.MayHaveRun, judge.ReasonCut},
 		{"other adapter", judge.Mismatched{Want: "a@1", Got: "a@2"}, judge.MayHaveRun, judge.ReasonMismatch},
--- a/internal/request/judge/observation.go
+++ b/internal/request/judge/observation.go
@@ -2,31 +2,31 @@
 
 import "fmt"
 
-// An Observation is what was seen of one attempt at an upstream or a peer.
+// An Observation is the outcome of one attempt at an upstream or a peer, as seen on the
+// connection.
 //
 //sumtype:decl
 type Observation interface{ observation() }
 
-// A Dialed observation is a connection that could not be made.
+// A Dialed observation is a connection that could not be established.
 type Dialed struct{ Err error }
 
-// A Broken observation is a connection that failed while the request was
-// written or before a complete answer was read.
+// A Broken observation is a connection that failed while the request was being written or
+// before the complete response was read.
 type Broken struct {
-	Written int  // bytes of the request that were handed to the kernel
-	Head    bool // whether the head of the answer had arrived
+	Written int  // bytes of the request handed to the kernel
+	Head    bool // whether the response head had arrived
 	Err     error
 }
 
-// A Refused observation is an explicit answer that the upstream did not take
-// the request on: an adapter that is not resident, a full queue, leaving.
+// A Refused observation is an explicit response that the upstream did not accept the
+// request: the adapter is not resident, the queue is full, or the upstream is draining.
 type Refused struct{ Status int }
 
-// A Failed observation is an answer of the upstream that says it failed while
-// running the request.
+// A Failed observation is a response that reports a failure while running the request.
 type Failed struct{ Status int }
 
-// A Mismatched observation is an answer in the name of another adapter.
+// A Mismatched observation is a response from another adapter.
 type Mismatched struct{ Want, Got string }
 
 func (Broken) observation()     {}
@@ -35,8 +35,7 @@
 func (Mismatched) observation() {}
 func (Refused) observation()    {}
 
-// Judge returns the verdict on an observation. The table stands in
-// docs/design/verdicts.md.
+// Judge returns the verdict on an observation. The rules are in docs/design/verdicts.md.
 func Judge(o Observation) *Error {
 	switch o := o.(type) {
 	case Dialed:
@@ -54,8 +53,8 @@
 	}
 }
 
-// judgeBroken trusts a count of zero written bytes only: a partial request may
-// have reached an upstream that starts on what it has.
+// judgeBroken rules out an execution only if no byte was written: an upstream may start on
+// a partial request.
 func judgeBroken(o Broken) *Error {
 	if o.Written == 0 {
 		return Refuse(ReasonDial, "connection failed before the request was sent: %v", o.Err)
--- a/internal/request/matcher/matcher.go
+++ b/internal/request/matcher/matcher.go
@@ -1,4 +1,4 @@
-// Package matcher finds the route of a request in the configuration in force.
+// Package matcher finds the route of a request in the current configuration.
 package matcher
 
 import (
@@ -10,59 +10,59 @@
 	"github.com/sardinetiller/sardinetiller/internal/account/identifier"
 )
 
-// A Kind says what may be repeated of a route's requests.
+// A Kind states whether the requests of a route may be retried after they may have run.
 type Kind int
 
-// The kinds. The zero value is the one that promises least to the system: a
-// route whose kind is unknown is never repeated.
+// The kinds. The zero value is the most restrictive: a request of an unknown kind is never
+// run again.
 const (
-	NonIdempotent Kind = iota // at most one run for each client attempt
-	Idempotent                // may run more than once
-	Streaming                 // a series of events; repeated only where the route resumes
+	NonIdempotent Kind = iota // at most one execution for each attempt of the caller
+	Idempotent                // may be executed more than once
+	Streaming                 // a stream of events; retried only if the route can resume streams
 )
 
-// A Catalog is one version of the operator's configuration. It is not changed
-// once it is in force.
+// A Catalog is one version of the operator's configuration. It is immutable once it is in
+// force.
 type Catalog struct {
-	Accounts *identifier.Directory // nil: anybody may call
+	Accounts *identifier.Directory // nil: no authentication
 	Version  uint64
 	Routes   []Route
 	Services map[string]Service
 }
 
-// A Route says where the requests of one host and path prefix go.
+// A Route describes where the requests of one host and path prefix go, and their limits.
 type Route struct {
 	Name     string
 	Host     string
-	Prefix   string // begins and ends with a slash
+	Prefix   string // starts and ends with a slash
 	Kind     Kind
-	Attempts int           // runners that one client attempt may be sent to
-	Gap      time.Duration // longest pause between events that is still on time; 0 if not a stream
-	Goal     time.Duration // to the answer, or the first event, for full worth
+	Attempts int           // maximum number of executions for one attempt of the caller
+	Gap      time.Duration // maximum gap between events that is still on time; 0 if not a stream
+	Goal     time.Duration // latency target of the response, or of its first event, for full credit
 	Priority int           // 0 is the most urgent
 	Public   bool          // callers need no key
-	Resumes  bool          // a stream may go on at another runner after its last event
+	Resumes  bool          // a stream may be resumed at another runner after its last event
 	Shares   []Share
-	Timeout  time.Duration // after which the caller must have an answer
+	Timeout  time.Duration // by when the caller must have a response
 }
 
-// A Share is a service that a part of a route's requests go to.
+// A Share is the weight of a service in the traffic split of a route.
 type Share struct {
 	Service string
 	Weight  int
 }
 
-// A Service is a group of upstreams that run the same requests.
+// A Service is a group of upstreams that serve the same requests.
 type Service struct {
 	Name   string
 	Engine *Engine // nil for a plain service
 }
 
-// An Engine says what the runners of a service can hold.
+// An Engine describes what the runners of a service can hold.
 type Engine struct {
 	Memory int // MB for models and adapters together
 	Models []Model
-	Places int // for adapters
+	Places int // adapter slots
 }
 
 // A Model is a base model that runners of a service may hold.
@@ -82,8 +82,7 @@
 	return Model{}, false
 }
 
-// Match returns the route with the longest prefix of the path among those of
-// the host.
+// Match returns the route with the longest matching path prefix among those of the host.
 func (c *Catalog) Match(host, path string) (*Route, bool) {
 	host = strings.ToLower(host)
 	if name, _, ok := strings.Cut(host, ":"); ok {
@@ -102,9 +101,8 @@
 	return best, best != nil
 }
 
-// Service returns the service that a request goes to. The same request always
-// gets the same one, so that a retry does not move between versions of a
-// service.
+// Service returns the service that a request is routed to. It is the same for each call
+// with the same request, so that a retry does not move between versions of a service.
 func (r *Route) Service(request string) string {
 	total := 0
 	for _, s := range r.Shares {
@@ -123,8 +121,8 @@
 	return ""
 }
 
-// Repeatable reports whether a request that may have run may be sent again
-// before any of its answer has reached the caller.
+// Repeatable reports whether a request that may have run may be retried before any part of
+// its response has reached the caller.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumes
 }
--- a/internal/request/matcher/matcher_test.go
+++ b/internal/request/matcher/matcher_test.go
@@ -59,6 +59,6 @@
 		t.Errorf("new got %d of 10000, want about 1000", count["new"])
 	}
 	if got := (&matcher.Route{}).Service("x"); got != "" {
-		t.Errorf("a route without services went to %q", got)
+		t.Errorf("route without services returned %q", got)
 	}
 }
--- a/internal/request/retrier/budget.go
+++ b/internal/request/retrier/budget.go
@@ -1,5 +1,4 @@
-// Package retrier bounds retries, so that a failure is not answered with a
-// storm of them.
+// Package retrier limits retries, so that failures do not cause a retry storm.
 package retrier
 
 import (
@@ -11,37 +10,36 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// A Budget allows retries as a part of the requests, and some more within each
-// window of time. Its fields are set before use; the zero value is ready. It is
-// safe for concurrent use.
+// A Budget is a token bucket that allows retries in proportion to the requests, and some
+// more within each window of time. Its fields are set before use; the zero value is ready.
+// It is safe for concurrent use.
 //
-// Over any window it allows at most Part for each request in it plus Burst: half
-// of Burst may be taken at once, the other half flows back over a window. So
-// instances that share a bound by splitting its Burst keep it without talking
-// to each other.
+// Over any window it allows at most Part for each request in it plus Burst: half of Burst
+// may be taken at once, the other half refills over a window. So instances that share a
+// limit by splitting its Burst keep it without coordination.
 //
-// Split over many instances, half of Burst is less than one retry. Then a budget
-// begins with nothing and saves up one retry from its requests, each of which
-// pays a little less: what all instances have saved is covered by that, also
-// when all spend it in one window. Without this no request of a deployment of dozens of
-// instances was ever sent again, and many were refused only because the first runner did
-// not hold their adapter any more.
+// If the limit is split over many instances, half of Burst is less than one retry. Such a
+// budget starts empty and accumulates one retry from its requests, each of which
+// contributes a little less. That covers what all instances have accumulated, even if all
+// spend it in the same window. Without this, no request was ever retried in a deployment of
+// dozens of instances, and many were refused only because the first runner no longer held
+// their adapter.
 type Budget struct {
-	Burst  float64       // retries in a window beyond the part; 0 is defaultBurst
-	Part   float64       // retries that one request pays for; 0 is defaultPart
-	Window time.Duration // 0: what is spent comes back with requests only
+	Burst  float64       // retries in a window beyond those in proportion to the requests; 0 means defaultBurst
+	Part   float64       // retries that one request contributes; 0 means defaultRatio
+	Window time.Duration // 0: only requests refill the budget
 
 	mu         sync.Mutex
 	started    bool
 	lastRefill time.Time
-	debt       float64 // retries not yet paid for
+	debt       float64 // retries taken and not yet refilled
 }
 
 const (
 	defaultRatio = 0.2
 	defaultBurst = 40
-	// accumulationFactor is the part of Part that a request pays where half of Burst is
-	// less than one retry. The rest covers one saved retry of each instance.
+	// accumulationFactor is the fraction of Part that a request contributes if half of
+	// Burst is less than one retry. The rest covers the accumulated retry of each instance.
 	accumulationFactor = 0.85
 )
 
@@ -60,7 +58,7 @@
 	b.debt = max(0, b.debt-ratio)
 }
 
-// Withdraw takes one retry, or returns false if the budget is used up.
+// Withdraw takes one retry, or returns false if the budget is exhausted.
 func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,8 +71,8 @@
 	return true
 }
 
-// SetBurst changes the share of the burst, when the number of instances that
-// split it has changed.
+// SetBurst changes the share of the burst when the number of instances that split it has
+// changed.
 func (b *Budget) SetBurst(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,13 +86,13 @@
 	return b.Burst
 }
 
-// accumulates reports whether the share of the burst is too small for a retry.
+// accumulates reports whether half of the share of the burst is less than one retry.
 func (b *Budget) accumulates() bool { return b.burst()/2 < 1 }
 
 // capacity returns how many retries may be taken at once.
 func (b *Budget) capacity() float64 { return max(1, b.burst()/2) }
 
-// start spends what a budget that saves has not saved yet.
+// start empties a new budget that accumulates its first retry.
 func (b *Budget) start() {
 	if !b.started && b.accumulates() {
 		b.debt = b.capacity()
@@ -102,7 +100,7 @@
 	b.started = true
 }
 
-// refill pays back what the time since the last look allows.
+// refill adds what the time since the last refill allows.
 func (b *Budget) refill(now time.Time) {
 	if b.Window > 0 && !b.lastRefill.IsZero() {
 		b.debt = max(0, b.debt-b.burst()/2*now.Sub(b.lastRefill).Seconds()/b.Window.Seconds())
@@ -110,9 +108,9 @@
 	b.lastRefill = now
 }
 
-// May reports whether a failed attempt may be followed by another: always if it
-// did not run, and if it may have run only when the request is idempotent and
-// nothing of an answer has reached the caller.
+// May reports whether a failed attempt may be retried: always if it did not run; if it may
+// have run, only if the request is idempotent. It never may once a part of the response has
+// reached the caller.
 func May(err *judge.Error, nonIdempotent, responseStarted bool) bool {
 	if responseStarted || nonRetryable(err.Reason) {
 		return false
@@ -121,7 +119,7 @@
 }
 
 // nonRetryable reports whether the reason lies with the request or its caller, so that
-// another attempt would end the same.
+// another attempt would fail in the same way.
 func nonRetryable(r judge.Reason) bool {
 	switch r {
 	case judge.ReasonAdapter, judge.ReasonAuth, judge.ReasonBody, judge.ReasonCancelled,
@@ -137,7 +135,7 @@
 	maxBackoff     = 500 * time.Millisecond
 )
 
-// Backoff returns the waits between the attempts of one request, with jitter.
+// Backoff returns the delays between the attempts of one request, with jitter.
 func Backoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = initialBackoff
--- a/internal/request/retrier/budget_test.go
+++ b/internal/request/retrier/budget_test.go
@@ -19,9 +19,9 @@
 	}{
 		{"not run", judge.NotRun, judge.ReasonDial, true, false, true},
 		{"may have run, idempotent", judge.MayHaveRun, judge.ReasonWritten, false, false, true},
-		{"may have run, once", judge.MayHaveRun, judge.ReasonWritten, true, false, false},
-		{"caller has a part", judge.MayHaveRun, judge.ReasonCut, false, true, false},
-		{"caller's fault", judge.NotRun, judge.ReasonBody, false, false, false},
+		{"may have run, not idempotent", judge.MayHaveRun, judge.ReasonWritten, true, false, false},
+		{"part of the response sent", judge.MayHaveRun, judge.ReasonCut, false, true, false},
+		{"invalid request", judge.NotRun, judge.ReasonBody, false, false, false},
 		{"other adapter answered", judge.MayHaveRun, judge.ReasonMismatch, false, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -33,8 +33,8 @@
 	}
 }
 
-// Every attempt fails. The first requests may still be retried, then retries
-// are only a fifth of the requests: no storm.
+// If every attempt fails, the burst may be retried, and after it only one retry per five
+// requests.
 func TestBudgetBoundsRetryStorm(t *testing.T) {
 	var b retrier.Budget
 	retries := 0
@@ -50,10 +50,10 @@
 	}
 }
 
-// 64 instances share a bound of 168 retries in a window beyond a fifth of the
-// requests. Each one's share is too small for a single retry, and every request
-// whose first runner refused it failed. Each must be able to retry some, and all
-// together must keep the bound, also when everything fails at once.
+// 64 instances share a limit of 168 retries per window beyond a fifth of the requests. Each
+// share is less than one retry, and without accumulation every request whose first runner
+// refused it failed. Each instance must be able to retry some requests, and all together
+// must keep the limit even if everything fails at once.
 func TestManyInstancesShareABudget(t *testing.T) {
 	const (
 		instances = 64
@@ -73,7 +73,7 @@
 			for range perSecond {
 				for n := range budgets {
 					budgets[n].Deposit()
-					// Calm at first, then every request fails, twice.
+					// No failures at first, then both attempts of every request fail.
 					for range 2 {
 						if second >= 15 && budgets[n].Withdraw() {
 							taken[second]++
--- a/internal/request/router/policy.go
+++ b/internal/request/router/policy.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// A Policy is a way to choose a runner.
+// A Policy is a strategy for choosing a runner.
 //
 //sumtype:decl
 type Policy interface{ policy() }
 
-// A Cost policy takes the candidate with the least weighted cost.
+// A Cost policy chooses the candidate with the lowest weighted cost.
 type Cost struct {
 	Stall float64 // weight of a second of waiting
-	Batch float64 // weight of a step that runs empty
+	Batch float64 // weight of an engine step that runs empty
 }
 
-// A FirstToken policy takes the runner that is expected to give the first token
-// earliest. Requests go straight to runners there, so what waits at a runner is
-// an estimate in time, not a queue of the owner.
+// A FirstToken policy chooses the runner with the earliest expected first token. It is for
+// requests that are sent directly to runners, where the queue is an estimated time and not
+// a queue kept by the runner's owner.
 type FirstToken struct {
-	CrossDomain float64 // seconds that a runner in another failure domain costs
+	CrossDomain float64 // cost of a runner in another failure domain, in seconds
 }
 
-// A Spread policy takes any of the runners that answer well, those of the own failure domain
-// first. Which of them has the least work is told too late: instances that all chose the
-// runner which seemed free a moment ago filled it up, one runner after the other.
+// A Spread policy chooses randomly among the runners that respond well, those of its own
+// failure domain first. It ignores their load, which is reported too late: when all
+// instances chose the runner that had been least loaded a moment ago, they overloaded one
+// runner after the other.
 type Spread struct {
-	CrossDomain float64        // seconds that a runner in another failure domain costs
+	CrossDomain float64        // cost of a runner in another failure domain, in seconds
 	Draw        func() float64 // from 0 to 1
 }
 
-// A Hash policy takes the runner that the adapter's name ranks first, whatever
+// A Hash policy chooses the runner by rendezvous hashing of the adapter's name, whatever
 // its load.
 type Hash struct{}
 
-// A Least policy takes the runner with the fewest requests, whatever is
-// resident there.
+// A Least policy chooses the runner with the fewest requests, whatever is resident there.
 type Least struct{}
 
 func (Cost) policy()       {}
@@ -42,40 +42,40 @@
 func (Least) policy()      {}
 func (Spread) policy()     {}
 
-// A Candidate is a runner as the choosing instance knows it. Load reports lag,
-// so Sent counts what this instance has sent since the last one.
+// A Candidate is a runner as known to the choosing instance. Load reports lag, so Sent
+// counts the requests that this instance has sent since the last report.
 type Candidate struct {
 	Runner   string
 	Away     bool          // in another failure domain
-	Backlog  time.Duration // until the work that is known to be before this request is done
-	Crowded  bool          // one more request would hold up those that run there
-	Failing  float64       // part of the recent requests that failed there, 0 to 1
-	Kept     bool          // the runner held the adapter before and fetches it from its own memory
+	Backlog  time.Duration // until the known work ahead of this request is done
+	Crowded  bool          // one more prompt would delay the tokens of the requests running there
+	Failing  float64       // fraction of the recent requests that failed there, 0 to 1
+	Kept     bool          // the runner held the adapter before and can load it from its own memory
 	Ready    time.Duration // until the adapter can be used; 0 if it is resident
 	Resident bool
-	Loading  bool          // the adapter is on its way into a slot or stands in line for it
-	Free     int           // empty slots
+	Loading  bool          // the adapter is being loaded or in the load queue
+	Free     int           // free adapter slots
 	Batch    int           // requests that the engine runs at once
-	Running  int           // at the last report
-	Waiting  int           // at the last report
-	Sent     int           // by this instance since the last report
-	Ramp     float64       // part of the batch that a cold engine is given, 0 to 1
-	Wait     time.Duration // until a further load would begin
+	Running  int           // as of the last report
+	Waiting  int           // as of the last report
+	Sent     int           // requests from this instance since the last report
+	Ramp     float64       // fraction of the batch that an engine is given while it warms up, 0 to 1
+	Wait     time.Duration // until another load could start
 }
 
-// A Request is what the choice depends on.
+// A Request is the part of a request that the choice depends on.
 type Request struct {
 	Adapter string
 	Left    time.Duration // until the deadline; 0 if there is none
 }
 
-// Terms are the parts of a candidate's cost, as explain shows them.
+// Terms are the components of a candidate's cost, as shown by the explain command.
 type Terms struct {
-	Absent  bool    `json:"absent" yaml:"absent"` // the adapter is neither there nor on its way
+	Absent  bool    `json:"absent" yaml:"absent"` // the adapter is neither resident nor being loaded
 	Crowded bool    `json:"crowded" yaml:"crowded"`
 	Runner  string  `json:"runner" yaml:"runner"`
 	Stall   float64 `json:"stall" yaml:"stall"` // seconds
 	Queue   float64 `json:"queue" yaml:"queue"` // seconds
-	Empty   float64 `json:"empty" yaml:"empty"` // part of a step, 0 to 1
+	Empty   float64 `json:"empty" yaml:"empty"` // fraction of an engine step, 0 to 1
 	Total   float64 `json:"total" yaml:"total"`
 }
--- a/internal/request/router/router.go
+++ b/internal/request/router/router.go
@@ -8,31 +8,31 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// A Router chooses runners. The fields are set before use; the times are
-// estimates that the instance keeps up to date.
+// A Router chooses runners. Its fields are set before use; the times are estimates that the
+// instance keeps up to date.
 type Router struct {
 	Policy  Policy
-	Load    time.Duration // expected time of one load, with its wait for the weight store
-	Service time.Duration // expected time that a request runs
+	Load    time.Duration // expected time of a load, including its wait for the weight store
+	Service time.Duration // expected execution time of a request
 }
 
 const (
-	// evictPenalty is the part of a load that giving up another adapter costs:
-	// it will be loaded again with about this probability soon.
+	// evictPenalty is the cost of evicting another adapter, as a fraction of a load: that
+	// adapter will soon be loaded again with about this probability.
 	evictPenalty = 0.5
-	// loadingFraction is the part of a load still to wait for when it has begun.
+	// loadingFraction is the fraction of a load that remains on average once it has
+	// started.
 	loadingFraction = 0.5
-	// rendezvousCost is the largest cost in seconds that a runner's rank for the
-	// adapter adds. It is small beside any real difference; its use is that
-	// instances with the same view choose the same runner for a cold adapter,
-	// so that it is loaded once.
+	// rendezvousCost is the largest cost that a runner's rendezvous hash adds, in seconds.
+	// It is small compared with any real difference, and makes instances with the same view
+	// choose the same runner for an adapter that is resident nowhere, so that it is loaded
+	// only once.
 	rendezvousCost = 0.02
-	// maxUrgency bounds how much a near deadline raises the weight of waiting.
+	// maxUrgency limits how much a near deadline raises the weight of waiting.
 	maxUrgency = 4
 )
 
-// Choose returns the candidates' terms, best first. It returns none if there
-// is no candidate.
+// Choose returns the terms of all candidates, best first.
 func (r *Router) Choose(request Request, candidates []Candidate) []Terms {
 	f := fleetState{meanRunning: meanRunning(candidates), available: slices.ContainsFunc(candidates, hasCopy)}
 	terms := make([]Terms, 0, len(candidates))
@@ -52,13 +52,13 @@
 	return terms
 }
 
-// A field is what a candidate is compared with.
+// A fleetState summarizes all candidates, for comparison with a single one.
 type fleetState struct {
-	available   bool    // some runner has the adapter, gets it, or kept it
-	meanRunning float64 // requests at a runner
+	available   bool    // some runner holds the adapter, is loading it, or kept it
+	meanRunning float64 // requests per runner
 }
 
-// hasCopy reports whether a runner needs no fetch from the weight store.
+// hasCopy reports whether the runner needs no fetch from the weight store.
 func hasCopy(c Candidate) bool { return c.Resident || c.Loading || c.Kept }
 
 func (r *Router) terms(request Request, c *Candidate, f fleetState) Terms {
@@ -90,30 +90,29 @@
 }
 
 const (
-	// failureCost is what a failed request costs in seconds: about the time
-	// until a caller has found out and come back.
+	// failureCost is the cost of a failed request in seconds: about the time until the
+	// caller has noticed and retried.
 	failureCost = 2
-	// coldRendezvousCost spreads the runners of an adapter that is resident nowhere over
-	// this many seconds by rank. All instances then load it on the same runner,
-	// which fetches an adapter that it held before in a tenth of the time; only
-	// a backlog of this order sends it elsewhere. At less, runners with few places
-	// fetch more from the weight store and answer less in time.
+	// coldRendezvousCost is the largest cost, in seconds, that a runner's rendezvous hash
+	// adds for an adapter that is resident nowhere. All instances then load it on the same
+	// runner, which reloads an adapter that it held before in a tenth of the time; only a
+	// backlog of this order moves the load elsewhere. With lower values, runners with few
+	// adapter slots fetch more from the weight store and respond in time less often.
 	coldRendezvousCost = 0.8
 )
 
 const (
-	// imbalanceCost is what it costs, in seconds, that a runner has as many requests
-	// more than the mean as the mean is. Reading their prompts makes all its runs
-	// pause; at this price a much wanted adapter gets a second copy before the
-	// first one's runner is at its bounds. Without it one runner
-	// had most of the pauses. On runners with few places each copy more is paid for
-	// dearly, so it is not higher.
+	// imbalanceCost is the cost, in seconds, of a runner having as many requests above the
+	// mean as the mean itself. Prefill of their prompts delays all requests running there;
+	// at this cost a popular adapter gets a second copy before the runner of the first one
+	// is at its limits. Without it, one runner had most of the long gaps. It is not higher
+	// because on runners with few adapter slots each additional copy is expensive.
 	imbalanceCost = 0.08
-	// imbalanceTolerance is how far above the mean a runner may be at no cost.
+	// imbalanceTolerance is how far above the mean a runner may be at no cost, as a factor.
 	imbalanceTolerance = 1.3
 )
 
-// meanRunning returns how many requests the candidates have on average.
+// meanRunning returns the mean number of running requests of the candidates.
 func meanRunning(candidates []Candidate) float64 {
 	if len(candidates) == 0 {
 		return 0
@@ -125,26 +124,26 @@
 	return float64(sum) / float64(len(candidates))
 }
 
-// congestionCost is what holding up the runs of a runner costs, in seconds: each of
-// them pauses longer between its events, so it is worth a short wait or a way to
-// another failure domain, but not a fetch. How much runs bear is looked after where
-// prompts are held back.
+// congestionCost is the cost of delaying the requests running on a runner, in seconds: each
+// has longer gaps between its events, which is worth a short wait or a hop to another
+// failure domain, but not a fetch. The limit on these gaps is enforced where prompts are
+// delayed.
 const congestionCost = 0.05
 
-// extraCopyCost is how much later, in seconds, a runner that holds the adapter, or
-// gets it already, may answer than one that would have to load one more copy of
-// it. Each copy takes a place from another adapter and a share of the weight
-// store from whoever waits for one.
+// extraCopyCost is how much later, in seconds, a runner that holds or is loading the
+// adapter may respond than one that would have to load one more copy of it. Each copy takes
+// an adapter slot from another adapter, and weight store bandwidth from the loads that wait
+// for it.
 const extraCopyCost = 0.03
 
 // duplicateFetchCost is the same for a copy that has to be fetched from the weight store
-// although a runner has the adapter, gets it, or kept it. A fetch holds a place for
-// a quarter of a second, takes the store from a first load, and is paid for; a
-// request that waits a third of its goal at the runner that has the adapter is on
-// time all the same. With 0.03, two of five fetches of a calm day on runners with
-// five places were of adapters that another runner had; 0.3 answered 1 to 2
-// requests in 100 more in time there, and none fewer on runners with thirty. From
-// 0.2 to 0.4 it made no difference that was seen.
+// although some runner holds, is loading, or kept the adapter. A fetch occupies an adapter
+// slot for a quarter of a second, delays first loads of other adapters, and is billed,
+// while a request that waits a third of its latency target at the runner with the adapter
+// is still on time. With 0.03, two of five fetches of a calm day on runners with five slots
+// were of adapters that another runner had; 0.3 answered 1 to 2 requests in 100 more in
+// time there, and none fewer on runners with thirty slots. Values from 0.2 to 0.4 made no
+// visible difference.
 const duplicateFetchCost = 0.3
 
 // firstToken estimates the time to the first token.
@@ -172,7 +171,7 @@
 	return t
 }
 
-// terms tells only runners apart that answer badly or are far away.
+// terms distinguishes only runners that fail often or are in another failure domain.
 func (p Spread) terms(c *Candidate) Terms {
 	t := Terms{Runner: c.Runner, Queue: c.Backlog.Seconds(), Total: failureCost*c.Failing + p.CrossDomain*p.Draw()}
 	if c.Away {
@@ -181,8 +180,8 @@
 	return t
 }
 
-// SpareRunner returns the best runner that could hold one more copy of the adapter.
-// ok is false if there is none, or if a copy is on its way to some runner.
+// SpareRunner returns the best runner that could load one more copy of the adapter. ok is
+// false if there is none, or if some runner is already loading a copy.
 func SpareRunner(terms []Terms) (runner string, ok bool) {
 	for _, t := range terms {
 		switch {
@@ -220,8 +219,8 @@
 	}
 }
 
-// urgency is 1 far from the deadline and grows as the time left shrinks
-// towards what a load and a run take.
+// urgency is 1 far from the deadline and grows as the time left shrinks towards the time
+// that a load and an execution take.
 func (r *Router) urgency(left time.Duration) float64 {
 	if left <= 0 {
 		return 1
@@ -234,8 +233,8 @@
 	return max(1, float64(c.Batch)*c.Ramp)
 }
 
-// idleFraction is the part of the engine's step that stays unused with this request
-// on it.
+// idleFraction returns the fraction of an engine step that stays unused with this request
+// added.
 func idleFraction(c *Candidate) float64 {
 	fill := float64(c.Running+c.Waiting+c.Sent+1) / effectiveBatch(c)
 	return max(0, 1-fill)
--- a/internal/request/router/router_test.go
+++ b/internal/request/router/router_test.go
@@ -41,17 +41,17 @@
 			"busy",
 		},
 		{
-			"second copy when the first is drowned", latencyWeights, 0,
+			"second copy when the first is overloaded", latencyWeights, 0,
 			[]router.Candidate{{Runner: "idle", Batch: 8, Ramp: 1, Free: 4}, {Runner: "drowned", Batch: 8, Ramp: 1, Resident: true, Running: 8, Waiting: 40}},
 			"idle",
 		},
 		{
-			"spread for stall", latencyWeights, 0,
+			"stall weight spreads requests", latencyWeights, 0,
 			[]router.Candidate{{Runner: "full", Batch: 8, Ramp: 1, Resident: true, Running: 8}, {Runner: "empty", Batch: 8, Ramp: 1, Resident: true}},
 			"empty",
 		},
 		{
-			"gather for batch", batchWeights, 0,
+			"batch weight groups requests", batchWeights, 0,
 			[]router.Candidate{{Runner: "half", Batch: 8, Ramp: 1, Resident: true, Running: 5}, {Runner: "empty", Batch: 8, Ramp: 1, Resident: true}},
 			"half",
 		},
@@ -61,12 +61,12 @@
 			"free",
 		},
 		{
-			"own sends count before the report", latencyWeights, 0,
+			"own requests count before the next report", latencyWeights, 0,
 			[]router.Candidate{{Runner: "sent", Batch: 8, Ramp: 1, Resident: true, Sent: 12}, {Runner: "other", Batch: 8, Ramp: 1, Resident: true, Running: 8}},
 			"other",
 		},
 		{
-			"cold engine takes little", latencyWeights, 0,
+			"warming engine gets few requests", latencyWeights, 0,
 			[]router.Candidate{{Runner: "cold", Batch: 8, Ramp: 0.1, Resident: true, Running: 3}, {Runner: "warm", Batch: 8, Ramp: 1, Resident: true, Running: 8}},
 			"warm",
 		},
@@ -87,7 +87,7 @@
 	}
 }
 
-// The slope of one decision over the runners of a failure domain.
+// Measures how the cost of one choice grows with the number of runners of a failure domain.
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{75, 150, 300} {
 		b.Run(fmt.Sprintf("runners=%d", n), func(b *testing.B) {
@@ -104,9 +104,8 @@
 	}
 }
 
-// The terms of the policy that looks for the earliest first token: a load of
-// several callers' prompts, the way to another failure domain, a copy that is
-// there against one that is not.
+// The FirstToken policy weighs prefill backlog, the cost of another failure domain, and
+// resident against absent copies.
 func TestFirstToken(t *testing.T) {
 	first := router.FirstToken{CrossDomain: 0.015}
 	busy := func(id string, running int) router.Candidate {
@@ -118,14 +117,14 @@
 		want       string
 	}{
 		{"own domain first", []router.Candidate{{Runner: "away", Resident: true, Away: true}, {Runner: "near", Resident: true}}, "near"},
-		{"away if the own one is behind", []router.Candidate{{Runner: "away", Resident: true, Away: true}, {Runner: "near", Resident: true, Backlog: 50 * time.Millisecond}}, "away"},
+		{"other domain if the own runner has a backlog", []router.Candidate{{Runner: "away", Resident: true, Away: true}, {Runner: "near", Resident: true, Backlog: 50 * time.Millisecond}}, "away"},
 		{"resident first", []router.Candidate{{Runner: "there", Resident: true, Backlog: 100 * time.Millisecond}, {Runner: "absent", Ready: 270 * time.Millisecond}}, "there"},
-		{"another copy when the only one is far above the mean", []router.Candidate{busy("hot", 60), busy("b", 1), busy("c", 1), {Runner: "absent", Ready: 270 * time.Millisecond}}, "b"},
-		{"where it was, though no place is free there yet", []router.Candidate{{Runner: "kept", Kept: true, Ready: 300 * time.Millisecond}, {Runner: "absent", Ready: 270 * time.Millisecond}}, "kept"},
-		{"elsewhere if that would take too long", []router.Candidate{{Runner: "kept", Kept: true, Ready: 1800 * time.Millisecond}, {Runner: "absent", Ready: 270 * time.Millisecond}}, "absent"},
-		{"one that fails last", []router.Candidate{{Runner: "failing", Resident: true, Failing: 0.5}, {Runner: "sound", Resident: true, Backlog: 300 * time.Millisecond}}, "sound"},
-		{"not the crowded one", []router.Candidate{{Runner: "crowded", Resident: true, Crowded: true}, {Runner: "free", Resident: true, Backlog: 40 * time.Millisecond}}, "free"},
-		{"the crowded one if the other is far behind", []router.Candidate{{Runner: "crowded", Resident: true, Crowded: true}, {Runner: "free", Resident: true, Backlog: 100 * time.Millisecond}}, "crowded"},
+		{"not the runner far above the mean", []router.Candidate{busy("hot", 60), busy("b", 1), busy("c", 1), {Runner: "absent", Ready: 270 * time.Millisecond}}, "b"},
+		{"runner that kept the adapter, though no slot is free yet", []router.Candidate{{Runner: "kept", Kept: true, Ready: 300 * time.Millisecond}, {Runner: "absent", Ready: 270 * time.Millisecond}}, "kept"},
+		{"another runner if that would take too long", []router.Candidate{{Runner: "kept", Kept: true, Ready: 1800 * time.Millisecond}, {Runner: "absent", Ready: 270 * time.Millisecond}}, "absent"},
+		{"failing runner last", []router.Candidate{{Runner: "failing", Resident: true, Failing: 0.5}, {Runner: "sound", Resident: true, Backlog: 300 * time.Millisecond}}, "sound"},
+		{"not the congested runner", []router.Candidate{{Runner: "crowded", Resident: true, Crowded: true}, {Runner: "free", Resident: true, Backlog: 40 * time.Millisecond}}, "free"},
+		{"congested runner if the other has a long backlog", []router.Candidate{{Runner: "crowded", Resident: true, Crowded: true}, {Runner: "free", Resident: true, Backlog: 100 * time.Millisecond}}, "crowded"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			terms := newRouter(first).Choose(router.Request{Adapter: "x@1"}, tc.candidates)
--- a/internal/request/streamer/call.go
+++ b/internal/request/streamer/call.go
@@ -1,5 +1,5 @@
-// Package streamer defines a request on its way and the answer that comes back,
-// and keeps the parts of an answer in order.
+// Package streamer defines a request that is forwarded between instances and its response,
+// and keeps the parts of a response in order.
 package streamer
 
 import (
@@ -8,14 +8,14 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
 )
 
-// A Call is one caller's request as the instances pass it on.
+// A Call is one caller's request as forwarded between instances.
 type Call struct {
-	ID       string            `cbor:"1,keyasint"` // of this attempt, for logs and books
+	ID       string            `cbor:"1,keyasint"` // of this attempt, for logs and accounting
 	Account  string            `cbor:"2,keyasint"`
 	Desk     string            `cbor:"3,keyasint"`
 	Service  string            `cbor:"4,keyasint"`
 	Adapter  string            `cbor:"5,keyasint"` // name@version; empty for a plain service
-	Runner   string            `cbor:"6,keyasint"` // upstream that was chosen
+	Runner   string            `cbor:"6,keyasint"` // the chosen upstream
 	Method   string            `cbor:"7,keyasint"`
 	Path     string            `cbor:"8,keyasint"`
 	Header   map[string]string `cbor:"9,keyasint"`
@@ -24,29 +24,29 @@
 	Once     bool              `cbor:"12,keyasint"` // not idempotent
 	Key      string            `cbor:"13,keyasint"` // idempotency key; empty if none
 	Priority int               `cbor:"14,keyasint"`
-	Left     time.Duration     `cbor:"15,keyasint"` // until the deadline, when sent; clocks are not compared
-	Hops     int               `cbor:"16,keyasint"` // failure domains that passed it on
+	Left     time.Duration     `cbor:"15,keyasint"` // until the deadline at the time of sending, as clocks of instances are not compared
+	Hops     int               `cbor:"16,keyasint"` // failure domains that forwarded it
 
-	Deadline time.Time `cbor:"-"` // on this instance's clock
+	Deadline time.Time `cbor:"-"` // by this instance's clock
 }
 
-// Digest returns what identifies the work that the call asks for.
+// Digest returns the digest that identifies the work that the call requests.
 func (c *Call) Digest() quarantiner.Digest {
 	return quarantiner.DigestOf(c.Account, c.Method, c.Path, c.Body)
 }
 
-// A Head is how an answer begins.
+// A Head is the start of a response.
 type Head struct {
 	Status  int           `cbor:"1,keyasint"`
 	Type    string        `cbor:"2,keyasint"` // content type
-	Adapter string        `cbor:"3,keyasint"` // that gave the answer
+	Adapter string        `cbor:"3,keyasint"` // that generated the response
 	Runner  string        `cbor:"4,keyasint"`
 	Stall   time.Duration `cbor:"5,keyasint"` // wait because the adapter was not resident
-	Queued  time.Duration `cbor:"6,keyasint"` // wait in all before it was sent to the upstream
+	Queued  time.Duration `cbor:"6,keyasint"` // total wait before it was sent to the upstream
 }
 
-// A Sink takes an answer in, the head first. A Sink that returns an error takes
-// no more: its caller went away.
+// A Sink receives a response, the head first. After an error it accepts nothing more: its
+// caller has disconnected.
 type Sink interface {
 	Data(data []byte) error
 	Head(head Head) error
--- a/internal/request/streamer/sequencer.go
+++ b/internal/request/streamer/sequencer.go
@@ -1,21 +1,22 @@
 package streamer
 
-// A Sequencer keeps the parts of one answer in order. Every part carries a
-// number that grows by one; what comes late or twice is dropped, and a gap
-// means that the answer cannot be whole any more.
+// A Sequencer keeps the parts of one response in order. Parts have consecutive sequence
+// numbers; late and duplicate parts are dropped, and a gap means that the response cannot
+// be completed.
 type Sequencer struct{ last uint32 }
 
-// A Place is where a part stands in its answer.
+// A Place is the position of a part relative to the expected one.
 type Place int
 
 // The places.
 const (
-	Next  Place = iota // the part that was expected
-	Stale              // late or doubled: drop it
+	Next  Place = iota // the expected part
+	Stale              // late or duplicate: drop it
 	Gap                // parts are missing before it
 )
 
-// Accept takes in the number of a part. The first is 1.
+// Accept records the sequence number of a part and returns its place. The first number is
+// 1.
 func (s *Sequencer) Accept(number uint32) Place {
 	switch {
 	case number <= s.last:
--- a/internal/request/streamer/splitter.go
+++ b/internal/request/streamer/splitter.go
@@ -6,21 +6,21 @@
 	"strconv"
 )
 
-// A Splitter cuts the bytes of an event stream into whole events. A caller is
-// given whole events only, so that a stream which breaks off within one can go
-// on at another upstream without a seam.
+// A Splitter splits the bytes of an event stream into complete events. Only complete events
+// are passed to callers, so that a stream that breaks off within an event can resume at
+// another upstream without corruption.
 type Splitter struct{ buf []byte }
 
-// An Event is one event of a stream as it came.
+// An Event is one event of a stream, unmodified.
 type Event struct {
-	Data []byte // with its closing blank line
-	ID   int    // 0 if it names none
+	Data []byte // including the terminating blank line
+	ID   int    // 0 if the event has none
 }
 
-// ErrMalformedEvent is an event that is longer than any real one, or whose ID is none.
+// ErrMalformedEvent reports an event that is too large or whose ID is not a number.
 var ErrMalformedEvent = errors.New("the stream holds what is no event")
 
-// maxEventSize bounds an event, in bytes. Real ones are below 1 KB.
+// maxEventSize limits an incomplete event, in bytes. Real events are below 1 KB.
 const maxEventSize = 256 << 10
 
 var (
@@ -28,8 +28,7 @@
 	idField  = []byte("id:")
 )
 
-// Split takes in bytes and returns the events that they complete. The events
-// are valid until the next call.
+// Split appends data and returns the events that it completes.
 func (s *Splitter) Split(data []byte) ([]Event, error) {
 	s.buf = append(s.buf, data...)
 	var events []Event
@@ -54,10 +53,10 @@
 	return events, nil
 }
 
-// Buffered returns how many bytes of an event that is not whole are held.
+// Buffered returns how many bytes of an incomplete event are buffered.
 func (s *Splitter) Buffered() int { return len(s.buf) }
 
-// Reset drops the bytes of an event that is not whole.
+// Reset discards the bytes of an incomplete event.
 func (s *Splitter) Reset() { s.buf = s.buf[:0] }
 
 func eventID(event []byte) (int, error) {
--- a/internal/request/streamer/splitter_test.go
+++ b/internal/request/streamer/splitter_test.go
@@ -37,10 +37,10 @@
 			}
 		}
 		if diff := cmp.Diff(stream, got); diff != "" {
-			t.Errorf("pieces of %d: %s", size, diff)
+			t.Errorf("chunks of %d: %s", size, diff)
 		}
 		if diff := cmp.Diff([]int{1, 2, 3}, ids); diff != "" {
-			t.Errorf("pieces of %d: %s", size, diff)
+			t.Errorf("chunks of %d: %s", size, diff)
 		}
 	}
 }
@@ -55,7 +55,7 @@
 			n += len(e.Data)
 		}
 		if err == nil && n != len(data) {
-			t.Errorf("%d of %d bytes came out", n, len(data))
+			t.Errorf("%d of %d bytes returned or buffered", n, len(data))
 		}
 	})
 }
