--- a/internal/request/admitter/queue.go
+++ b/internal/request/admitter/queue.go
@@ -31,8 +31,8 @@
 const servedDecay = 0.98
 
 // Ahead returns how many waiting items would be served before another one of the account,
-// if all had the same priority and no deadline: its own, and of each other account as many
-// as it would hold itself.
+// assuming that they differ only in their account: its own, and of each other account as
+// many as it would hold itself.
 func (q *Queue) Ahead(account string) int {
 	held := make(map[string]int)
 	for i := range q.items {
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -98,7 +98,7 @@
 	}
 	b, ok := f.budgets[service]
 	if !ok {
-		b = &retrier.Budget{Part: f.Part, Window: f.Window}
+		b = &retrier.Budget{PerRequest: f.Part, Window: f.Window}
 		f.budgets[service] = b
 	}
 	b.SetBurst(f.Burst())
--- a/internal/request/retrier/budget.go
+++ b/internal/request/retrier/budget.go
@@ -14,7 +14,7 @@
 // more within each window of time. Its fields are set before use; the zero value is ready.
 // It is safe for concurrent use.
 //
-// Over any window it allows at most Part for each request in it plus Burst: half of Burst
+// Over any window it allows at most PerRequest for each request in it plus Burst: half of Burst
 // may be taken at once, the other half refills over a window. So instances that share a
 // limit by splitting its Burst keep it without coordination.
 //
@@ -25,9 +25,9 @@
 // dozens of instances, and many were refused only because the first runner no longer held
 // their adapter.
 type Budget struct {
-	Burst  float64       // retries in a window beyond those in proportion to the requests; 0 means defaultBurst
-	Part   float64       // retries that one request contributes; 0 means defaultRatio
-	Window time.Duration // 0: only requests refill the budget
+	Burst      float64       // retries in a window beyond PerRequest; 0 means defaultBurst
+	PerRequest float64       // retries that one request contributes; 0 means defaultPerRequest
+	Window     time.Duration // 0: only requests refill the budget
 
 	mu         sync.Mutex
 	started    bool
@@ -36,10 +36,11 @@
 }
 
 const (
-	defaultRatio = 0.2
-	defaultBurst = 40
-	// accumulationFactor is the fraction of Part that a request contributes if half of
-	// Burst is less than one retry. The rest covers the accumulated retry of each instance.
+	defaultPerRequest = 0.2
+	defaultBurst      = 40
+	// accumulationFactor is the fraction of PerRequest that a request contributes if half
+	// of Burst is less than one retry. The rest covers the accumulated retry of each
+	// instance.
 	accumulationFactor = 0.85
 )
 
@@ -48,9 +49,9 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.start()
-	ratio := b.Part
+	ratio := b.PerRequest
 	if ratio == 0 {
-		ratio = defaultRatio
+		ratio = defaultPerRequest
 	}
 	if b.accumulates() {
 		ratio *= accumulationFactor
--- a/internal/request/retrier/budget_test.go
+++ b/internal/request/retrier/budget_test.go
@@ -66,14 +66,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		budgets := make([]retrier.Budget, instances)
 		for n := range budgets {
-			budgets[n] = retrier.Budget{Burst: 0.7 * slack / instances, Part: part, Window: window}
+			budgets[n] = retrier.Budget{Burst: 0.7 * slack / instances, PerRequest: part, Window: window}
 		}
 		var taken [seconds]int
 		for second := range seconds {
 			for range perSecond {
 				for n := range budgets {
 					budgets[n].Deposit()
-					// No failures at first, then both attempts of every request fail.
+					// No failures at first, then every request fails twice.
 					for range 2 {
 						if second >= 15 && budgets[n].Withdraw() {
 							taken[second]++
