--- a/internal/request/admitter/share.go
+++ b/internal/request/admitter/share.go
@@ -15,9 +15,9 @@
 }
 
 const (
-	// initialShare is used before anything was learned. minShare is the lower limit, for
-	// services where even initialShare makes too many requests exceed the maximum gap:
-	// their runners differ in speed.
+	// initialShare is used before anything was learned. minShare is the lower limit: the
+	// runners of a service differ in speed, and on slow ones even initialShare makes too
+	// many requests exceed the maximum gap.
 	initialShare = 0.5
 	minShare     = 0.3
 	// maxShare is the upper limit, at which prompts are never delayed for the sake of
--- a/internal/request/admitter/share_test.go
+++ b/internal/request/admitter/share_test.go
@@ -13,21 +13,21 @@
 // everything that is queued, callers see long gaps once the share exceeds about one half,
 // and only few responses may have one.
 func TestShareConvergesToPrefillThatEngineTolerates(t *testing.T) {
-	const most = 300 * time.Millisecond
+	const limit = 300 * time.Millisecond
 	for _, tc := range []struct {
-		name        string
-		pause       func(rng *rand.Rand, share float64) time.Duration
-		least, most float64
-		long        float64 // fraction of the responses that may have a gap above the maximum
+		name     string
+		pause    func(rng *rand.Rand, share float64) time.Duration
+		min, max float64
+		long     float64 // fraction of the responses that may have a gap above the maximum
 	}{
 		{"bounded chunk", func(rng *rand.Rand, _ float64) time.Duration {
-			return time.Duration(rng.Float64() * 0.6 * float64(most))
+			return time.Duration(rng.Float64() * 0.6 * float64(limit))
 		}, 2, 2, 0},
 		{"whole queue", func(rng *rand.Rand, share float64) time.Duration {
-			return time.Duration(rng.Float64() * share * 1.5 * float64(most))
+			return time.Duration(rng.Float64() * share * 1.5 * float64(limit))
 		}, 0.5, 0.8, 0.02},
 		{"whole queue, slow engines", func(rng *rand.Rand, share float64) time.Duration {
-			return time.Duration(rng.Float64() * share * 2.5 * float64(most))
+			return time.Duration(rng.Float64() * share * 2.5 * float64(limit))
 		}, 0.3, 0.5, 0.02},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -38,20 +38,20 @@
 			for n := range 2 * answers {
 				pause := tc.pause(rng, s.Value())
 				switch {
-				case admitter.Short(pause, most):
+				case admitter.Short(pause, limit):
 					s.Learn(1, 0)
-				case admitter.Long(pause, most):
+				case admitter.Long(pause, limit):
 					s.Learn(0, 1)
 				}
 				if n >= answers {
 					sum += s.Value()
-					if pause > most {
+					if pause > limit {
 						late++
 					}
 				}
 			}
-			if mean := sum / answers; mean < tc.least || mean > tc.most {
-				t.Errorf("share %.2f, want %.2f to %.2f", mean, tc.least, tc.most)
+			if mean := sum / answers; mean < tc.min || mean > tc.max {
+				t.Errorf("share %.2f, want %.2f to %.2f", mean, tc.min, tc.max)
 			}
 			if part := float64(late) / answers; part > tc.long {
 				t.Errorf("%.3f of the responses had a gap above the maximum", part)
--- a/internal/request/admitter/timeline.go
+++ b/internal/request/admitter/timeline.go
@@ -22,12 +22,12 @@
 	Queue  time.Duration // until a slot in the batch is free
 	Read   time.Duration // prefill time of the prompt
 	Share  float64       // fraction of the time that the runner may spend on prefill; 0 if unknown
-	Within time.Duration // by when the prefill has to be done
+	Within time.Duration // within which the prefill has to be done
 }
 
 // burstFraction is the fraction of a maximum gap that a runner may spend on prefill beyond
-// its share, per unit of the share. With the minimum share it then prefills for at most 0.8
-// of one such gap; the rest is for the tokens of an event.
+// its share, per unit of the share. With initialShare it then prefills for at most 0.8 of
+// one such gap; the rest is for the tokens of an event.
 const burstFraction = 0.6
 
 // Reserve returns how long to delay the request. If its prefill would be late, ok is false,
--- a/internal/request/forwarder/attempt.go
+++ b/internal/request/forwarder/attempt.go
@@ -33,8 +33,8 @@
 	p.acquireCopy(runner.ID)
 	defer p.releaseCopy()
 	defer p.releaseSlot()
-	dog := p.newWatchdog(runner.ID, cancel)
-	defer dog.stop()
+	wd := p.newWatchdog(runner.ID, cancel)
+	defer wd.stop()
 	reply, observation := p.Upstream.Send(ctx, Attempt{Request: p.request, Runner: runner, After: p.lastEventID, Left: deadline.Sub(now)})
 	if observation != nil {
 		return p.handleNoResponse(ctx, run, runner, observation)
@@ -48,12 +48,12 @@
 	p.reportHit(runner.ID, now)
 	var err *judge.Error
 	if p.request.Route.Kind == matcher.Streaming && reply.Status < 300 {
-		err = p.relayStream(ctx, runner, reply, dog)
+		err = p.relayStream(ctx, runner, reply, wd)
 		if gap := p.request.Route.Gap; err == nil && p.executions == 1 && p.longestGap > 0 && gap > 0 {
 			p.Placement.Paused(runner.ID, p.longestGap, gap)
 		}
 	} else {
-		dog.stop()
+		wd.stop()
 		err = p.relayComplete(ctx, runner, reply)
 	}
 	run.End(runEnd(ctx, err), time.Now())
--- a/internal/request/forwarder/choose.go
+++ b/internal/request/forwarder/choose.go
@@ -120,8 +120,8 @@
 
 // prefillTimeout returns the time within which the prompt has to be prefilled for the
 // response to be on time. A request that waited for its adapter until less than half of the
-// limit is left, or that has already reached a runner, gets the full limit: its response is
-// late either way, and the adapter is resident now.
+// limit is left, or that has already reached a runner, gets the full limit: it is served
+// late rather than refused, as the adapter is resident now.
 func (p *exchange) prefillTimeout(now time.Time) time.Duration {
 	left := p.queueLimit() - now.Sub(p.request.Arrived) - p.Fleet.Base(p.request.Service)
 	if p.adapterWait > 0 && left < p.queueLimit()/2 || p.delivered > 0 {
--- a/internal/request/forwarder/limits.go
+++ b/internal/request/forwarder/limits.go
@@ -16,11 +16,11 @@
 	// pollInterval is how often a request that waits for its adapter checks whether the
 	// adapter is resident. It is short compared with a load.
 	pollInterval = 10 * time.Millisecond
-	// adapterWaitDivisor divides the time until the caller's deadline: a request may wait
-	// for an adapter for one third of it, which leaves time for one retry. A request whose
-	// adapter is expected later is refused immediately: letting it wait in case others
-	// leave the load queue kept adapter slots busy for late responses, and cost 2 responses
-	// in time out of 100 on runners with five slots.
+	// adapterWaitDivisor divides the time from a request's arrival to its deadline: it may
+	// wait for an adapter for one third of that time, which leaves time for one retry. A
+	// request whose adapter is expected later is refused immediately: letting it wait in
+	// case others leave the load queue kept adapter slots busy for late responses, and cost
+	// 2 responses in time out of 100 on runners with five slots.
 	adapterWaitDivisor = 3
 	// maxFullRunners is how many further runners are asked after one without capacity: a
 	// popular adapter has several copies and may get one more.
--- a/internal/request/forwarder/request.go
+++ b/internal/request/forwarder/request.go
@@ -110,9 +110,9 @@
 	// Use acquires a reference to a copy at a runner, which keeps the copy there until done
 	// is called.
 	Use(runner string, c placer.Copy) (done func())
-	// Paused reports the longest gap between the events of a response, and the maximum of
-	// its route.
-	Paused(runner string, longest, most time.Duration)
+	// Paused reports the longest gap between the events of a response, and the route's
+	// limit.
+	Paused(runner string, longest, limit time.Duration)
 	// Missing reports that a runner refused a request because it does not hold the copy.
 	Missing(runner string, c placer.Copy)
 }
@@ -122,8 +122,8 @@
 	Copy   placer.Copy
 	Runner string
 	Tokens int           // of the prompt
-	Pause  time.Duration // maximum gap between events that the requests running there tolerate
-	Within time.Duration // by when the prompt has to be prefilled
+	Pause  time.Duration // maximum gap between events of the requests running there
+	Within time.Duration // within which the prompt has to be prefilled
 }
 
 // A Place is a request slot at a runner of a plain service. It is held until it is
--- a/internal/request/forwarder/retryafter.go
+++ b/internal/request/forwarder/retryafter.go
@@ -8,7 +8,7 @@
 // retryAfter returns the time after which a caller may retry: the minimum plus a random
 // part of up to the same length, so that callers refused at the same time do not retry at
 // the same time.
-func retryAfter(least time.Duration) time.Duration {
-	least = max(least, minRetryAfter)
-	return least + time.Duration(rand.Float64()*float64(least))
+func retryAfter(minimum time.Duration) time.Duration {
+	minimum = max(minimum, minRetryAfter)
+	return minimum + time.Duration(rand.Float64()*float64(minimum))
 }
--- a/internal/request/forwarder/slot.go
+++ b/internal/request/forwarder/slot.go
@@ -29,8 +29,8 @@
 )
 
 // chooseWithSlot returns a runner of a plain service that granted the request a slot.
-// decided is false if no runner granted or refused one; the caller then chooses without a
-// slot.
+// decided is false for a service with an engine, and if no runner granted or refused a
+// slot; the runner is then chosen without one.
 func (p *exchange) chooseWithSlot(ctx context.Context) (runner tracker.Runner, refused *judge.Error, decided bool) {
 	if p.request.Engine != nil {
 		return tracker.Runner{}, nil, false
--- a/internal/request/forwarder/stream.go
+++ b/internal/request/forwarder/stream.go
@@ -13,13 +13,13 @@
 
 // relayStream passes the events of a response on as they arrive. The caller receives only
 // complete events, each once and in order, even if they come from two executions.
-func (p *exchange) relayStream(ctx context.Context, runner tracker.Runner, reply *Reply, dog *watchdog) *judge.Error {
+func (p *exchange) relayStream(ctx context.Context, runner tracker.Runner, reply *Reply, wd *watchdog) *judge.Error {
 	p.splitter.Reset()
 	buffer := make([]byte, readSize)
 	for {
 		n, err := reply.Body.Read(buffer)
 		if n > 0 {
-			dog.reset()
+			wd.reset()
 		}
 		if failed := p.relayEvents(reply, buffer[:n]); failed != nil {
 			reply.Close(false)
--- a/internal/request/judge/error.go
+++ b/internal/request/judge/error.go
@@ -29,7 +29,7 @@
 	return &Error{Verdict: MayHaveRun, Reason: ReasonPeer, Message: err.Error()}
 }
 
-// After returns a copy of e with a Retry-After of d.
+// After returns a copy of e that tells the caller to retry after d.
 func (e *Error) After(d time.Duration) *Error {
 	after := *e
 	after.Retry = d
--- a/internal/request/matcher/matcher.go
+++ b/internal/request/matcher/matcher.go
@@ -43,7 +43,7 @@
 	Public   bool          // callers need no key
 	Resumes  bool          // a stream may be resumed at another runner after its last event
 	Shares   []Share
-	Timeout  time.Duration // by when the caller must have a response
+	Timeout  time.Duration // within which the caller must have a response
 }
 
 // A Share is the weight of a service in the traffic split of a route.
--- a/internal/request/retrier/budget.go
+++ b/internal/request/retrier/budget.go
@@ -14,9 +14,9 @@
 // more within each window of time. Its fields are set before use; the zero value is ready.
 // It is safe for concurrent use.
 //
-// Over any window it allows at most PerRequest for each request in it plus Burst: half of Burst
-// may be taken at once, the other half refills over a window. So instances that share a
-// limit by splitting its Burst keep it without coordination.
+// Over any window it allows at most PerRequest for each request in it plus Burst: half of
+// Burst may be taken at once, the other half refills over a window. So instances that share
+// a limit by splitting its Burst keep it without coordination.
 //
 // If the limit is split over many instances, half of Burst is less than one retry. Such a
 // budget starts empty and accumulates one retry from its requests, each of which
@@ -93,7 +93,7 @@
 // capacity returns how many retries may be taken at once.
 func (b *Budget) capacity() float64 { return max(1, b.burst()/2) }
 
-// start empties a new budget that accumulates its first retry.
+// start empties a new budget that has to accumulate its first retry.
 func (b *Budget) start() {
 	if !b.started && b.accumulates() {
 		b.debt = b.capacity()
--- a/internal/request/retrier/budget_test.go
+++ b/internal/request/retrier/budget_test.go
@@ -45,8 +45,8 @@
 			retries++
 		}
 	}
-	if most := requests/5 + 21; retries > most {
-		t.Errorf("%d retries for %d requests, want at most %d", retries, requests, most)
+	if limit := requests/5 + 21; retries > limit {
+		t.Errorf("%d retries for %d requests, want at most %d", retries, requests, limit)
 	}
 }
 
--- a/internal/request/router/router.go
+++ b/internal/request/router/router.go
@@ -94,10 +94,11 @@
 	// caller has noticed and retried.
 	failureCost = 2
 	// coldRendezvousCost is the largest cost, in seconds, that a runner's rendezvous hash
-	// adds for an adapter that is resident nowhere. All instances then load it on the same
-	// runner, which reloads an adapter that it held before in a tenth of the time; only a
-	// backlog of this order moves the load elsewhere. With lower values, runners with few
-	// adapter slots fetch more from the weight store and respond in time less often.
+	// adds if the runner would have to fetch the adapter from the weight store. All
+	// instances then load an adapter on the same runner, which reloads an adapter that it
+	// held before in a tenth of the time; only a backlog of this order moves the load
+	// elsewhere. With lower values, runners with few adapter slots fetch more from the
+	// weight store and respond in time less often.
 	coldRendezvousCost = 0.8
 )
 
@@ -194,7 +195,7 @@
 	return runner, ok
 }
 
-// queue estimates the wait for a place in the batch.
+// queue estimates the wait for a slot in the batch.
 func (r *Router) queue(c *Candidate) float64 {
 	batch := effectiveBatch(c)
 	ahead := float64(c.Running+c.Waiting+c.Sent+1) - batch
