--- a/internal/request/admitter/share_test.go
+++ b/internal/request/admitter/share_test.go
@@ -15,10 +15,10 @@
 func TestShareConvergesToPrefillThatEngineTolerates(t *testing.T) {
 	const limit = 300 * time.Millisecond
 	for _, tc := range []struct {
-		name     string
-		pause    func(rng *rand.Rand, share float64) time.Duration
-		min, max float64
-		long     float64 // fraction of the responses that may have a gap above the maximum
+		name               string
+		pause              func(rng *rand.Rand, share float64) time.Duration
+		minShare, maxShare float64
+		long               float64 // fraction of the responses that may have a gap above the maximum
 	}{
 		{"bounded chunk", func(rng *rand.Rand, _ float64) time.Duration {
 			return time.Duration(rng.Float64() * 0.6 * float64(limit))
@@ -50,8 +50,8 @@
 					}
 				}
 			}
-			if mean := sum / answers; mean < tc.min || mean > tc.max {
-				t.Errorf("share %.2f, want %.2f to %.2f", mean, tc.min, tc.max)
+			if mean := sum / answers; mean < tc.minShare || mean > tc.maxShare {
+				t.Errorf("share %.2f, want %.2f to %.2f", mean, tc.minShare, tc.maxShare)
 			}
 			if part := float64(late) / answers; part > tc.long {
 				t.Errorf("%.3f of the responses had a gap above the maximum", part)
