--- a/internal/request/forwarder/choose.go
+++ b/internal/request/forwarder/choose.go
@@ -18,7 +18,7 @@
 			return tracker.Runner{}, refused
 		}
 		p.releaseSlot()
-		if runner, refused, asked := p.chooseWithSlot(ctx); asked {
+		if runner, refused, decided := p.chooseWithSlot(ctx); decided {
 			if refused != nil {
 				refused = refused.After(retryAfter(refused.Retry))
 			}
@@ -108,12 +108,12 @@
 	}
 	p.queueWait = reservation.Wait
 	p.requestSpareCopy(terms, reservation.Wait)
-	hold := time.NewTimer(reservation.Wait)
-	defer hold.Stop()
+	delay := time.NewTimer(reservation.Wait)
+	defer delay.Stop()
 	select {
 	case <-ctx.Done():
 		return true, p.contextError(ctx)
-	case <-hold.C:
+	case <-delay.C:
 		return true, nil
 	}
 }
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -69,7 +69,7 @@
 	splitter     streamer.Splitter
 	status       int // of the response passed to the caller; 0 if none
 	tried        map[string]bool
-	adapterWait  time.Duration // time spent waiting for the adapter
+	adapterWait  time.Duration // from the start of each choice of a runner to its end, mostly waiting for the adapter
 }
 
 // Forward serves a request. It returns nil after a complete response, otherwise an error
