--- a/internal/request/admitter/share_test.go
+++ b/internal/request/admitter/share_test.go
@@ -8,26 +8,26 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/admitter"
 )
 
-// Two engines bear different amounts of reading between events. On one that reads
-// a bounded piece between two tokens, pauses never grow long and no prompt is to
-// be held back; on one that reads all there is, callers see long pauses as soon as
-// it reads more than half of the time, and few of them may.
-func TestShareFollowsWhatRunsBear(t *testing.T) {
-	const most = 300 * time.Millisecond
+// The share must follow the engine. On an engine that prefills a bounded chunk between two
+// tokens, gaps never grow long and no prompt may be delayed. On an engine that prefills
+// everything that is queued, callers see long gaps once the share exceeds about one half,
+// and only few responses may have one.
+func TestShareConvergesToPrefillThatEngineTolerates(t *testing.T) {
+	const limit = 300 * time.Millisecond
 	for _, tc := range []struct {
-		name        string
-		pause       func(rng *rand.Rand, share float64) time.Duration
-		least, most float64
-		long        float64 // part of the answers that may have one
+		name               string
+		pause              func(rng *rand.Rand, share float64) time.Duration
+		minShare, maxShare float64
+		long               float64 // fraction of the responses that may have a gap above the maximum
 	}{
-		{"a bounded piece", func(rng *rand.Rand, _ float64) time.Duration {
-			return time.Duration(rng.Float64() * 0.6 * float64(most))
+		{"bounded chunk", func(rng *rand.Rand, _ float64) time.Duration {
+			return time.Duration(rng.Float64() * 0.6 * float64(limit))
 		}, 2, 2, 0},
-		{"all there is", func(rng *rand.Rand, share float64) time.Duration {
-			return time.Duration(rng.Float64() * share * 1.5 * float64(most))
+		{"whole queue", func(rng *rand.Rand, share float64) time.Duration {
+			return time.Duration(rng.Float64() * share * 1.5 * float64(limit))
 		}, 0.5, 0.8, 0.02},
-		{"all there is, on slow engines", func(rng *rand.Rand, share float64) time.Duration {
-			return time.Duration(rng.Float64() * share * 2.5 * float64(most))
+		{"whole queue, slow engines", func(rng *rand.Rand, share float64) time.Duration {
+			return time.Duration(rng.Float64() * share * 2.5 * float64(limit))
 		}, 0.3, 0.5, 0.02},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -38,23 +38,23 @@
 			for n := range 2 * answers {
 				pause := tc.pause(rng, s.Value())
 				switch {
-				case admitter.Short(pause, most):
+				case admitter.Short(pause, limit):
 					s.Learn(1, 0)
-				case admitter.Long(pause, most):
+				case admitter.Long(pause, limit):
 					s.Learn(0, 1)
 				}
 				if n >= answers {
 					sum += s.Value()
-					if pause > most {
+					if pause > limit {
 						late++
 					}
 				}
 			}
-			if mean := sum / answers; mean < tc.least || mean > tc.most {
-				t.Errorf("share %.2f, want %.2f to %.2f", mean, tc.least, tc.most)
+			if mean := sum / answers; mean < tc.minShare || mean > tc.maxShare {
+				t.Errorf("share %.2f, want %.2f to %.2f", mean, tc.minShare, tc.maxShare)
 			}
 			if part := float64(late) / answers; part > tc.long {
-				t.Errorf("%.3f of the answers had a pause beyond what callers bear", part)
+				t.Errorf("%.3f of the responses had a gap above the maximum", part)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/request/forwarder/quarantine.go
@@ -0,0 +1,61 @@
+package forwarder
+
+import (
+	"context"
+	"time"
+
+	"github.com/sardinetiller/sardinetiller/internal/request/judge"
+	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
+	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
+)
+
+// A Quarantine tracks which requests crash the runners that run them.
+type Quarantine interface {
+	// Suspects reports whether any request is suspected. If none is, no digests are needed.
+	Suspects() bool
+	// Held reports whether a request is quarantined, and for how much longer.
+	Held(d quarantiner.Digest) (left time.Duration, held bool)
+	// Broke reports that a connection broke on which a request had been sent to a runner,
+	// and when it was sent. The Quarantine determines whether the runner crashed.
+	Broke(d quarantiner.Digest, runner tracker.Runner, sent time.Time)
+	// Whole reports that a runner completed a request.
+	Whole(d quarantiner.Digest)
+}
+
+// quarantined refuses a request that crashes runners. It is called at every poll and right
+// before each attempt: a copy of the request that arrived before the verdict may have
+// waited for its adapter for more than a second.
+func (p *exchange) quarantined() *judge.Error {
+	if !p.Quarantine.Suspects() {
+		return nil
+	}
+	left, held := p.Quarantine.Held(p.digest())
+	if !held {
+		return nil
+	}
+	return judge.Refuse(judge.ReasonQuarantine, "the runners that ran this request crashed").After(left)
+}
+
+// digest returns the digest of the request. It is computed once.
+func (p *exchange) digest() quarantiner.Digest {
+	if p.cachedDigest == "" {
+		r := p.request
+		p.cachedDigest = quarantiner.DigestOf(r.quarantineScope(), r.Message.Method, r.Message.Target, r.Message.Body)
+	}
+	return p.cachedDigest
+}
+
+// reportBroken reports that the connection to a runner broke while the runner may have been
+// running the request, unless this instance ended the connection.
+func (p *exchange) reportBroken(ctx context.Context, runner tracker.Runner, err *judge.Error) {
+	if ctx.Err() == nil && err.Verdict != judge.NotRun {
+		p.Quarantine.Broke(p.digest(), runner, p.sentAt)
+	}
+}
+
+// reportCompleted reports that a runner completed the request.
+func (p *exchange) reportCompleted() {
+	if p.Quarantine.Suspects() {
+		p.Quarantine.Whole(p.digest())
+	}
+}
--- /dev/null
+++ b/internal/request/forwarder/slot.go
@@ -0,0 +1,116 @@
+package forwarder
+
+import (
+	"context"
+	"math/rand/v2"
+	"time"
+
+	"github.com/sardinetiller/sardinetiller/internal/request/judge"
+	"github.com/sardinetiller/sardinetiller/internal/request/router"
+	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
+)
+
+const (
+	// slotProbes is how many runners of a plain service are asked for a request slot: a
+	// third one rarely has a much shorter wait than the better of two. If none of them
+	// grants a slot, up to maxSlotProbes runners are asked, so that no request is refused
+	// while a slot is free.
+	slotProbes    = 2
+	maxSlotProbes = 8
+	// shortWaitFraction is the fraction of the latency target below which a wait is short
+	// enough not to ask another runner.
+	shortWaitFraction = 1. / 6
+	// slotWaitFraction is the fraction of the latency target that a request may wait for a
+	// slot. The rest is for its execution and for the requests behind it.
+	slotWaitFraction = 0.5
+	// retrySlotWaitFraction is the limit for a request that has already reached a runner,
+	// as a fraction of the time until its deadline.
+	retrySlotWaitFraction = 1. / 3
+)
+
+// chooseWithSlot returns a runner of a plain service that granted the request a slot.
+// decided is false for a service with an engine, and if no runner granted or refused a
+// slot; the runner is then chosen without one.
+func (p *exchange) chooseWithSlot(ctx context.Context) (runner tracker.Runner, refused *judge.Error, decided bool) {
+	if p.request.Engine != nil {
+		return tracker.Runner{}, nil, false
+	}
+	now := time.Now()
+	choice := router.Router{Policy: router.Spread{CrossDomain: crossDomainCost, Draw: rand.Float64}}
+	terms := choice.Choose(router.Request{}, p.Fleet.Candidates(p.demand(p.tried), now))
+	var best runnerSlot
+	unanswered := 0
+	for n, t := range terms[:min(len(terms), maxSlotProbes)] {
+		if n >= slotProbes && best.Done != nil || unanswered >= slotProbes {
+			break
+		}
+		slot, full, ok := p.Placement.Place(ctx, t.Runner, p.slotWaitLimit(now))
+		switch {
+		case !ok:
+			unanswered++ // each may have taken the full timeout
+			continue
+		case full != nil:
+			refused = soonerRetry(refused, full)
+			continue
+		}
+		best = best.better(runnerSlot{slot, t.Runner})
+		if best.Wait <= time.Duration(shortWaitFraction*float64(p.request.Route.Goal)) {
+			break
+		}
+	}
+	if best.Done == nil {
+		return tracker.Runner{}, refused, refused != nil
+	}
+	runner, known := p.Fleet.Get(best.runner)
+	if !known || runner.Leaving {
+		best.Done()
+		return tracker.Runner{}, nil, false
+	}
+	p.slot, p.queueWait = best.Place, best.Wait
+	return runner, nil, true
+}
+
+// A runnerSlot is a request slot at a runner.
+type runnerSlot struct {
+	Place
+
+	runner string
+}
+
+// better returns the slot with the shorter wait and releases the other one.
+func (p runnerSlot) better(other runnerSlot) runnerSlot {
+	switch {
+	case p.Done == nil:
+		return other
+	case other.Wait < p.Wait:
+		p.Done()
+		return other
+	default:
+		other.Done()
+		return p
+	}
+}
+
+// soonerRetry returns the refusal with the shorter Retry-After.
+func soonerRetry(a, b *judge.Error) *judge.Error {
+	if a == nil || b.Retry < a.Retry {
+		return b
+	}
+	return a
+}
+
+// slotWaitLimit returns how long the request may wait for a slot at a runner.
+func (p *exchange) slotWaitLimit(now time.Time) time.Duration {
+	if p.delivered > 0 {
+		return time.Duration(retrySlotWaitFraction * float64(p.request.Deadline.Sub(now)))
+	}
+	return time.Duration(slotWaitFraction*float64(p.request.Route.Goal)) - now.Sub(p.request.Arrived)
+}
+
+// releaseSlot releases the slot that the request holds, if any.
+func (p *exchange) releaseSlot() {
+	if p.slot.Done != nil {
+		p.slot.Done()
+	}
+	p.slot = Place{}
+}
--- /dev/null
+++ b/internal/request/forwarder/watchdog.go
@@ -0,0 +1,109 @@
+package forwarder
+
+import (
+	"context"
+	"errors"
+	"maps"
+	"sync"
+	"time"
+
+	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
+)
+
+// errUnresponsive reports that a runner sent nothing for longer than a working one does.
+var errUnresponsive = errors.New("the runner gives no sign")
+
+const (
+	// firstByteTargets is how long a runner may take to send the first byte of its response
+	// before another one is tried, as a multiple of the latency target or of the maximum
+	// gap, whichever is longer.
+	firstByteTargets = 2
+	// minFirstByteTimeout prevents latency targets of a few milliseconds from turning every
+	// delay into a failure.
+	minFirstByteTimeout = 500 * time.Millisecond
+	// idleFraction is how long a runner may send nothing within a stream, as a fraction of
+	// the time after which callers give up.
+	idleFraction = 0.75
+)
+
+// A watchdog cancels an attempt whose runner sends nothing, but only if another runner can
+// take over immediately and a retry is allowed: a time-out alone is no reason to cut a
+// response that the caller still waits for. A runner that has preempted a request for more
+// urgent ones may send nothing for seconds and then continue.
+type watchdog struct {
+	p      *exchange
+	cancel context.CancelCauseFunc
+	demand tracker.Demand
+
+	mu      sync.Mutex
+	timeout time.Duration
+	timer   *time.Timer // nil once stopped
+}
+
+// newWatchdog starts the watchdog of an attempt at a runner.
+func (p *exchange) newWatchdog(runner string, cancel context.CancelCauseFunc) *watchdog {
+	tried := maps.Clone(p.tried)
+	tried[runner] = true
+	w := &watchdog{p: p, cancel: cancel, demand: p.demand(tried), timeout: p.firstByteTimeout()}
+	if !p.request.Route.Repeatable() || p.executions+1 >= p.request.Route.Attempts {
+		return w
+	}
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.timer = time.AfterFunc(w.timeout, w.expire)
+	return w
+}
+
+// reset restarts the timer after data from the runner. From then on the idle timeout
+// applies, which may be longer than the first-byte timeout.
+func (w *watchdog) reset() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.timer != nil {
+		w.timeout = w.p.idleTimeout()
+		w.timer.Reset(w.timeout)
+	}
+}
+
+func (w *watchdog) stop() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.timer != nil {
+		w.timer.Stop()
+		w.timer = nil
+	}
+}
+
+// expire is called when the runner has sent nothing for the timeout.
+func (w *watchdog) expire() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.timer == nil {
+		return
+	}
+	if !w.p.hasFreeRunner(w.demand) || !w.p.budget.Withdraw() {
+		w.timer.Reset(w.timeout)
+		return
+	}
+	w.timer = nil
+	w.p.retryPaid.Store(true)
+	w.cancel(errUnresponsive)
+}
+
+// hasFreeRunner reports whether another runner could take the request immediately.
+func (p *exchange) hasFreeRunner(d tracker.Demand) bool {
+	for _, c := range p.Fleet.Candidates(d, time.Now()) {
+		if c.Resident && !c.Crowded {
+			return true
+		}
+	}
+	return false
+}
+
+func (p *exchange) firstByteTimeout() time.Duration {
+	return max(minFirstByteTimeout, firstByteTargets*p.request.Route.Goal, firstByteTargets*p.request.Route.Gap)
+}
+
+func (p *exchange) idleTimeout() time.Duration {
+	return time.Duration(idleFraction * float64(p.callerTimeout()))
+}
--- a/internal/request/matcher/matcher_test.go
+++ b/internal/request/matcher/matcher_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestServiceSplitsByWeightAndStaysWithTheRequest(t *testing.T) {
+func TestServiceSplitIsWeightedAndStablePerRequest(t *testing.T) {
 	r := matcher.Route{Shares: []matcher.Share{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
 	count := map[string]int{}
 	for i := range 10000 {
@@ -59,6 +59,6 @@
 		t.Errorf("new got %d of 10000, want about 1000", count["new"])
 	}
 	if got := (&matcher.Route{}).Service("x"); got != "" {
-		t.Errorf("a route without services went to %q", got)
+		t.Errorf("route without services returned %q", got)
 	}
 }
--- a/internal/request/retrier/budget.go
+++ b/internal/request/retrier/budget.go
@@ -1,5 +1,4 @@
-// Package retrier bounds retries, so that a failure is not answered with a
-// storm of them.
+// Package retrier limits retries, so that failures do not cause a retry storm.
 package retrier
 
 import (
@@ -11,70 +10,70 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// A Budget allows retries as a part of the requests, and some more within each
-// window of time. Its fields are set before use; the zero value is ready. It is
-// safe for concurrent use.
+// A Budget is a token bucket that allows retries in proportion to the requests, and some
+// more within each window of time. Its fields are set before use; the zero value is ready.
+// It is safe for concurrent use.
 //
-// Over any window it allows at most Part for each request in it plus Burst: half
-// of Burst may be taken at once, the other half flows back over a window. So
-// instances that share a bound by splitting its Burst keep it without talking
-// to each other.
+// Over any window it allows at most PerRequest for each request in it plus Burst: half of
+// Burst may be taken at once, the other half refills over a window. So instances that share
+// a limit by splitting its Burst keep it without coordination.
 //
-// Split over many instances, half of Burst is less than one retry. Then a budget
-// begins with nothing and saves up one retry from its requests, each of which
-// pays a little less: what all instances have saved is covered by that, also
-// when all spend it in one window. Without this no request of a deployment of dozens of
-// instances was ever sent again, and many were refused only because the first runner did
-// not hold their adapter any more.
+// If the limit is split over many instances, half of Burst is less than one retry. Such a
+// budget starts empty and accumulates one retry from its requests, each of which
+// contributes a little less. That covers what all instances have accumulated, even if all
+// spend it in the same window. Without this, no request was ever retried in a deployment of
+// dozens of instances, and many were refused only because the first runner no longer held
+// their adapter.
 type Budget struct {
-	Burst  float64       // retries in a window beyond the part; 0 is defaultBurst
-	Part   float64       // retries that one request pays for; 0 is defaultPart
-	Window time.Duration // 0: what is spent comes back with requests only
-
-	mu    sync.Mutex
-	begun bool
-	last  time.Time
-	spent float64 // retries not yet paid for
+	Burst      float64       // retries in a window beyond PerRequest; 0 means defaultBurst
+	PerRequest float64       // retries that one request contributes; 0 means defaultPerRequest
+	Window     time.Duration // 0: only requests refill the budget
+
+	mu         sync.Mutex
+	started    bool
+	lastRefill time.Time
+	debt       float64 // retries taken and not yet refilled
 }
 
 const (
-	defaultPart  = 0.2
-	defaultBurst = 40
-	// savedPart is the part of Part that a request pays where half of Burst is
-	// less than one retry. The rest covers one saved retry of each instance.
-	savedPart = 0.85
+	defaultPerRequest = 0.2
+	defaultBurst      = 40
+	// accumulationFactor is the fraction of PerRequest that a request contributes if half
+	// of Burst is less than one retry. The rest covers the accumulated retry of each
+	// instance.
+	accumulationFactor = 0.85
 )
 
 // Deposit counts one request.
 func (b *Budget) Deposit() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
-	part := b.Part
-	if part == 0 {
-		part = defaultPart
+	b.start()
+	ratio := b.PerRequest
+	if ratio == 0 {
+		ratio = defaultPerRequest
 	}
-	if b.saves() {
-		part *= savedPart
+	if b.accumulates() {
+		ratio *= accumulationFactor
 	}
-	b.spent = max(0, b.spent-part)
+	b.debt = max(0, b.debt-ratio)
 }
 
-// Withdraw takes one retry, or returns false if the budget is used up.
+// Withdraw takes one retry, or returns false if the budget is exhausted.
 func (b *Budget) Withdraw() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.begin()
-	b.flow(time.Now())
-	if b.spent+1 > b.atOnce() {
+	b.start()
+	b.refill(time.Now())
+	if b.debt+1 > b.capacity() {
 		return false
 	}
-	b.spent++
+	b.debt++
 	return true
 }
 
-// SetBurst changes the share of the burst, when the number of instances that
-// split it has changed.
+// SetBurst changes the share of the burst when the number of instances that split it has
+// changed.
 func (b *Budget) SetBurst(burst float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,41 +87,41 @@
 	return b.Burst
 }
 
-// saves reports whether the share of the burst is too small for a retry.
-func (b *Budget) saves() bool { return b.burst()/2 < 1 }
+// accumulates reports whether half of the share of the burst is less than one retry.
+func (b *Budget) accumulates() bool { return b.burst()/2 < 1 }
 
-// atOnce returns how many retries may be taken at once.
-func (b *Budget) atOnce() float64 { return max(1, b.burst()/2) }
+// capacity returns how many retries may be taken at once.
+func (b *Budget) capacity() float64 { return max(1, b.burst()/2) }
 
-// begin spends what a budget that saves has not saved yet.
-func (b *Budget) begin() {
-	if !b.begun && b.saves() {
-		b.spent = b.atOnce()
+// start empties a new budget that has to accumulate its first retry.
+func (b *Budget) start() {
+	if !b.started && b.accumulates() {
+		b.debt = b.capacity()
 	}
-	b.begun = true
+	b.started = true
 }
 
-// flow pays back what the time since the last look allows.
-func (b *Budget) flow(now time.Time) {
-	if b.Window > 0 && !b.last.IsZero() {
-		b.spent = max(0, b.spent-b.burst()/2*now.Sub(b.last).Seconds()/b.Window.Seconds())
+// refill adds what the time since the last refill allows.
+func (b *Budget) refill(now time.Time) {
+	if b.Window > 0 && !b.lastRefill.IsZero() {
+		b.debt = max(0, b.debt-b.burst()/2*now.Sub(b.lastRefill).Seconds()/b.Window.Seconds())
 	}
-	b.last = now
+	b.lastRefill = now
 }
 
-// May reports whether a failed attempt may be followed by another: always if it
-// did not run, and if it may have run only when the request is idempotent and
-// nothing of an answer has reached the caller.
-func May(err *judge.Error, once, answered bool) bool {
-	if answered || final(err.Reason) {
+// May reports whether a failed attempt may be retried: always if it did not run; if it may
+// have run, only if the request is idempotent. It never may once a part of the response has
+// reached the caller.
+func May(err *judge.Error, nonIdempotent, responseStarted bool) bool {
+	if responseStarted || nonRetryable(err.Reason) {
 		return false
 	}
-	return err.Verdict == judge.NotRun || !once
+	return err.Verdict == judge.NotRun || !nonIdempotent
 }
 
-// final reports whether the reason lies with the request or its caller, so that
-// another attempt would end the same.
-func final(r judge.Reason) bool {
+// nonRetryable reports whether the reason lies with the request or its caller, so that
+// another attempt would fail in the same way.
+func nonRetryable(r judge.Reason) bool {
 	switch r {
 	case judge.ReasonAdapter, judge.ReasonAuth, judge.ReasonBody, judge.ReasonCancelled,
 		judge.ReasonDeadline, judge.ReasonHeader, judge.ReasonQuarantine, judge.ReasonShare, judge.ReasonMismatch:
@@ -133,14 +132,14 @@
 }
 
 const (
-	firstWait = 20 * time.Millisecond
-	lastWait  = 500 * time.Millisecond
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
 )
 
-// Backoff returns the waits between the attempts of one request, with jitter.
+// Backoff returns the delays between the attempts of one request, with jitter.
 func Backoff() *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = firstWait
-	b.MaxInterval = lastWait
+	b.InitialInterval = initialBackoff
+	b.MaxInterval = maxBackoff
 	return b
 }
--- a/internal/request/retrier/budget_test.go
+++ b/internal/request/retrier/budget_test.go
@@ -11,31 +11,31 @@
 
 func TestMay(t *testing.T) {
 	for _, tc := range []struct {
-		name           string
-		verdict        judge.Verdict
-		reason         judge.Reason
-		once, answered bool
-		want           bool
+		name                           string
+		verdict                        judge.Verdict
+		reason                         judge.Reason
+		nonIdempotent, responseStarted bool
+		want                           bool
 	}{
 		{"not run", judge.NotRun, judge.ReasonDial, true, false, true},
 		{"may have run, idempotent", judge.MayHaveRun, judge.ReasonWritten, false, false, true},
-		{"may have run, once", judge.MayHaveRun, judge.ReasonWritten, true, false, false},
-		{"caller has a part", judge.MayHaveRun, judge.ReasonCut, false, true, false},
-		{"caller's fault", judge.NotRun, judge.ReasonBody, false, false, false},
+		{"may have run, not idempotent", judge.MayHaveRun, judge.ReasonWritten, true, false, false},
+		{"part of the response sent", judge.MayHaveRun, judge.ReasonCut, false, true, false},
+		{"invalid request", judge.NotRun, judge.ReasonBody, false, false, false},
 		{"other adapter answered", judge.MayHaveRun, judge.ReasonMismatch, false, false, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			err := &judge.Error{Verdict: tc.verdict, Reason: tc.reason}
-			if got := retrier.May(err, tc.once, tc.answered); got != tc.want {
+			if got := retrier.May(err, tc.nonIdempotent, tc.responseStarted); got != tc.want {
 				t.Errorf("May = %v, want %v", got, tc.want)
 			}
 		})
 	}
 }
 
-// Every attempt fails. The first requests may still be retried, then retries
-// are only a fifth of the requests: no storm.
-func TestBudgetBoundsAStorm(t *testing.T) {
+// If every attempt fails, the burst may be retried, and after it only one retry per five
+// requests.
+func TestBudgetBoundsRetryStorm(t *testing.T) {
 	var b retrier.Budget
 	retries := 0
 	const requests = 1000
@@ -45,15 +45,15 @@
 			retries++
 		}
 	}
-	if most := requests/5 + 21; retries > most {
-		t.Errorf("%d retries for %d requests, want at most %d", retries, requests, most)
+	if limit := requests/5 + 21; retries > limit {
+		t.Errorf("%d retries for %d requests, want at most %d", retries, requests, limit)
 	}
 }
 
-// 64 instances share a bound of 168 retries in a window beyond a fifth of the
-// requests. Each one's share is too small for a single retry, and every request
-// whose first runner refused it failed. Each must be able to retry some, and all
-// together must keep the bound, also when everything fails at once.
+// 64 instances share a limit of 168 retries per window beyond a fifth of the requests. Each
+// share is less than one retry, and without accumulation every request whose first runner
+// refused it failed. Each instance must be able to retry some requests, and all together
+// must keep the limit even if everything fails at once.
 func TestManyInstancesShareABudget(t *testing.T) {
 	const (
 		instances = 64
@@ -66,14 +66,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		budgets := make([]retrier.Budget, instances)
 		for n := range budgets {
-			budgets[n] = retrier.Budget{Burst: 0.7 * slack / instances, Part: part, Window: window}
+			budgets[n] = retrier.Budget{Burst: 0.7 * slack / instances, PerRequest: part, Window: window}
 		}
 		var taken [seconds]int
 		for second := range seconds {
 			for range perSecond {
 				for n := range budgets {
 					budgets[n].Deposit()
-					// Calm at first, then every request fails, twice.
+					// No failures at first, then every request fails twice.
 					for range 2 {
 						if second >= 15 && budgets[n].Withdraw() {
 							taken[second]++
