--- a/internal/adapter/keeper/evictor.go
+++ b/internal/adapter/keeper/evictor.go
@@ -11,8 +11,8 @@
 // Heat evicts the slot with the fewest uses, weighted by exponential decay, and
 // prefers an adapter that another runner holds too.
 type Heat struct {
-	Turns  float64                  // half-life of a use, in uses of the runner per slot
-	Copies func(adapter string) int // copies in the failure domain; nil if unknown
+	HalfLifePerSlot float64                  // half-life of a use, in uses of the runner per slot
+	Copies          func(adapter string) int // copies in the failure domain; nil if unknown
 }
 
 // LRU evicts the least recently used slot. It is the baseline for Heat.
@@ -21,31 +21,31 @@
 func (Heat) evictor() {}
 func (LRU) evictor()  {}
 
-// value returns the cost of evicting the slot, in the unit of the policy.
-func (k *Keeper) value(s *Slot) float64 {
+// evictionCost returns the cost of evicting the slot, in the unit of the policy.
+func (k *Keeper) evictionCost(s *Slot) float64 {
 	switch p := k.Policy.(type) {
 	case Heat:
 		copies := 1
 		if p.Copies != nil {
 			copies = p.Copies(s.Handle.Adapter)
 		}
-		return k.aged().Loss(s.heat, copies)
+		return k.decayClock().EvictionCost(s.heat, copies)
 	case LRU:
-		return float64(s.heat.Last())
+		return float64(s.heat.LastUse())
 	default:
 		panic("keeper: unknown evictor")
 	}
 }
 
-// aged returns the clock, with the half-life of the policy.
-func (k *Keeper) aged() *warmer.Clock {
-	turns := float64(warmer.Turns)
-	if p, ok := k.Policy.(Heat); ok && p.Turns > 0 {
-		turns = p.Turns
+// decayClock returns the clock, with the half-life of the policy.
+func (k *Keeper) decayClock() *warmer.Clock {
+	turns := float64(warmer.HalfLifePerSlot)
+	if p, ok := k.Policy.(Heat); ok && p.HalfLifePerSlot > 0 {
+		turns = p.HalfLifePerSlot
 	}
-	k.clock.Half = turns * float64(max(1, k.Capacity))
+	k.clock.HalfLife = turns * float64(max(1, k.Capacity))
 	return &k.clock
 }
 
-// touch records one use of the slot.
-func (k *Keeper) touch(s *Slot) { k.aged().Touch(&s.heat, 1) }
+// recordUse records one use of the slot.
+func (k *Keeper) recordUse(s *Slot) { k.decayClock().Touch(&s.heat, 1) }
--- a/internal/adapter/keeper/keeper.go
+++ b/internal/adapter/keeper/keeper.go
@@ -16,20 +16,20 @@
 	Policy   Evictor // eviction policy
 	Self     string  // incarnation of this instance
 
-	clock     warmer.Clock
-	engine    string                    // incarnation of the engine; empty until the first report
-	fence     uint64                    // fencing token of the current lease
-	foreign   map[string]map[string]int // pins that previous owners still hold, by owner and handle
-	loads     uint64                    // load orders so far; the serial number of the last handle
-	owned     bool
-	raised    bool // the engine has confirmed the fencing token of the current lease
-	slots     map[string]*Slot
-	uncleared map[string]bool // previous owners that have not been cleared
+	clock          warmer.Clock
+	engine         string                    // incarnation of the engine; empty until the first report
+	fence          uint64                    // fencing token of the current lease
+	previousPins   map[string]map[string]int // pins that previous owners still hold, by owner and handle
+	loads          uint64                    // load orders so far; the serial number of the last handle
+	owned          bool
+	fenceConfirmed bool // the engine has confirmed the fencing token of the current lease
+	slots          map[string]*Slot
+	uncleared      map[string]bool // previous owners that have not been cleared
 }
 
 // Servable reports whether Pin would succeed for the adapter.
 func (k *Keeper) Servable(adapter string) bool {
-	return k.copyOf(adapter) != nil
+	return k.servableCopy(adapter) != nil
 }
 
 // Since returns when the last order on a resident copy of the adapter ended, the
@@ -102,18 +102,18 @@
 // caller must Unpin the handle after the last byte of the answer has been sent. It
 // returns false when no servable copy is resident.
 func (k *Keeper) Pin(adapter string) (Handle, bool) {
-	s := k.copyOf(adapter)
+	s := k.servableCopy(adapter)
 	if s == nil {
 		return Handle{}, false
 	}
 	s.Pins++
-	k.touch(s)
+	k.recordUse(s)
 	return s.Handle, true
 }
 
 // Raised reports whether the engine has confirmed the fencing token of the
 // current lease.
-func (k *Keeper) Raised() bool { return k.raised }
+func (k *Keeper) Raised() bool { return k.fenceConfirmed }
 
 // Resident returns the adapters that can be served here, sorted.
 func (k *Keeper) Resident() []string {
@@ -130,7 +130,7 @@
 // Unsettled reports whether the state of a slot or the release by a previous owner
 // is still unknown, so that a report or the answer of a previous owner is needed.
 func (k *Keeper) Unsettled() bool {
-	if !k.Cleared() || (k.Fencing && !k.raised) {
+	if !k.Cleared() || (k.Fencing && !k.fenceConfirmed) {
 		return true
 	}
 	for _, s := range k.slots {
@@ -153,7 +153,7 @@
 // an Evict if one can be freed, nil if this instance does not own the runner, the
 // adapter is being loaded or no slot can be freed now.
 func (k *Keeper) Want(adapter string, now time.Time) Action {
-	if !k.owned || k.coming(adapter) {
+	if !k.owned || k.loadPending(adapter) {
 		return nil
 	}
 	if len(k.slots) < k.Capacity {
@@ -169,9 +169,9 @@
 	return Evict{Handle: victim.Handle, Fence: k.fence}
 }
 
-// coming reports whether a load of the adapter is in progress or its outcome
+// loadPending reports whether a load of the adapter is in progress or its outcome
 // unknown, so that concurrent requests share one load.
-func (k *Keeper) coming(adapter string) bool {
+func (k *Keeper) loadPending(adapter string) bool {
 	for _, s := range k.slots {
 		state := s.Machine.State
 		if s.Handle.Adapter == adapter && (state == stateLoading || state == stateUnsure) {
@@ -181,9 +181,9 @@
 	return false
 }
 
-// copyOf returns the servable copy of the adapter, the first by handle if there are
+// servableCopy returns the servable copy of the adapter, the first by handle if there are
 // several, so that the choice is deterministic.
-func (k *Keeper) copyOf(adapter string) *Slot {
+func (k *Keeper) servableCopy(adapter string) *Slot {
 	var chosen *Slot
 	first := ""
 	for name, s := range k.slots {
@@ -208,20 +208,20 @@
 func (k *Keeper) init() {
 	if k.slots == nil {
 		k.slots = make(map[string]*Slot)
-		k.foreign = make(map[string]map[string]int)
+		k.previousPins = make(map[string]map[string]int)
 	}
 }
 
-// freshHits is the number of uses that a new copy starts with: enough to keep it
+// initialHits is the number of uses that a new copy starts with: enough to keep it
 // until the request that waits for it is served, and few, because most cold
 // adapters are requested once. docs/design/routing.md compares it with 0 and 1.
-const freshHits = 0.3
+const initialHits = 0.3
 
 func (k *Keeper) load(adapter string, now time.Time) Action {
 	k.loads++
 	handle := Handle{Adapter: adapter, Loader: k.Self, Serial: k.loads}
 	slot := &Slot{Handle: handle, Machine: Chart.Machine(), changed: now}
-	slot.heat = k.clock.Fresh(freshHits)
+	slot.heat = k.clock.NewHeat(initialHits)
 	k.slots[handle.String()] = slot
 	return Load{Handle: handle, Fence: k.fence}
 }
@@ -237,7 +237,7 @@
 		if s.Machine.State == stateDoomed {
 			return s
 		}
-		v := k.value(s)
+		v := k.evictionCost(s)
 		if worst == nil || v < least {
 			worst = s
 			least = v
--- a/internal/adapter/keeper/custody.go
+++ b/internal/adapter/keeper/ownership.go
@@ -16,7 +16,7 @@
 // Running requests keep their pins.
 func (k *Keeper) Abandon() {
 	k.owned = false
-	k.raised = false
+	k.fenceConfirmed = false
 }
 
 // Blocked returns how many slots hold a copy that cannot be evicted only because a
@@ -36,9 +36,9 @@
 func (k *Keeper) Clear(party string, s Surrender) {
 	k.init()
 	delete(k.uncleared, party)
-	delete(k.foreign, party)
+	delete(k.previousPins, party)
 	if len(s.Pins) > 0 {
-		k.foreign[party] = maps.Clone(s.Pins)
+		k.previousPins[party] = maps.Clone(s.Pins)
 	}
 	for _, name := range s.Doomed {
 		k.doom(name)
@@ -47,21 +47,21 @@
 
 // Cleared reports whether every previous owner has been cleared and holds no pin.
 func (k *Keeper) Cleared() bool {
-	return len(k.uncleared) == 0 && len(k.foreign) == 0
+	return len(k.uncleared) == 0 && len(k.previousPins) == 0
 }
 
 // Raise records that the engine has confirmed a fencing token. A token other than
 // that of the current lease is ignored.
 func (k *Keeper) Raise(fence uint64) {
 	if k.owned && fence == k.fence {
-		k.raised = true
+		k.fenceConfirmed = true
 	}
 }
 
 // Ready reports whether this instance owns the runner and an engine that checks
 // fencing tokens has confirmed the current one. Only then can copies be served.
 func (k *Keeper) Ready() bool {
-	return k.owned && (!k.Fencing || k.raised)
+	return k.owned && (!k.Fencing || k.fenceConfirmed)
 }
 
 // Surrender returns the state that a later owner needs. It is false while this
@@ -90,10 +90,10 @@
 func (k *Keeper) Take(fence uint64, parties []string) {
 	k.init()
 	k.owned = true
-	k.raised = false
+	k.fenceConfirmed = false
 	k.fence = fence
 	k.uncleared = make(map[string]bool)
-	clear(k.foreign)
+	clear(k.previousPins)
 	for _, party := range parties {
 		if party != k.Self {
 			k.uncleared[party] = true
@@ -108,7 +108,7 @@
 // pins, sorted.
 func (k *Keeper) Uncleared() []string {
 	parties := slices.Collect(maps.Keys(k.uncleared))
-	for party := range k.foreign {
+	for party := range k.previousPins {
 		if !k.uncleared[party] {
 			parties = append(parties, party)
 		}
@@ -146,7 +146,7 @@
 		return false
 	}
 	if k.Fencing {
-		return k.raised
+		return k.fenceConfirmed
 	}
 	return !s.Inherited || len(k.uncleared) == 0
 }
--- a/internal/adapter/keeper/reconcile.go
+++ b/internal/adapter/keeper/reconcile.go
@@ -25,9 +25,9 @@
 	restarted := k.engine != "" && k.engine != r.Engine
 	k.engine = r.Engine
 	if restarted {
-		k.raised = false
+		k.fenceConfirmed = false
 	}
-	if err := k.settle(r, restarted); err != nil {
+	if err := k.applyReport(r, restarted); err != nil {
 		return restarted, err
 	}
 	for _, name := range r.Resident {
@@ -55,12 +55,12 @@
 	}
 }
 
-// settle fires the events of the known slots that a report implies. After an
+// applyReport fires the events of the known slots that a report implies. After an
 // engine restart every slot that the report does not show is empty. One that it
 // shows keeps its pins: it was loaded into the restarted engine before the restart
 // was detected, and requests may run on it already. When the pins were dropped,
 // such a copy was evicted while requests ran on it.
-func (k *Keeper) settle(r Report, restarted bool) error {
+func (k *Keeper) applyReport(r Report, restarted bool) error {
 	for name, s := range maps.Clone(k.slots) {
 		if !r.Asked.After(s.changed) {
 			continue
@@ -72,14 +72,14 @@
 			}
 			continue
 		}
-		if err := k.settleSlot(s, slices.Contains(r.Resident, name), slices.Contains(r.Loading, name)); err != nil {
+		if err := k.applyToSlot(s, slices.Contains(r.Resident, name), slices.Contains(r.Loading, name)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (k *Keeper) settleSlot(s *Slot, present, loading bool) error {
+func (k *Keeper) applyToSlot(s *Slot, present, loading bool) error {
 	switch {
 	case s.Machine.State == stateUnsure && present:
 		return k.fire(s, eventPresent)
--- a/internal/adapter/loader/allocator.go
+++ b/internal/adapter/loader/allocator.go
@@ -15,7 +15,7 @@
 	Time     time.Duration // lifetime of a permit
 	Together int           // concurrent permits
 
-	held    map[uint64]time.Time // expiry of each permit
+	expiry  map[uint64]time.Time // expiry of each permit
 	waiting map[uint64]bid
 }
 
@@ -24,9 +24,9 @@
 	since time.Time
 }
 
-// patienceValue is added to a bid for each second of waiting, so that small bids
+// waitBonus is added to a bid for each second of waiting, so that small bids
 // are not starved.
-const patienceValue = 1
+const waitBonus = 1
 
 // Bid adds a bid or replaces it.
 func (a *Allocator) Bid(id uint64, value float64, now time.Time) {
@@ -36,22 +36,22 @@
 
 // Done returns a permit, or withdraws a bid that has not been granted.
 func (a *Allocator) Done(id uint64) {
-	delete(a.held, id)
+	delete(a.expiry, id)
 	delete(a.waiting, id)
 }
 
 // Grant grants permits to the highest bids and returns their IDs.
 func (a *Allocator) Grant(now time.Time) []uint64 {
-	for id, until := range a.held {
+	for id, until := range a.expiry {
 		if now.After(until) {
-			delete(a.held, id)
+			delete(a.expiry, id)
 		}
 	}
 	var granted []uint64
-	for len(a.held) < a.Together && len(a.waiting) > 0 {
+	for len(a.expiry) < a.Together && len(a.waiting) > 0 {
 		id := a.best(now)
 		delete(a.waiting, id)
-		a.held[id] = now.Add(a.Time)
+		a.expiry[id] = now.Add(a.Time)
 		granted = append(granted, id)
 	}
 	return granted
@@ -64,7 +64,7 @@
 	first := true
 	worth := func(id uint64) float64 {
 		b := a.waiting[id]
-		return b.value + patienceValue*now.Sub(b.since).Seconds()
+		return b.value + waitBonus*now.Sub(b.since).Seconds()
 	}
 	for id := range a.waiting {
 		if first || worth(id) > worth(best) || (worth(id) == worth(best) && id < best) {
@@ -76,8 +76,8 @@
 }
 
 func (a *Allocator) init() {
-	if a.held == nil {
-		a.held = make(map[uint64]time.Time)
+	if a.expiry == nil {
+		a.expiry = make(map[uint64]time.Time)
 		a.waiting = make(map[uint64]bid)
 	}
 }
--- a/internal/adapter/loader/budget.go
+++ b/internal/adapter/loader/budget.go
@@ -24,8 +24,8 @@
 	Rate     *rate.Limiter // loads a second
 	Together int           // concurrent loads; they slow each other down at the weight store
 
-	failed  map[string]*failure
-	running map[string]bool
+	failed     map[string]*failure
+	inProgress map[string]bool
 }
 
 type failure struct {
@@ -34,13 +34,13 @@
 	until   time.Time
 }
 
-// horizon is the time to a deadline below which the value of a need doubles.
-const horizon = 5 * time.Second
+// urgentWithin is the time to a deadline below which the value of a need doubles.
+const urgentWithin = 5 * time.Second
 
-// firstBackoff and lastBackoff bound the exponential backoff after failed loads.
+// initialBackoff and maxBackoff bound the exponential backoff after failed loads.
 const (
-	firstBackoff = 200 * time.Millisecond
-	lastBackoff  = 10 * time.Second
+	initialBackoff = 200 * time.Millisecond
+	maxBackoff     = 10 * time.Second
 )
 
 // Backoff returns the time before which the adapter is not loaded again.
@@ -61,7 +61,7 @@
 
 // Finish records the end of a granted load.
 func (b *Budget) Finish(n Need, ok bool, now time.Time) {
-	delete(b.running, key(n))
+	delete(b.inProgress, key(n))
 	if ok {
 		delete(b.failed, n.Adapter)
 		return
@@ -74,7 +74,7 @@
 // could begin the load; a load that was not begun is not charged.
 func (b *Budget) Grant(needs []Need, now time.Time, start func(Need) bool) {
 	for _, n := range b.Order(needs, now) {
-		if len(b.running) >= b.Together || b.Rate.TokensAt(now) < 1 {
+		if len(b.inProgress) >= b.Together || b.Rate.TokensAt(now) < 1 {
 			return
 		}
 		if !start(n) {
@@ -88,7 +88,7 @@
 // Begin records a load as in progress, also one that was granted by other means.
 func (b *Budget) Begin(n Need) {
 	b.init()
-	b.running[key(n)] = true
+	b.inProgress[key(n)] = true
 }
 
 // Order returns the needs that are neither being loaded nor in backoff, those that
@@ -96,7 +96,7 @@
 func (b *Budget) Order(needs []Need, now time.Time) []Need {
 	b.init()
 	ordered := slices.DeleteFunc(slices.Clone(needs), func(n Need) bool {
-		return b.running[key(n)] || now.Before(b.Backoff(n.Adapter))
+		return b.inProgress[key(n)] || now.Before(b.Backoff(n.Adapter))
 	})
 	slices.SortStableFunc(ordered, func(x, y Need) int { return cmp.Compare(Saved(y, now), Saved(x, now)) })
 	return ordered
@@ -109,15 +109,15 @@
 	if limit == rate.Inf || limit <= 0 {
 		return 0
 	}
-	return time.Duration(float64(line+len(b.running)) / float64(limit) * float64(time.Second))
+	return time.Duration(float64(line+len(b.inProgress)) / float64(limit) * float64(time.Second))
 }
 
 func (b *Budget) fail(adapter string, now time.Time) {
 	f, ok := b.failed[adapter]
 	if !ok {
 		f = &failure{backoff: backoff.NewExponentialBackOff()}
-		f.backoff.InitialInterval = firstBackoff
-		f.backoff.MaxInterval = lastBackoff
+		f.backoff.InitialInterval = initialBackoff
+		f.backoff.MaxInterval = maxBackoff
 		f.backoff.RandomizationFactor = 0
 		b.failed[adapter] = f
 	}
@@ -126,8 +126,8 @@
 }
 
 func (b *Budget) init() {
-	if b.running == nil {
-		b.running = make(map[string]bool)
+	if b.inProgress == nil {
+		b.inProgress = make(map[string]bool)
 		b.failed = make(map[string]*failure)
 	}
 }
@@ -139,7 +139,7 @@
 // deadline is near.
 func Saved(n Need, now time.Time) float64 {
 	s := float64(n.Waiting) + now.Sub(n.Oldest).Seconds()
-	if !n.Deadline.IsZero() && n.Deadline.Sub(now) < horizon {
+	if !n.Deadline.IsZero() && n.Deadline.Sub(now) < urgentWithin {
 		s *= 2
 	}
 	return s
--- a/internal/adapter/loader/share.go
+++ b/internal/adapter/loader/share.go
@@ -14,8 +14,8 @@
 type Sharer struct {
 	Fresh time.Duration // how long a reported queue length is valid
 
-	domains map[string]told
-	peers   map[string]told
+	domains map[string]queueReport
+	peers   map[string]queueReport
 }
 
 // A Stake is the fixed share of the rate of an instance or a domain, by the engines
@@ -25,24 +25,24 @@
 	Line  int
 }
 
-type told struct {
-	line int
-	at   time.Time
+type queueReport struct {
+	length int
+	at     time.Time
 }
 
-// floor is the fraction of a fixed share that is never lent.
-const floor = 0.25
+// reservedFraction is the fraction of a fixed share that is never lent.
+const reservedFraction = 0.25
 
 // Domain records the queue length of another failure domain.
 func (s *Sharer) Domain(name string, line int, now time.Time) {
 	s.init()
-	s.domains[name] = told{line: line, at: now}
+	s.domains[name] = queueReport{length: line, at: now}
 }
 
 // Peer records the queue length of another instance of the same domain.
 func (s *Sharer) Peer(incarnation string, line int, now time.Time) {
 	s.init()
-	s.peers[incarnation] = told{line: line, at: now}
+	s.peers[incarnation] = queueReport{length: line, at: now}
 }
 
 // Total returns the queue length of this instance's domain, from its own and the
@@ -51,7 +51,7 @@
 	total := own
 	for _, t := range s.peers {
 		if now.Sub(t.at) <= s.Fresh {
-			total += t.line
+			total += t.length
 		}
 	}
 	return total
@@ -68,17 +68,17 @@
 			pool -= fixed
 			continue
 		}
-		lines += float64(t.line)
+		lines += float64(t.length)
 	}
 	if lines == 0 {
 		return own.Fixed
 	}
-	return floor*own.Fixed + (1-floor)*pool*float64(own.Line)/lines
+	return reservedFraction*own.Fixed + (1-reservedFraction)*pool*float64(own.Line)/lines
 }
 
 func (s *Sharer) init() {
 	if s.peers == nil {
-		s.domains = make(map[string]told)
-		s.peers = make(map[string]told)
+		s.domains = make(map[string]queueReport)
+		s.peers = make(map[string]queueReport)
 	}
 }
--- a/internal/adapter/placer/arrival.go
+++ b/internal/adapter/placer/arrival.go
@@ -21,21 +21,21 @@
 		return Arrival{}, false
 	}
 	p.clock.Touch(&s.heat, requests)
-	if s.state != loading || s.doubt || s.ordered.IsZero() {
+	if s.state != loading || s.unconfirmed || s.acceptedAt.IsZero() {
 		return Arrival{}, false
 	}
 	s.state = resident
-	a = Arrival{Most: sent.Sub(s.ordered), Return: p.past.Has(c)}
-	if !s.missed.IsZero() {
-		a.Least = s.missed.Sub(s.ordered)
+	a = Arrival{Most: sent.Sub(s.acceptedAt), Return: p.heldBefore.Has(c)}
+	if !s.lastMiss.IsZero() {
+		a.Least = s.lastMiss.Sub(s.acceptedAt)
 	}
-	p.past.Add(c)
+	p.heldBefore.Add(c)
 	return a, true
 }
 
-// time returns how long a load of the copy takes.
-func (p *Placer) time(c Copy) time.Duration {
-	if p.past.Has(c) {
+// loadTime returns how long a load of the copy takes.
+func (p *Placer) loadTime(c Copy) time.Duration {
+	if p.heldBefore.Has(c) {
 		return p.Return
 	}
 	return p.Load
@@ -51,13 +51,13 @@
 	case s.state == resident:
 		p.known = false
 		return
-	case s.state == unloading || now.Before(s.ready):
+	case s.state == unloading || now.Before(s.readyAt):
 		return // expected
 	}
-	s.missed = now
-	s.ready = now.Add(p.time(c) / lateParts)
+	s.lastMiss = now
+	s.readyAt = now.Add(p.loadTime(c) / missRetryDivisor)
 }
 
-// lateParts is the fraction of a load, one eighth, after which a copy that was
-// not found is tried again.
-const lateParts = 8
+// missRetryDivisor divides the load time to give the delay after which a copy that
+// was not found is tried again.
+const missRetryDivisor = 8
--- a/internal/adapter/placer/placer.go
+++ b/internal/adapter/placer/placer.go
@@ -25,18 +25,18 @@
 	Loads  int             // maximum of concurrent loads to the runner
 	Return time.Duration   // time to load an adapter that the runner held before
 
-	clock   warmer.Clock
-	copies  map[Copy]*place
-	past    warmer.Recent[Copy] // copies that the runner has held
-	known   bool                // no report is needed before the next order
-	model   modelState
-	behind  time.Time // since when the sequence of reports is behind seq; zero if it is not
-	again   bool      // open repeats an unanswered order
-	open    *Order    // order in flight; nil if there is none
-	retry   time.Time // no order before this time
-	seq     uint64    // orders that the runner has accepted
-	wanted  map[Copy]want
-	reached time.Time // when a model load is expected to be complete
+	clock        warmer.Clock
+	copies       map[Copy]*slot
+	heldBefore   warmer.RecentSet[Copy] // copies that the runner has held
+	known        bool                   // no report is needed before the next order
+	model        modelState
+	behindSince  time.Time // since when the sequence of reports is behind seq; zero if it is not
+	resend       bool      // inFlight repeats an unanswered order
+	inFlight     *Order    // order in flight; nil if there is none
+	notBefore    time.Time // no order before this time
+	seq          uint64    // orders that the runner has accepted
+	demands      map[Copy]demand
+	modelReadyBy time.Time // when a model load is expected to be complete
 }
 
 type modelState int
@@ -44,33 +44,33 @@
 const (
 	modelAbsent modelState = iota
 	modelLoading
-	modelHeld
+	modelResident
 )
 
-type placeState int
+type slotState int
 
 const (
-	loading placeState = iota
+	loading slotState = iota
 	resident
 	unloading
 )
 
-// A place is an adapter slot that is taken.
-type place struct {
-	state   placeState
-	heat    warmer.Heat
-	ordered time.Time // when the load was accepted; zero if unknown
-	ready   time.Time // when the load is expected to be complete
-	used    time.Time // last reported use
-	missed  time.Time // when a request last did not find the copy
-	doubt   bool      // the last order on the slot is unanswered
+// A slot is an adapter slot that is taken.
+type slot struct {
+	state       slotState
+	heat        warmer.Heat
+	acceptedAt  time.Time // when the load was accepted; zero if unknown
+	readyAt     time.Time // when the load is expected to be complete
+	lastUse     time.Time // last reported use
+	lastMiss    time.Time // when a request last did not find the copy
+	unconfirmed bool      // the last order on the slot is unanswered
 }
 
-// A want is the reported demand for a copy.
-type want struct {
+// A demand is the reported demand for a copy.
+type demand struct {
 	Waiting
-	since time.Time
-	last  time.Time
+	firstSeen time.Time
+	lastSeen  time.Time
 }
 
 // Waiting summarizes the requests that wait for a copy.
@@ -100,21 +100,21 @@
 const Spare = 10
 
 const (
-	// forget is the time after which demand that is not reported again expires.
+	// demandTTL is the time after which demand that is not reported again expires.
 	// Instances report it several times a second while a request waits.
-	forget = time.Second
-	// rest is how long a copy is kept for a request that was assigned to it. The
+	demandTTL = time.Second
+	// useGrace is how long a copy is kept for a request that was assigned to it. The
 	// next update of that instance reports the use, and a later one its end; after
 	// that the copy can be evicted at once.
-	rest = 200 * time.Millisecond
-	// pause is the delay before the next order to a runner that refused one or
+	useGrace = 200 * time.Millisecond
+	// refusalDelay is the delay before the next order to a runner that refused one or
 	// could not be reached.
-	pause = 100 * time.Millisecond
-	// oldReport is an upper bound on the age of a report.
-	oldReport = time.Second
-	// modelMargin is the margin added to the expected load time of a model before
+	refusalDelay = 100 * time.Millisecond
+	// maxReportAge is an upper bound on the age of a report.
+	maxReportAge = time.Second
+	// modelLoadMargin is the margin added to the expected load time of a model before
 	// a report is requested, as concurrent loads slow each other down.
-	modelMargin = 500 * time.Millisecond
+	modelLoadMargin = 500 * time.Millisecond
 )
 
 // Known reports whether the copies on the runner are known. If not, a report is
@@ -134,22 +134,22 @@
 // Wait replaces the demand for a copy. The caller repeats it while requests wait.
 func (p *Placer) Wait(c Copy, waiting Waiting, now time.Time) {
 	p.init()
-	w, ok := p.wanted[c]
+	w, ok := p.demands[c]
 	if !ok {
-		w.since = now
+		w.firstSeen = now
 	}
-	w.Waiting, w.last = waiting, now
-	p.wanted[c] = w
+	w.Waiting, w.lastSeen = waiting, now
+	p.demands[c] = w
 }
 
 // Unwant removes the demand for a copy.
-func (p *Placer) Unwant(c Copy) { delete(p.wanted, c) }
+func (p *Placer) Unwant(c Copy) { delete(p.demands, c) }
 
 // Use records that a request was assigned to a copy, so that the copy is not
 // evicted before the request arrives.
 func (p *Placer) Use(c Copy, now time.Time) {
 	if s, ok := p.copies[c]; ok {
-		s.used = now
+		s.lastUse = now
 	}
 }
 
@@ -165,14 +165,14 @@
 	held := make(map[Copy]time.Time, len(p.copies))
 	for c, s := range p.copies {
 		switch {
-		case s.doubt || s.state == unloading:
+		case s.unconfirmed || s.state == unloading:
 		case s.state == resident:
 			held[c] = time.Time{}
 		default:
-			held[c] = s.ready
+			held[c] = s.readyAt
 		}
 	}
-	if p.model == modelHeld {
+	if p.model == modelResident {
 		held[Copy{Model: p.Model}] = time.Time{}
 	}
 	return held
@@ -184,41 +184,41 @@
 // runner still has it in host memory.
 func (p *Placer) Next(now time.Time, room Room) (Order, bool) {
 	p.init()
-	if !p.known || p.open != nil || now.Before(p.retry) || p.Model == "" {
+	if !p.known || p.inFlight != nil || now.Before(p.notBefore) || p.Model == "" {
 		return Order{}, false
 	}
 	switch p.model {
 	case modelAbsent:
-		return p.send(Order{Copy: Copy{Model: p.Model}}, now), true
+		return p.issue(Order{Copy: Copy{Model: p.Model}}, now), true
 	case modelLoading:
-		if now.After(p.reached) {
+		if now.After(p.modelReadyBy) {
 			p.known = false
 		}
 		return Order{}, false
 	}
-	c, ok := p.first(now, room)
+	c, ok := p.nextLoad(now, room)
 	if !ok {
 		return Order{}, false
 	}
 	_, again := p.copies[c] // an earlier load is unanswered and has taken the slot
-	if old, ok := p.sibling(c); ok {
+	if old, ok := p.otherVersion(c); ok {
 		p.copies[old].state = unloading
-		return p.send(Order{Copy: old, Unload: true}, now), true
+		return p.issue(Order{Copy: old, Unload: true}, now), true
 	}
 	if !again && len(p.copies) >= p.Places {
 		return p.evict(now)
 	}
-	if p.coming(now) >= p.Loads {
+	if p.loadsInProgress(now) >= p.Loads {
 		return Order{}, false
 	}
-	return p.send(Order{Copy: c}, now), true
+	return p.issue(Order{Copy: c}, now), true
 }
 
-// coming returns how many adapters are being loaded by the runner.
-func (p *Placer) coming(now time.Time) int {
+// loadsInProgress returns how many adapters are being loaded by the runner.
+func (p *Placer) loadsInProgress(now time.Time) int {
 	n := 0
 	for _, s := range p.copies {
-		if s.state == loading && (s.doubt || now.Before(s.ready)) {
+		if s.state == loading && (s.unconfirmed || now.Before(s.readyAt)) {
 			n++
 		}
 	}
@@ -232,7 +232,7 @@
 func (p *Placer) Fetching(now time.Time) int {
 	n := 0
 	for c, s := range p.copies {
-		if s.state == loading && now.Before(s.ready) && !p.past.Has(c) {
+		if s.state == loading && now.Before(s.readyAt) && !p.heldBefore.Has(c) {
 			n++
 		}
 	}
@@ -240,13 +240,13 @@
 }
 
 // Kept reports whether the runner has held a copy before.
-func (p *Placer) Kept(c Copy) bool { return p.past.Has(c) }
+func (p *Placer) Kept(c Copy) bool { return p.heldBefore.Has(c) }
 
 // Waiting returns how many copies that requests wait for are neither resident
 // nor being loaded.
 func (p *Placer) Waiting() int {
 	n := 0
-	for c, w := range p.wanted {
+	for c, w := range p.demands {
 		if _, ok := p.copies[c]; !ok && w.Priority < Spare {
 			n++
 		}
@@ -254,57 +254,57 @@
 	return n
 }
 
-// first returns the requested copy to load next.
-func (p *Placer) first(now time.Time, room Room) (Copy, bool) {
+// nextLoad returns the requested copy to load next.
+func (p *Placer) nextLoad(now time.Time, room Room) (Copy, bool) {
 	var best Copy
-	var bestWant want
+	var bestWant demand
 	found := false
-	for c, w := range p.wanted {
-		if now.Sub(w.last) > forget {
-			delete(p.wanted, c)
+	for c, w := range p.demands {
+		if now.Sub(w.lastSeen) > demandTTL {
+			delete(p.demands, c)
 			continue
 		}
-		if w.Priority >= Spare && room < RoomForAny || room == NoRoom && !p.past.Has(c) {
+		if w.Priority >= Spare && room < RoomForAny || room == NoRoom && !p.heldBefore.Has(c) {
 			continue
 		}
-		if s, there := p.copies[c]; there && (!s.doubt || s.state == unloading) {
+		if s, there := p.copies[c]; there && (!s.unconfirmed || s.state == unloading) {
 			continue
 		}
-		if old, ok := p.sibling(c); ok && !p.idle(old, p.copies[old], now) {
+		if old, ok := p.otherVersion(c); ok && !p.evictable(old, p.copies[old], now) {
 			continue
 		}
-		if !found || before(c, w, best, bestWant) {
+		if !found || loadsBefore(c, w, best, bestWant) {
 			best, bestWant, found = c, w, true
 		}
 	}
 	return best, found
 }
 
-// before reports whether a copy is loaded before another: first by priority, then
-// by the number of requests that it would serve in time, as slots are the scarce
-// resource and one load serves all requests for the copy, then by the time since
-// it was requested.
-func before(c Copy, w want, other Copy, v want) bool {
-	return cmp.Or(cmp.Compare(w.Priority, v.Priority), cmp.Compare(v.InTime, w.InTime), w.since.Compare(v.since), cmp.Compare(c.String(), other.String())) < 0
+// loadsBefore reports whether a copy is loaded before another: first by priority,
+// then by the number of requests that it would serve in time, as slots are the scarce
+// resource and one load serves all requests for the copy, then by the time since it
+// was requested.
+func loadsBefore(c Copy, w demand, other Copy, v demand) bool {
+	return cmp.Or(cmp.Compare(w.Priority, v.Priority), cmp.Compare(v.InTime, w.InTime), w.firstSeen.Compare(v.firstSeen), cmp.Compare(c.String(), other.String())) < 0
 }
 
-// send records an order as in flight and, for a load of an adapter, takes a slot.
-func (p *Placer) send(o Order, now time.Time) Order {
+// issue records an order as in flight and, for a load of an adapter, takes a slot.
+func (p *Placer) issue(o Order, now time.Time) Order {
 	o.Expected = p.seq
-	p.open = &o
+	p.inFlight = &o
 	s, ok := p.copies[o.Copy]
-	p.again = ok && s.doubt
+	p.resend = ok && s.unconfirmed
 	if o.Copy.Adapter != "" && !o.Unload {
-		p.copies[o.Copy] = &place{state: loading, doubt: true, ready: now.Add(p.time(o.Copy))}
+		p.copies[o.Copy] = &slot{state: loading, unconfirmed: true, readyAt: now.Add(p.loadTime(o.Copy))}
 	}
 	return o
 }
 
 func (p *Placer) init() {
 	if p.copies == nil {
-		p.copies = make(map[Copy]*place)
-		p.past.Limit = warmer.Kept
-		p.wanted = make(map[Copy]want)
-		p.clock.Half = warmer.Turns * float64(max(1, p.Places))
+		p.copies = make(map[Copy]*slot)
+		p.heldBefore.Limit = warmer.HostMemoryCopies
+		p.demands = make(map[Copy]demand)
+		p.clock.HalfLife = warmer.HalfLifePerSlot * float64(max(1, p.Places))
 	}
 }
--- a/internal/adapter/placer/report.go
+++ b/internal/adapter/placer/report.go
@@ -9,25 +9,25 @@
 // order is in flight or one was accepted after the report was made.
 func (p *Placer) Take(r Report, now time.Time) bool {
 	p.init()
-	if p.open != nil || r.Sequence < p.seq && !p.overtaken(now) {
+	if p.inFlight != nil || r.Sequence < p.seq && !p.laggingTooLong(now) {
 		return false
 	}
-	p.behind = time.Time{}
+	p.behindSince = time.Time{}
 	p.seq = r.Sequence
-	p.takeModels(r, now)
+	p.applyModels(r, now)
 	seen := make(map[Copy]bool)
 	for _, c := range r.Resident {
 		seen[c] = true
-		p.enter(c, resident, now)
+		p.observe(c, resident, now)
 	}
 	for _, c := range r.Incoming {
 		seen[c] = true
-		p.enter(c, loading, now)
+		p.observe(c, loading, now)
 	}
 	for c, s := range p.copies {
 		// An unanswered load may still be carried out until another order is
 		// accepted, so it keeps its slot.
-		if !seen[c] && (!s.doubt || s.state == unloading) {
+		if !seen[c] && (!s.unconfirmed || s.state == unloading) {
 			delete(p.copies, c)
 		}
 	}
@@ -35,42 +35,42 @@
 	return true
 }
 
-// overtaken reports whether the sequence of the reports has been behind the
+// laggingTooLong reports whether the sequence of the reports has been behind the
 // counted one for longer than any report is old. A runner accepts an order for
 // what it is doing already without counting it; without this check all its later
 // reports would be ignored and it would get no more orders.
-func (p *Placer) overtaken(now time.Time) bool {
-	if p.behind.IsZero() {
-		p.behind = now
+func (p *Placer) laggingTooLong(now time.Time) bool {
+	if p.behindSince.IsZero() {
+		p.behindSince = now
 	}
-	return now.Sub(p.behind) > oldReport
+	return now.Sub(p.behindSince) > maxReportAge
 }
 
-func (p *Placer) takeModels(r Report, now time.Time) {
+func (p *Placer) applyModels(r Report, now time.Time) {
 	switch {
 	case slices.Contains(r.Models, p.Model):
-		p.model = modelHeld
+		p.model = modelResident
 	case r.Busy:
 		p.model = modelLoading
-		if now.After(p.reached) {
-			p.reached = now.Add(modelMargin)
+		if now.After(p.modelReadyBy) {
+			p.modelReadyBy = now.Add(modelLoadMargin)
 		}
 	default:
 		p.model = modelAbsent
 	}
 }
 
-func (p *Placer) enter(c Copy, state placeState, now time.Time) {
+func (p *Placer) observe(c Copy, state slotState, now time.Time) {
 	s, ok := p.copies[c]
 	if !ok {
-		s = &place{used: now} // instances report the requests that use it before it counts as idle
+		s = &slot{lastUse: now} // instances report the requests that use it before it counts as idle
 		p.copies[c] = s
-		s.ready = now.Add(p.time(c))
+		s.readyAt = now.Add(p.loadTime(c))
 	}
-	if s.state == unloading && s.doubt {
+	if s.state == unloading && s.unconfirmed {
 		return // the unanswered unload may be carried out until another order is accepted
 	}
-	s.doubt = false
+	s.unconfirmed = false
 	if s.state != unloading || state == loading {
 		s.state = state
 	}
--- a/internal/adapter/placer/usage.go
+++ b/internal/adapter/placer/usage.go
@@ -23,7 +23,7 @@
 	u := Usage{Places: p.Places, Vacant: p.Vacant(now)}
 	for c, s := range p.copies {
 		switch {
-		case s.state == loading && now.Before(s.ready):
+		case s.state == loading && now.Before(s.readyAt):
 			u.Loading++
 		case p.InUse != nil && p.InUse(c):
 			u.Running++
@@ -37,7 +37,7 @@
 func (p *Placer) Vacant(now time.Time) int {
 	n := max(0, p.Places-len(p.copies))
 	for c, s := range p.copies {
-		if !s.doubt && p.idle(c, s, now) {
+		if !s.unconfirmed && p.evictable(c, s, now) {
 			n++
 		}
 	}
--- a/internal/adapter/placer/victim.go
+++ b/internal/adapter/placer/victim.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// sibling returns another version of the adapter that the runner holds. It must
-// be unloaded first, once it is idle: a runner that is ordered to replace a
-// version in use accepts no other order until the requests on it have ended.
-func (p *Placer) sibling(c Copy) (Copy, bool) {
+// otherVersion returns another version of the adapter that the runner holds. It must
+// be unloaded first, once it is idle: a runner that is ordered to replace a version
+// in use accepts no other order until the requests on it have ended.
+func (p *Placer) otherVersion(c Copy) (Copy, bool) {
 	for other := range p.copies {
 		if other.Model == c.Model && other.Adapter == c.Adapter && other.Version != c.Version {
 			return other, true
@@ -23,50 +23,50 @@
 func (p *Placer) evict(now time.Time) (Order, bool) {
 	var coldest *victim
 	for c, s := range p.copies {
-		if s.state == unloading && s.doubt {
-			return p.send(Order{Copy: c, Unload: true}, now), true
+		if s.state == unloading && s.unconfirmed {
+			return p.issue(Order{Copy: c, Unload: true}, now), true
 		}
-		if s.doubt || !p.idle(c, s, now) {
+		if s.unconfirmed || !p.evictable(c, s, now) {
 			continue
 		}
-		if v := (victim{c, s, p.value(c, s)}); coldest == nil || v.before(coldest) {
+		if v := (victim{c, s, p.evictionCost(c, s)}); coldest == nil || v.evictedBefore(coldest) {
 			coldest = &v
 		}
 	}
 	if coldest == nil {
-		return p.repeat(now)
+		return p.resendUnconfirmed(now)
 	}
-	coldest.place.state = unloading
-	return p.send(Order{Copy: coldest.copy, Unload: true}, now), true
+	coldest.slot.state = unloading
+	return p.issue(Order{Copy: coldest.copy, Unload: true}, now), true
 }
 
 // A victim is a copy that may be evicted.
 type victim struct {
-	copy  Copy
-	place *place
-	value float64 // cost of its eviction, in uses
+	copy Copy
+	slot *slot
+	cost float64 // cost of its eviction, in uses
 }
 
-// before reports whether a copy is evicted before another: the less valuable
+// evictedBefore reports whether a copy is evicted before another: the less valuable
 // first, of equals the one that was used longer ago.
-func (v *victim) before(other *victim) bool {
-	return cmp.Or(cmp.Compare(v.value, other.value), v.place.used.Compare(other.place.used), cmp.Compare(v.copy.String(), other.copy.String())) < 0
+func (v *victim) evictedBefore(other *victim) bool {
+	return cmp.Or(cmp.Compare(v.cost, other.cost), v.slot.lastUse.Compare(other.slot.lastUse), cmp.Compare(v.copy.String(), other.copy.String())) < 0
 }
 
-// value returns the cost of evicting a copy, in uses.
-func (p *Placer) value(c Copy, s *place) float64 {
+// evictionCost returns the cost of evicting a copy, in uses.
+func (p *Placer) evictionCost(c Copy, s *slot) float64 {
 	copies := 1
 	if p.Copies != nil {
 		copies = p.Copies(c)
 	}
-	return p.clock.Loss(s.heat, copies)
+	return p.clock.EvictionCost(s.heat, copies)
 }
 
-// idle reports whether a copy can be evicted: no request uses it or waits for
+// evictable reports whether a copy can be evicted: no request uses it or waits for
 // it, and none was just assigned to it. A copy that is being loaded is kept until
 // one load time after it was expected to be complete.
-func (p *Placer) idle(c Copy, s *place, now time.Time) bool {
-	if w, ok := p.wanted[c]; ok && w.Requests > 0 && now.Sub(w.last) <= forget {
+func (p *Placer) evictable(c Copy, s *slot, now time.Time) bool {
+	if w, ok := p.demands[c]; ok && w.Requests > 0 && now.Sub(w.lastSeen) <= demandTTL {
 		return false
 	}
 	if p.InUse != nil && p.InUse(c) {
@@ -74,21 +74,21 @@
 	}
 	switch s.state {
 	case resident:
-		return now.Sub(s.used) >= rest
+		return now.Sub(s.lastUse) >= useGrace
 	case loading:
-		return now.Sub(s.ready) >= p.Load
+		return now.Sub(s.readyAt) >= p.Load
 	default:
 		return false
 	}
 }
 
-// repeat returns an unanswered load to be sent again. When all slots are
+// resendUnconfirmed returns an unanswered load to be sent again. When all slots are
 // unconfirmed, only an accepted order can resolve them, and this one needs no
 // further slot.
-func (p *Placer) repeat(now time.Time) (Order, bool) {
+func (p *Placer) resendUnconfirmed(now time.Time) (Order, bool) {
 	for c, s := range p.copies {
-		if s.doubt {
-			return p.send(Order{Copy: c}, now), true
+		if s.unconfirmed {
+			return p.issue(Order{Copy: c}, now), true
 		}
 	}
 	return Order{}, false
--- a/internal/adapter/warmer/recent_test.go
+++ b/internal/adapter/warmer/recent_test.go
@@ -8,7 +8,7 @@
 )
 
 func ExampleRecent() {
-	recent := warmer.Recent[string]{Limit: 2}
+	recent := warmer.RecentSet[string]{Limit: 2}
 	recent.Add("desk")
 	recent.Add("clause")
 	recent.Add("desk")
@@ -19,7 +19,7 @@
 
 // Guards against memory that grows with the number of adapters held over months.
 func TestRecentRemembersNoMoreThanItsLimit(t *testing.T) {
-	recent := warmer.Recent[int]{Limit: 10}
+	recent := warmer.RecentSet[int]{Limit: 10}
 	for n := range 10_000 {
 		recent.Add(n)
 		recent.Add(1)
--- a/internal/adapter/warmer/warmer.go
+++ b/internal/adapter/warmer/warmer.go
@@ -11,7 +11,7 @@
 // A Clock counts the uses of one runner. Its exported field is set before use; it
 // is not safe for concurrent use.
 type Clock struct {
-	Half float64 // half-life of a use, in uses of the runner
+	HalfLife float64 // half-life of a use, in uses of the runner
 
 	uses uint64
 }
@@ -23,31 +23,31 @@
 	at   uint64  // value of the clock's use count at the last use
 }
 
-// Fresh returns the heat of an adapter with the given number of uses now.
-func (c *Clock) Fresh(hits float64) Heat { return Heat{hits: hits, at: c.uses} }
+// NewHeat returns the heat of an adapter with the given number of uses now.
+func (c *Clock) NewHeat(hits float64) Heat { return Heat{hits: hits, at: c.uses} }
 
-// Of returns the decayed use count of an adapter.
-func (c *Clock) Of(h Heat) float64 {
-	return h.hits * math.Exp2(-float64(c.uses-h.at)/c.Half)
+// Decayed returns the decayed use count of an adapter.
+func (c *Clock) Decayed(h Heat) float64 {
+	return h.hits * math.Exp2(-float64(c.uses-h.at)/c.HalfLife)
 }
 
 // Touch records n uses of an adapter.
 func (c *Clock) Touch(h *Heat, n int) {
-	h.hits = c.Of(*h) + float64(n)
+	h.hits = c.Decayed(*h) + float64(n)
 	c.uses += uint64(n)
 	h.at = c.uses
 }
 
-// Last returns when an adapter was last used, by the clock's count of uses.
-func (h Heat) Last() uint64 { return h.at }
+// LastUse returns when an adapter was last used, by the clock's count of uses.
+func (h Heat) LastUse() uint64 { return h.at }
 
-// Loss returns the cost of evicting an adapter, in uses. copies is the number of
-// runners of the failure domain that hold it, including this one.
-func (c *Clock) Loss(h Heat, copies int) float64 {
+// EvictionCost returns the cost of evicting an adapter, in uses. copies is the number
+// of runners of the failure domain that hold it, including this one.
+func (c *Clock) EvictionCost(h Heat, copies int) float64 {
 	if copies > 1 {
-		return copyDiscount * c.Of(h)
+		return copyDiscount * c.Decayed(h)
 	}
-	return c.Of(h)
+	return c.Decayed(h)
 }
 
 // copyDiscount is the factor for the cost of an adapter that another runner of the
@@ -55,5 +55,5 @@
 // load.
 const copyDiscount = 0.4
 
-// Turns is the half-life of a use, in uses of the runner per slot.
-const Turns = 8
+// HalfLifePerSlot is the half-life of a use, in uses of the runner per slot.
+const HalfLifePerSlot = 8
--- a/internal/adapter/warmer/warmer_test.go
+++ b/internal/adapter/warmer/warmer_test.go
@@ -7,10 +7,10 @@
 )
 
 func ExampleClock_Touch() {
-	clock := warmer.Clock{Half: 10}
+	clock := warmer.Clock{HalfLife: 10}
 	var desk, clause warmer.Heat
 	clock.Touch(&desk, 4)
 	clock.Touch(&clause, 10)
-	fmt.Println(clock.Of(desk), clock.Of(clause))
+	fmt.Println(clock.Decayed(desk), clock.Decayed(clause))
 	// Output: 2 10
 }
--- a/internal/upstream/orderer/runner.go
+++ b/internal/upstream/orderer/runner.go
@@ -18,10 +18,10 @@
 	Keeper *keeper.Keeper
 	Queue  *admitter.Queue
 
-	ahead   map[string]time.Time // adapters to preload, and when that was requested
-	cold    int                  // requests finished since the engine started, up to Batch
-	leaving bool                 // the engine accepts no new requests
-	running int                  // requests in progress
+	preload            map[string]time.Time // adapters to preload, and when that was requested
+	finishedSinceStart int                  // requests finished since the engine started, up to Batch
+	draining           bool                 // the engine accepts no new requests
+	running            int                  // requests in progress
 }
 
 // A Start is a request to send to the engine now, with the copy that is pinned
@@ -34,30 +34,30 @@
 // Ahead requests the preload of an adapter that no request needs yet. It has the
 // priority of a load for which no request waits.
 func (r *Runner) Ahead(adapter string, now time.Time) {
-	if r.ahead == nil {
-		r.ahead = make(map[string]time.Time)
+	if r.preload == nil {
+		r.preload = make(map[string]time.Time)
 	}
-	r.ahead[adapter] = now
+	r.preload[adapter] = now
 }
 
 // Finish releases the pin and the request slot of a request.
 func (r *Runner) Finish(handle keeper.Handle) {
 	r.Keeper.Unpin(handle)
 	r.running--
-	r.cold = min(r.Batch, r.cold+1)
+	r.finishedSinceStart = min(r.Batch, r.finishedSinceStart+1)
 }
 
 // Leave marks the engine as draining: it gets no new requests until it restarts or
 // Stay is called.
-func (r *Runner) Leave() { r.leaving = true }
+func (r *Runner) Leave() { r.draining = true }
 
 // Leaving reports whether the engine is draining.
-func (r *Runner) Leaving() bool { return r.leaving }
+func (r *Runner) Leaving() bool { return r.draining }
 
 // Needs returns the adapters to load: those that requests wait for and that are
 // neither servable nor being loaded, then those to preload.
 func (r *Runner) Needs() []loader.Need {
-	if r.leaving || !r.Keeper.Ready() {
+	if r.draining || !r.Keeper.Ready() {
 		return nil
 	}
 	var needs []loader.Need
@@ -72,21 +72,21 @@
 			place[item.Adapter] = i
 			needs = append(needs, loader.Need{Runner: r.Name, Adapter: item.Adapter, Oldest: item.Arrived})
 		}
-		count(&needs[i], item)
+		addWaiting(&needs[i], item)
 	}
-	return r.needAhead(needs)
+	return r.appendPreloads(needs)
 }
 
-// needAhead appends the adapters to preload that no request waits for yet.
-func (r *Runner) needAhead(needs []loader.Need) []loader.Need {
-	for _, adapter := range slices.Sorted(maps.Keys(r.ahead)) {
+// appendPreloads appends the adapters to preload that no request waits for yet.
+func (r *Runner) appendPreloads(needs []loader.Need) []loader.Need {
+	for _, adapter := range slices.Sorted(maps.Keys(r.preload)) {
 		if r.Keeper.Servable(adapter) || r.Keeper.Loading(adapter) {
-			delete(r.ahead, adapter)
+			delete(r.preload, adapter)
 			continue
 		}
 		waited := slices.ContainsFunc(needs, func(n loader.Need) bool { return n.Adapter == adapter })
 		if !waited {
-			needs = append(needs, loader.Need{Runner: r.Name, Adapter: adapter, Oldest: r.ahead[adapter]})
+			needs = append(needs, loader.Need{Runner: r.Name, Adapter: adapter, Oldest: r.preload[adapter]})
 		}
 	}
 	return needs
@@ -96,7 +96,7 @@
 // it grows with each finished request, so that an idle engine is not overloaded by
 // all instances that choose it at once.
 func (r *Runner) Ramp() float64 {
-	return float64(r.limit()) / float64(r.Batch)
+	return float64(r.batchLimit()) / float64(r.Batch)
 }
 
 // Reconcile applies a report of the engine. It returns whether the engine has
@@ -104,10 +104,10 @@
 func (r *Runner) Reconcile(report keeper.Report, leaving bool) (bool, error) {
 	restarted, err := r.Keeper.Reconcile(report)
 	if restarted {
-		r.cold = 0
-		r.leaving = false
+		r.finishedSinceStart = 0
+		r.draining = false
 	}
-	r.leaving = r.leaving || leaving
+	r.draining = r.draining || leaving
 	return restarted, err
 }
 
@@ -116,12 +116,12 @@
 
 // Stay reverts Leave. An engine that drains on its own reports that again in its
 // next report.
-func (r *Runner) Stay() { r.leaving = false }
+func (r *Runner) Stay() { r.draining = false }
 
 // Starts dequeues and pins the requests to send to the engine now.
 func (r *Runner) Starts(now time.Time) []Start {
 	var starts []Start
-	for !r.leaving && r.running < r.limit() {
+	for !r.draining && r.running < r.batchLimit() {
 		item, ok := r.Queue.Next(func(i admitter.Item) bool { return r.Keeper.Servable(i.Adapter) })
 		if !ok {
 			break
@@ -135,18 +135,18 @@
 
 // Warm marks the engine as warmed up, such as one that was already running when
 // it was discovered.
-func (r *Runner) Warm() { r.cold = r.Batch }
+func (r *Runner) Warm() { r.finishedSinceStart = r.Batch }
 
-// coldPart is the divisor of the batch for an engine that has just started: it
-// begins with a quarter.
-const coldPart = 4
+// initialBatchDivisor divides the batch to give the limit for an engine that has just
+// started.
+const initialBatchDivisor = 4
 
-func (r *Runner) limit() int {
-	return min(r.Batch, max(1, r.Batch/coldPart)+r.cold)
+func (r *Runner) batchLimit() int {
+	return min(r.Batch, max(1, r.Batch/initialBatchDivisor)+r.finishedSinceStart)
 }
 
-// count adds a waiting request to a need.
-func count(n *loader.Need, item admitter.Item) {
+// addWaiting adds a waiting request to a need.
+func addWaiting(n *loader.Need, item admitter.Item) {
 	n.Waiting++
 	if item.Arrived.Before(n.Oldest) {
 		n.Oldest = item.Arrived
--- a/internal/upstream/tracker/candidate.go
+++ b/internal/upstream/tracker/candidate.go
@@ -21,9 +21,9 @@
 	Tried   map[string]bool // runners that are excluded
 }
 
-// takes reports whether the runner is eligible for the request at all.
-func (s *state) takes(id string, d Demand, now time.Time) bool {
-	return s.Service == d.Service && !s.Leaving && !d.Tried[id] && !now.Before(s.suspended)
+// eligible reports whether the runner is eligible for the request at all.
+func (s *runnerState) eligible(id string, d Demand, now time.Time) bool {
+	return s.Service == d.Service && !s.Leaving && !d.Tried[id] && !now.Before(s.suspendedUntil)
 }
 
 // Takes reports whether any runner is eligible for a request, whatever adapters it
@@ -32,7 +32,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, s := range f.runners {
-		if s.takes(id, d, now) {
+		if s.eligible(id, d, now) {
 			return true
 		}
 	}
@@ -43,25 +43,25 @@
 func (f *Fleet) Candidates(d Demand, now time.Time) []router.Candidate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	read := f.pace(d.Service).reading(d.Tokens)
+	read := f.latency(d.Service).prefillTime(d.Tokens)
 	var candidates []router.Candidate
 	for id, s := range f.runners {
-		if !s.takes(id, d, now) {
+		if !s.eligible(id, d, now) {
 			continue
 		}
 		c := router.Candidate{
-			Runner: id, Away: s.Domain != f.Domain, Batch: s.Slots, Running: s.own.Running + s.others.Running,
-			Backlog: f.backlog(s, d), Failing: s.failingAt(now), Resident: true,
+			Runner: id, Away: s.Domain != f.Domain, Batch: s.Slots, Running: s.ownLoad.Running + s.otherLoad.Running,
+			Backlog: f.backlog(s, d), Failing: s.currentFailureRate(now), Resident: true,
 		}
 		if d.Full[id] {
-			c.Backlog += fullCost
+			c.Backlog += refusalPenalty
 		}
 		c.Crowded = d.Crowd > 0 && c.Backlog+read > d.Crowd
 		if d.Copy != (placer.Copy{}) {
-			s.stand(&c, d, f.lines[s.Domain], f.timesOf(s.Domain, d), now)
+			s.setReadiness(&c, d, f.loadQueueWait[s.Domain], f.loadTimesIn(s.Domain, d), now)
 		}
 		c.Loading = c.Loading || !c.Resident && id == d.Asked
-		if !c.Resident && !c.Loading && f.idle[s.Domain] {
+		if !c.Resident && !c.Loading && f.leaderless[s.Domain] {
 			continue
 		}
 		candidates = append(candidates, c)
@@ -69,9 +69,9 @@
 	return candidates
 }
 
-// stand sets whether the copy is resident or being loaded at the runner, and how
+// setReadiness sets whether the copy is resident or being loaded at the runner, and how
 // long it takes until it can be used there.
-func (s *state) stand(c *router.Candidate, d Demand, line time.Duration, times Times, now time.Time) {
+func (s *runnerState) setReadiness(c *router.Candidate, d Demand, line time.Duration, times Times, now time.Time) {
 	if at, held := s.held[d.Copy]; held {
 		c.Resident = !now.Before(at)
 		c.Loading = !c.Resident
@@ -79,24 +79,24 @@
 		return
 	}
 	c.Resident = false
-	c.Kept = s.kept.Has(d.Copy)
-	c.Ready = max(s.room, line) + times.Load
+	c.Kept = s.evicted.Has(d.Copy)
+	c.Ready = max(s.adapterSlotWait, line) + times.Load
 	if c.Kept {
-		c.Ready = s.room + times.Return // from the runner's host memory, without queueing for the weight store
+		c.Ready = s.adapterSlotWait + times.Return // from the runner's host memory, without queueing for the weight store
 	}
 	switch {
 	case s.otherVersion(d.Copy):
-		c.Ready += replaceTime
+		c.Ready += versionReplaceTime
 	case s.ID == d.Asked:
-		c.Ready = min(c.Ready, s.room+times.Load) // it is in the load queue already
+		c.Ready = min(c.Ready, s.adapterSlotWait+times.Load) // it is in the load queue already
 	}
 }
 
-// replaceTime is added to the time until a copy can be used if the runner holds
+// versionReplaceTime is added to the time until a copy can be used if the runner holds
 // another version of the adapter, which must become idle before it can be evicted.
-const replaceTime = time.Second
+const versionReplaceTime = time.Second
 
-func (s *state) otherVersion(c placer.Copy) bool {
+func (s *runnerState) otherVersion(c placer.Copy) bool {
 	for held := range s.held {
 		if held.Model == c.Model && held.Adapter == c.Adapter && held.Version != c.Version {
 			return true
@@ -105,17 +105,17 @@
 	return false
 }
 
-// fullCost is added to the backlog of a runner that has refused the request for
+// refusalPenalty is added to the backlog of a runner that has refused the request for
 // lack of a request slot. It exceeds the backlog of any runner with a free slot, so
 // that the runner is tried again only if there is no such runner.
-const fullCost = 10 * time.Second
+const refusalPenalty = 10 * time.Second
 
 // backlog estimates how long a request waits at the runner: for the prefill of the
 // prompts before it, and for a request slot if all are taken.
-func (f *Fleet) backlog(s *state, d Demand) time.Duration {
-	p := f.pace(d.Service)
-	load := s.own.Plus(s.others)
-	wait := max(float64(load.Unread)*p.read, time.Until(s.until).Seconds()) + s.full(p)
+func (f *Fleet) backlog(s *runnerState, d Demand) time.Duration {
+	p := f.latency(d.Service)
+	load := s.ownLoad.Plus(s.otherLoad)
+	wait := max(float64(load.Unread)*p.prefill, time.Until(s.prefillUntil).Seconds()) + s.requestSlotWait(p)
 	if d.Copy == (placer.Copy{}) && s.Slots > 0 {
 		// Concurrent requests to a plain service (one without adapters) share
 		// the processor of the runner and slow each other down before any queues.
@@ -124,9 +124,9 @@
 	return time.Duration(wait * float64(time.Second))
 }
 
-// full returns the estimated seconds until a request slot is free.
-func (s *state) full(p *pace) float64 {
-	running := s.own.Running + s.others.Running
+// requestSlotWait returns the estimated seconds until a request slot is free.
+func (s *runnerState) requestSlotWait(p *latencyModel) float64 {
+	running := s.ownLoad.Running + s.otherLoad.Running
 	if s.Slots == 0 || running < s.Slots {
 		return 0
 	}
@@ -137,7 +137,7 @@
 func (f *Fleet) Run(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Duration(f.pace(service).run * float64(time.Second))
+	return time.Duration(f.latency(service).run * float64(time.Second))
 }
 
 // Places returns the estimated time until a runner has a free request slot.
@@ -148,7 +148,7 @@
 	if !ok {
 		return 0
 	}
-	return time.Duration(s.full(f.pace(s.Service)) * float64(time.Second))
+	return time.Duration(s.requestSlotWait(f.latency(s.Service)) * float64(time.Second))
 }
 
 // Paces returns the latency model of a service as estimated so far: the seconds to
@@ -157,8 +157,8 @@
 func (f *Fleet) Paces(service string) (base, read float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := f.pace(service)
-	return p.base, p.read
+	p := f.latency(service)
+	return p.base, p.prefill
 }
 
 // Reading records the remaining prefill time of a runner, as reported by its
@@ -167,7 +167,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s, ok := f.runners[id]; ok {
-		s.until = time.Now().Add(backlog)
+		s.prefillUntil = time.Now().Add(backlog)
 	}
 }
 
@@ -176,29 +176,29 @@
 func (f *Fleet) Base(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return time.Duration(f.pace(service).base * float64(time.Second))
+	return time.Duration(f.latency(service).base * float64(time.Second))
 }
 
 // Read returns the estimated prefill time of a prompt on an idle runner.
 func (f *Fleet) Read(service string, tokens int) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.pace(service).reading(tokens)
+	return f.latency(service).prefillTime(tokens)
 }
 
-func (s *state) failingAt(now time.Time) float64 {
-	if s.failing == 0 {
+func (s *runnerState) currentFailureRate(now time.Time) float64 {
+	if s.failureRate == 0 {
 		return 0
 	}
-	return s.failing * math.Exp2(-now.Sub(s.failed).Seconds()/failHalf.Seconds())
+	return s.failureRate * math.Exp2(-now.Sub(s.failureRateAt).Seconds()/failureHalfLife.Seconds())
 }
 
-func (f *Fleet) pace(service string) *pace {
+func (f *Fleet) latency(service string) *latencyModel {
 	f.init()
-	p, ok := f.paces[service]
+	p, ok := f.latencies[service]
 	if !ok {
-		p = newPace()
-		f.paces[service] = p
+		p = newLatencyModel()
+		f.latencies[service] = p
 	}
 	return p
 }
--- a/internal/upstream/tracker/fleet.go
+++ b/internal/upstream/tracker/fleet.go
@@ -15,15 +15,15 @@
 type Fleet struct {
 	Domain string // failure domain of this instance
 
-	mu       sync.Mutex
-	complete map[string]uint64        // by failure domain: the store version up to which all its runners are known
-	gone     map[string]uint64        // removed runners by ID, with their last revision
-	named    map[string]string        // ID of the current incarnation by name
-	runners  map[string]*state        // by ID
-	paces    map[string]*pace         // by service
-	lines    map[string]time.Duration // by failure domain: time until a further load begins
-	idle     map[string]bool          // failure domains without a leader to order loads
-	times    map[string]Times         // by failure domain, as last reported
+	mu            sync.Mutex
+	completeTo    map[string]uint64        // by failure domain: the store version up to which all its runners are known
+	removed       map[string]uint64        // removed runners by ID, with their last revision
+	idByName      map[string]string        // ID of the current incarnation by name
+	runners       map[string]*runnerState  // by ID
+	latencies     map[string]*latencyModel // by service
+	loadQueueWait map[string]time.Duration // by failure domain: time until a further load begins
+	leaderless    map[string]bool          // failure domains without a leader to order loads
+	loadTimes     map[string]Times         // by failure domain, as last reported
 }
 
 // Times are the load times of adapters.
@@ -32,33 +32,33 @@
 	Return time.Duration // from the host memory of a runner that held the adapter before
 }
 
-// A state is a runner with the observations of it.
-type state struct {
+// A runnerState is a runner with the observations of it.
+type runnerState struct {
 	Runner
-	failing   float64                    // failure rate of recent requests, decaying with time
-	failed    time.Time                  // when failing was last updated
-	held      map[placer.Copy]time.Time  // when each copy can be used; zero: now
-	kept      warmer.Recent[placer.Copy] // evicted copies; the runner loads them again in a tenth of the time
-	others    Load                       // from other instances, as last reported
-	reached   time.Time                  // when it last answered this instance
-	own       Load                       // from this instance
-	suspended time.Time                  // until when it gets no new requests
-	streak    int                        // consecutive connection failures
-	until     time.Time                  // end of the prefill known to its leader, as last reported
-	room      time.Duration              // wait for an adapter slot of a copy that it does not hold, as last reported
-	told      bool                       // whether held was reported by the leader of its failure domain
+	failureRate     float64                       // failure rate of recent requests, decaying with time
+	failureRateAt   time.Time                     // when failureRate was last updated
+	held            map[placer.Copy]time.Time     // when each copy can be used; zero: now
+	evicted         warmer.RecentSet[placer.Copy] // evicted copies; the runner loads them again in a tenth of the time
+	otherLoad       Load                          // from other instances, as last reported
+	lastAnswer      time.Time                     // when it last answered this instance
+	ownLoad         Load                          // from this instance
+	suspendedUntil  time.Time                     // until when it gets no new requests
+	connectFailures int                           // consecutive connection failures
+	prefillUntil    time.Time                     // end of the prefill known to its leader, as last reported
+	adapterSlotWait time.Duration                 // wait for an adapter slot of a copy that it does not hold, as last reported
+	heldReported    bool                          // whether held was reported by the leader of its failure domain
 }
 
 const (
-	// failStep is the weight of one outcome in the failure rate.
-	failStep = 0.2
-	// failHalf is the half-life of the failure rate, so that a runner that was
-	// avoided is tried again.
-	failHalf = 3 * time.Second
-	// firstRest and lastRest bound how long a runner that accepts no connection
-	// is suspended. The time doubles with each consecutive failure.
-	firstRest = 500 * time.Millisecond
-	lastRest  = 4 * time.Second
+	// failureWeight is the weight of one outcome in the failure rate.
+	failureWeight = 0.2
+	// failureHalfLife is the half-life of the failure rate, so that a runner that
+	// was avoided is tried again.
+	failureHalfLife = 3 * time.Second
+	// minSuspension and maxSuspension bound how long a runner that accepts no
+	// connection is suspended. The time doubles with each consecutive failure.
+	minSuspension = 500 * time.Millisecond
+	maxSuspension = 4 * time.Second
 )
 
 // Set records the description of a runner. It ignores an older revision than the known
@@ -70,10 +70,10 @@
 	defer f.mu.Unlock()
 	f.init()
 	s, known := f.runners[r.ID]
-	if known && r.Revision < s.Revision || !known && r.Revision <= max(f.gone[r.ID], f.complete[r.Domain]) {
+	if known && r.Revision < s.Revision || !known && r.Revision <= max(f.removed[r.ID], f.completeTo[r.Domain]) {
 		return Runner{}, false
 	}
-	if other, is := f.runners[f.named[r.Name()]]; is && other.ID != r.ID {
+	if other, is := f.runners[f.idByName[r.Name()]]; is && other.ID != r.ID {
 		if r.Revision < other.Revision {
 			f.remove(r.ID, r.Revision) // outdated: the runner has restarted since
 			return Runner{}, false
@@ -81,15 +81,15 @@
 		f.remove(other.ID, other.Revision)
 		replaced, ok = other.Runner, true
 	}
-	f.named[r.Name()] = r.ID
+	f.idByName[r.Name()] = r.ID
 	if !known {
-		s = &state{held: make(map[placer.Copy]time.Time), kept: warmer.Recent[placer.Copy]{Limit: warmer.Kept}}
+		s = &runnerState{held: make(map[placer.Copy]time.Time), evicted: warmer.RecentSet[placer.Copy]{Limit: warmer.HostMemoryCopies}}
 		f.runners[r.ID] = s
 	}
 	r.Leaving = r.Leaving || s.Leaving // draining is final for an incarnation
 	s.Runner = r
-	if !s.told {
-		s.assume()
+	if !s.heldReported {
+		s.useRegisteredCopies()
 	}
 	return replaced, ok
 }
@@ -100,7 +100,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.init()
-	f.complete[domain] = max(f.complete[domain], version)
+	f.completeTo[domain] = max(f.completeTo[domain], version)
 }
 
 // Named returns the ID of the current incarnation of a name. If none is known it
@@ -109,15 +109,15 @@
 func (f *Fleet) Named(name string) (id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if id, ok := f.named[name]; ok {
+	if id, ok := f.idByName[name]; ok {
 		return id
 	}
 	return name
 }
 
-// assume sets the held copies to those that the runner registered with, which are
-// used until its leader reports them.
-func (s *state) assume() {
+// useRegisteredCopies sets the held copies to those that the runner registered with,
+// which are used until its leader reports them.
+func (s *runnerState) useRegisteredCopies() {
 	s.held = make(map[placer.Copy]time.Time)
 	for _, m := range s.Models {
 		s.held[placer.Copy{Model: m}] = time.Time{}
@@ -139,11 +139,11 @@
 func (f *Fleet) remove(id string, revision uint64) {
 	if s, ok := f.runners[id]; ok {
 		revision = max(revision, s.Revision)
-		if f.named[s.Name()] == id {
-			delete(f.named, s.Name())
+		if f.idByName[s.Name()] == id {
+			delete(f.idByName, s.Name())
 		}
 	}
-	f.gone[id] = max(f.gone[id], revision)
+	f.removed[id] = max(f.removed[id], revision)
 	delete(f.runners, id)
 }
 
@@ -157,23 +157,23 @@
 	for _, s := range f.runners {
 		switch {
 		case s.Domain != domain:
-		case s.streak > 0:
+		case s.connectFailures > 0:
 			dark++
-		case now.Sub(s.reached) < reachedFor:
+		case now.Sub(s.lastAnswer) < reachableFor:
 			reached++
 		}
 	}
 	return dark > reached
 }
 
-// reachedFor is how long a runner counts as reachable after an answer.
-const reachedFor = 3 * time.Second
+// reachableFor is how long a runner counts as reachable after an answer.
+const reachableFor = 3 * time.Second
 
 // Gone returns the revision up to which a runner is known to be removed.
 func (f *Fleet) Gone(id string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.gone[id]
+	return f.removed[id]
 }
 
 // Get returns a runner's description.
@@ -211,12 +211,12 @@
 	if s, ok := f.runners[id]; ok {
 		for c := range s.held {
 			if _, still := held[c]; !still {
-				s.kept.Add(c)
+				s.evicted.Add(c)
 			}
 		}
 		s.held = make(map[placer.Copy]time.Time, len(held)) // HeldOne changes single copies until the next snapshot
 		maps.Copy(s.held, held)
-		s.told = true
+		s.heldReported = true
 	}
 }
 
@@ -229,7 +229,7 @@
 	if !ok {
 		return nil, 0
 	}
-	return maps.Clone(s.held), s.room
+	return maps.Clone(s.held), s.adapterSlotWait
 }
 
 // HeldOne records whether a runner holds a copy, and from when on it can be used.
@@ -243,7 +243,7 @@
 		s.held[c] = at
 	default:
 		delete(s.held, c)
-		s.kept.Add(c)
+		s.evicted.Add(c)
 	}
 }
 
@@ -253,7 +253,7 @@
 	defer f.mu.Unlock()
 	if s, ok := f.runners[id]; ok {
 		delete(s.held, c)
-		s.kept.Drop(c)
+		s.evicted.Drop(c)
 	}
 }
 
@@ -264,7 +264,7 @@
 	defer f.mu.Unlock()
 	for id, s := range f.runners {
 		if s.Domain == domain {
-			s.others = loads[id]
+			s.otherLoad = loads[id]
 		}
 	}
 }
@@ -276,8 +276,8 @@
 	defer f.mu.Unlock()
 	loads := make(map[string]Load)
 	for id, s := range f.runners {
-		if s.Domain == domain && s.own != (Load{}) {
-			loads[id] = s.own
+		if s.Domain == domain && s.ownLoad != (Load{}) {
+			loads[id] = s.ownLoad
 		}
 	}
 	return loads
@@ -288,10 +288,10 @@
 func (f *Fleet) Staffed(domain string, staffed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.idle == nil {
-		f.idle = make(map[string]bool)
+	if f.leaderless == nil {
+		f.leaderless = make(map[string]bool)
 	}
-	f.idle[domain] = !staffed
+	f.leaderless[domain] = !staffed
 }
 
 // Rooms records, by runner ID, how long a copy that the runner does not hold waits
@@ -301,7 +301,7 @@
 	defer f.mu.Unlock()
 	for id, wait := range waits {
 		if s, ok := f.runners[id]; ok {
-			s.room = wait
+			s.adapterSlotWait = wait
 		}
 	}
 }
@@ -311,7 +311,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.runners[id]
-	return ok && s.room > 0
+	return ok && s.adapterSlotWait > 0
 }
 
 // Line records the time until the load of a further adapter begins in a failure
@@ -319,10 +319,10 @@
 func (f *Fleet) Line(domain string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.lines == nil {
-		f.lines = make(map[string]time.Duration)
+	if f.loadQueueWait == nil {
+		f.loadQueueWait = make(map[string]time.Duration)
 	}
-	f.lines[domain] = d
+	f.loadQueueWait[domain] = d
 }
 
 // LoadTimes records the load times of adapters in a failure domain, as measured by its
@@ -334,16 +334,16 @@
 func (f *Fleet) LoadTimes(domain string, t Times) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.times == nil {
-		f.times = make(map[string]Times)
+	if f.loadTimes == nil {
+		f.loadTimes = make(map[string]Times)
 	}
-	f.times[domain] = t
+	f.loadTimes[domain] = t
 }
 
-// timesOf returns the load times in a failure domain: those reported by its leader, or
+// loadTimesIn returns the load times in a failure domain: those reported by its leader, or
 // the estimates of the demand.
-func (f *Fleet) timesOf(domain string, d Demand) Times {
-	if t, told := f.times[domain]; told && t.Load > 0 {
+func (f *Fleet) loadTimesIn(domain string, d Demand) Times {
+	if t, told := f.loadTimes[domain]; told && t.Load > 0 {
 		return t
 	}
 	return Times{Load: d.Load, Return: d.Return}
@@ -351,10 +351,10 @@
 
 func (f *Fleet) init() {
 	if f.runners == nil {
-		f.complete = make(map[string]uint64)
-		f.gone = make(map[string]uint64)
-		f.named = make(map[string]string)
-		f.runners = make(map[string]*state)
-		f.paces = make(map[string]*pace)
+		f.completeTo = make(map[string]uint64)
+		f.removed = make(map[string]uint64)
+		f.idByName = make(map[string]string)
+		f.runners = make(map[string]*runnerState)
+		f.latencies = make(map[string]*latencyModel)
 	}
 }
--- a/internal/upstream/tracker/pace_test.go
+++ b/internal/upstream/tracker/latency_test.go
@@ -13,17 +13,17 @@
 	const base, read = 0.025, 27e-6
 	for _, unseen := range []float64{0, 800} {
 		rng := rand.New(rand.NewPCG(1, 1))
-		p := newPace()
+		p := newLatencyModel()
 		for range 3000 {
 			known := 300 + rng.ExpFloat64()*1500
 			other := 0.0
 			if rng.IntN(3) == 0 {
 				other = rng.ExpFloat64() * unseen
 			}
-			p.saw(int(known), time.Duration((base+read*(known+other))*float64(time.Second)))
+			p.observeFirstToken(int(known), time.Duration((base+read*(known+other))*float64(time.Second)))
 		}
-		if p.read < 0.85*read || p.read > 1.4*read {
-			t.Errorf("with %v tokens unseen: read %.1f us a token, want about %.1f", unseen, p.read*1e6, read*1e6)
+		if p.prefill < 0.85*read || p.prefill > 1.4*read {
+			t.Errorf("with %v tokens unseen: read %.1f us a token, want about %.1f", unseen, p.prefill*1e6, read*1e6)
 		}
 	}
 }
--- a/internal/upstream/tracker/places.go
+++ b/internal/upstream/tracker/places.go
@@ -6,44 +6,44 @@
 // the instance that assigns its request slots. The zero value is ready to use; it is not
 // safe for concurrent use.
 type Places struct {
-	inside int     // requests that run or wait
-	run    float64 // mean seconds of requests that did not wait for a slot; 0 before the first one
+	active  int     // requests that run or wait
+	meanRun float64 // mean seconds of requests that did not wait for a slot; 0 before the first one
 }
 
 // An Entry is one counted request.
 type Entry struct {
-	began time.Time
-	ahead int // requests at the runner when it arrived
+	startedAt time.Time
+	ahead     int // requests at the runner when it arrived
 }
 
 // Wait estimates how long a further request waits for a slot.
 func (p *Places) Wait(slots int) time.Duration {
-	if slots <= 0 || p.inside < slots {
+	if slots <= 0 || p.active < slots {
 		return 0
 	}
-	return time.Duration(float64(p.inside-slots+1) / float64(slots) * p.mean() * float64(time.Second))
+	return time.Duration(float64(p.active-slots+1) / float64(slots) * p.meanRunTime() * float64(time.Second))
 }
 
 // Enter adds a request.
 func (p *Places) Enter(now time.Time) Entry {
-	e := Entry{began: now, ahead: p.inside}
-	p.inside++
+	e := Entry{startedAt: now, ahead: p.active}
+	p.active++
 	return e
 }
 
 // Leave removes a request. Its duration counts as run time only if it had a slot at once:
 // waiting time would make the runner look slower, and more requests would be refused.
 func (p *Places) Leave(e Entry, slots int, now time.Time) {
-	p.inside--
+	p.active--
 	if e.ahead >= slots {
 		return
 	}
-	p.run = p.mean() + runStep*(now.Sub(e.began).Seconds()-p.mean())
+	p.meanRun = p.meanRunTime() + runWeight*(now.Sub(e.startedAt).Seconds()-p.meanRunTime())
 }
 
-func (p *Places) mean() float64 {
-	if p.run == 0 {
-		return firstRun
+func (p *Places) meanRunTime() float64 {
+	if p.meanRun == 0 {
+		return initialRun
 	}
-	return p.run
+	return p.meanRun
 }
--- a/internal/upstream/tracker/run.go
+++ b/internal/upstream/tracker/run.go
@@ -4,12 +4,12 @@
 
 // A Run is one request at a runner, from when it is sent until it ends.
 type Run struct {
-	fleet  *Fleet
-	id     string
-	ahead  int // prompt tokens of this request and of those before it
-	began  time.Time
-	first  time.Time // when the first token came; zero before
-	tokens int       // length of the prompt
+	fleet        *Fleet
+	id           string
+	promptTokens int // prompt tokens of this request and of those before it
+	startedAt    time.Time
+	firstTokenAt time.Time // when the first token came; zero before
+	tokens       int       // length of the prompt
 }
 
 // An End is how a run ended, as far as it concerns the runner.
@@ -28,11 +28,11 @@
 func (f *Fleet) Begin(id string, tokens int, now time.Time) *Run {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := &Run{fleet: f, id: id, began: now, tokens: tokens, ahead: tokens}
+	r := &Run{fleet: f, id: id, startedAt: now, tokens: tokens, promptTokens: tokens}
 	if s, ok := f.runners[id]; ok {
-		r.ahead += s.own.Unread + s.others.Unread
-		s.own.Running++
-		s.own.Unread += tokens
+		r.promptTokens += s.ownLoad.Unread + s.otherLoad.Unread
+		s.ownLoad.Running++
+		s.ownLoad.Unread += tokens
 	}
 	return r
 }
@@ -40,19 +40,19 @@
 // First records the arrival of the answer or of its first event. Later calls have no
 // effect.
 func (r *Run) First(now time.Time) {
-	if !r.first.IsZero() {
+	if !r.firstTokenAt.IsZero() {
 		return
 	}
-	r.first = now
+	r.firstTokenAt = now
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	s, ok := r.fleet.runners[r.id]
 	if !ok {
 		return
 	}
-	s.own.Unread = max(0, s.own.Unread-r.tokens)
-	if r.ahead > 0 {
-		r.fleet.pace(s.Service).saw(r.ahead, now.Sub(r.began))
+	s.ownLoad.Unread = max(0, s.ownLoad.Unread-r.tokens)
+	if r.promptTokens > 0 {
+		r.fleet.latency(s.Service).observeFirstToken(r.promptTokens, now.Sub(r.startedAt))
 	}
 }
 
@@ -64,39 +64,39 @@
 	if !ok {
 		return
 	}
-	s.own.Running = max(0, s.own.Running-1)
-	if r.first.IsZero() {
-		s.own.Unread = max(0, s.own.Unread-r.tokens)
+	s.ownLoad.Running = max(0, s.ownLoad.Running-1)
+	if r.firstTokenAt.IsZero() {
+		s.ownLoad.Unread = max(0, s.ownLoad.Unread-r.tokens)
 	}
-	s.judge(end, now)
+	s.recordOutcome(end, now)
 	if end == Done {
-		r.fleet.pace(s.Service).ran(now.Sub(r.began))
+		r.fleet.latency(s.Service).observeRun(now.Sub(r.startedAt))
 	}
 }
 
-// judge records how a request ended in the failure rate and suspends a runner that
-// accepts no connection.
-func (s *state) judge(end End, now time.Time) {
-	failing := s.failingAt(now)
+// recordOutcome updates the failure rate with the end of a request and suspends a
+// runner that accepts no connection.
+func (s *runnerState) recordOutcome(end End, now time.Time) {
+	failing := s.currentFailureRate(now)
 	if end == Done || end == Refused {
-		s.reached = now
+		s.lastAnswer = now
 	}
 	switch end {
 	case Left:
 		return
 	case Done:
-		s.failing = failing * (1 - failStep)
-		s.streak = 0
+		s.failureRate = failing * (1 - failureWeight)
+		s.connectFailures = 0
 	case Refused:
-		s.failing = failing
-		s.streak = 0
+		s.failureRate = failing
+		s.connectFailures = 0
 	case Failed:
-		s.failing = failing + failStep*(1-failing)
-		s.streak = 0
+		s.failureRate = failing + failureWeight*(1-failing)
+		s.connectFailures = 0
 	case Dark:
-		s.failing = failing + failStep*(1-failing)
-		s.suspended = now.Add(min(firstRest<<min(s.streak, 8), lastRest))
-		s.streak++
+		s.failureRate = failing + failureWeight*(1-failing)
+		s.suspendedUntil = now.Add(min(minSuspension<<min(s.connectFailures, 8), maxSuspension))
+		s.connectFailures++
 	}
-	s.failed = now
+	s.failureRateAt = now
 }
