--- a/internal/adapter/keeper/evictor.go
+++ b/internal/adapter/keeper/evictor.go
@@ -39,11 +39,11 @@
 
 // decayClock returns the clock, with the half-life of the policy.
 func (k *Keeper) decayClock() *warmer.Clock {
-	turns := float64(warmer.HalfLifePerSlot)
+	halfLife := float64(warmer.HalfLifePerSlot)
 	if p, ok := k.Policy.(Heat); ok && p.HalfLifePerSlot > 0 {
-		turns = p.HalfLifePerSlot
+		halfLife = p.HalfLifePerSlot
 	}
-	k.clock.HalfLife = turns * float64(max(1, k.Capacity))
+	k.clock.HalfLife = halfLife * float64(max(1, k.Capacity))
 	return &k.clock
 }
 
--- a/internal/adapter/keeper/evictor_test.go
+++ b/internal/adapter/keeper/evictor_test.go
@@ -86,7 +86,7 @@
 	return victim
 }
 
-func TestBoundIsNotBeaten(t *testing.T) {
+func TestPoliciesMissNoLessThanBelady(t *testing.T) {
 	for seed := range uint64(5) {
 		for _, shifts := range []int{0, 4} {
 			drawn := newTrace(seed, 2000, shifts)
--- a/internal/adapter/keeper/handle_test.go
+++ b/internal/adapter/keeper/handle_test.go
@@ -8,7 +8,7 @@
 
 // Engine and keeper identify a copy by the text form. Guards against a text that
 // changes when it is parsed and formatted, as it would then denote two copies.
-func TestHandleKeepsItsText(t *testing.T) {
+func TestHandleRoundTrip(t *testing.T) {
 	for _, text := range []string{"x@1#a-1-0f.3", "x@1#a", "x@1", "x@1#a.b"} {
 		if got := keeper.ParseHandle(text).String(); got != text {
 			t.Errorf("%q came back as %q", text, got)
--- a/internal/adapter/keeper/keeper_test.go
+++ b/internal/adapter/keeper/keeper_test.go
@@ -61,7 +61,7 @@
 // request to a copy that looks idle. The new owner must not evict that copy until the
 // previous owner has answered or terminated. If the engine ignores fencing tokens, it
 // must not use the copy either, as the previous owner could evict it.
-func TestInheritedCopyWaitsForEarlierOwner(t *testing.T) {
+func TestInheritedCopyWaitsForPreviousOwner(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		fencing bool
@@ -136,7 +136,7 @@
 
 // After an engine restart the keeper must forget the resident copies at once, so that
 // no request is sent to a copy that no longer exists.
-func TestColdStartEmptiesTheSlots(t *testing.T) {
+func TestEngineRestartEmptiesTheSlots(t *testing.T) {
 	k := newKeeper()
 	if _, err := k.Reconcile(keeper.Report{Held: true, Asked: start, Engine: "e1"}); err != nil {
 		t.Fatal(err)
@@ -154,7 +154,7 @@
 // The engine restarts, and before a report shows that, an adapter is loaded and a
 // request starts on it. Guards against dropping the pin with the report, after which
 // the copy was evicted while the request ran.
-func TestPinSurvivesRestartNoticedLate(t *testing.T) {
+func TestPinSurvivesRestartDetectedLate(t *testing.T) {
 	k := &keeper.Keeper{Capacity: 1, Policy: keeper.LRU{}, Self: "b"}
 	k.Take(1, nil)
 	if _, err := k.Reconcile(keeper.Report{Held: true, Asked: start, Engine: "e1"}); err != nil {
@@ -191,7 +191,7 @@
 // One previous owner releases the runner and reports a copy that its unanswered
 // eviction order may still evict; another one has not answered and may be sending a
 // request to that copy. The copy must not be evicted before both are cleared.
-func TestDoomedCopyWaitsForEveryEarlierOwner(t *testing.T) {
+func TestDoomedCopyWaitsForEveryPreviousOwner(t *testing.T) {
 	k := &keeper.Keeper{Capacity: 1, Fencing: true, Policy: keeper.LRU{}, Self: "c"}
 	k.Take(3, []string{"a", "b"})
 	k.Raise(3)
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestSurrenderWaitsForEvictionUnderWay(t *testing.T) {
+func TestSurrenderWaitsForPendingEviction(t *testing.T) {
 	k := newKeeper()
 	load(t, k, "x@1", start)
 	load(t, k, "y@1", start)
--- a/internal/adapter/keeper/ownership_test.go
+++ b/internal/adapter/keeper/ownership_test.go
@@ -17,29 +17,29 @@
 
 // An owner is an instance that owns, has owned or may assume to own the runner.
 type owner struct {
-	believes bool // has not observed yet that another instance took over
-	keeper   *keeper.Keeper
-	orders   []keeper.Action
-	ready    []keeper.Handle // pinned, not sent yet; the instance may be paused in between
-	sent     []keeper.Handle
+	assumesLease bool // has not observed yet that another instance took over
+	keeper       *keeper.Keeper
+	orders       []keeper.Action
+	pinned       []keeper.Handle // pinned, not sent yet; the instance may be paused in between
+	sent         []keeper.Handle
 }
 
 // A custody models one engine and several owners, one of which holds the lease.
-type custody struct {
-	epoch    uint64
-	fence    uint64 // highest fencing token that the engine has received
-	fencing  bool
-	holder   int
-	now      time.Time
-	owners   []*owner
-	resident map[string]bool
-	running  map[string]int
-	trusting bool // disables the safeguard: every report counts as received under a valid lease
+type ownershipModel struct {
+	epoch        uint64
+	fence        uint64 // highest fencing token that the engine has received
+	fencing      bool
+	leaseHolder  int
+	now          time.Time
+	owners       []*owner
+	resident     map[string]bool
+	running      map[string]int
+	trustReports bool // disables the safeguard: every report counts as received under a valid lease
 }
 
-func newCustody(fencing, trusting bool) *custody {
-	c := &custody{
-		fencing: fencing, trusting: trusting, holder: -1, now: start,
+func newOwnershipModel(fencing, trusting bool) *ownershipModel {
+	c := &ownershipModel{
+		fencing: fencing, trustReports: trusting, leaseHolder: -1, now: start,
 		resident: make(map[string]bool), running: make(map[string]int),
 	}
 	for i := range 3 {
@@ -50,43 +50,43 @@
 	return c
 }
 
-// pass gives the lease to another owner without notice to the previous one.
-func (c *custody) pass(to int) {
+// transfer gives the lease to another owner without notice to the previous one.
+func (c *ownershipModel) transfer(to int) {
 	c.epoch++
-	c.holder = to
+	c.leaseHolder = to
 	var parties []string
 	for _, o := range c.owners {
 		parties = append(parties, o.keeper.Self)
 	}
 	o := c.owners[to]
 	o.keeper.Take(c.epoch, parties)
-	o.believes = true
+	o.assumesLease = true
 }
 
-// clear has the lease holder ask another owner to release the runner, which tells
+// release has the lease holder ask another owner to release the runner, which tells
 // that owner that it has been replaced.
-func (c *custody) clear(other int) {
+func (c *ownershipModel) release(other int) {
 	o := c.owners[other]
-	if c.holder < 0 || other == c.holder {
+	if c.leaseHolder < 0 || other == c.leaseHolder {
 		return
 	}
-	o.believes = false
+	o.assumesLease = false
 	o.keeper.Abandon()
 	if surrender, ok := o.keeper.Surrender(); ok {
-		c.owners[c.holder].keeper.Clear(o.keeper.Self, surrender)
+		c.owners[c.leaseHolder].keeper.Clear(o.keeper.Self, surrender)
 	}
 }
 
-func (c *custody) report(who int) error {
+func (c *ownershipModel) report(who int) error {
 	o := c.owners[who]
 	_, err := o.keeper.Reconcile(keeper.Report{
-		Asked: c.now, Held: c.trusting || who == c.holder, Engine: "e", Resident: slices.Sorted(maps.Keys(c.resident)),
+		Asked: c.now, Held: c.trustReports || who == c.leaseHolder, Engine: "e", Resident: slices.Sorted(maps.Keys(c.resident)),
 	})
 	return err
 }
 
 // carryOut has the engine carry out an order if the fencing token is valid.
-func (c *custody) carryOut(action keeper.Action) (keeper.Outcome, error) {
+func (c *ownershipModel) carryOut(action keeper.Action) (keeper.Outcome, error) {
 	switch a := action.(type) {
 	case keeper.Load:
 		if !c.admit(a.Fence) || len(c.resident) >= 3 {
@@ -106,7 +106,7 @@
 	return keeper.Done, nil
 }
 
-func (c *custody) admit(fence uint64) bool {
+func (c *ownershipModel) admit(fence uint64) bool {
 	if c.fencing && fence < c.fence {
 		return false
 	}
@@ -114,18 +114,18 @@
 	return true
 }
 
-func (c *custody) step(t *rapid.T) error {
+func (c *ownershipModel) step(t *rapid.T) error {
 	c.now = c.now.Add(time.Millisecond)
 	who := rapid.IntRange(0, len(c.owners)-1).Draw(t, "who")
 	o := c.owners[who]
 	adapter := rapid.SampledFrom([]string{"x@1", "y@1", "z@1", "w@1"}).Draw(t, "adapter")
 	switch rapid.SampledFrom([]string{"pass", "clear", "clear", "raise", "report", "report", "pin", "send", "end", "want", "order", "lose"}).Draw(t, "event") {
 	case "pass":
-		if who != c.holder && rapid.IntRange(0, 3).Draw(t, "rare") == 0 {
-			c.pass(who)
+		if who != c.leaseHolder && rapid.IntRange(0, 3).Draw(t, "rare") == 0 {
+			c.transfer(who)
 		}
 	case "clear":
-		c.clear(who)
+		c.release(who)
 	case "raise":
 		if c.admit(o.keeper.Fence()) {
 			o.keeper.Raise(o.keeper.Fence())
@@ -134,7 +134,7 @@
 		return c.report(who)
 	case "pin":
 		if handle, ok := o.keeper.Pin(adapter); ok {
-			o.ready = append(o.ready, handle)
+			o.pinned = append(o.pinned, handle)
 		}
 	case "send":
 		c.send(o)
@@ -156,12 +156,12 @@
 
 // send sends a pinned request to the engine, which refuses it if the copy is not
 // resident.
-func (c *custody) send(o *owner) {
-	if len(o.ready) == 0 {
+func (c *ownershipModel) send(o *owner) {
+	if len(o.pinned) == 0 {
 		return
 	}
-	handle := o.ready[0]
-	o.ready = o.ready[1:]
+	handle := o.pinned[0]
+	o.pinned = o.pinned[1:]
 	if !c.resident[handle.String()] {
 		o.keeper.Unpin(handle)
 		return
@@ -170,7 +170,7 @@
 	o.sent = append(o.sent, handle)
 }
 
-func (c *custody) order(t *rapid.T, o *owner) error {
+func (c *ownershipModel) order(t *rapid.T, o *owner) error {
 	if len(o.orders) == 0 {
 		return nil
 	}
@@ -190,12 +190,12 @@
 // of time to serve, load, evict, and send requests that it had pinned before. No
 // adapter may be evicted while a request of any owner runs on it, whether or not the
 // engine checks fencing tokens.
-func TestNeverEvictedByAnyOwner(t *testing.T) {
+func TestNoOwnerEvictsCopyInUse(t *testing.T) {
 	for _, fencing := range []bool{false, true} {
 		t.Run(fmt.Sprint("fencing=", fencing), func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				c := newCustody(fencing, false)
-				c.pass(0)
+				c := newOwnershipModel(fencing, false)
+				c.transfer(0)
 				for range 250 {
 					if err := c.step(t); err != nil {
 						t.Fatal(err)
@@ -209,17 +209,17 @@
 // Checks that the model above detects the failure that it tests for: a report that
 // arrives after the lease has expired shows a copy of a later owner, which the
 // previous owner takes for its own and evicts while a request runs on it.
-func TestCustodyCheckSeesMissingSafeguard(t *testing.T) {
-	c := newCustody(false, true)
-	c.pass(0)
+func TestOwnershipModelDetectsMissingSafeguard(t *testing.T) {
+	c := newOwnershipModel(false, true)
+	c.transfer(0)
 	for i := range c.owners {
-		c.clear(i)
+		c.release(i)
 	}
-	c.pass(1)
+	c.transfer(1)
 	later := c.owners[1]
 	load(t, later.keeper, "x@1", c.now)
 	handle, _ := later.keeper.Pin("x@1")
-	later.ready = append(later.ready, handle)
+	later.pinned = append(later.pinned, handle)
 	c.resident[handle.String()] = true
 	c.send(later)
 	c.now = c.now.Add(time.Second)
--- a/internal/adapter/loader/allocator.go
+++ b/internal/adapter/loader/allocator.go
@@ -62,12 +62,12 @@
 func (a *Allocator) best(now time.Time) uint64 {
 	var best uint64
 	first := true
-	worth := func(id uint64) float64 {
+	effective := func(id uint64) float64 {
 		b := a.waiting[id]
 		return b.value + waitBonus*now.Sub(b.since).Seconds()
 	}
 	for id := range a.waiting {
-		if first || worth(id) > worth(best) || (worth(id) == worth(best) && id < best) {
+		if first || effective(id) > effective(best) || (effective(id) == effective(best) && id < best) {
 			best = id
 			first = false
 		}
--- a/internal/adapter/loader/allocator_test.go
+++ b/internal/adapter/loader/allocator_test.go
@@ -24,7 +24,7 @@
 }
 
 // Guards against a permit of a paused holder that blocks the weight store.
-func TestPermitOfSilentHolderRunsOut(t *testing.T) {
+func TestUnreturnedPermitExpires(t *testing.T) {
 	a := &loader.Allocator{Time: time.Second, Together: 1}
 	a.Bid(1, 1, start)
 	a.Grant(start)
--- a/internal/adapter/loader/budget.go
+++ b/internal/adapter/loader/budget.go
@@ -104,12 +104,12 @@
 
 // Wait estimates how long a further load waits behind a queue of the given length
 // and the loads in progress.
-func (b *Budget) Wait(line int) time.Duration {
+func (b *Budget) Wait(queued int) time.Duration {
 	limit := b.Rate.Limit()
 	if limit == rate.Inf || limit <= 0 {
 		return 0
 	}
-	return time.Duration(float64(line+len(b.inProgress)) / float64(limit) * float64(time.Second))
+	return time.Duration(float64(queued+len(b.inProgress)) / float64(limit) * float64(time.Second))
 }
 
 func (b *Budget) fail(adapter string, now time.Time) {
--- a/internal/adapter/loader/budget_test.go
+++ b/internal/adapter/loader/budget_test.go
@@ -21,7 +21,7 @@
 	return granted
 }
 
-func TestGrantSpendsOnTheMostStall(t *testing.T) {
+func TestGrantPrefersLoadsThatRemoveMostStall(t *testing.T) {
 	b := &loader.Budget{Rate: rate.NewLimiter(1, 2), Together: 2}
 	needs := []loader.Need{
 		{Runner: "r", Adapter: "one", Waiting: 1, Oldest: start},
@@ -35,7 +35,7 @@
 
 // Loads of an adapter that failed back off for longer each time, without delay for
 // other adapters.
-func TestFailedLoadBacksOffAlone(t *testing.T) {
+func TestFailedLoadDelaysOnlyItsAdapter(t *testing.T) {
 	b := &loader.Budget{Rate: rate.NewLimiter(rate.Inf, 1), Together: 1}
 	bad := loader.Need{Runner: "r", Adapter: "bad", Waiting: 9, Oldest: start}
 	good := loader.Need{Runner: "r", Adapter: "good", Waiting: 1, Oldest: start}
--- a/internal/adapter/loader/share.go
+++ b/internal/adapter/loader/share.go
@@ -34,15 +34,15 @@
 const reservedFraction = 0.25
 
 // Domain records the queue length of another failure domain.
-func (s *Sharer) Domain(name string, line int, now time.Time) {
+func (s *Sharer) Domain(name string, length int, now time.Time) {
 	s.init()
-	s.domains[name] = queueReport{length: line, at: now}
+	s.domains[name] = queueReport{length: length, at: now}
 }
 
 // Peer records the queue length of another instance of the same domain.
-func (s *Sharer) Peer(incarnation string, line int, now time.Time) {
+func (s *Sharer) Peer(incarnation string, length int, now time.Time) {
 	s.init()
-	s.peers[incarnation] = queueReport{length: line, at: now}
+	s.peers[incarnation] = queueReport{length: length, at: now}
 }
 
 // Total returns the queue length of this instance's domain, from its own and the
@@ -60,7 +60,7 @@
 // Part returns the share of the rate for this instance. Others are the fixed shares
 // of the other failure domains by name.
 func (s *Sharer) Part(own Stake, others map[string]float64, now time.Time) float64 {
-	lines := float64(s.Total(own.Line, now))
+	queued := float64(s.Total(own.Line, now))
 	pool := 1.0
 	for domain, fixed := range others {
 		t, ok := s.domains[domain]
@@ -68,12 +68,12 @@
 			pool -= fixed
 			continue
 		}
-		lines += float64(t.length)
+		queued += float64(t.length)
 	}
-	if lines == 0 {
+	if queued == 0 {
 		return own.Fixed
 	}
-	return reservedFraction*own.Fixed + (1-reservedFraction)*pool*float64(own.Line)/lines
+	return reservedFraction*own.Fixed + (1-reservedFraction)*pool*float64(own.Line)/queued
 }
 
 func (s *Sharer) init() {
--- a/internal/adapter/loader/share_test.go
+++ b/internal/adapter/loader/share_test.go
@@ -40,7 +40,7 @@
 
 // Two partitioned domains both have queues. Guards against each taking the share of
 // the other, which together would exceed the rate.
-func TestPartsOfDomainsApartFitTheRate(t *testing.T) {
+func TestSharesOfPartitionedDomainsFitTheRate(t *testing.T) {
 	sum := 0.0
 	for _, other := range []string{"a", "b"} {
 		s := loader.Sharer{Fresh: time.Second}
--- a/internal/adapter/placer/placer.go
+++ b/internal/adapter/placer/placer.go
@@ -200,12 +200,12 @@
 	if !ok {
 		return Order{}, false
 	}
-	_, again := p.copies[c] // an earlier load is unanswered and has taken the slot
+	_, retried := p.copies[c] // an earlier load is unanswered and has taken the slot
 	if old, ok := p.otherVersion(c); ok {
 		p.copies[old].state = unloading
 		return p.issue(Order{Copy: old, Unload: true}, now), true
 	}
-	if !again && len(p.copies) >= p.Places {
+	if !retried && len(p.copies) >= p.Places {
 		return p.evict(now)
 	}
 	if p.loadsInProgress(now) >= p.Loads {
@@ -257,7 +257,7 @@
 // nextLoad returns the requested copy to load next.
 func (p *Placer) nextLoad(now time.Time, room Room) (Copy, bool) {
 	var best Copy
-	var bestWant demand
+	var bestDemand demand
 	found := false
 	for c, w := range p.demands {
 		if now.Sub(w.lastSeen) > demandTTL {
@@ -267,14 +267,14 @@
 		if w.Priority >= Spare && room < RoomForAny || room == NoRoom && !p.heldBefore.Has(c) {
 			continue
 		}
-		if s, there := p.copies[c]; there && (!s.unconfirmed || s.state == unloading) {
+		if s, taken := p.copies[c]; taken && (!s.unconfirmed || s.state == unloading) {
 			continue
 		}
 		if old, ok := p.otherVersion(c); ok && !p.evictable(old, p.copies[old], now) {
 			continue
 		}
-		if !found || loadsBefore(c, w, best, bestWant) {
-			best, bestWant, found = c, w, true
+		if !found || loadsBefore(c, w, best, bestDemand) {
+			best, bestDemand, found = c, w, true
 		}
 	}
 	return best, found
@@ -284,8 +284,8 @@
 // then by the number of requests that it would serve in time, as slots are the scarce
 // resource and one load serves all requests for the copy, then by the time since it
 // was requested.
-func loadsBefore(c Copy, w demand, other Copy, v demand) bool {
-	return cmp.Or(cmp.Compare(w.Priority, v.Priority), cmp.Compare(v.InTime, w.InTime), w.firstSeen.Compare(v.firstSeen), cmp.Compare(c.String(), other.String())) < 0
+func loadsBefore(c Copy, d demand, other Copy, otherDemand demand) bool {
+	return cmp.Or(cmp.Compare(d.Priority, otherDemand.Priority), cmp.Compare(otherDemand.InTime, d.InTime), d.firstSeen.Compare(otherDemand.firstSeen), cmp.Compare(c.String(), other.String())) < 0
 }
 
 // issue records an order as in flight and, for a load of an adapter, takes a slot.
--- a/internal/adapter/placer/placer_test.go
+++ b/internal/adapter/placer/placer_test.go
@@ -15,8 +15,8 @@
 
 func adapter(name string) placer.Copy { return placer.Copy{Model: "m", Adapter: name, Version: 1} }
 
-func newPlacer(places int) *placer.Placer {
-	p := &placer.Placer{Model: "m", Places: places, Load: 250 * time.Millisecond, Loads: 4}
+func newPlacer(slots int) *placer.Placer {
+	p := &placer.Placer{Model: "m", Places: slots, Load: 250 * time.Millisecond, Loads: 4}
 	p.Take(placer.Report{Models: []string{"m"}}, start)
 	return p
 }
@@ -33,7 +33,7 @@
 	// 250ms
 }
 
-func TestNoOrderBeforeAReport(t *testing.T) {
+func TestNoOrderBeforeFirstReport(t *testing.T) {
 	p := &placer.Placer{Model: "m", Places: 1}
 	p.Want(adapter("a1"), 0, start)
 	if order, ok := p.Next(start, placer.RoomForAny); ok {
@@ -44,7 +44,7 @@
 // Guards against overfilling a runner: it may carry out an unanswered load seconds
 // later, when another load has taken what looked like a free slot, and crash. The
 // slot must stay taken until a later order was accepted.
-func TestLostLoadKeepsItsPlace(t *testing.T) {
+func TestUnansweredLoadKeepsItsSlot(t *testing.T) {
 	p := newPlacer(1)
 	p.Want(adapter("a1"), 0, start)
 	first, _ := p.Next(start, placer.RoomForAny)
@@ -62,7 +62,7 @@
 // Guards against an unanswered load that counts as a fetch indefinitely: with a
 // window of one load for the domain, no adapter was fetched any more, no later order
 // resolved the unanswered one, and requests were refused for 15 seconds.
-func TestLostLoadDoesNotKeepTheWeightStoreBusy(t *testing.T) {
+func TestUnansweredLoadStopsCountingAsFetch(t *testing.T) {
 	p := newPlacer(2)
 	p.Want(adapter("a1"), 0, start)
 	if _, ok := p.Next(start, placer.RoomForAny); !ok {
@@ -83,7 +83,7 @@
 	}
 }
 
-func TestVictimIsTheLeastRecentlyUsedAndNotInUse(t *testing.T) {
+func TestEvictsLeastRecentlyUsedIdleCopy(t *testing.T) {
 	p := &placer.Placer{Model: "m", Places: 2, Loads: 4}
 	p.Take(placer.Report{Models: []string{"m"}, Resident: []placer.Copy{adapter("old"), adapter("new")}}, start)
 	p.Use(adapter("old"), start.Add(time.Second))
@@ -99,7 +99,7 @@
 // Runs a placer against a simulated runner that may carry out unanswered orders
 // late. Whatever happens to orders and answers, the runner must never be ordered to
 // hold more adapters than it has slots for.
-func TestNeverMoreThanThereAreRoomFor(t *testing.T) {
+func TestNeverExceedsRunnerCapacity(t *testing.T) {
 	const places = 4
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -124,7 +124,7 @@
 				runner.order(order, now)
 				p.Finish(placer.Lost, now)
 			case 2: // carried out late
-				runner.late = append(runner.late, lateOrder{order, now.Add(time.Duration(rng.IntN(5000)) * time.Millisecond)})
+				runner.delayed = append(runner.delayed, delayedOrder{order, now.Add(time.Duration(rng.IntN(5000)) * time.Millisecond)})
 				p.Finish(placer.Lost, now)
 			default:
 				p.Finish(runner.order(order, now), now)
@@ -139,7 +139,7 @@
 // Guards against replacing an adapter version that is in use: the runner would
 // accept no other order until the requests on it have ended. The old version must be
 // unloaded when it is idle, and the new one loaded after that.
-func TestNewVersionWaitsForTheOldOneToBeIdle(t *testing.T) {
+func TestNewVersionWaitsForOldVersionToBeIdle(t *testing.T) {
 	old, fresh := adapter("a1"), adapter("a1")
 	fresh.Version = 2
 	p := newPlacer(2)
@@ -165,7 +165,7 @@
 // A runner accepts a load that it is carrying out already without counting it. Guards
 // against ignoring all its later reports as outdated, after which it would get no
 // more orders.
-func TestReportsThatStayBehindAreTaken(t *testing.T) {
+func TestReportsWithLaggingSequenceAreApplied(t *testing.T) {
 	p := newPlacer(2)
 	p.Want(adapter("a1"), 0, start)
 	p.Next(start, placer.RoomForAny)
@@ -179,7 +179,7 @@
 	}
 }
 
-type lateOrder struct {
+type delayedOrder struct {
 	order placer.Order
 	at    time.Time
 }
@@ -189,8 +189,8 @@
 	places   int
 	seed     uint64
 	held     map[placer.Copy]time.Time // when each load completes
-	late     []lateOrder
-	past     []placer.Report
+	delayed  []delayedOrder
+	history  []placer.Report
 	seq      uint64
 	accepted int
 	model    bool
@@ -221,15 +221,15 @@
 }
 
 func (f *fakeRunner) tick(now time.Time) {
-	kept := f.late[:0]
-	for _, l := range f.late {
+	kept := f.delayed[:0]
+	for _, l := range f.delayed {
 		if now.Before(l.at) {
 			kept = append(kept, l)
 			continue
 		}
 		f.order(l.order, now)
 	}
-	f.late = kept
+	f.delayed = kept
 	r := placer.Report{Sequence: f.seq}
 	if f.model {
 		r.Models = []string{"m"}
@@ -241,18 +241,18 @@
 			r.Resident = append(r.Resident, c)
 		}
 	}
-	f.past = append(f.past, r)
+	f.history = append(f.history, r)
 }
 
 // report returns the state of the runner as of up to 200 ms ago.
 func (f *fakeRunner) report(rng *rand.Rand, _ time.Time) placer.Report {
-	back := min(rng.IntN(5), len(f.past)-1)
-	return f.past[len(f.past)-1-back]
+	back := min(rng.IntN(5), len(f.history)-1)
+	return f.history[len(f.history)-1-back]
 }
 
 // Most adapters are requested once, a few often. Guards against evicting by recency
 // alone, where an adapter requested once displaces one that many callers need.
-func TestVictimIsWantedLeast(t *testing.T) {
+func TestEvictsLeastValuableCopy(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		copies map[placer.Copy]int
@@ -281,7 +281,7 @@
 // A further copy of a hot adapter is requested while a request waits for a cold one,
 // and the weight store has capacity for one load. Guards against loading the spare
 // copy first.
-func TestCopyThatNobodyWaitsForTakesNoRoomFromOneThatSomebodyDoes(t *testing.T) {
+func TestSpareCopyDoesNotDelayWaitingRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		wants map[placer.Copy]int
@@ -310,7 +310,7 @@
 // Guards against evicting a copy in use, however long the request runs: the unload
 // would wait for it, and the next adapter for the unload. A copy that is no longer in
 // use can be evicted at once, even if it was used a moment ago.
-func TestOnlyCopiesInUseAreKept(t *testing.T) {
+func TestOnlyIdleCopiesAreEvicted(t *testing.T) {
 	used := map[placer.Copy]bool{adapter("long"): true, adapter("short"): true}
 	p := &placer.Placer{Model: "m", Places: 2, Loads: 4, InUse: func(c placer.Copy) bool { return used[c] }}
 	p.Take(placer.Report{Models: []string{"m"}, Resident: []placer.Copy{adapter("long"), adapter("short")}}, start)
@@ -332,7 +332,7 @@
 // More adapters are requested than there are slots. The one that serves the most
 // requests in time must be loaded first, not the one that has waited longest and is
 // already late. An adapter that no request waits for any more is not loaded.
-func TestOrderOfTheLine(t *testing.T) {
+func TestLoadOrder(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		waits []placer.Waiting // of a0, a1, ...; each a millisecond after the one before
@@ -365,7 +365,7 @@
 // with half of the orders unanswered, requests would wait while slots and the weight
 // store are idle. The next order expects the same sequence, so the runner refuses one
 // of the two.
-func TestOrdersGoOnAfterOneWithoutAnAnswer(t *testing.T) {
+func TestOrdersContinueAfterUnansweredOne(t *testing.T) {
 	p := newPlacer(2)
 	p.Want(adapter("a1"), 0, start)
 	p.Next(start, placer.RoomForAny)
--- a/internal/adapter/placer/report.go
+++ b/internal/adapter/placer/report.go
@@ -15,19 +15,19 @@
 	p.behindSince = time.Time{}
 	p.seq = r.Sequence
 	p.applyModels(r, now)
-	seen := make(map[Copy]bool)
+	reported := make(map[Copy]bool)
 	for _, c := range r.Resident {
-		seen[c] = true
+		reported[c] = true
 		p.observe(c, resident, now)
 	}
 	for _, c := range r.Incoming {
-		seen[c] = true
+		reported[c] = true
 		p.observe(c, loading, now)
 	}
 	for c, s := range p.copies {
 		// An unanswered load may still be carried out until another order is
 		// accepted, so it keeps its slot.
-		if !seen[c] && (!s.unconfirmed || s.state == unloading) {
+		if !reported[c] && (!s.unconfirmed || s.state == unloading) {
 			delete(p.copies, c)
 		}
 	}
--- a/internal/adapter/placer/window_test.go
+++ b/internal/adapter/placer/window_test.go
@@ -11,11 +11,11 @@
 // them down beyond it. The window must converge to about that number: below it,
 // requests wait although the store has capacity; above it, every load takes longer,
 // and all requests miss their latency goal instead of some.
-func TestWindowFindsWhereTheStoreSlowsDown(t *testing.T) {
+func TestWindowConvergesToStoreCapacity(t *testing.T) {
 	const engines = 10
 	for _, tc := range []struct {
 		name       string
-		fast       int // loads at full speed
+		capacity   int // loads at full speed
 		least, max int
 	}{
 		{"store slower than one an engine", 6, 4, 11},
@@ -29,13 +29,13 @@
 			const steps = 4000
 			for step := range steps {
 				room := w.Room(engines)
-				under := room
+				inProgress := room
 				if step%20 == 0 {
-					under = room / 4 // demand comes in waves
+					inProgress = room / 4 // demand comes in waves
 				}
-				stretch := max(1, float64(under)/float64(tc.fast))
-				load := time.Duration(stretch * float64(250*time.Millisecond))
-				now = now.Add(load / time.Duration(max(1, under)))
+				slowdown := max(1, float64(inProgress)/float64(tc.capacity))
+				load := time.Duration(slowdown * float64(250*time.Millisecond))
+				now = now.Add(load / time.Duration(max(1, inProgress)))
 				w.Learn(load, now)
 				sum += room
 			}
@@ -49,7 +49,7 @@
 // After a start with empty runners all engines load at once, and loads are slow for a
 // moment. Guards against a window that stays small when loads are fast again, which
 // would leave the store idle.
-func TestWindowIsOpenAgainSoonAfterAStart(t *testing.T) {
+func TestWindowRecoversAfterSlowStart(t *testing.T) {
 	const engines = 4
 	var w placer.Window
 	now := start
@@ -70,7 +70,7 @@
 // A large failure domain starts a hundred loads a second, and the first to complete
 // were fast. Guards against a window that grows far before the slowdown of the store
 // can be observed: all loads would take several times as long.
-func TestWindowOpensNoFasterThanItSees(t *testing.T) {
+func TestWindowGrowthIsBoundedPerLoadTime(t *testing.T) {
 	const engines = 28
 	var w placer.Window
 	now := start
--- a/internal/adapter/warmer/recent_test.go
+++ b/internal/adapter/warmer/recent_test.go
@@ -7,7 +7,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/adapter/warmer"
 )
 
-func ExampleRecent() {
+func ExampleRecentSet() {
 	recent := warmer.RecentSet[string]{Limit: 2}
 	recent.Add("desk")
 	recent.Add("clause")
@@ -18,7 +18,7 @@
 }
 
 // Guards against memory that grows with the number of adapters held over months.
-func TestRecentRemembersNoMoreThanItsLimit(t *testing.T) {
+func TestRecentSetKeepsNoMoreThanItsLimit(t *testing.T) {
 	recent := warmer.RecentSet[int]{Limit: 10}
 	for n := range 10_000 {
 		recent.Add(n)
--- a/internal/upstream/orderer/runner.go
+++ b/internal/upstream/orderer/runner.go
@@ -61,15 +61,15 @@
 		return nil
 	}
 	var needs []loader.Need
-	place := make(map[string]int)
+	index := make(map[string]int)
 	for _, item := range r.Queue.Items() {
-		i, ok := place[item.Adapter]
+		i, ok := index[item.Adapter]
 		if !ok {
 			if r.Keeper.Servable(item.Adapter) || r.Keeper.Loading(item.Adapter) {
 				continue
 			}
 			i = len(needs)
-			place[item.Adapter] = i
+			index[item.Adapter] = i
 			needs = append(needs, loader.Need{Runner: r.Name, Adapter: item.Adapter, Oldest: item.Arrived})
 		}
 		addWaiting(&needs[i], item)
@@ -84,8 +84,8 @@
 			delete(r.preload, adapter)
 			continue
 		}
-		waited := slices.ContainsFunc(needs, func(n loader.Need) bool { return n.Adapter == adapter })
-		if !waited {
+		requested := slices.ContainsFunc(needs, func(n loader.Need) bool { return n.Adapter == adapter })
+		if !requested {
 			needs = append(needs, loader.Need{Runner: r.Name, Adapter: adapter, Oldest: r.preload[adapter]})
 		}
 	}
@@ -101,13 +101,13 @@
 
 // Reconcile applies a report of the engine. It returns whether the engine has
 // restarted.
-func (r *Runner) Reconcile(report keeper.Report, leaving bool) (bool, error) {
+func (r *Runner) Reconcile(report keeper.Report, draining bool) (bool, error) {
 	restarted, err := r.Keeper.Reconcile(report)
 	if restarted {
 		r.finishedSinceStart = 0
 		r.draining = false
 	}
-	r.draining = r.draining || leaving
+	r.draining = r.draining || draining
 	return restarted, err
 }
 
--- a/internal/upstream/orderer/runner_test.go
+++ b/internal/upstream/orderer/runner_test.go
@@ -29,7 +29,7 @@
 	return r
 }
 
-func TestNeedsGatherTheWaiters(t *testing.T) {
+func TestNeedsGroupWaitingRequests(t *testing.T) {
 	r := newRunner(2)
 	for i, adapter := range []string{"x@1", "x@1", "y@1"} {
 		_, _ = r.Queue.Offer(admitter.Item{ID: fmt.Sprint(i), Adapter: adapter, Arrived: start})
@@ -49,7 +49,7 @@
 
 // A restarted engine first gets a quarter of its batch, and more with each finished
 // request.
-func TestColdEngineIsGivenWorkSlowly(t *testing.T) {
+func TestRestartedEngineRampsUp(t *testing.T) {
 	r := newRunner(1)
 	_, _ = r.Reconcile(keeper.Report{Held: true, Asked: start, Engine: "e1"}, false)
 	_, _ = r.Reconcile(keeper.Report{Held: true, Asked: start, Engine: "e2"}, false)
@@ -81,14 +81,14 @@
 
 // A model runs a Runner against a simulated engine with random events.
 type model struct {
-	engine  engine
-	now     time.Time
-	orders  []keeper.Action // sent, not answered yet
-	late    []keeper.Action // unanswered, may still be carried out
-	runner  *orderer.Runner
-	sent    int
-	started []orderer.Start
-	unsafe  bool // disables the safeguard: running requests are not pinned
+	engine   engine
+	now      time.Time
+	orders   []keeper.Action // sent, not answered yet
+	delayed  []keeper.Action // unanswered, may still be carried out
+	runner   *orderer.Runner
+	arrived  int
+	started  []orderer.Start
+	unpinned bool // disables the safeguard: running requests are not pinned
 }
 
 // carryOut has the engine carry out an order. It returns an error if a copy is
@@ -107,9 +107,9 @@
 }
 
 func (m *model) arrive(t *rapid.T) {
-	m.sent++
+	m.arrived++
 	adapter := rapid.SampledFrom([]string{"x@1", "y@1", "z@1"}).Draw(t, "adapter")
-	_, _ = m.runner.Queue.Offer(admitter.Item{ID: fmt.Sprint(m.sent), Adapter: adapter, Arrived: m.now})
+	_, _ = m.runner.Queue.Offer(admitter.Item{ID: fmt.Sprint(m.arrived), Adapter: adapter, Arrived: m.now})
 	for _, s := range m.runner.Starts(m.now) {
 		m.start(s)
 	}
@@ -122,7 +122,7 @@
 		return
 	}
 	m.engine.running[s.Handle.String()]++
-	if m.unsafe {
+	if m.unpinned {
 		m.runner.Keeper.Unpin(s.Handle)
 	}
 	m.started = append(m.started, s)
@@ -165,7 +165,7 @@
 	case "lost":
 		err = m.carryOut(order)
 	case "late":
-		m.late = append(m.late, order)
+		m.delayed = append(m.delayed, order)
 	}
 	if err != nil {
 		return err
@@ -199,9 +199,9 @@
 			m.finish()
 		}
 	case "late":
-		if len(m.late) > 0 {
-			order := m.late[0]
-			m.late = m.late[1:]
+		if len(m.delayed) > 0 {
+			order := m.delayed[0]
+			m.delayed = m.delayed[1:]
 			return m.carryOut(order)
 		}
 	}
@@ -211,14 +211,14 @@
 func newModel(unsafe bool) *model {
 	return &model{
 		engine: engine{resident: make(map[string]bool), running: make(map[string]int)},
-		now:    start, runner: newRunner(2), unsafe: unsafe,
+		now:    start, runner: newRunner(2), unpinned: unsafe,
 	}
 }
 
 // Requests start and end while loads and evictions are answered, refused, lost, or
 // carried out long after their time-out. No adapter may be evicted while a request
 // runs on it, whatever the order of events.
-func TestPinnedIsNeverEvicted(t *testing.T) {
+func TestPinnedCopyIsNeverEvicted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(false)
 		for range 200 {
@@ -231,7 +231,7 @@
 
 // Checks that the model above detects the eviction of a copy in use if running
 // requests are not pinned.
-func TestPinCheckSeesMissingSafeguard(t *testing.T) {
+func TestModelDetectsMissingPin(t *testing.T) {
 	m := newModel(true)
 	for _, adapter := range []string{"x@1", "y@1", "z@1"} {
 		_, _ = m.runner.Queue.Offer(admitter.Item{ID: adapter, Adapter: adapter, Arrived: m.now})
--- a/internal/upstream/tracker/candidate.go
+++ b/internal/upstream/tracker/candidate.go
@@ -43,7 +43,7 @@
 func (f *Fleet) Candidates(d Demand, now time.Time) []router.Candidate {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	read := f.latency(d.Service).prefillTime(d.Tokens)
+	prefill := f.latency(d.Service).prefillTime(d.Tokens)
 	var candidates []router.Candidate
 	for id, s := range f.runners {
 		if !s.eligible(id, d, now) {
@@ -56,7 +56,7 @@
 		if d.Full[id] {
 			c.Backlog += refusalPenalty
 		}
-		c.Crowded = d.Crowd > 0 && c.Backlog+read > d.Crowd
+		c.Crowded = d.Crowd > 0 && c.Backlog+prefill > d.Crowd
 		if d.Copy != (placer.Copy{}) {
 			s.setReadiness(&c, d, f.loadQueueWait[s.Domain], f.loadTimesIn(s.Domain, d), now)
 		}
@@ -71,7 +71,7 @@
 
 // setReadiness sets whether the copy is resident or being loaded at the runner, and how
 // long it takes until it can be used there.
-func (s *runnerState) setReadiness(c *router.Candidate, d Demand, line time.Duration, times Times, now time.Time) {
+func (s *runnerState) setReadiness(c *router.Candidate, d Demand, queueWait time.Duration, times Times, now time.Time) {
 	if at, held := s.held[d.Copy]; held {
 		c.Resident = !now.Before(at)
 		c.Loading = !c.Resident
@@ -80,7 +80,7 @@
 	}
 	c.Resident = false
 	c.Kept = s.evicted.Has(d.Copy)
-	c.Ready = max(s.adapterSlotWait, line) + times.Load
+	c.Ready = max(s.adapterSlotWait, queueWait) + times.Load
 	if c.Kept {
 		c.Ready = s.adapterSlotWait + times.Return // from the runner's host memory, without queueing for the weight store
 	}
@@ -113,24 +113,24 @@
 // backlog estimates how long a request waits at the runner: for the prefill of the
 // prompts before it, and for a request slot if all are taken.
 func (f *Fleet) backlog(s *runnerState, d Demand) time.Duration {
-	p := f.latency(d.Service)
+	m := f.latency(d.Service)
 	load := s.ownLoad.Plus(s.otherLoad)
-	wait := max(float64(load.Unread)*p.prefill, time.Until(s.prefillUntil).Seconds()) + s.requestSlotWait(p)
+	wait := max(float64(load.Unread)*m.prefill, time.Until(s.prefillUntil).Seconds()) + s.requestSlotWait(m)
 	if d.Copy == (placer.Copy{}) && s.Slots > 0 {
 		// Concurrent requests to a plain service (one without adapters) share
 		// the processor of the runner and slow each other down before any queues.
-		wait += float64(load.Running) / float64(s.Slots) * p.run
+		wait += float64(load.Running) / float64(s.Slots) * m.run
 	}
 	return time.Duration(wait * float64(time.Second))
 }
 
 // requestSlotWait returns the estimated seconds until a request slot is free.
-func (s *runnerState) requestSlotWait(p *latencyModel) float64 {
+func (s *runnerState) requestSlotWait(m *latencyModel) float64 {
 	running := s.ownLoad.Running + s.otherLoad.Running
 	if s.Slots == 0 || running < s.Slots {
 		return 0
 	}
-	return float64(running-s.Slots+1) / float64(s.Slots) * p.run
+	return float64(running-s.Slots+1) / float64(s.Slots) * m.run
 }
 
 // Run returns the estimated run time of a request to a service.
@@ -154,11 +154,11 @@
 // Paces returns the latency model of a service as estimated so far: the seconds to
 // the first token of a short prompt on an idle runner, and the seconds of prefill
 // per prompt token.
-func (f *Fleet) Paces(service string) (base, read float64) {
+func (f *Fleet) Paces(service string) (base, prefill float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := f.latency(service)
-	return p.base, p.prefill
+	m := f.latency(service)
+	return m.base, m.prefill
 }
 
 // Reading records the remaining prefill time of a runner, as reported by its
@@ -195,10 +195,10 @@
 
 func (f *Fleet) latency(service string) *latencyModel {
 	f.init()
-	p, ok := f.latencies[service]
+	m, ok := f.latencies[service]
 	if !ok {
-		p = newLatencyModel()
-		f.latencies[service] = p
+		m = newLatencyModel()
+		f.latencies[service] = m
 	}
-	return p
+	return m
 }
--- a/internal/upstream/tracker/fleet.go
+++ b/internal/upstream/tracker/fleet.go
@@ -73,7 +73,7 @@
 	if known && r.Revision < s.Revision || !known && r.Revision <= max(f.removed[r.ID], f.completeTo[r.Domain]) {
 		return Runner{}, false
 	}
-	if other, is := f.runners[f.idByName[r.Name()]]; is && other.ID != r.ID {
+	if other, exists := f.runners[f.idByName[r.Name()]]; exists && other.ID != r.ID {
 		if r.Revision < other.Revision {
 			f.remove(r.ID, r.Revision) // outdated: the runner has restarted since
 			return Runner{}, false
@@ -153,17 +153,17 @@
 func (f *Fleet) Severed(domain string, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	reached, dark := 0, 0
+	reachable, unreachable := 0, 0
 	for _, s := range f.runners {
 		switch {
 		case s.Domain != domain:
 		case s.connectFailures > 0:
-			dark++
+			unreachable++
 		case now.Sub(s.lastAnswer) < reachableFor:
-			reached++
+			reachable++
 		}
 	}
-	return dark > reached
+	return unreachable > reachable
 }
 
 // reachableFor is how long a runner counts as reachable after an answer.
@@ -233,13 +233,13 @@
 }
 
 // HeldOne records whether a runner holds a copy, and from when on it can be used.
-func (f *Fleet) HeldOne(id string, c placer.Copy, at time.Time, there bool) {
+func (f *Fleet) HeldOne(id string, c placer.Copy, at time.Time, held bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.runners[id]
 	switch {
 	case !ok:
-	case there:
+	case held:
 		s.held[c] = at
 	default:
 		delete(s.held, c)
@@ -343,7 +343,7 @@
 // loadTimesIn returns the load times in a failure domain: those reported by its leader, or
 // the estimates of the demand.
 func (f *Fleet) loadTimesIn(domain string, d Demand) Times {
-	if t, told := f.loadTimes[domain]; told && t.Load > 0 {
+	if t, reported := f.loadTimes[domain]; reported && t.Load > 0 {
 		return t
 	}
 	return Times{Load: d.Load, Return: d.Return}
--- a/internal/upstream/tracker/fleet_test.go
+++ b/internal/upstream/tracker/fleet_test.go
@@ -67,7 +67,7 @@
 // A runner keeps an evicted adapter in host memory and can load it again in a tenth of
 // the time. Guards against sending the request to another runner, where it waits for
 // the weight store and delays other loads.
-func TestRunnerThatHeldTheAdapterFetchesItSooner(t *testing.T) {
+func TestRunnerThatHeldTheAdapterIsReadySooner(t *testing.T) {
 	adapter := placer.Copy{Model: "m", Adapter: "a1", Version: 1}
 	for _, tc := range []struct {
 		name   string
@@ -103,7 +103,7 @@
 // A runner crashes and restarts under the same name. Guards against applying the state
 // of the earlier incarnation, or late reports about it, to the later one: requests
 // would be sent for adapters that it does not hold.
-func TestLaterStartIsKnownAnew(t *testing.T) {
+func TestRestartedRunnerInheritsNoState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		adapter := placer.Copy{Model: "m", Adapter: "a1", Version: 1}
 		first := tracker.Runner{ID: tracker.Incarnation("i-1", 100), Born: 100, Service: "llm", Domain: "a", Revision: 1}
@@ -134,7 +134,7 @@
 // No runner holds an adapter. Copies wait for an adapter slot at one runner, while the
 // other has a free one. Guards against ignoring the wait for a slot: requests would
 // queue at the first runner while the second is idle.
-func TestWaitForAPlaceCounts(t *testing.T) {
+func TestReadyIncludesAdapterSlotWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		adapter := placer.Copy{Model: "m", Adapter: "a1", Version: 1}
 		f := &tracker.Fleet{Domain: "a"}
@@ -159,7 +159,7 @@
 // The weight store is busy, and a load takes twice as long as under light load. Only the
 // leader that orders the loads can measure that. Its report must change the choice of
 // the other instances in favor of runners that have the adapter sooner.
-func TestLoadTimesAreThoseOfWhoeverOrders(t *testing.T) {
+func TestReadyUsesReportedLoadTimes(t *testing.T) {
 	now := time.Now()
 	demand := tracker.Demand{
 		Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}, Load: 270 * time.Millisecond, Return: 35 * time.Millisecond, Service: "llm",
--- a/internal/upstream/tracker/latency.go
+++ b/internal/upstream/tracker/latency.go
@@ -45,29 +45,29 @@
 }
 
 // prefillTime returns the estimated prefill time of a prompt.
-func (p *latencyModel) prefillTime(tokens int) time.Duration {
-	return time.Duration(p.prefill * float64(tokens) * float64(time.Second))
+func (m *latencyModel) prefillTime(tokens int) time.Duration {
+	return time.Duration(m.prefill * float64(tokens) * float64(time.Second))
 }
 
 // observeFirstToken records the time to the first token, with the prompt tokens before it.
-func (p *latencyModel) observeFirstToken(tokens int, after time.Duration) {
+func (m *latencyModel) observeFirstToken(tokens int, after time.Duration) {
 	seconds := after.Seconds()
 	if tokens < longPrompt {
-		if seconds-p.prefill*float64(tokens) > p.base {
-			p.base *= 1 + baseIncrease
+		if seconds-m.prefill*float64(tokens) > m.base {
+			m.base *= 1 + baseIncrease
 		} else {
-			p.base *= 1 - baseDecrease
+			m.base *= 1 - baseDecrease
 		}
 		return
 	}
-	if (seconds-p.base)/float64(tokens) > p.prefill {
-		p.prefill = min(maxPrefill, p.prefill*(1+prefillStep))
+	if (seconds-m.base)/float64(tokens) > m.prefill {
+		m.prefill = min(maxPrefill, m.prefill*(1+prefillStep))
 	} else {
-		p.prefill = max(minPrefill, p.prefill/(1+prefillStep))
+		m.prefill = max(minPrefill, m.prefill/(1+prefillStep))
 	}
 }
 
 // observeRun records the run time of a request.
-func (p *latencyModel) observeRun(d time.Duration) {
-	p.run += runWeight * (d.Seconds() - p.run)
+func (m *latencyModel) observeRun(d time.Duration) {
+	m.run += runWeight * (d.Seconds() - m.run)
 }
--- a/internal/upstream/tracker/latency_test.go
+++ b/internal/upstream/tracker/latency_test.go
@@ -9,7 +9,7 @@
 // An instance knows only a part of the load before its requests. Guards against an
 // estimate that is wrong by the unknown part: too many prompts would be sent to a
 // runner at once, and its running requests would stall for too long.
-func TestPaceIsNearTheRealOneWithAnUnseenPart(t *testing.T) {
+func TestPrefillEstimateWithUnseenLoad(t *testing.T) {
 	const base, read = 0.025, 27e-6
 	for _, unseen := range []float64{0, 800} {
 		rng := rand.New(rand.NewPCG(1, 1))
--- a/internal/upstream/tracker/places_test.go
+++ b/internal/upstream/tracker/places_test.go
@@ -32,7 +32,7 @@
 
 // Guards against waiting time that counts as run time: the runner would look slower the
 // longer requests wait, and more of them would be refused.
-func TestTimeInTheQueueIsNoRunTime(t *testing.T) {
+func TestQueueTimeIsNotRunTime(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var p tracker.Places
 	first := p.Enter(now)
--- a/internal/upstream/tracker/run.go
+++ b/internal/upstream/tracker/run.go
@@ -4,12 +4,12 @@
 
 // A Run is one request at a runner, from when it is sent until it ends.
 type Run struct {
-	fleet        *Fleet
-	id           string
-	promptTokens int // prompt tokens of this request and of those before it
-	startedAt    time.Time
-	firstTokenAt time.Time // when the first token came; zero before
-	tokens       int       // length of the prompt
+	fleet         *Fleet
+	id            string
+	prefillTokens int // prompt tokens of this request and of those before it
+	startedAt     time.Time
+	firstTokenAt  time.Time // when the first token came; zero before
+	tokens        int       // length of the prompt
 }
 
 // An End is how a run ended, as far as it concerns the runner.
@@ -28,9 +28,9 @@
 func (f *Fleet) Begin(id string, tokens int, now time.Time) *Run {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	r := &Run{fleet: f, id: id, startedAt: now, tokens: tokens, promptTokens: tokens}
+	r := &Run{fleet: f, id: id, startedAt: now, tokens: tokens, prefillTokens: tokens}
 	if s, ok := f.runners[id]; ok {
-		r.promptTokens += s.ownLoad.Unread + s.otherLoad.Unread
+		r.prefillTokens += s.ownLoad.Unread + s.otherLoad.Unread
 		s.ownLoad.Running++
 		s.ownLoad.Unread += tokens
 	}
@@ -51,8 +51,8 @@
 		return
 	}
 	s.ownLoad.Unread = max(0, s.ownLoad.Unread-r.tokens)
-	if r.promptTokens > 0 {
-		r.fleet.latency(s.Service).observeFirstToken(r.promptTokens, now.Sub(r.startedAt))
+	if r.prefillTokens > 0 {
+		r.fleet.latency(s.Service).observeFirstToken(r.prefillTokens, now.Sub(r.startedAt))
 	}
 }
 
@@ -77,7 +77,7 @@
 // recordOutcome updates the failure rate with the end of a request and suspends a
 // runner that accepts no connection.
 func (s *runnerState) recordOutcome(end End, now time.Time) {
-	failing := s.currentFailureRate(now)
+	rate := s.currentFailureRate(now)
 	if end == Done || end == Refused {
 		s.lastAnswer = now
 	}
@@ -85,16 +85,16 @@
 	case Left:
 		return
 	case Done:
-		s.failureRate = failing * (1 - failureWeight)
+		s.failureRate = rate * (1 - failureWeight)
 		s.connectFailures = 0
 	case Refused:
-		s.failureRate = failing
+		s.failureRate = rate
 		s.connectFailures = 0
 	case Failed:
-		s.failureRate = failing + failureWeight*(1-failing)
+		s.failureRate = rate + failureWeight*(1-rate)
 		s.connectFailures = 0
 	case Dark:
-		s.failureRate = failing + failureWeight*(1-failing)
+		s.failureRate = rate + failureWeight*(1-rate)
 		s.suspendedUntil = now.Add(min(minSuspension<<min(s.connectFailures, 8), maxSuspension))
 		s.connectFailures++
 	}
