--- a/internal/adapter/keeper/handle_test.go
+++ b/internal/adapter/keeper/handle_test.go
@@ -11,7 +11,7 @@
 func TestHandleRoundTrip(t *testing.T) {
 	for _, text := range []string{"x@1#a-1-0f.3", "x@1#a", "x@1", "x@1#a.b"} {
 		if got := keeper.ParseHandle(text).String(); got != text {
-			t.Errorf("%q came back as %q", text, got)
+			t.Errorf("%q formatted as %q", text, got)
 		}
 	}
 }
@@ -22,7 +22,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		handle := keeper.ParseHandle(text)
 		if again := keeper.ParseHandle(handle.String()); again != handle {
-			t.Errorf("%q: %+v came back as %+v", text, handle, again)
+			t.Errorf("%q: %+v parsed again as %+v", text, handle, again)
 		}
 	})
 }
--- a/internal/adapter/keeper/ownership.go
+++ b/internal/adapter/keeper/ownership.go
@@ -33,12 +33,12 @@
 
 // Clear records that a previous owner has released the runner. It may be called
 // again as the requests of that owner end.
-func (k *Keeper) Clear(party string, s Surrender) {
+func (k *Keeper) Clear(owner string, s Surrender) {
 	k.init()
-	delete(k.uncleared, party)
-	delete(k.previousPins, party)
+	delete(k.uncleared, owner)
+	delete(k.previousPins, owner)
 	if len(s.Pins) > 0 {
-		k.previousPins[party] = maps.Clone(s.Pins)
+		k.previousPins[owner] = maps.Clone(s.Pins)
 	}
 	for _, name := range s.Doomed {
 		k.doom(name)
@@ -85,18 +85,18 @@
 }
 
 // Take records that this instance has acquired the lease on the runner. The
-// parties are the incarnations that may have used the runner before and have not
-// been cleared.
-func (k *Keeper) Take(fence uint64, parties []string) {
+// previous owners are the incarnations that may have used the runner before and
+// have not been cleared.
+func (k *Keeper) Take(fence uint64, previousOwners []string) {
 	k.init()
 	k.owned = true
 	k.fenceConfirmed = false
 	k.fence = fence
 	k.uncleared = make(map[string]bool)
 	clear(k.previousPins)
-	for _, party := range parties {
-		if party != k.Self {
-			k.uncleared[party] = true
+	for _, owner := range previousOwners {
+		if owner != k.Self {
+			k.uncleared[owner] = true
 		}
 	}
 	for _, s := range k.slots {
@@ -107,14 +107,14 @@
 // Uncleared returns the previous owners that have not been cleared or still hold
 // pins, sorted.
 func (k *Keeper) Uncleared() []string {
-	parties := slices.Collect(maps.Keys(k.uncleared))
-	for party := range k.previousPins {
-		if !k.uncleared[party] {
-			parties = append(parties, party)
+	owners := slices.Collect(maps.Keys(k.uncleared))
+	for owner := range k.previousPins {
+		if !k.uncleared[owner] {
+			owners = append(owners, owner)
 		}
 	}
-	slices.Sort(parties)
-	return parties
+	slices.Sort(owners)
+	return owners
 }
 
 // doom marks a copy that must not serve requests again.
--- a/internal/adapter/keeper/ownership_test.go
+++ b/internal/adapter/keeper/ownership_test.go
@@ -54,18 +54,18 @@
 func (c *ownershipModel) transfer(to int) {
 	c.epoch++
 	c.leaseHolder = to
-	var parties []string
+	var previousOwners []string
 	for _, o := range c.owners {
-		parties = append(parties, o.keeper.Self)
+		previousOwners = append(previousOwners, o.keeper.Self)
 	}
 	o := c.owners[to]
-	o.keeper.Take(c.epoch, parties)
+	o.keeper.Take(c.epoch, previousOwners)
 	o.assumesLease = true
 }
 
-// release has the lease holder ask another owner to release the runner, which tells
+// clear has the lease holder ask another owner to release the runner, which tells
 // that owner that it has been replaced.
-func (c *ownershipModel) release(other int) {
+func (c *ownershipModel) clear(other int) {
 	o := c.owners[other]
 	if c.leaseHolder < 0 || other == c.leaseHolder {
 		return
@@ -119,13 +119,13 @@
 	who := rapid.IntRange(0, len(c.owners)-1).Draw(t, "who")
 	o := c.owners[who]
 	adapter := rapid.SampledFrom([]string{"x@1", "y@1", "z@1", "w@1"}).Draw(t, "adapter")
-	switch rapid.SampledFrom([]string{"pass", "clear", "clear", "raise", "report", "report", "pin", "send", "end", "want", "order", "lose"}).Draw(t, "event") {
-	case "pass":
+	switch rapid.SampledFrom([]string{"transfer", "clear", "clear", "raise", "report", "report", "pin", "send", "end", "want", "order", "lose"}).Draw(t, "event") {
+	case "transfer":
 		if who != c.leaseHolder && rapid.IntRange(0, 3).Draw(t, "rare") == 0 {
 			c.transfer(who)
 		}
 	case "clear":
-		c.release(who)
+		c.clear(who)
 	case "raise":
 		if c.admit(o.keeper.Fence()) {
 			o.keeper.Raise(o.keeper.Fence())
@@ -213,7 +213,7 @@
 	c := newOwnershipModel(false, true)
 	c.transfer(0)
 	for i := range c.owners {
-		c.release(i)
+		c.clear(i)
 	}
 	c.transfer(1)
 	later := c.owners[1]
--- a/internal/adapter/loader/share_test.go
+++ b/internal/adapter/loader/share_test.go
@@ -17,12 +17,12 @@
 		other int // -1: no report
 		want  float64
 	}{
-		{"nobody waits", 0, 0, 0, 0.25},
-		{"only here", 4, 0, 0, 0.25*0.25 + 0.75},
-		{"peer as long", 4, 4, 0, 0.25*0.25 + 0.75/2},
-		{"other domain as long", 4, 0, 4, 0.25*0.25 + 0.75/2},
-		{"other domain not heard", 4, 0, -1, 0.25*0.25 + 0.75*0.5},
-		{"only elsewhere", 0, 2, 2, 0.25 * 0.25},
+		{"no queue", 0, 0, 0, 0.25},
+		{"only own queue", 4, 0, 0, 0.25*0.25 + 0.75},
+		{"equal queue of peer", 4, 4, 0, 0.25*0.25 + 0.75/2},
+		{"equal queue of other domain", 4, 0, 4, 0.25*0.25 + 0.75/2},
+		{"no report of other domain", 4, 0, -1, 0.25*0.25 + 0.75*0.5},
+		{"no own queue", 0, 2, 2, 0.25 * 0.25},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := loader.Sharer{Fresh: time.Second}
--- a/internal/adapter/placer/placer_test.go
+++ b/internal/adapter/placer/placer_test.go
@@ -70,12 +70,12 @@
 	}
 	p.Finish(placer.Lost, start)
 	if n := p.Fetching(start.Add(100 * time.Millisecond)); n != 1 {
-		t.Errorf("%d loads under way right after the order, want 1", n)
+		t.Errorf("%d loads in progress right after the order, want 1", n)
 	}
 	now := start.Add(2 * time.Second)
 	p.Take(placer.Report{Models: []string{"m"}}, now)
 	if n := p.Fetching(now); n != 0 {
-		t.Errorf("%d loads under way, want none", n)
+		t.Errorf("%d loads in progress, want none", n)
 	}
 	p.Want(adapter("a2"), 0, now)
 	if order, ok := p.Next(now, placer.RoomForAny); !ok || order.Copy != adapter("a2") {
@@ -215,7 +215,7 @@
 	}
 	f.held[o.Copy] = now.Add(250 * time.Millisecond)
 	if len(f.held) > f.places {
-		f.t.Fatalf("seed %d: %d adapters ordered into %d places", f.seed, len(f.held), f.places)
+		f.t.Fatalf("seed %d: %d adapters ordered into %d slots", f.seed, len(f.held), f.places)
 	}
 	return placer.Accepted
 }
@@ -259,7 +259,7 @@
 		want   placer.Copy
 	}{
 		{"an adapter wanted once", nil, adapter("once")},
-		{"one that another runner holds too", map[placer.Copy]int{adapter("often"): 2}, adapter("often")},
+		{"an adapter that another runner holds too", map[placer.Copy]int{adapter("often"): 2}, adapter("often")},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := &placer.Placer{Model: "m", Places: 2, Loads: 4, Copies: func(c placer.Copy) int { return tc.copies[c] }}
@@ -288,11 +288,11 @@
 		room  placer.Room
 		want  placer.Copy
 	}{
-		{"both", map[placer.Copy]int{adapter("hot"): placer.Spare, adapter("cold"): 1}, placer.RoomForWaiting, adapter("cold")},
-		{"room for both", map[placer.Copy]int{adapter("hot"): placer.Spare, adapter("cold"): 1}, placer.RoomForAny, adapter("cold")},
-		{"somebody waits elsewhere", map[placer.Copy]int{adapter("hot"): placer.Spare}, placer.RoomForWaiting, placer.Copy{}},
-		{"nobody waits", map[placer.Copy]int{adapter("hot"): placer.Spare}, placer.RoomForAny, adapter("hot")},
-		{"no room", map[placer.Copy]int{adapter("cold"): 1}, placer.NoRoom, placer.Copy{}},
+		{"hot and cold requested", map[placer.Copy]int{adapter("hot"): placer.Spare, adapter("cold"): 1}, placer.RoomForWaiting, adapter("cold")},
+		{"any load allowed", map[placer.Copy]int{adapter("hot"): placer.Spare, adapter("cold"): 1}, placer.RoomForAny, adapter("cold")},
+		{"only loads for waiting requests allowed", map[placer.Copy]int{adapter("hot"): placer.Spare}, placer.RoomForWaiting, placer.Copy{}},
+		{"only spare copy requested", map[placer.Copy]int{adapter("hot"): placer.Spare}, placer.RoomForAny, adapter("hot")},
+		{"no load allowed", map[placer.Copy]int{adapter("cold"): 1}, placer.NoRoom, placer.Copy{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := newPlacer(2)
@@ -317,11 +317,11 @@
 	now := start.Add(10 * time.Second)
 	p.Want(adapter("x"), 0, now)
 	if order, ok := p.Next(now, placer.RoomForAny); ok || p.Vacant(now) != 0 {
-		t.Fatalf("ordered %+v, %d places vacant, while both copies are in use", order, p.Vacant(now))
+		t.Fatalf("ordered %+v, %d slots vacant, while both copies are in use", order, p.Vacant(now))
 	}
 	delete(used, adapter("short"))
 	if n := p.Vacant(now); n != 1 {
-		t.Errorf("%d places vacant, want 1", n)
+		t.Errorf("%d slots vacant, want 1", n)
 	}
 	order, ok := p.Next(now, placer.RoomForAny)
 	if diff := cmp.Diff(placer.Order{Copy: adapter("short"), Unload: true}, order); !ok || diff != "" {
@@ -339,11 +339,11 @@
 		gone  string
 		want  string
 	}{
-		{"the first of equals", []placer.Waiting{{Requests: 1, InTime: 1}, {Requests: 1, InTime: 1}}, "", "a0"},
-		{"the one that serves more", []placer.Waiting{{Requests: 1, InTime: 1}, {Requests: 3, InTime: 3}}, "", "a1"},
-		{"not the one that is late", []placer.Waiting{{Requests: 5}, {Requests: 1, InTime: 1}}, "", "a1"},
-		{"the more urgent", []placer.Waiting{{Priority: 1, Requests: 5, InTime: 5}, {Requests: 1, InTime: 1}}, "", "a1"},
-		{"not one that nobody waits for", []placer.Waiting{{Requests: 1, InTime: 1}, {Requests: 1, InTime: 1}}, "a0", "a1"},
+		{"first of equals", []placer.Waiting{{Requests: 1, InTime: 1}, {Requests: 1, InTime: 1}}, "", "a0"},
+		{"serves more requests", []placer.Waiting{{Requests: 1, InTime: 1}, {Requests: 3, InTime: 3}}, "", "a1"},
+		{"serves more requests in time", []placer.Waiting{{Requests: 5}, {Requests: 1, InTime: 1}}, "", "a1"},
+		{"higher priority", []placer.Waiting{{Priority: 1, Requests: 5, InTime: 5}, {Requests: 1, InTime: 1}}, "", "a1"},
+		{"no longer requested", []placer.Waiting{{Requests: 1, InTime: 1}, {Requests: 1, InTime: 1}}, "a0", "a1"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := newPlacer(2)
@@ -378,6 +378,6 @@
 	}
 	p.Finish(placer.Accepted, now)
 	if order, ok = p.Next(now, placer.RoomForAny); !ok || order.Unload || order.Expected != 1 {
-		t.Errorf("ordered %+v, %v after that", order, ok)
+		t.Errorf("then ordered %+v, %v", order, ok)
 	}
 }
--- a/internal/adapter/placer/window_test.go
+++ b/internal/adapter/placer/window_test.go
@@ -18,9 +18,9 @@
 		capacity   int // loads at full speed
 		least, max int
 	}{
-		{"store slower than one an engine", 6, 4, 11},
-		{"store of one an engine", 10, 8, 16},
-		{"store of three an engine", 30, 24, 40},
+		{"less than one load per engine", 6, 4, 11},
+		{"one load per engine", 10, 8, 16},
+		{"three loads per engine", 30, 24, 40},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var w placer.Window
@@ -63,7 +63,7 @@
 		w.Learn(250*time.Millisecond, now)
 	}
 	if room := w.Room(engines); room < engines {
-		t.Errorf("room for %d loads over %d engines half a second later", room, engines)
+		t.Errorf("window allows %d loads for %d engines half a second later", room, engines)
 	}
 }
 
@@ -79,6 +79,6 @@
 		w.Learn(300*time.Millisecond, now)
 	}
 	if room := w.Room(engines); room > 2*engines {
-		t.Errorf("room for %d loads over %d engines within a second", room, engines)
+		t.Errorf("window allows %d loads for %d engines within a second", room, engines)
 	}
 }
--- a/internal/adapter/warmer/recent_test.go
+++ b/internal/adapter/warmer/recent_test.go
@@ -34,6 +34,6 @@
 		}
 	}
 	if there > 10 || !recent.Has(1) || !recent.Has(9998) {
-		t.Errorf("remembers %d of the last 10", there)
+		t.Errorf("contains %d values with a limit of 10, or lacks a recent one", there)
 	}
 }
--- a/internal/upstream/orderer/runner_test.go
+++ b/internal/upstream/orderer/runner_test.go
@@ -156,7 +156,7 @@
 	m.orders = m.orders[1:]
 	var err error
 	outcome := keeper.Lost
-	switch rapid.SampledFrom([]string{"done", "done", "failed", "lost", "late"}).Draw(t, "fate") {
+	switch rapid.SampledFrom([]string{"done", "done", "failed", "lost", "delayed"}).Draw(t, "outcome") {
 	case "done":
 		outcome = keeper.Done
 		err = m.carryOut(order)
@@ -164,7 +164,7 @@
 		outcome = keeper.Failed
 	case "lost":
 		err = m.carryOut(order)
-	case "late":
+	case "delayed":
 		m.delayed = append(m.delayed, order)
 	}
 	if err != nil {
@@ -181,7 +181,7 @@
 
 func (m *model) step(t *rapid.T) error {
 	m.now = m.now.Add(time.Millisecond)
-	switch rapid.SampledFrom([]string{"arrive", "want", "answer", "report", "finish", "late", "restart"}).Draw(t, "event") {
+	switch rapid.SampledFrom([]string{"arrive", "want", "answer", "report", "finish", "delayed", "restart"}).Draw(t, "event") {
 	case "arrive":
 		m.arrive(t)
 	case "want":
@@ -198,7 +198,7 @@
 		for len(m.started) > 0 { // the engine drops its running requests
 			m.finish()
 		}
-	case "late":
+	case "delayed":
 		if len(m.delayed) > 0 {
 			order := m.delayed[0]
 			m.delayed = m.delayed[1:]
--- a/internal/upstream/tracker/candidate.go
+++ b/internal/upstream/tracker/candidate.go
@@ -13,7 +13,7 @@
 	Asked   string          // runner that has been asked to load the copy; empty for none
 	Copy    placer.Copy     // zero for a plain service
 	Crowd   time.Duration   // prefill time at once above which a runner is crowded, as it stalls the running requests; 0 for no bound
-	Full    map[string]bool // runners that have refused it for lack of a request slot
+	Full    map[string]bool // runners that have refused it for lack of capacity
 	Load    time.Duration   // time to load an adapter from the weight store
 	Return  time.Duration   // time to load an adapter that the runner held before
 	Service string
@@ -106,8 +106,8 @@
 }
 
 // refusalPenalty is added to the backlog of a runner that has refused the request for
-// lack of a request slot. It exceeds the backlog of any runner with a free slot, so
-// that the runner is tried again only if there is no such runner.
+// lack of capacity. It exceeds the backlog of any runner that has capacity, so that
+// the runner is tried again only if there is no such runner.
 const refusalPenalty = 10 * time.Second
 
 // backlog estimates how long a request waits at the runner: for the prefill of the
--- a/internal/upstream/tracker/fleet_test.go
+++ b/internal/upstream/tracker/fleet_test.go
@@ -29,22 +29,22 @@
 		demand tracker.Demand
 		want   []string
 	}{
-		{"all of the service", func(*tracker.Fleet) {}, tracker.Demand{Service: "llm"}, []string{"i-1", "i-2"}},
-		{"not one that leaves", func(f *tracker.Fleet) {
+		{"all runners of the service", func(*tracker.Fleet) {}, tracker.Demand{Service: "llm"}, []string{"i-1", "i-2"}},
+		{"not a draining runner", func(f *tracker.Fleet) {
 			f.Set(tracker.Runner{ID: "i-1", Service: "llm", Domain: "a", Leaving: true, Revision: 2})
 			f.Set(tracker.Runner{ID: "i-1", Service: "llm", Domain: "a", Revision: 3}) // draining is final for an ID
 		}, tracker.Demand{Service: "llm"}, []string{"i-2"}},
-		{"not one that takes no connection", func(f *tracker.Fleet) {
+		{"not a runner that accepts no connection", func(f *tracker.Fleet) {
 			f.Begin("i-2", 0, time.Now()).End(tracker.Dark, time.Now())
 		}, tracker.Demand{Service: "llm"}, []string{"i-1"}},
-		{"it is tried again later", func(f *tracker.Fleet) {
+		{"unresponsive runner is tried again later", func(f *tracker.Fleet) {
 			f.Begin("i-2", 0, time.Now()).End(tracker.Dark, time.Now())
 			time.Sleep(time.Second)
 		}, tracker.Demand{Service: "llm"}, []string{"i-1", "i-2"}},
-		{"not where an absent adapter cannot be loaded", func(f *tracker.Fleet) {
+		{"not in a domain without a leader", func(f *tracker.Fleet) {
 			f.Staffed("b", false)
 		}, tracker.Demand{Service: "llm", Copy: adapter}, []string{"i-1"}},
-		{"but where it is there", func(f *tracker.Fleet) {
+		{"resident copy in a domain without a leader", func(f *tracker.Fleet) {
 			f.Held("i-2", map[placer.Copy]time.Time{adapter: {}})
 			f.Staffed("b", false)
 		}, tracker.Demand{Service: "llm", Copy: adapter}, []string{"i-1", "i-2"}},
@@ -74,16 +74,16 @@
 		happen func(f *tracker.Fleet)
 		want   time.Duration
 	}{
-		{"never there", func(*tracker.Fleet) {}, time.Second},
-		{"given up", func(f *tracker.Fleet) {
+		{"never held", func(*tracker.Fleet) {}, time.Second},
+		{"evicted", func(f *tracker.Fleet) {
 			f.HeldOne("i-1", adapter, time.Time{}, true)
 			f.HeldOne("i-1", adapter, time.Time{}, false)
 		}, 100 * time.Millisecond},
-		{"given up while it was not looked", func(f *tracker.Fleet) {
+		{"evicted between snapshots", func(f *tracker.Fleet) {
 			f.Held("i-1", map[placer.Copy]time.Time{adapter: {}})
 			f.Held("i-1", nil)
 		}, 100 * time.Millisecond},
-		{"refused for want of it", func(f *tracker.Fleet) {
+		{"request refused for lack of the adapter", func(f *tracker.Fleet) {
 			f.HeldOne("i-1", adapter, time.Time{}, true)
 			f.Missing("i-1", adapter)
 		}, time.Second},
@@ -151,7 +151,7 @@
 			t.Error(diff)
 		}
 		if !f.Tight("i-1") || f.Tight("i-2") {
-			t.Error("the wrong runner is tight")
+			t.Error("wrong runner reported as having no free adapter slot")
 		}
 	})
 }
--- a/internal/upstream/tracker/plain_simulation_test.go
+++ b/internal/upstream/tracker/plain_simulation_test.go
@@ -194,8 +194,9 @@
 	return order[0], first
 }
 
-// Guards against a thundering herd on outdated load reports: all instances send to the runner that
-// seemed idle a moment ago, which fills up and refuses requests while others are idle.
+// Guards against a thundering herd on outdated load reports: all instances send to the
+// runner that seemed idle a moment ago, which fills up and refuses requests while others
+// are idle.
 func TestPlainServiceWithTooFewRunners(t *testing.T) {
 	served := func(name string, runners int, perSecond float64, choose func(l *plainSimulation, instance int) (int, time.Duration)) float64 {
 		l := newPlainSimulation(69, runners, perSecond, choose)
@@ -209,11 +210,11 @@
 		perSecond float64
 		least     float64 // required fraction served in time with twoChoices
 	}{{4, 220, 0.98}, {4, 300, 0.98}, {3, 260, 0.95}, {3, 290, 0.75}, {4, 450, 0.5}} {
-		least := served("least", load.runners, load.perSecond, leastLoaded)
-		served("any", load.runners, load.perSecond, randomRunner)
-		asked := served("asked two", load.runners, load.perSecond, twoChoices)
-		if asked < load.least || asked < least {
-			t.Errorf("%d runners, %.0f a second: %.3f in time with slot queries, %.3f without", load.runners, load.perSecond, asked, least)
+		without := served("least load", load.runners, load.perSecond, leastLoaded)
+		served("random", load.runners, load.perSecond, randomRunner)
+		withQueries := served("two", load.runners, load.perSecond, twoChoices)
+		if withQueries < load.least || withQueries < without {
+			t.Errorf("%d runners, %.0f a second: %.3f in time with slot queries, %.3f without", load.runners, load.perSecond, withQueries, without)
 		}
 	}
 }
