--- a/internal/upstream/orderer/runner.go
+++ b/internal/upstream/orderer/runner.go
@@ -20,7 +20,7 @@
 
 	preload            map[string]time.Time // adapters to preload, and when that was requested
 	finishedSinceStart int                  // requests finished since the engine started, up to Batch
-	draining           bool                 // the engine accepts no new requests
+	leaving            bool                 // the engine accepts no new requests
 	running            int                  // requests in progress
 }
 
@@ -49,15 +49,15 @@
 
 // Leave marks the engine as draining: it gets no new requests until it restarts or
 // Stay is called.
-func (r *Runner) Leave() { r.draining = true }
+func (r *Runner) Leave() { r.leaving = true }
 
 // Leaving reports whether the engine is draining.
-func (r *Runner) Leaving() bool { return r.draining }
+func (r *Runner) Leaving() bool { return r.leaving }
 
 // Needs returns the adapters to load: those that requests wait for and that are
 // neither servable nor being loaded, then those to preload.
 func (r *Runner) Needs() []loader.Need {
-	if r.draining || !r.Keeper.Ready() {
+	if r.leaving || !r.Keeper.Ready() {
 		return nil
 	}
 	var needs []loader.Need
@@ -101,13 +101,13 @@
 
 // Reconcile applies a report of the engine. It returns whether the engine has
 // restarted.
-func (r *Runner) Reconcile(report keeper.Report, draining bool) (bool, error) {
+func (r *Runner) Reconcile(report keeper.Report, leaving bool) (bool, error) {
 	restarted, err := r.Keeper.Reconcile(report)
 	if restarted {
 		r.finishedSinceStart = 0
-		r.draining = false
+		r.leaving = false
 	}
-	r.draining = r.draining || draining
+	r.leaving = r.leaving || leaving
 	return restarted, err
 }
 
@@ -116,12 +116,12 @@
 
 // Stay reverts Leave. An engine that drains on its own reports that again in its
 // next report.
-func (r *Runner) Stay() { r.draining = false }
+func (r *Runner) Stay() { r.leaving = false }
 
 // Starts dequeues and pins the requests to send to the engine now.
 func (r *Runner) Starts(now time.Time) []Start {
 	var starts []Start
-	for !r.draining && r.running < r.batchLimit() {
+	for !r.leaving && r.running < r.batchLimit() {
 		item, ok := r.Queue.Next(func(i admitter.Item) bool { return r.Keeper.Servable(i.Adapter) })
 		if !ok {
 			break
