--- a/internal/instance/gatekeeper/age.go
+++ b/internal/instance/gatekeeper/age.go
@@ -9,7 +9,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// version returns that of the configuration in force, 0 if there is none.
+// version returns the version of the configuration in force, 0 if there is none.
 func (g *Gatekeeper) version() uint64 {
 	if c := g.Catalog(); c != nil {
 		return c.Version
@@ -17,9 +17,8 @@
 	return 0
 }
 
-// measureAges shows on the page of counters how old what the instance believes is
-// and why. The names sort to its beginning: a monitor may keep only the first few
-// kilobytes of a page.
+// registerAgeGauges exports how old each view is and why. The metric names sort to the top of
+// the metrics page: a monitor may keep only the first few kilobytes of a page.
 func (g *Gatekeeper) measureAges() {
 	if g.Metrics == nil {
 		return
@@ -37,8 +36,8 @@
 	}
 }
 
-// measureWays shows how long ago the holder of each failure domain spoke, and whether
-// its word is passed on by another instance.
+// registerUpdateGauges exports how long ago the leader of each failure domain last sent an
+// update, and whether its updates are relayed by another instance.
 func (g *Gatekeeper) measureWays() {
 	if g.Metrics == nil {
 		return
@@ -57,8 +56,8 @@
 	}
 }
 
-// tellAges logs the same, for whoever asks later why an instance went by an older
-// configuration than another.
+// logAges logs the ages of the views, so that it can be found out later why an instance served
+// an older configuration than another.
 func (g *Gatekeeper) tellAges(ctx context.Context) {
 	repeater.Every(ctx, paceEvery, nil, func() {
 		now := time.Now()
@@ -70,7 +69,7 @@
 	})
 }
 
-// An ageAlarm logs when a view becomes older than doubting it should allow, and when
+// A staleAlarm logs when a view becomes older than the staleness check should allow, and when
 // it is current again.
 type ageAlarm struct {
 	gatekeeper *Gatekeeper
@@ -78,8 +77,8 @@
 	old        bool
 }
 
-// tooOld is how many times its patience a view may be old before that is logged: an
-// answer to the first doubt comes well before.
+// staleFactor is how many times its maximum age a view may be old before that is logged: the
+// answer to the first staleness check normally arrives well before.
 const tooOld = 2
 
 func (a *ageAlarm) look(now time.Time) {
--- a/internal/instance/gatekeeper/age_test.go
+++ b/internal/instance/gatekeeper/age_test.go
@@ -17,10 +17,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// An instance goes by an older configuration than the others, as its call for
-// changes gets no answer. Nothing fails and nothing is refused, so without the age
-// of what it believes and the time for which it has waited nobody could tell that
-// from an instance that was told of the change and lost it.
+// Guards against an instance that serves an older configuration than the others, as its watch
+// call is not answered, without anything in the metrics or the log: nothing fails and nothing
+// is refused, so only the age of the view and the duration of the call tell that from an
+// instance that received the change and lost it.
 func TestAgeOfTheConfigurationAndItsCauseAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
@@ -36,7 +36,7 @@
 		go g.tellAges(ctx)
 		time.Sleep(time.Second)
 		store.set(swallows)
-		store.configure(2) // the call that waits is answered; the next one is not
+		store.configure(2) // the call in progress is answered; the next one is not
 		time.Sleep(4*time.Second + 10*time.Millisecond)
 		g.Metrics.WritePrometheus(&page)
 		cancel()
@@ -49,13 +49,13 @@
 			counters[name], _ = strconv.ParseFloat(value, 64)
 		}
 		if counters["sardinetiller_belief_config_version"] != 2 {
-			t.Errorf("the page of counters lacks the version in force:\n%s", first)
+			t.Errorf("the metrics page lacks the version in force:\n%s", first)
 		}
 		if age := counters[`sardinetiller_belief_age_seconds{table="operator"}`]; age < 4 || age > 6 {
 			t.Errorf("age of the configuration %v s:\n%s", age, first)
 		}
 		if counters[`sardinetiller_belief_waits_seconds{table="operator"}`]+counters[`sardinetiller_belief_failed_calls{table="operator"}`] == 0 {
-			t.Errorf("no reason for the age:\n%s", first)
+			t.Errorf("no reason for the age in the metrics:\n%s", first)
 		}
 		line := ""
 		for l := range strings.Lines(log.String()) {
@@ -64,13 +64,13 @@
 			}
 		}
 		if !regexp.MustCompile(`version=2 .*age=[45]\.\S+s waits=\S+ failed=\d+ err=`).MatchString(line) {
-			t.Errorf("the log does not tell age and reason: %q", line)
+			t.Errorf("the log line lacks age or reason: %q", line)
 		}
 	})
 }
 
-// The store answers nobody for a while. On-call finds in the log of each instance from
-// when on it may have gone by an older configuration, why, and until when.
+// The store stops answering for a while. Guards against a log that does not show from when to
+// when an instance may have served an older configuration, and why.
 func TestAnOldConfigurationIsLoggedUntilItIsCurrentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
--- a/internal/instance/gatekeeper/begin.go
+++ b/internal/instance/gatekeeper/begin.go
@@ -6,21 +6,22 @@
 	"time"
 )
 
-// When a deployment starts for the first time, nobody holds anything and no caller is
-// there yet. Each instance then reads first who holds the tenures, and waits a moment
-// to be told the rest: without that each made seven calls to the store at once. An instance
-// that starts again has callers waiting, and asks for all that it needs at once.
+// When a deployment starts for the first time there are no leaders and no callers. Each
+// instance then first reads who leads each failure domain, and waits briefly to receive the
+// rest from a leader: without that each instance made seven calls to the store at once. An
+// instance that restarts has callers waiting and fetches everything it needs at once.
 const (
-	// firstSpread is over how long the instances spread their first call: whoever
-	// comes first takes the tenure, within some 30 ms, and tells the others.
+	// startJitter spreads the first calls of the instances: the first one acquires the lease
+	// within some 30 ms and publishes to the others.
 	firstSpread = time.Second
-	// firstAnswer bounds the wait for the store's first answer, and firstWord the one
-	// for the first word of the instance that tells.
+	// discoveryTimeout bounds the wait for the first answer of the store, and
+	// firstUpdateTimeout the wait for the first update of the source.
 	firstAnswer = 300 * time.Millisecond
 	firstWord   = 300 * time.Millisecond
 )
 
-// begin reads who holds the tenures, if that is to be known before anything else.
+// discoverLeaders reads who leads each failure domain, if that has to be known before anything
+// else.
 func (g *Gatekeeper) begin(ctx context.Context) {
 	g.setViews()
 	if !g.Config.First {
@@ -34,13 +35,13 @@
 	g.mayAsk.set(time.Now())
 }
 
-// afterHolders returns a loop that begins when it is known who holds the tenures.
+// afterDiscovery returns a loop that begins when the leaders are known.
 func (g *Gatekeeper) afterHolders(loop func(context.Context)) func(context.Context) {
 	return g.after(loop, func(time.Time) bool { return true })
 }
 
-// unlessTold returns a loop that begins when it is known that nobody tells this
-// instance what the loop would ask the store.
+// unlessPublished returns a loop that begins when the leaders are known and no source publishes
+// what the loop would read from the store.
 func (g *Gatekeeper) unlessTold(loop func(context.Context), told func(now time.Time) bool) func(context.Context) {
 	return g.after(loop, func(known time.Time) bool {
 		_, telling := g.teller()
@@ -49,8 +50,8 @@
 	})
 }
 
-// after returns a loop that begins when it is known who holds the tenures, or not to
-// be waited for any more, and ready says so.
+// delayed returns a loop that begins when the leaders are known, or discovery has timed out,
+// and ready returns true.
 func (g *Gatekeeper) after(loop func(context.Context), ready func(known time.Time) bool) func(context.Context) {
 	const step = 10 * time.Millisecond
 	return func(ctx context.Context) {
--- a/internal/instance/gatekeeper/clock.go
+++ b/internal/instance/gatekeeper/clock.go
@@ -6,8 +6,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// uptime reads a clock that runs on while the host is suspended. The runtime's
-// clock stands still then, and a tenure measured by it would outlive its row.
+// uptime reads a clock that keeps running while the host is suspended. The runtime's clock
+// stops then, and a lease measured by it would outlive its row in the store.
 func uptime() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
--- a/internal/instance/gatekeeper/dependency.go
+++ b/internal/instance/gatekeeper/dependency.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// A dependency is something that the instance needs and that may be away.
+// A dependency tracks whether something that the instance needs, such as the store, is
+// available.
 type dependency struct {
 	mu     sync.Mutex
 	down   bool
-	since  time.Time // of the last change; the return for whoever reached it first, as far as is known
-	away   time.Time // when a call was sent last that failed, or the instance had stood still
-	own    reach     // by calls that succeeded
-	others reach     // by those of other instances
+	since  time.Time // of the last change; if available: when it became available again, as seen by the first instance to reach it
+	away   time.Time // latest send time of a failed call, or the end of a stall of this instance
+	own    reach     // by successful calls of this instance
+	others reach     // by successful calls of other instances
 }
 
-// set takes in whether a call succeeded that was sent at a time, and reports whether
-// that changed what is known. A failure of a call that was sent before another one
-// succeeded says nothing: calls into an outage fail when it is over. Each made the
-// instance find the store lost and back once more.
+// observe records the outcome of a call that was sent at the given time, and reports whether
+// the availability changed. A failure of a call that was sent before another one succeeded is
+// ignored: calls sent during an outage may fail when it is over, and each made the instance see
+// the store lost and back once more.
 func (d *dependency) set(up bool, sent, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -36,8 +37,7 @@
 	return changed
 }
 
-// reachedByOthers takes in that another instance has reached the dependency from one time
-// to another.
+// observeOthers records that another instance has reached the dependency during the given span.
 func (d *dependency) reachedByOthers(from, to, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -45,15 +45,17 @@
 	d.returnWithOthers(now)
 }
 
-// returnWithOthers moves the return back to that for others, who may have been first.
+// adoptEarlierReturn moves the time of the return back to when other instances first reached
+// the dependency, if that was earlier.
 func (d *dependency) returnWithOthers(now time.Time) {
 	if !d.down && d.others.lasts(now) && d.others.first.Before(d.since) {
 		d.since = d.others.first
 	}
 }
 
-// reached returns over which span the dependency was reached: by calls of this instance,
-// and before them by those of others; ok is false if this one does not reach it now.
+// reachableSpan returns the span during which the dependency was reachable, by calls of this
+// instance and, before them, by calls of others; ok is false if this instance does not reach it
+// now.
 func (d *dependency) reached(now time.Time) (first, last time.Time, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,9 +66,10 @@
 	return first, d.own.last, d.own.lasts(now)
 }
 
-// returned returns when the dependency came back for whoever reached it first; away is false
-// if it never was away for this instance. Counted from its own return, runners that had left
-// were used for as much longer as it came back later than others.
+// returned returns when the dependency became available again for the first instance to reach
+// it; away is false if it was never unavailable to this instance. When the time was counted
+// from this instance's own return, runners that had left were used for longer, by as much as it
+// came later than that of the others.
 func (d *dependency) returned(now time.Time) (at time.Time, away bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -74,14 +77,14 @@
 	case d.down && d.others.lasts(now):
 		return d.others.first, true
 	case d.down:
-		return now, true // what is taken in now comes with the first answer
+		return now, true // a row applied now arrives with the first answer
 	default:
 		return d.since, !d.since.IsZero()
 	}
 }
 
-// stoodStill takes in that the instance did nothing until now: its calls under way say
-// nothing of how long the dependency was away.
+// stoodStill records that the instance was stalled until now: its calls under way say nothing
+// about how long the dependency was unavailable.
 func (d *dependency) stoodStill(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,15 +93,15 @@
 	}
 }
 
-// lastAway returns when the dependency may have been away last.
+// lastAway returns the latest time at which the dependency may have been unavailable.
 func (d *dependency) lastAway() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.away
 }
 
-// back returns when the dependency came back; the zero time if it never was
-// away.
+// status returns whether the dependency is down, and when that last changed; the zero time if
+// it was never down.
 func (d *dependency) back() (at time.Time, down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/instance/gatekeeper/dependency_test.go
+++ b/internal/instance/gatekeeper/dependency_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Calls that were sent into an outage of the store fail one after the other when it is
-// over. On-call reads in the log when the store was lost and when it was back, and
-// runners whose rows lapsed are given time from its return: both must be told once.
+// Calls that were sent during an outage of the store fail one after the other when it is over.
+// Guards against a second loss and return of the store: operators read both times in the log,
+// and runners whose rows have expired are given a grace time from the return.
 func TestFailureOfAnEarlierCallDoesNotLoseTheStoreAgain(t *testing.T) {
 	start := time.Now()
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
@@ -21,9 +21,9 @@
 		{"a call succeeds", true, 0, 0, false},
 		{"one fails", false, 1, 2, true},
 		{"one succeeds", true, 5, 6, true},
-		{"one that was sent before fails", false, 4, 7, false},
-		{"one that was sent since fails", false, 7, 8, true},
-		{"one that waited all the while is answered", true, 0, 9, true},
+		{"one that was sent before that fails", false, 4, 7, false},
+		{"one that was sent after that fails", false, 7, 8, true},
+		{"one that was sent before the outage is answered", true, 0, 9, true},
 	} {
 		if got := d.set(step.up, at(step.sent), at(step.now)); got != step.changed {
 			t.Errorf("%s: changed %v, want %v", step.name, got, step.changed)
--- a/internal/instance/gatekeeper/doubt_test.go
+++ b/internal/instance/gatekeeper/doubt_test.go
@@ -14,15 +14,15 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// inForce is how long after its acknowledgement a change has to be in force at an
-// instance to which nothing has happened.
+// changeDeadline is how long after its acknowledgement a change has to be in force at an
+// instance without recent faults.
 const inForce = 2 * time.Second
 
-// The store falls silent, turns calls away, forgets its history, and connections
-// fall silent under calls that wait; another instance tells what it knows, or does
-// not; the operator changes the configuration all the while. Whatever came in which
-// order: three seconds after the last trouble callers are served by the newest
-// configuration, and from then on by each new one in time.
+// The store hangs, rejects calls and loses its history, connections of watch calls hang,
+// another instance publishes what it knows or does not, and the operator changes the
+// configuration all the while, in random order. Guards against an instance that serves an older
+// configuration later than three seconds after the last fault, or a change that is not in force
+// in time from then on.
 func TestConfigurationIsCurrentSoonAfterAnyTrouble(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -71,7 +71,7 @@
 	}
 }
 
-// tellFrom returns a loop that tells an instance what another one that reaches the
+// publishFrom returns a loop that publishes to an instance what another one that reaches the
 // store knows.
 func tellFrom(g *Gatekeeper, store *feedStore) func(ctx context.Context) {
 	return func(ctx context.Context) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// start runs loops of an instance until the function that it returns is called.
+// start runs loops of an instance until the returned function is called.
 func start(t *testing.T, loops ...func(ctx context.Context)) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	for _, loop := range loops {
@@ -101,9 +101,9 @@
 	}
 }
 
-// The store is back after seconds in which it answered nobody. The call for changes
-// that was sent meanwhile is forgotten there; were it kept, each change would take
-// until the next doubt to come into force, for half a minute.
+// The store is back after an outage in which it answered nothing. Guards against a watch call
+// that was sent during the outage and is lost there: if it is not replaced, each change takes
+// until the next staleness check to be in force, for half a minute.
 func TestCallsSentIntoAnOutageAreReplacedAfterIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
@@ -122,9 +122,9 @@
 	})
 }
 
-// The store was away and is back while calls are under way. Those that wait long are
-// replaced; were that taken for a failure of the store, it would count as lost again,
-// and its return would replace the next ones, again and again.
+// The store is lost and back while calls are in progress, and the watch calls are replaced.
+// Guards against counting that as a failure of the store: it would be lost again, and its
+// return would replace the next calls, over and over.
 func TestReturnOfTheStoreDoesNotMakeItLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, _ := newFedGatekeeper()
@@ -135,14 +135,14 @@
 			g.sawStore(time.Now(), nil)
 			synctest.Wait()
 			if _, down := g.storeUp.back(); down {
-				t.Fatal("the store counts as lost")
+				t.Fatal("the store counts as lost after its return")
 			}
 		}
 	})
 }
 
-// All rows are being read, as the changes were forgotten. No call about changes is
-// made beside that, and none that was not made counts as an answer of the store.
+// The changes are no longer available and the whole table is being read. Guards against further
+// calls for changes, and against counting a call that was not made as an answer of the store.
 func TestNothingIsDoubtedWhileAllIsRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
@@ -150,21 +150,21 @@
 		g.operator.reached(nil, 1, time.Now())
 		time.Sleep(time.Minute)
 		if !g.operator.doubtful(time.Now()) {
-			t.Fatal("an old view is not doubted; the test shows nothing")
+			t.Fatal("an old view needs no check; the test proves nothing")
 		}
 		g.operator.forget()
 		end := start(t, func(ctx context.Context) { g.doubt(ctx, &g.operator) })
 		time.Sleep(10 * time.Second)
 		end()
 		if n := store.made(); n != 0 {
-			t.Errorf("%d calls", n)
+			t.Errorf("%d calls to the store, want none", n)
 		}
 	})
 }
 
-// The connection of the call for changes falls silent, and nothing else. Another
-// instance tells of a row that has not come here: callers wait for it as long as it
-// may be on its way and one call takes, not until this instance doubts by itself.
+// The connection of the watch call hangs, and another instance reports a row that has not
+// arrived here. Guards against a change that is not in force until this instance's own
+// staleness check: it has to be read as soon as it should have arrived.
 func TestInstanceThatIsToldOfANewerRowAsksForIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
@@ -177,7 +177,7 @@
 		if got := g.version(); got != 2 {
 			t.Errorf("version %d, want 2", got)
 		}
-		store.configure(3) // the call that fell silent was replaced
+		store.configure(3) // the hanging call was replaced
 		time.Sleep(20 * time.Millisecond)
 		if got := g.version(); got != 3 {
 			t.Errorf("version %d, want 3", got)
@@ -185,9 +185,9 @@
 	})
 }
 
-// Two instances that cannot reach the store tell each other what they know. Were
-// that a sign that it is current, they would find each other current for ever, and
-// their callers would be served by what held before the store was lost.
+// Two instances that cannot reach the store report to each other what they know. Guards against
+// taking that as a confirmation: they would consider each other current forever, and serve
+// callers by the configuration from before the store was lost.
 func TestWhatOthersToldIsNotPassedOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, _ := newFedGatekeeper()
@@ -196,25 +196,25 @@
 		time.Sleep(time.Minute)
 		g.links["a"].take(relayer.News{Operator: relayer.Known{Newest: 5}})
 		if s := g.operator.state(time.Now()); s.Age != 0 {
-			t.Errorf("age %s after it was told, want 0", s.Age)
+			t.Errorf("age %s after the report, want 0", s.Age)
 		}
 		if told := g.tellOperator(time.Now()); told.Age < time.Minute {
-			t.Errorf("tells an age of %s that it was told itself", told.Age)
+			t.Errorf("publishes an age of %s that another instance reported", told.Age)
 		}
 	})
 }
 
-// Each call to the store is paid for. While nothing fails, an instance that tells
-// others makes about one call a second for them all, and one that is told makes
-// none but the long call.
+// Each call to the store is billed. Guards against more than about one call a second of an
+// instance that publishes to others, and against any but the watch call of an instance that
+// receives updates.
 func TestDoubtCostsLittleWhileNothingFails(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		holds bool
 		most  int // calls in a minute
 	}{
-		{"tells others", true, 64},
-		{"is told", false, 4},
+		{"publishes to others", true, 64},
+		{"receives updates", false, 4},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -235,9 +235,8 @@
 	}
 }
 
-// Several instances tell others. The one that holds the first domain asks the store;
-// the others hear of the answer before it is their turn, and take over when it is
-// gone.
+// Several instances publish to others. The leader of the first domain polls the store; the
+// others learn of the answer before it is their turn, and take over when it is gone.
 func TestOneOfThoseThatTellAsks(t *testing.T) {
 	g := newTestGatekeeper()
 	g.Config.Domains = []string{"a", "b", "c", "d", "e", "f"}
@@ -252,14 +251,14 @@
 			hold(g, tc.holds)
 		}
 		if got := g.operatorPatience(); got != tc.want {
-			t.Errorf("holder of %q asks after %s, want %s", tc.holds, got, tc.want)
+			t.Errorf("leader of %q polls after %s, want %s", tc.holds, got, tc.want)
 		}
 	}
 }
 
-// The holder of a tenure dies and another instance takes over while the call that
-// waits for changes of the holders is one that nobody answers. This instance has to
-// follow the new one: until then its requests in that domain get no adapter loaded.
+// A leader fails and another instance takes over while the watch call on the leaders hangs.
+// Guards against an instance that does not follow the new leader: until it does, its requests
+// in that domain get no adapter loaded.
 func TestNewHolderIsKnownFromTheRowOfItsTenure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
--- a/internal/instance/gatekeeper/follow.go
+++ b/internal/instance/gatekeeper/follow.go
@@ -13,45 +13,43 @@
 )
 
 const (
-	// longWatch is how long a call for changes of the operator's and the
-	// tenures' rows waits: they change seldom, and each call costs.
+	// longWatch is the timeout of a watch call on the operator's rows and the leases: they
+	// change rarely, and each call costs money.
 	longWatch = 29 * time.Second
-	// again is the pause between two calls that fail. It doubles up to lastAgain:
-	// calls that the store turns away are paid for like others, and a third of the
-	// instances turned away for seconds made half of a day's calls. An instance that the store serves again has this long to catch up before
-	// anything is asked of it in time, which is three seconds later.
+	// again is the pause between two failed calls. It doubles up to maxRetryDelay: rejected
+	// calls are billed like others, and a third of the instances, rejected for seconds, made
+	// half of a day's calls. maxRetryDelay also bounds when an instance that the store serves
+	// again catches up; time limits apply to it again three seconds after the store's return.
 	again     = 250 * time.Millisecond
 	lastAgain = 2 * time.Second
-	// nextCall is more than lies between two calls while the store is away.
+	// nextCall is more than the time between two calls while the store is unavailable.
 	nextCall = lastAgain + time.Second
 
-	// patience is the age at which an instance asks the store whether what it
-	// knows of the operator's rows is current. A change has to be in force two
-	// seconds after its acknowledgement.
+	// maxAge is the age at which an instance polls the store to check that its view of the
+	// operator's rows is current. A change has to be in force two seconds after its
+	// acknowledgement.
 	patience = 2 * time.Second
-	// patienceHolder is the same for an instance that tells others, and stagger how
-	// much longer that of the holder of each further failure domain is. Others hear of
-	// an answer within 250 ms, so one call a second serves a whole deployment, and the
-	// next holder makes it when the first is gone. Without the stagger all of them
-	// ask at the same moment.
+	// maxAgeLeader is the same for an instance that publishes to others, and maxAgeStagger how
+	// much longer it is for the leader of each further failure domain. Others learn of an
+	// answer within 250 ms, so one call a second serves a whole deployment, and the next leader
+	// makes it when the first is gone. Without the stagger all of them poll at the same moment.
 	patienceHolder = time.Second
 	stagger        = 300 * time.Millisecond
-	// patienceTenures is the same for the holders of tenures, which are known to be
-	// current while all of them are heard. Half of a lease: nobody waits for one.
+	// maxAgeLeases is the same for the leases, which are known to be current while updates of
+	// all leaders are received. Half of a lease: nobody waits for one.
 	patienceTenures = lease / 2
-	// onTheWay is how long a row that another instance knows may still be on its
-	// way here. It comes to all within some 50 ms; a configuration of 64 KB takes
-	// as long on a link of 10 Mbit/s.
+	// deliveryTime is how long a row that another instance knows may take to arrive here. Rows
+	// reach all instances within some 50 ms; a configuration of 64 KB takes as long on a link
+	// of 10 Mbit/s.
 	onTheWay = 200 * time.Millisecond
 )
 
-// follow keeps a view up to date until ctx ends, by calls that wait for changes.
+// follow keeps a view up to date with watch calls until ctx ends.
 //
-// Such a call may get no answer although its connection lives: a store that was
-// away took it and forgot it, or the connection has fallen silent. Callers then got
-// 404 for half a minute on routes that all other instances served. So the view is
-// doubted at the same time: it is never older than patience for longer than one
-// short call takes, whatever becomes of the long one.
+// A watch call may never be answered although its connection is alive: the store lost it in an
+// outage, or the connection hangs. Callers then got 404 for half a minute on routes that all
+// other instances served. So the view is also polled whenever it may be stale: it exceeds its
+// maximum age for no longer than one short call takes, whatever becomes of the watch call.
 func (g *Gatekeeper) follow(ctx context.Context, v *view, wait time.Duration) {
 	var doubts sync.WaitGroup
 	defer doubts.Wait()
@@ -75,8 +73,8 @@
 	}
 }
 
-// doubt asks the store about a view whenever nothing shows that it is current,
-// until ctx ends.
+// pollWhenStale polls the store whenever nothing shows that the view is current, until ctx
+// ends.
 func (g *Gatekeeper) doubt(ctx context.Context, v *view) {
 	failed := newPauses()
 	alarm := ageAlarm{gatekeeper: g, view: v}
@@ -96,16 +94,16 @@
 	}
 }
 
-// futile reports whether a call to the store would only be one more that fails:
-// the store is lost, and the calls about the runners show when it is back. Without
-// this the calls of an outage would double.
+// futile reports whether a call to the store would only fail again: the store is lost, and the
+// calls for the runners show when it is back. Without this check the calls during an outage
+// would double.
 func (g *Gatekeeper) futile() bool {
 	_, down := g.storeUp.back()
 	return down && !g.told() && g.runners.lately(time.Now())
 }
 
-// probe asks for changes and waits for none. If there are some, the call that
-// waits for them has not told of them, and is not trusted any more.
+// poll fetches the changes without waiting for any. If there are some, the watch call has
+// missed them and is replaced.
 func (g *Gatekeeper) probe(ctx context.Context, v *view) error {
 	asked := time.Now()
 	after := v.upTo()
@@ -121,13 +119,13 @@
 	}
 	g.changed(v, rows, version, asked)
 	if len(rows) > 0 {
-		g.Recorder.Log(recorder.Belief, "msg", "changes that were not told", "table", v.name, "rows", len(rows), "waited", v.state(asked).Waits)
+		g.Recorder.Log(recorder.Belief, "msg", "changes missed by the watch call; replacing it", "table", v.name, "rows", len(rows), "waited", v.state(asked).Waits)
 		v.replace(asked)
 	}
 	return nil
 }
 
-// refresh reads a table whole, or waits for its changes.
+// refresh reads a whole table, or waits for its changes.
 func (g *Gatekeeper) refresh(ctx context.Context, v *view, wait time.Duration) error {
 	call, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -161,20 +159,20 @@
 		return err
 	}
 	if waited := asked.Add(wait); len(rows) == 0 && !time.Now().Before(waited) {
-		asked = waited // the store answers without a change only when the wait is over
+		asked = waited // the store answers without a change only after the full wait
 	}
 	g.changed(v, rows, version, asked)
 	return nil
 }
 
-// changed takes in the answer to a call for changes.
+// changed applies the answer to a call for changes.
 func (g *Gatekeeper) changed(v *view, rows []tabler.Row, version uint64, at time.Time) {
 	v.takeChanges(rows, version)
 	v.reached(rows, version, at)
 }
 
 func (g *Gatekeeper) forgotten(v *view, after uint64) {
-	g.Recorder.Log(recorder.Belief, "msg", "changes forgotten by the store; reading all", "table", v.name, "after", after)
+	g.Recorder.Log(recorder.Belief, "msg", "changes no longer available in the store; reading the whole table", "table", v.name, "after", after)
 	v.forget()
 }
 
@@ -183,10 +181,10 @@
 	return &backoff.ExponentialBackOff{InitialInterval: again, Multiplier: 2, MaxInterval: lastAgain}
 }
 
-// pauseAfter returns the time from the beginning of a call to that of the next one:
-// none after one that succeeded. It counts from the beginning, as a call may have
-// waited in vain for a good part of it: counted from its end, an instance asked a
-// store that answers nobody every 3.7 s, and learned too late that it was back.
+// pauseAfter returns the time from the beginning of a call to that of the next one: none after
+// a success. It counts from the beginning, as a call may have waited in vain for a good part of
+// it: counted from its end, an instance polled a store that did not answer every 3.7 s, and
+// noticed its return too late.
 func pauseAfter(err error, failed *backoff.ExponentialBackOff) time.Duration {
 	if err == nil {
 		failed.Reset()
--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -1,8 +1,8 @@
-// Package gatekeeper runs an instance that sends requests straight to runners.
+// Package gatekeeper runs an instance that sends requests directly to runners.
 //
-// It keeps the configuration and the runners up to date from the platform's
-// store, holds or follows the tenure of each failure domain, gives orders where
-// it holds one, and tells the holders of the others what its requests need.
+// It keeps the configuration and the runners up to date from the platform's store, leads or
+// follows each failure domain, sends orders to the runners of the domains that it leads, and
+// reports the demand of its requests to the leaders of the others.
 package gatekeeper
 
 import (
@@ -29,28 +29,27 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// A Decoder decodes what the operator and the runners write into the store.
+// A Decoder decodes the rows that the operator and the runners write to the store.
 type Decoder interface {
-	// Tables names the tables of the operator and of the runners.
+	// Tables returns the names of the tables of the operator and of the runners.
 	Tables() (operator, runners string)
-	// Catalog decodes the configuration; ok is false if the row is another one.
+	// Catalog decodes the configuration; ok is false if the row holds something else.
 	Catalog(r tabler.Row) (c *matcher.Catalog, ok bool, err error)
-	// Runner decodes a runner; of one that is gone, or whose row cannot be read, it
-	// returns the name only, as the ID.
+	// Runner decodes a runner; if it was removed or its row cannot be decoded, only its ID is
+	// set, to its name.
 	Runner(r tabler.Row) (tracker.Runner, error)
-	// Version decodes the newest version of an adapter; ok is false if the row
-	// is another one.
+	// Version decodes the newest version of an adapter; ok is false if the row holds something
+	// else.
 	Version(r tabler.Row) (c placer.Copy, ok bool, err error)
 }
 
-// An Engine takes orders.
+// An Engine sends orders and queries to runners.
 type Engine interface {
-	// Order sends an order. The error explains an outcome other than Accepted
-	// and Holds.
+	// Order sends an order. The error explains an outcome other than Accepted and Holds.
 	Order(ctx context.Context, to tracker.Runner, o placer.Order, holder string, fence uint64) (placer.Outcome, error)
-	// Lives asks a runner whether it lives.
+	// Lives checks whether a runner is alive.
 	Lives(ctx context.Context, runner tracker.Runner) tracker.Life
-	// Report asks a runner what it holds.
+	// Report queries which adapters a runner holds.
 	Report(ctx context.Context, from tracker.Runner) (placer.Report, error)
 }
 
@@ -81,25 +80,25 @@
 
 	catalog atomic.Pointer[matcher.Catalog]
 	kicks   chan struct{}
-	loads   estimate // of adapters from the weight store
+	loads   estimate // of adapters loaded from the weight store
 	returns estimate // of adapters that the runner held before
 
 	viewsSet sync.Once
-	operator view // of the configuration and the versions of adapters
-	holders  view // of who holds the tenures
-	runners  view // of the runners
+	operator view // configuration and adapter versions
+	holders  view // leader of each failure domain
+	runners  view // runners
 
-	nearest   []string // failure domains in the order in which their holders are asked to tell
-	choice    choice   // who does
+	nearest   []string // failure domains in the order in which their leaders are considered as the source
+	choice    choice   // the source in use
 	headcount headcount
-	reached   moment // as of when another holder reached the store
-	mayAsk    moment // from when on the store may be asked for what others could tell
+	reached   moment // when another leader last reached the store
+	mayAsk    moment // until then the store is not read for what others may publish
 
-	learning sync.Mutex // held while what is there is compared with what is told
-	looked   time.Time  // for removals that are due; under learning
+	learning sync.Mutex // held while the known runners are compared with published ones
+	looked   time.Time  // when due removals were last checked; guarded by learning
 
 	mu          sync.Mutex
-	versions    map[copyName]int       // newest version of adapters that have another than the first
+	versions    map[copyName]int       // newest version of adapters whose version is not the default one
 	controllers map[string]*controller // by failure domain
 	links       map[string]*link       // by failure domain
 	stopState
@@ -110,13 +109,13 @@
 	quotas     quotas
 }
 
-// A copyName is an adapter without its version.
+// An adapterKey identifies an adapter without its version.
 type copyName struct{ model, adapter string }
 
-// firstVersion is the version of an adapter of which no other was named.
+// defaultVersion is the version of an adapter for which the store names none.
 const firstVersion = 1
 
-// Run serves until ctx ends, then leaves gracefully.
+// Run serves until ctx ends, then stops gracefully.
 func (g *Gatekeeper) Run(ctx context.Context) error {
 	g.init()
 	g.setViews()
@@ -165,8 +164,8 @@
 	for _, domain := range g.domains() {
 		late, heard := rand.N(ownLate)+g.Config.Link.Late(), time.Time{}
 		if domain != g.Config.Domain {
-			// Nobody is there at a start. Without this each instance asked for the
-			// tenures of all domains at once, 500 calls of 64 instances.
+			// At a start no domain has a leader. Without this each instance tried to acquire
+			// the leases of all domains at once: 500 calls by 64 instances.
 			late, heard = foreignLate, time.Now()
 		}
 		d := &controller{
@@ -189,21 +188,21 @@
 }
 
 const (
-	// lease is how long a renewal of the tenure is trusted. Longer, and a holder
-	// outlives longer outages of the store and cuts from it; shorter, and one that
-	// is gone for good is replaced sooner, while one that restarts goes on at once
-	// in any case. While nobody holds a tenure, adapters are not loaded there: at
-	// 4 s an outage of 7 s left 500 callers without theirs in one recorded day.
+	// leaseDuration is how long a renewed lease is valid. With a longer one a leader survives
+	// longer outages of the store and partitions from it; with a shorter one a leader that is
+	// gone for good is replaced sooner, while one that restarts resumes at once in any case.
+	// While a domain has no leader, adapters are not loaded there: at 4 s an outage of 7 s left
+	// 500 callers without theirs in one recorded day.
 	lease = 8 * time.Second
-	// quietMargin is how much longer than asked the orders of two holders are
-	// kept apart, for an order that is on its way.
+	// quietMargin is added to the configured quiet time between the orders of two leaders, for
+	// an order in transit.
 	quietMargin = 500 * time.Millisecond
-	// foreignLate is how much longer an instance waits for a domain that is not
-	// its own: its own instances are nearer.
+	// foreignLate is how much longer an instance waits before it acquires the lease of a domain
+	// other than its own: that domain's own instances go first.
 	foreignLate = 6 * time.Second
-	// ownLate is over how long the instances of a domain spread its takeover. One
-	// write is enough, and the others hear of it; without the spread 34 of 35 wrote in
-	// vain and read the row again.
+	// takeoverJitter spreads the takeover of a lease by the instances of a domain. One write is
+	// enough, and the others learn of it; without the jitter 34 of 35 wrote in vain and read
+	// the row again.
 	ownLate = 400 * time.Millisecond
 )
 
@@ -213,7 +212,7 @@
 // Current reports whether the configuration in force is known to be the newest.
 func (g *Gatekeeper) Current() bool { return g.operator.current(time.Now()) }
 
-// Newest returns the version of an adapter that a request is to run on.
+// Newest returns the version of an adapter that a request is to use.
 func (g *Gatekeeper) Newest(model, adapter string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -223,26 +222,26 @@
 	return firstVersion
 }
 
-// Serving reports whether callers can be served here.
+// Serving reports whether this instance can serve callers.
 func (g *Gatekeeper) Serving() bool {
 	return !g.Leaving() && g.catalog.Load() != nil && len(g.Fleet.All()) > 0
 }
 
-// sweep closes connections that are not used any more.
+// closeIdle closes idle connections.
 func (g *Gatekeeper) sweep(ctx context.Context) {
 	repeater.Every(ctx, time.Second, nil, func() { g.Pool.Sweep(time.Now()) })
 }
 
-// signal wakes whoever waits for a channel of one place.
+// signal wakes the receiver of a channel with a buffer of one.
 func signal(c chan<- struct{}) {
 	select {
 	case c <- struct{}{}:
-	default: // a signal that is not taken yet serves for both
+	default: // a pending signal serves for both
 	}
 }
 
-// pause waits, or until ctx ends. It does not make a timer that has run out already: on
-// such a one tests of many instances crashed in the runtime's race detector.
+// pause waits for d, or until ctx ends. It creates no timer that would expire at once: with
+// such timers, tests with many instances crashed in the runtime's race detector.
 func pause(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
--- a/internal/instance/gatekeeper/headcount.go
+++ b/internal/instance/gatekeeper/headcount.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// A headcount is how many instances there are, as this one was told. It rises at once
-// and falls late. Its zero value is ready; it is safe for concurrent use.
+// A headcount is the number of instances as reported to this one. It rises at once and falls
+// late. Its zero value is ready; it is safe for concurrent use.
 type headcount struct {
 	mu     sync.Mutex
-	began  time.Time // when the present span began; zero before the first word
-	now    int       // most that was told in it
-	before int       // and in the one before
+	began  time.Time // start of the current window; zero before the first report
+	now    int       // largest count reported in it
+	before int       // and in the window before
 }
 
 const (
-	// countFor is the span over which the largest count holds, and the one after it.
+	// countWindow is the window whose largest count stays valid until the end of the next one.
 	countFor = 1500 * time.Millisecond
-	// countSure is how long whoever counts has to hear members before it tells how many
-	// they are: it begins with nobody after a restart, and instances that took the few
-	// that had spoken for all of hundreds would each spend the retries of a hundred
-	// others. All have spoken within three beats.
+	// countSettleTime is how long a leader must have received reports from members before it
+	// publishes their number: after a restart it starts from zero, and instances that took the
+	// few that had reported for all of hundreds would each spend the retries of a hundred
+	// others. All have reported within three intervals.
 	countSure = 3*beat + 50*time.Millisecond
-	// manyMembers is how many instances an instance assumes that was not told lately:
-	// a share that is safe among hundreds is safe in a small deployment too.
+	// assumedInstances is the number of instances that is assumed without a recent report: a
+	// share of the retries that is safe among hundreds is safe in a small deployment too.
 	manyMembers = 400
 )
 
-// tell takes in a count; none says nothing.
+// observe records a reported count; zero or less is ignored.
 func (h *headcount) tell(n int, now time.Time) {
 	if n <= 0 {
 		return
@@ -43,7 +43,7 @@
 	h.now = max(h.now, n)
 }
 
-// get returns the count, or that of a large deployment if none was told.
+// get returns the count, or that of a large deployment without a recent report.
 func (h *headcount) get() int {
 	if n := h.told(); n > 0 {
 		return n
@@ -51,14 +51,14 @@
 	return manyMembers
 }
 
-// told returns the largest count that was told lately, 0 for none.
+// told returns the largest count reported recently, 0 for none.
 func (h *headcount) told() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return max(h.now, h.before)
 }
 
-// count returns how many instances there are, 0 while that is not sure.
+// count returns the number of instances, 0 until enough reports have arrived.
 func (d *controller) count(now time.Time) int {
 	if d.counting.IsZero() || now.Sub(d.counting) < countSure {
 		return 0
--- a/internal/instance/gatekeeper/headcount_test.go
+++ b/internal/instance/gatekeeper/headcount_test.go
@@ -9,16 +9,16 @@
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 )
 
-// All instances restart together. The one that counts them begins with nobody; were
-// the first ones told that they are few, each of a hundred would take itself for one
-// of three and repeat requests on behalf of thirty, to runners that are full already.
+// All instances restart together, and the leader that counts them starts from zero. Guards
+// against publishing the first counts: each of a hundred instances would take itself for one of
+// three and retry on behalf of thirty, to runners that are full already.
 func TestShareOfTheRetriesIsSafeAfterARestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const instances = 195
 		holder, member := newChained("b-1", "b"), newChained("b-2", "b")
 		hold(holder, "b")
 		if got := member.Members(); got < instances {
-			t.Errorf("%d before the first word, want %d or more", got, instances)
+			t.Errorf("%d members before the first update, want %d or more", got, instances)
 		}
 		number := -1
 		for n := range instances {
@@ -28,19 +28,19 @@
 			number = next
 			member.links["b"].take(news)
 			if got := member.Members(); got < instances {
-				t.Fatalf("%d after %d have spoken, want %d or more", got, n+1, instances)
+				t.Fatalf("%d members after %d have reported, want %d or more", got, n+1, instances)
 			}
 		}
 		time.Sleep(countSure)
 		news, _, _ := holder.controllers["b"].digest("b-2", number, true)
 		member.links["b"].take(news)
 		if got := member.Members(); got != instances {
-			t.Errorf("%d when all have spoken, want %d", got, instances)
+			t.Errorf("%d members when all have reported, want %d", got, instances)
 		}
 	})
 }
 
-// The count rises at once and falls late, and is forgotten when nobody tells it.
+// The count rises at once and falls late, and expires without reports.
 func TestHeadcountFallsLate(t *testing.T) {
 	var h headcount
 	start := time.Now()
@@ -59,7 +59,7 @@
 	} {
 		h.tell(step.told, start.Add(step.at))
 		if got := h.get(); got != step.want {
-			t.Errorf("after %s, told of %d: %d instances, want %d", step.at, step.told, got, step.want)
+			t.Errorf("after %s, report of %d: %d instances, want %d", step.at, step.told, got, step.want)
 		}
 	}
 }
--- a/internal/instance/gatekeeper/journal.go
+++ b/internal/instance/gatekeeper/journal.go
@@ -8,14 +8,14 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// A journal is what has changed in a domain, so that each member is told only
-// what it does not know.
+// A journal is a log of the changes in a domain, from which each member is sent only those that
+// it lacks.
 type journal struct {
 	events []event
-	first  int // number of the first event that is kept
+	first  int // sequence number of the oldest retained event
 }
 
-// An event is one change. One of its fields is set.
+// An event is one change. Exactly one of its fields is set.
 type event struct {
 	gone   *relayer.Gone
 	held   *heldEvent
@@ -23,22 +23,22 @@
 	runner *tracker.Runner
 }
 
-// A heldEvent says how a copy stands at a runner.
+// A heldEvent is a change of an adapter copy at a runner.
 type heldEvent struct {
 	runner string
 	copy   placer.Copy
-	at     time.Time // from when on it can be used
+	at     time.Time // when it becomes usable
 	there  bool
 }
 
-// A roomEvent says how long a copy waits for a place at a runner.
+// A roomEvent is a change of how long a copy waits for an adapter slot at a runner.
 type roomEvent struct {
 	runner string
 	wait   time.Duration
 }
 
-// journalLimit is how many events are kept. A member that is further behind is
-// told everything anew.
+// journalLimit is how many events are retained at least. A member that is further behind
+// receives a snapshot.
 const journalLimit = 2048
 
 func (j *journal) add(e event) {
@@ -50,17 +50,17 @@
 	}
 }
 
-// cut drops all events: everybody is told everything anew.
+// reset drops all events, so that every member receives a snapshot.
 func (j *journal) cut() {
 	j.first = j.end() + 1
 	j.events = nil
 }
 
-// end returns the number after the last event.
+// end returns the sequence number after the last event.
 func (j *journal) end() int { return j.first + len(j.events) }
 
-// since returns the events from a number on; ok is false if some of them are
-// not kept any more.
+// since returns the events from a sequence number on; ok is false if some of them are no longer
+// retained.
 func (j *journal) since(number int) (events []event, ok bool) {
 	if number < j.first {
 		return nil, false
--- a/internal/instance/gatekeeper/leaving_test.go
+++ b/internal/instance/gatekeeper/leaving_test.go
@@ -10,15 +10,15 @@
 )
 
 var (
-	siteFirst     = flag.Uint64("site.first", 0, "first seed of the random check of runners")
-	siteSeeds     = flag.Uint64("site.seeds", 60, "how many seeds are played")
-	siteInstances = flag.Int("site.instances", 0, "instances in each; 0 for five to ten")
+	siteFirst     = flag.Uint64("site.first", 0, "first seed of the simulation of runners")
+	siteSeeds     = flag.Uint64("site.seeds", 60, "number of seeds to run")
+	siteInstances = flag.Int("site.instances", 0, "instances in each run; 0 for five to ten")
 )
 
-// siteStep is how often a site is looked at.
+// siteStep is the interval between checks of the invariants.
 const siteStep = 25 * time.Millisecond
 
-// Guards against runners that are used after they have left, or removed while they live,
+// Guards against runners that are used after they have left, or removed while they are alive,
 // whichever instances fail, in whatever order.
 func TestRunnersAreThoseOfTheStoreWhoeverTellsOfThem(t *testing.T) {
 	for seed := *siteFirst; seed < *siteFirst+*siteSeeds; seed++ {
@@ -26,15 +26,15 @@
 	}
 }
 
-// Runs of the check above in which a runner was used after it had left, or was given up
-// while it lived, after the first mends.
+// Seeds of the check above with which a runner was used after it had left, or removed while it
+// was alive, after the first fixes.
 func TestRunnersOfSeedsThatFailed(t *testing.T) {
 	for _, seed := range []uint64{375, 926, 1100, 1600, 1824, 2055, 2110, 2121, 2209, 2344, 2591, 2646} {
 		playSite(t, seed, newWitness)
 	}
 }
 
-// Guards against living runners that are removed as their rows lapsed in an outage.
+// Guards against living runners that are removed because their rows expired during an outage.
 func TestRunnersWhoseRowsLapsedAreKeptWhoeverTellsOfThem(t *testing.T) {
 	for seed := *siteFirst; seed < *siteFirst+*siteSeeds; seed++ {
 		playSite(t, seed, newLapseWitness)
@@ -77,7 +77,7 @@
 	s.pass(5*time.Second, w)
 }
 
-// pass lets time pass, and looks whether what is promised holds.
+// pass lets time pass, and checks the invariants.
 func (s *site) pass(span time.Duration, w *witness) {
 	for end := time.Now().Add(span); time.Now().Before(end) && !s.t.Failed(); time.Sleep(siteStep) {
 		s.beats()
@@ -90,7 +90,7 @@
 	}
 }
 
-// noteTrouble notes that the store is in trouble for somebody.
+// recordFaults records whether the store fails for any instance.
 func (s *site) noteTrouble() {
 	troubled := s.store.down()
 	if !troubled {
@@ -106,7 +106,7 @@
 	}
 }
 
-// trouble has one thing happen.
+// injectFault injects one random fault or change.
 func (s *site) trouble() {
 	m := s.instances[s.rng.IntN(len(s.instances))]
 	if s.rng.IntN(2) == 0 {
@@ -120,7 +120,7 @@
 	case n < 4 && !r.leaving && !r.ended && !s.store.down():
 		s.leave(r, n < 2)
 		if h := s.holder(r.domain); h != nil && s.rng.IntN(2) == 0 {
-			time.Sleep(time.Duration(s.rng.Int64N(int64(400 * time.Millisecond)))) // some know by then
+			time.Sleep(time.Duration(s.rng.Int64N(int64(400 * time.Millisecond)))) // some have learned of it by then
 			s.strike(h, span)
 		}
 	case n < 6 && !s.store.down():
@@ -141,7 +141,7 @@
 	}
 }
 
-// lapse removes the row of a living runner if the store has been away for long enough.
+// lapse removes the row of a living runner if the store has been unavailable for long enough.
 func (s *site) lapse(r *siteRunner) {
 	if now := time.Now(); !r.ended && !r.there.IsZero() && now.Sub(s.away) > 2*siteBeat {
 		r.lapsed = now
@@ -149,7 +149,7 @@
 	}
 }
 
-// comeBack has the store serve everybody. Rows that lapsed are back within two seconds.
+// restoreStore lets the store serve all instances. Expired rows are back within two seconds.
 func (s *site) comeBack() {
 	if s.store.down() {
 		s.lost, s.returned = s.away, time.Now()
@@ -165,7 +165,7 @@
 	}
 }
 
-// strike has an instance start again, stand still, or reach no other for a time.
+// disrupt restarts or pauses an instance, or cuts it off from the others, for a time.
 func (s *site) strike(m *member, span time.Duration) {
 	now := time.Now()
 	switch s.rng.IntN(4) {
@@ -180,7 +180,7 @@
 	}
 }
 
-// holder returns an instance that believes to hold the tenure of a domain.
+// holder returns an instance that believes that it leads a domain.
 func (s *site) holder(domain string) *member {
 	for _, m := range s.instances {
 		if m.holds(domain) {
@@ -190,8 +190,8 @@
 	return nil
 }
 
-// replaceHolders gives the tenures that nobody holds, or whose holder does nothing, to
-// others. Who stood still goes on for a moment before it sees that.
+// replaceLeaders gives the leases of domains whose leader is missing or paused to others. A
+// leader that was paused goes on for a moment before it notices.
 func (s *site) replaceHolders() {
 	now := time.Now()
 	for _, domain := range s.domains {
--- a/internal/instance/gatekeeper/link.go
+++ b/internal/instance/gatekeeper/link.go
@@ -9,43 +9,43 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// A link is how this instance follows the holder of a failure domain's tenure.
+// A link follows the leader of a failure domain and reports this instance's demand to it.
 type link struct {
 	gatekeeper *Gatekeeper
 	domain     string
 	kick       chan struct{}
 
 	mu       sync.Mutex
-	asked    map[gatherer.Key]time.Time // wants that the holder was told of in a hurry
+	asked    map[gatherer.Key]time.Time // when the leader was last sent an urgent request for a copy
 	diverged divergence
-	former   source    // that was told before via
-	fresh    time.Time // when whoever tells last knew the runners as they were, and this instance knew the same
-	heard    time.Time // when the last word of the holder came
+	former   source    // previous source, to which this instance reported before
+	fresh    time.Time // when the source last had current runners that matched this instance's
+	heard    time.Time // when the last update of the leader was received
 	holder   elector.Tenure
-	idle     bool // the last word told of nothing
+	idle     bool // the last report was empty
 	needs    needs
-	passed   time.Time     // when the last word of the holder that came through another instance was said
-	parting  time.Time     // until when former is told as well
-	said     time.Time     // when the last word was told
-	trust    time.Duration // for which whoever tells may not hear the holder before it is followed itself
-	via      source        // that told of the domain last, and is told
+	passed   time.Time     // when the leader sent its last update that arrived through another instance
+	parting  time.Time     // until when this instance also reports to previous
+	said     time.Time     // when the last report was sent
+	trust    time.Duration // how long the source may receive no update from the leader before the leader is followed directly
+	via      source        // source of the last update of the domain; reports go to it
 }
 
 const (
-	// beat is how often the holder is told of work and uses, and tells of them.
-	// The loads of a runner change by about a request in that time.
+	// updateInterval is the interval between reports of load and use to the leader, and between
+	// its updates. The load of a runner changes by about one request in that time.
 	beat = 150 * time.Millisecond
-	// hurryAgain is how long the holder is not told of a want in a hurry again.
+	// hurryAgain is the minimum time between two urgent requests for the same copy.
 	hurryAgain = time.Second
-	// redial is the pause after a link that failed, reask the one before an instance
-	// that had nothing to tell is asked again, and relook the one before it is looked
-	// whether an instance may be asked.
+	// reconnectDelay is the pause after a failed connection, resubscribeDelay the one before a
+	// source that refused or ended a subscription is tried again, and sourcePollInterval the
+	// one between checks whether a source answers.
 	redial = 200 * time.Millisecond
 	reask  = 50 * time.Millisecond
 	relook = 20 * time.Millisecond
 )
 
-// setHolder takes in who holds the tenure.
+// setHolder records the current lease.
 func (l *link) setHolder(t elector.Tenure) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,49 +53,50 @@
 		return
 	}
 	if l.heard.IsZero() && t.Holder != "" && t.Holder != l.self() {
-		l.heard = time.Now() // it has the time to speak before its tenure is looked after
+		l.heard = time.Now() // gives a new leader time to send its first update before the lease counts as vacant
 	}
 	l.holder = t
-	l.gatekeeper.Recorder.Log(recorder.Belief, "msg", "tenure", "domain", l.domain, "holder", t.Holder, "fence", t.Fence)
+	l.gatekeeper.Recorder.Log(recorder.Belief, "msg", "leader changed", "domain", l.domain, "holder", t.Holder, "fence", t.Fence)
 }
 
-// orderer returns the holder, which orders in the domain, and who tells this instance of it; ok
-// is false if the holder is not to be asked, as nothing is heard of it.
+// orderer returns the leader, which sends orders in the domain, and the source of its updates;
+// ok is false if the leader is not to be called, as no recent update was received from it.
 func (l *link) orderer() (holder, via source, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return sourceOf(l.holder), l.via, l.holder.Holder != "" && time.Since(l.heard) <= unheard
 }
 
-// setMembers takes in how many instances there are.
+// setMembers records the number of instances.
 func (l *link) setMembers(members int) {
 	g := l.gatekeeper
 	before := g.headcount.told()
 	g.headcount.tell(members, time.Now())
 	after := g.headcount.told()
-	if max(before, after) > 2*min(before, after) { // an instance more or less of hundreds changes little
+	if max(before, after) > 2*min(before, after) { // the count need not be exact: small changes matter little
 		g.Recorder.Log(recorder.Belief, "msg", "members", "count", after)
 	}
 }
 
 func (l *link) self() string { return l.gatekeeper.Config.ID }
 
-// silence returns how long nothing was heard from the holder.
+// silence returns the time since the last update of the leader.
 func (l *link) silence() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Since(l.heard)
 }
 
-// stale returns how long ago the holder knew the runners as they were.
+// sinceFresh returns how long ago the leader's view of the runners was last known to be
+// current.
 func (l *link) stale() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Since(l.fresh)
 }
 
-// told reports whether the holders of all domains tell this instance what
-// changes, so that it need not ask the store itself.
+// runnersPublished reports whether the leaders of all domains publish current runners to this
+// instance, so that it need not poll the store itself.
 func (g *Gatekeeper) told() bool {
 	if g.holdsAny() {
 		return false
@@ -108,5 +109,5 @@
 	return true
 }
 
-// Members returns how many instances there are, as far as is known.
+// Members returns the number of instances, as far as known.
 func (g *Gatekeeper) Members() int { return g.headcount.get() }
--- a/internal/instance/gatekeeper/link_test.go
+++ b/internal/instance/gatekeeper/link_test.go
@@ -30,35 +30,33 @@
 	return g
 }
 
-// The store turns the holder of the tenure away and serves everybody else. The
-// holder goes on telling its members, but of runners as they were. A runner
-// leaves, and its members send requests to it for as long as they believe that
-// they are told: they must ask the store themselves.
+// The store rejects the leader and serves everybody else, and the leader goes on publishing
+// outdated runners. Guards against members that rely on it: when a runner leaves, they would
+// send requests to it until they poll the store themselves.
 func TestNewsOfAHolderWithoutTheStoreIsNotBelieved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		l := g.links["a"]
 		l.take(relayer.News{Fresh: true, Tenure: elector.Tenure{Holder: "front-1", Fence: 1}, Renewal: 5})
 		if !g.told() {
-			t.Fatal("fresh news is not believed")
+			t.Fatal("does not rely on a fresh update")
 		}
 		for range 5 {
 			time.Sleep(beat)
 			l.take(relayer.News{})
 		}
 		if l.silence() > unheard {
-			t.Fatal("the holder is silent; the test shows nothing")
+			t.Fatal("no update from the leader; the test proves nothing")
 		}
 		if g.told() {
-			t.Error("believes a holder that has not reached the store")
+			t.Error("relies on a leader that has not reached the store")
 		}
 	})
 }
 
-// The store turns a holder away, and a runner registers meanwhile. A member that
-// reads the store itself knows it; when its link to the holder is made anew it is told
-// of all runners as they were. It must not drop the new one, or refuse what only that
-// one could take.
+// The store rejects a leader, and a runner registers meanwhile. A member that reads the store
+// itself knows it, and receives an older snapshot when it reconnects to the leader. Guards
+// against dropping the new runner, or refusing what only that one could take.
 func TestOldNewsOfAllRunnersDropsNone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
@@ -69,19 +67,18 @@
 		g.setRunner(tracker.Runner{ID: "i-2", Domain: "a", Service: "llm", Revision: 2}, fromStore)
 		l.take(relayer.News{Revision: 1, Whole: true, Runners: []tracker.Runner{old}})
 		if _, there := g.Fleet.Get("i-2"); !there {
-			t.Error("a runner was dropped that the holder could not know")
+			t.Error("a runner was dropped that the leader could not know")
 		}
 		l.take(relayer.News{Fresh: true, Revision: 2, Whole: true, Runners: []tracker.Runner{old}})
 		if _, there := g.Fleet.Get("i-2"); there {
-			t.Error("a runner is kept that is gone")
+			t.Error("a runner that is gone was kept")
 		}
 	})
 }
 
-// An instance starts again and takes its tenure over before it has read the runners,
-// as the store is slow. Whatever it told its members of them would be that there are
-// none: they dropped all runners of the domain and refused every request, until each
-// runner had written its row anew.
+// An instance restarts and acquires its lease before it has read the runners, as the store is
+// slow. Guards against a snapshot without runners: the members dropped all runners of the
+// domain and refused every request, until each runner had written its row again.
 func TestHolderTellsNothingBeforeItKnowsTheRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, _ := newFedGatekeeper()
@@ -90,16 +87,15 @@
 		err := g.Answer(t.Context(), heartbeater.Instance{ID: "front-1", Domain: "a"}, relayer.Subscribe{Domain: "a"}, nil)
 		var refused *judge.Error
 		if !errors.As(err, &refused) || refused.Reason != judge.ReasonStarting {
-			t.Errorf("got %v, want a refusal as it is starting", err)
+			t.Errorf("got %v, want a refusal because the instance is starting", err)
 		}
 	})
 }
 
-// The store is away for longer than a lease; no other instance of the domain
-// lives to take the tenure over. Its holder must see that nobody gives orders,
-// itself included, and take it again when the store is back. Taking its own name
-// in the row for a sign of life, it left its callers without further adapters
-// for good.
+// The store is unavailable for longer than a lease, and no other instance of the domain is
+// alive to take over. The leader must see that the lease is vacant and acquire it again when
+// the store is back. When it took its own name in the row for a sign of life, its callers got
+// no further adapters for good.
 func TestHolderWhoseTenureRanOutSeesThatItIsVacant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
@@ -109,15 +105,15 @@
 		go l.speak(ctx)
 		time.Sleep(2 * quietDomain)
 		if !g.controllers["a"].vacant() {
-			t.Error("believes that the tenure is held")
+			t.Error("an expired lease does not count as vacant")
 		}
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// The same holder tells a new member of a runner that the member itself has seen
-// leave the store. Requests must not go there again.
+// A leader that the store rejects publishes a runner that the member has seen removed from the
+// store. Requests must not go there again.
 func TestRunnerThatIsGoneIsNotBroughtBackByOldNews(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
@@ -126,19 +122,18 @@
 		g.Fleet.Remove("i-1", 9)
 		g.links["a"].take(relayer.News{Whole: true, Runners: []tracker.Runner{old}})
 		if _, there := g.Fleet.Get("i-1"); there {
-			t.Error("a runner that is gone is back")
+			t.Error("a removed runner is known again")
 		}
-		old.Revision = 12 // it has registered again
+		old.Revision = 12 // the runner has registered again
 		g.setRunner(old, fromStore)
 		if _, there := g.Fleet.Get("i-1"); !there {
-			t.Error("a runner that registered again is not there")
+			t.Error("a runner that registered again is not known")
 		}
 	})
 }
 
-// Between two tellings of loads a member hears of other changes. It must not
-// take their silence about loads for idle runners, or it would send all its
-// requests to the busiest one.
+// Between two updates with loads a member receives other changes. It must not take the missing
+// loads for idle runners, or it would send all its requests to the busiest one.
 func TestNewsWithoutLoadsLeavesThemAsTheyWere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
@@ -148,7 +143,7 @@
 		l.take(relayer.News{Whole: true, Runners: []tracker.Runner{runner}, Loaded: true, Loads: map[string]tracker.Load{"i-1": {Running: 7}}})
 		l.take(relayer.News{})
 		if n := running(); n != 7 {
-			t.Errorf("%d requests of others, want 7", n)
+			t.Errorf("%d requests of others after an update without loads, want 7", n)
 		}
 		l.take(relayer.News{Loaded: true})
 		if n := running(); n != 0 {
@@ -157,8 +152,8 @@
 	})
 }
 
-// The store turns an instance away for a while. Each call is paid for, so the
-// pause between them grows; the first answer ends it.
+// The store rejects an instance for a while. Each call is billed, so the pause between them
+// grows; the first success resets it.
 func TestPauseAfterFailedCallsGrows(t *testing.T) {
 	failed := newPauses()
 	var got []time.Duration
@@ -171,9 +166,9 @@
 	}
 }
 
-// All instances start together. Each looks at once after the tenure of its own
-// domain; the others' have instances of their own, and asking for them as well
-// only costs, unless nobody takes them for a while.
+// All instances start together. Each tries to acquire the lease of its own domain at once; the
+// other domains have instances of their own, and trying for theirs too only costs calls, unless
+// they stay without a leader for a while.
 func TestAtAStartOnlyTheOwnTenureIsLookedAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
@@ -192,10 +187,9 @@
 	})
 }
 
-// The holder of a tenure dies. Whoever takes it over must not order before the
-// quiet time that the settings ask for, counted from when the old lease has run
-// out: the old holder may have ordered until then, and a runner that checks no
-// fencing numbers would take turns between the two.
+// A leader fails. The next one must not send orders before the configured quiet time is over,
+// counted from the end of the old lease: the old leader may have sent orders until then, and a
+// runner that does not check fencing tokens would execute the orders of both in turn.
 func TestNewHolderKeepsTheQuietTimeOfTheSettings(t *testing.T) {
 	g := newTestGatekeeper()
 	g.Config.Bounds.Quiet = 3 * time.Second
@@ -211,7 +205,7 @@
 			break
 		}
 		if now += step; now > began+time.Minute {
-			t.Fatal("never takes over")
+			t.Fatal("the lease is never taken over")
 		}
 	}
 	for {
@@ -224,6 +218,6 @@
 		now += step
 	}
 	if quiet := now - began - lease; quiet < g.Config.Bounds.Quiet || quiet > 3*g.Config.Bounds.Quiet {
-		t.Errorf("orders %s after the old lease has run out, want %s or a little more", quiet, g.Config.Bounds.Quiet)
+		t.Errorf("orders %s after the end of the old lease, want %s or a little more", quiet, g.Config.Bounds.Quiet)
 	}
 }
--- a/internal/instance/gatekeeper/moment.go
+++ b/internal/instance/gatekeeper/moment.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// A moment is a time that several goroutines may set and read. It keeps the
-// reading of the steady clock: a time that is stored as a number of seconds does
-// not, and when the time of day is set back, what is long past looks new.
+// A moment is a time that several goroutines may set and read. It keeps the monotonic clock
+// reading: a time stored as a number of seconds does not, and when the wall clock is set back,
+// a time long past looks recent.
 type moment struct{ at atomic.Pointer[time.Time] }
 
 func (m *moment) set(t time.Time) { m.at.Store(&t) }
--- a/internal/instance/gatekeeper/moment_test.go
+++ b/internal/instance/gatekeeper/moment_test.go
@@ -6,10 +6,9 @@
 	"time"
 )
 
-// The time of day is set back by seconds while the store turns the holder away.
-// Measured by the time of day, its knowledge of the runners looks fresh for as
-// long again, and its members send requests to runners that have left. A time
-// that keeps the reading of the steady clock is not moved by that.
+// The wall clock is set back by seconds while the store rejects the leader. Measured by it, the
+// leader's view of the runners looks fresh for as long again, and its members send requests to
+// runners that have left. Guards against moments that lose the monotonic clock reading.
 func TestMomentsDoNotFollowTheTimeOfDay(t *testing.T) {
 	var m moment
 	if _, ok := m.get(); ok {
@@ -19,9 +18,9 @@
 	m.set(now)
 	got, ok := m.get()
 	if !ok || got != now {
-		t.Errorf("got %v, want %v with its steady reading", got, now)
+		t.Errorf("got %v, want %v with its monotonic reading", got, now)
 	}
-	if text := got.String(); !strings.Contains(text, " m=") { // how a time shows its steady reading
-		t.Errorf("%s has lost its steady reading", text)
+	if text := got.String(); !strings.Contains(text, " m=") { // how a time shows its monotonic reading
+		t.Errorf("%s has lost its monotonic reading", text)
 	}
 }
--- a/internal/instance/gatekeeper/news.go
+++ b/internal/instance/gatekeeper/news.go
@@ -11,23 +11,23 @@
 )
 
 const (
-	// newsEvery is how often a member of the domain is told what has changed. A
-	// copy on its way is known well before it has arrived.
+	// changeInterval is how often changes are sent to members of the domain. A copy being
+	// loaded is announced well before it has arrived.
 	newsEvery = 50 * time.Millisecond
-	// farNewsEvery is the same for members of other failure domains, and farBeat
-	// how often they are told of loads, or that nothing has changed. They send few
-	// requests here, and bytes between domains are paid for: told as often as
-	// members, news were half of them.
+	// farChangeInterval is the same for members of other failure domains, and farUpdateInterval
+	// how often they are sent loads, or that nothing has changed. They send few requests here,
+	// and traffic between domains is billed: at the rate of the domain's own members, these
+	// updates were half of the bytes.
 	farNewsEvery = 150 * time.Millisecond
-	// passedEvery is how often a member is told of another failure domain by the
-	// holder of its own one. That holder is told as soon as a member of the domain
-	// itself, so that members know no later than by farNewsEvery.
+	// relayedChangeInterval is how often the leader of a member's own domain sends it the
+	// changes of another domain. That leader itself receives them as often as a member of the
+	// other domain, so that members learn of them no later than by farChangeInterval.
 	passedEvery = 100 * time.Millisecond
 	farBeat     = 250 * time.Millisecond
 )
 
-// Answer implements relayer.Handler: a member subscribes to the news of a
-// domain.
+// Answer implements relayer.Handler. It handles subscriptions, reservations, requests for a
+// request slot and settlements of quotas.
 func (g *Gatekeeper) Answer(ctx context.Context, from heartbeater.Instance, m relayer.Message, reply *relayer.Reply) error {
 	return g.answer(ctx, from, m, reply)
 }
@@ -50,9 +50,10 @@
 			return judge.Refuse(judge.ReasonOwner, "nothing of %s is told here", m.Domain)
 		}
 		if _, known := g.runners.firsthand(); !known {
-			// It may hold the tenure already, under the name that it had before a restart.
-			// Members would take its silence about runners for their end, drop them all and
-			// refuse every request. They ask again in 200 ms and keep what they know.
+			// This instance may have the lease already, under the name that it had before a
+			// restart. Members would take an update without runners for their removal, drop
+			// them all and refuse every request. They retry within 200 ms and keep what they
+			// know.
 			return judge.Refuse(judge.ReasonStarting, "the runners are not known here yet")
 		}
 		return d.publish(ctx, from, m, reply)
@@ -73,7 +74,7 @@
 	}
 }
 
-// held returns the controller of a domain whose tenure is held here.
+// held returns the controller of a domain that this instance leads.
 func (g *Gatekeeper) held(domain string) (*controller, error) {
 	d, ok := g.controllers[domain]
 	if !ok || !d.holds() {
@@ -82,23 +83,23 @@
 	return d, nil
 }
 
-// Heard implements relayer.Handler. Members show by their demands that they
-// live.
+// Heard implements relayer.Handler. It ignores heartbeats: the demand that members report shows
+// that they are alive.
 func (g *Gatekeeper) Heard(heartbeater.Instance, relayer.Beat) {}
 
-// tells reports whether members are told of the domain here: by its holder, or by
-// that of another domain, which passes on what it is told.
+// publishes reports whether this instance publishes updates of the domain: as its leader, or as
+// the leader of another domain, which relays what it receives.
 func (d *controller) tells() bool {
 	return !d.gatekeeper.Leaving() && (d.holds() || d.gatekeeper.holdsAny())
 }
 
-// A pace is how often a member is told of a domain.
+// publishIntervals are the intervals between updates of a domain.
 type pace struct {
-	changes time.Duration // what has changed
-	loads   time.Duration // loads, or that nothing has changed
+	changes time.Duration // between changes
+	loads   time.Duration // between loads, or updates without changes
 }
 
-// pace returns how often a member is told.
+// intervals returns how often a member is sent updates.
 func (d *controller) pace(member heartbeater.Instance, s relayer.Subscribe) pace {
 	switch {
 	case s.Passes, member.Domain == d.domain:
@@ -110,13 +111,13 @@
 	}
 }
 
-// publish tells a member what changes until one of the two leaves or the tenure
-// ends.
+// publish sends updates to a member until either of the two stops or the domain is no longer
+// published here.
 func (d *controller) publish(ctx context.Context, member heartbeater.Instance, s relayer.Subscribe, reply replier) error {
 	defer d.followed()()
 	pace := d.pace(member, s)
 	number, told := -1, time.Time{}
-	crashes := 0 // up to which change of the ledger the member was told
+	crashes := 0 // last change of the ledger that was sent
 	fence := d.fence()
 	ticker := time.NewTicker(pace.changes)
 	defer ticker.Stop()
@@ -147,7 +148,8 @@
 	}
 }
 
-// lastWord ends the news. It tells if the tenure was given up since it was told of.
+// endStream ends a subscription. It reports if this instance has stepped down since the
+// subscription began.
 func (d *controller) lastWord(reply replier, fence uint64) error {
 	d.mu.Lock()
 	ended := d.ended
@@ -166,8 +168,8 @@
 	return d.elector.Holder().Fence
 }
 
-// digest returns what a member has not been told, and the number to go on from.
-// due says whether loads are to be told.
+// digest returns the changes since a sequence number as an update for a member, and the next
+// sequence number. due says whether to include the loads.
 func (d *controller) digest(member string, number int, due bool) (news relayer.News, next int, changed bool) {
 	now := time.Now()
 	d.mu.Lock()
@@ -198,7 +200,7 @@
 	return news, d.news.end(), len(events) > 0
 }
 
-// tellHeld fills in what this instance knows as the holder of the domain.
+// addLeaderState adds what this instance knows as the leader of the domain.
 func (d *controller) tellHeld(news *relayer.News, member string, due bool, now time.Time) {
 	if due {
 		news.Loads, news.Members = d.others(member, now), d.count(now)
@@ -213,7 +215,7 @@
 	news.Tenure = d.elector.Holder()
 }
 
-// tellReach returns over which span the store was reached.
+// reachableSpan returns the span during which the store was reachable.
 func (g *Gatekeeper) tellReach(now time.Time) relayer.Span {
 	first, last, ok := g.storeUp.reached(now)
 	if !ok {
@@ -222,8 +224,8 @@
 	return relayer.Span{First: now.Sub(first), Last: now.Sub(last)}
 }
 
-// tellOperator returns up to which row, and as of when, this instance knows the
-// operator's rows.
+// operatorVersion returns the newest version of the operator's rows that this instance knows,
+// and how long ago it was confirmed to be the newest.
 func (g *Gatekeeper) tellOperator(now time.Time) relayer.Known {
 	newest, age, ok := g.operator.tell(now)
 	if !ok {
@@ -232,14 +234,14 @@
 	return relayer.Known{Newest: newest, Age: age.Round(time.Millisecond)}
 }
 
-// whole fills news with all that is known.
+// addSnapshot fills in a snapshot of the domain.
 func (d *controller) whole(news *relayer.News, now time.Time) {
 	news.Whole = true
 	for _, c := range d.runners {
 		r := c.runner
 		held, wait := d.standing(c)
 		if len(held) > 0 {
-			r.Adapters = nil // what it told itself is older
+			r.Adapters = nil // the list from its own row is older
 		}
 		news.Runners = append(news.Runners, r)
 		news.Rooms = append(news.Rooms, relayer.Room{Runner: r.ID, Wait: wait})
@@ -249,8 +251,8 @@
 	}
 }
 
-// in returns the time until the copy can be used, in place of a time of this
-// instance's clock; negative if it is not there.
+// delay returns the time until the copy is usable, as clocks differ between instances; negative
+// if the runner does not hold it.
 func (h heldEvent) in(now time.Time) time.Duration {
 	if !h.there {
 		return -1
--- a/internal/instance/gatekeeper/pass.go
+++ b/internal/instance/gatekeeper/pass.go
@@ -9,26 +9,26 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// An instance that holds a tenure passes on, to the instances of its own failure
-// domain, what the holders of the others tell it, and tells each of those the sum of
-// what its instances need. So between two failure domains there is one stream each
-// way, however many instances they have.
+// A leader relays to the instances of its own failure domain the updates that it receives from
+// the leaders of the others, and reports to each of those the sum of the demand of its
+// instances. So between two failure domains there is one stream each way, however many
+// instances they have.
 //
-// What passes is whole and each instance passes on only what a holder told it
-// itself: a word goes over one instance at the most.
+// Updates are relayed complete, and each instance relays only what it received directly from a
+// leader: there is at most one relay on the way.
 
-// A retold is what the holder of another failure domain told last.
+// A retold is the state that the leader of another failure domain published last.
 type retold struct {
 	acting  bool
-	back    time.Duration // that an adapter takes which the runner held before
+	back    time.Duration // load time of an adapter that the runner held before
 	line    time.Duration
-	load    time.Duration           // that one takes from the weight store
-	loads   map[string]tracker.Load // of those who do not tell through this instance
+	load    time.Duration           // load time of an adapter from the weight store
+	loads   map[string]tracker.Load // of the instances that do not report through this one
 	members int
 }
 
-// hear takes in what a holder told, for those who are told of the domain by this
-// instance.
+// recordUpdate records an update of the leader, for the instances to which this one relays the
+// domain.
 func (d *controller) hear(n relayer.News, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,7 +54,7 @@
 	}
 }
 
-// followed counts a member in that is told of the domain, until done.
+// addFollower counts a member that follows the domain here, until done is called.
 func (d *controller) followed() (done func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,7 +66,7 @@
 	}
 }
 
-// retell fills in what the holder of the domain told last.
+// addRelayedState adds the state that the leader of the domain published last.
 func (d *controller) retell(news *relayer.News, member string, due bool, now time.Time) {
 	l := d.gatekeeper.links[d.domain]
 	news.Tenure = d.elector.Holder()
@@ -87,24 +87,25 @@
 	news.Members = d.heard.members
 }
 
-// passed returns the sum of what is passed on to the holder of the domain.
+// relayedDemand returns the sum of the demand that is relayed to the leader of the domain.
 func (d *controller) passed(now time.Time) gatherer.Word {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.gather.Drop(d.gatekeeper.Config.ID) // told while the tenure was held here
+	d.gather.Drop(d.gatekeeper.Config.ID) // recorded while this instance was leader
 	d.gather.Expire(now)
 	return d.gather.Word()
 }
 
-// passedLoads returns the work that is passed on to the holder of the domain.
+// relayedLoads returns the load that is relayed to the leader of the domain.
 func (d *controller) passedLoads(now time.Time) map[string]tracker.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.others(d.gatekeeper.Config.ID, now)
 }
 
-// mute reports whether news is of a domain whose holder the sender does not hear. It
-// tells only which runners there are, which the sender reads from the store itself.
+// lacksLeaderState reports whether an update carries no leader state, as its sender receives no
+// updates from the domain's leader. It only lists the runners, which the sender reads from the
+// store itself.
 func mute(n relayer.News) bool { return n.Silence > unheard }
 
 func addLoads(sum, more map[string]tracker.Load) {
@@ -113,8 +114,8 @@
 	}
 }
 
-// pass takes in what a member saw, to be told to the holder with this instance's own
-// next word; at once where the member told it at once.
+// pass merges a member's demand into this instance's next report to the leader, which is sent
+// at once if the member's demand is urgent.
 func (l *link) pass(demand relayer.Demand) {
 	now := time.Now()
 	l.mu.Lock()
@@ -141,16 +142,16 @@
 	}
 }
 
-// freed hurries where the last use of a copy that is passed on has ended and others
-// wait for its place.
+// freed requests an urgent report when the last use of a relayed copy has ended and others wait
+// for its adapter slot.
 func (d *controller) freed(k gatherer.Key) {
 	if d.acting == 0 && d.gatekeeper.Fleet.Tight(k.Runner) {
 		d.gatekeeper.links[d.domain].hurry()
 	}
 }
 
-// standing returns how the copies of a runner stand, and how long one that it does
-// not hold waits for a place.
+// standing returns which copies a runner holds and from when on, and how long a copy that it
+// does not hold waits for an adapter slot.
 func (d *controller) standing(c *runnerState) (map[placer.Copy]time.Time, time.Duration) {
 	if d.elector.Holds(uptime()) {
 		return c.told, c.wait
--- a/internal/instance/gatekeeper/pass_test.go
+++ b/internal/instance/gatekeeper/pass_test.go
@@ -18,11 +18,11 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/pooler"
 )
 
-// A chain is a holder of domain b, a holder of domain a, and a member of a that is
-// told of b by the holder of its own domain. Words pass when the test says so.
+// A chain is a leader of domain b, a leader of domain a that relays, and a member of a that
+// receives updates of b from it. Messages are delivered by calls of the test.
 type chain struct {
 	holder, passer, member *Gatekeeper
-	toPasser, toMember     int // up to where each was told
+	toPasser, toMember     int // sequence number up to which each received the changes
 }
 
 func newChain() *chain {
@@ -52,8 +52,8 @@
 	}
 }
 
-// hear passes the holder's news on to the passer, and retell that of the passer on to
-// the member.
+// leaderToRelay delivers an update of the leader to the relay, and relayToMember one of the
+// relay to the member.
 func (c *chain) hear() {
 	news, next, _ := c.holder.controllers["b"].digest("a-1", c.toPasser, true)
 	c.toPasser = next
@@ -71,8 +71,8 @@
 	l.take(news)
 }
 
-// speak passes the member's needs on to the passer, and pass those that the passer
-// has gathered on to the holder.
+// memberToRelay delivers the member's report to the relay, and relayToLeader the sums of the
+// relay to the leader.
 func (c *chain) speak() {
 	c.passer.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
 }
@@ -89,10 +89,10 @@
 	}
 }
 
-// A caller's request uses a copy in another failure domain, and its instance tells the
-// holder there through the holder of its own domain. The copy must stay for as long as
-// the request runs, and its place must come free afterwards, whoever has died or
-// missed a word meanwhile.
+// A request uses a copy in another failure domain, and its instance reports that to the leader
+// there through the leader of its own domain. The copy must stay as long as the request runs,
+// and its slot must become free afterwards, whichever instance has failed or missed a message
+// meanwhile.
 func TestUsesArePassedOn(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -103,10 +103,10 @@
 			c.speak()
 			c.pass()
 		}, 1},
-		{"room was asked for, and neither word has come yet", func(c *chain, _ func()) {
+		{"a slot was reserved, and neither report has arrived yet", func(c *chain, _ func()) {
 			c.holder.controllers["b"].used("a-1", chained)
 		}, 1},
-		{"room was asked for, and both words have come", func(c *chain, _ func()) {
+		{"a slot was reserved, and both reports have arrived", func(c *chain, _ func()) {
 			c.holder.controllers["b"].used("a-1", chained)
 			c.speak()
 			c.pass()
@@ -118,7 +118,7 @@
 			c.speak()
 			c.pass()
 		}, 0},
-		{"ends, and that word is lost", func(c *chain, done func()) {
+		{"ends, and that report is lost", func(c *chain, done func()) {
 			c.speak()
 			c.pass()
 			done()
@@ -126,13 +126,13 @@
 			c.speak()
 			c.pass()
 		}, 0},
-		{"goes on while the passer misses a word", func(c *chain, _ func()) {
+		{"goes on while the relay misses a report", func(c *chain, _ func()) {
 			c.speak()
 			c.pass()
 			time.Sleep(silent / 2)
 			c.pass()
 		}, 1},
-		{"the member dies", func(c *chain, _ func()) {
+		{"the member fails", func(c *chain, _ func()) {
 			c.speak()
 			c.pass()
 			for range 30 {
@@ -140,20 +140,20 @@
 				c.pass()
 			}
 		}, 0},
-		{"the passer dies", func(c *chain, _ func()) {
+		{"the relay fails", func(c *chain, _ func()) {
 			c.speak()
 			c.pass()
 			time.Sleep(silent + time.Second)
 			c.holder.controllers["b"].others("", time.Now())
 		}, 0},
-		{"the passer loses its tenure, and the member has not noticed", func(c *chain, _ func()) {
+		{"the relay loses its lease, and the member has not noticed", func(c *chain, _ func()) {
 			c.speak()
 			c.pass()
 			c.passer.controllers["a"].elector.Leave(uptime())
 			c.speak()
 			c.pass()
 		}, 1},
-		{"the passer loses its tenure, and the member tells the holder itself", func(c *chain, _ func()) {
+		{"the relay loses its lease, and the member reports to the leader itself", func(c *chain, _ func()) {
 			c.speak()
 			c.pass()
 			c.passer.controllers["a"].elector.Leave(uptime())
@@ -161,7 +161,7 @@
 			c.passer.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Parted: true})
 			c.pass()
 		}, 1},
-		{"the member told the holder itself before, and has parted since", func(c *chain, done func()) {
+		{"the member reported to the leader itself before, and has unsubscribed since", func(c *chain, done func()) {
 			c.holder.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
 			c.speak()
 			c.pass()
@@ -184,9 +184,8 @@
 	}
 }
 
-// The members of a domain choose a runner of another one. Told of the work of all
-// others there, their own included or left out twice, they would all send to the
-// same runner or none.
+// The members of a domain choose a runner of another one by the loads of all others there. With
+// their own load left out, or counted twice, they would all send to the same runner or to none.
 func TestLoadsOfAllOthersAreRetold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
@@ -207,8 +206,8 @@
 		running := func(g *Gatekeeper) int {
 			return g.Fleet.Candidates(tracker.Demand{Service: "llm"}, time.Now())[0].Running
 		}
-		got := map[string]int{"passer": running(c.passer), "member": running(c.member), "holder": c.holder.controllers["b"].gather.Loads("")["i-1"].Running}
-		if diff := cmp.Diff(map[string]int{"passer": 113, "member": 113, "holder": 113}, got); diff != "" {
+		got := map[string]int{"relay": running(c.passer), "member": running(c.member), "leader": c.holder.controllers["b"].gather.Loads("")["i-1"].Running}
+		if diff := cmp.Diff(map[string]int{"relay": 113, "member": 113, "leader": 113}, got); diff != "" {
 			t.Error(diff)
 		}
 		if got := c.member.headcount.told(); got != 4 {
@@ -217,8 +216,8 @@
 	})
 }
 
-// A copy arrives at a runner of another failure domain, and makes way again. Members
-// that are not told of either send requests there in vain, or fetch it once more.
+// A copy is loaded at a runner of another failure domain, and evicted again. Members that learn
+// of neither send requests there in vain, or load it once more.
 func TestWhatRunnersHoldIsRetold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
@@ -234,30 +233,31 @@
 		c.holder.controllers["b"].news.add(event{held: &heldEvent{runner: "i-1", copy: chained.Copy, at: at, there: true}})
 		c.hear()
 		c.retell()
-		c.hear() // in case the first word was one of all there is
+		c.hear() // in case the first update was a snapshot
 		c.retell()
 		c.holder.controllers["b"].news.add(event{held: &heldEvent{runner: "i-1", copy: chained.Copy, at: at, there: true}})
 		c.holder.controllers["b"].news.add(event{room: &roomEvent{runner: "i-1", wait: time.Second}})
 		c.hear()
 		c.retell()
 		if !holds() {
-			t.Error("not told of a copy")
+			t.Error("a new copy was not relayed")
 		}
 		if !c.member.Fleet.Tight("i-1") {
-			t.Error("not told that a place is waited for")
+			t.Error("a wait for a slot was not relayed")
 		}
 		c.holder.controllers["b"].news.add(event{held: &heldEvent{runner: "i-1", copy: chained.Copy}})
 		c.hear()
 		c.retell()
 		if holds() {
-			t.Error("not told that the copy is gone")
+			t.Error("the eviction of the copy was not relayed")
 		}
 	})
 }
 
-// The holder of another domain dies. The instance that passes its words on lives, and
-// must not pass for it: members would wait for adapters that nobody orders. That
-// runners come and go is told all the same, as it is read from the store here.
+// The leader of another domain fails while the instance that relays its updates lives. Guards
+// against members that take the relay's updates for the leader's: they would wait for adapters
+// that nobody loads. Runners that come and go are published all the same, as the relay reads
+// them from the store.
 func TestSilenceOfAHolderIsNotHiddenByWhoeverPassesItsWordsOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
@@ -265,7 +265,7 @@
 		c.hear()
 		c.retell()
 		if c.member.links["b"].silence() > 0 {
-			t.Fatal("the holder is silent; the test shows nothing")
+			t.Fatal("no update from the leader; the test proves nothing")
 		}
 		c.passer.setRunner(tracker.Runner{ID: "i-9", Domain: "b", Service: "llm", Revision: 9}, fromStore)
 		for range int((passTrust+passSpread)/beat) + 2 {
@@ -274,24 +274,24 @@
 			c.retell()
 		}
 		if silence := c.member.links["b"].silence(); silence < unheard {
-			t.Errorf("a silent holder was heard %s ago", silence)
+			t.Errorf("the last update of a failed leader was received %s ago", silence)
 		}
 		if _, ok := c.member.links["b"].direct(); !ok {
-			t.Error("does not ask the holder itself")
+			t.Error("does not follow the leader directly")
 		}
 		if _, known := c.member.Fleet.Get("i-9"); !known {
-			t.Error("not told of a new runner")
+			t.Error("a new runner was not relayed")
 		}
 		if c.member.links["b"].stale() > beat {
-			t.Error("the runners count as not known, and each member would ask the store")
+			t.Error("the runners count as not current, and each member would poll the store")
 		}
 	})
 }
 
-// Requests of a member begin and end while words are lost and late, and while the
-// instance that passes them on stands still, loses its tenure or starts again. Once
-// all has been calm for a while, what the holder counts is what is in use; and at no
-// time is a copy free that a request has used for longer than words take.
+// Requests of a member begin and end while messages are lost and late, and while the relay is
+// paused, loses its lease or restarts. Guards against a leader that counts uses that have ended
+// once all has been quiet for a while, or a copy as free that a request has used for longer
+// than reports take.
 func TestUsesSurviveWhoeverPassesThemOn(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
@@ -305,7 +305,7 @@
 	c.addRunner()
 	var running []func()
 	frozen, direct := time.Time{}, false
-	used := time.Now() // since when the copy has been in use
+	used := time.Now() // start of the current use
 	for range 400 {
 		now := time.Now()
 		switch n := rng.IntN(40); {
@@ -324,7 +324,7 @@
 			running = running[1:]
 		case n == 6:
 			frozen = now.Add(time.Duration(rng.Int64N(int64(5 * time.Second))))
-		case n == 7: // it starts again, and knows nothing
+		case n == 7: // restart without state
 			c.passer = newChained("a-1", "a")
 			c.passer.links["a"].setHolder(elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1})
 			hold(c.passer, "a")
@@ -333,7 +333,7 @@
 		}
 		away := now.Before(frozen)
 		if !direct && away && frozen.Sub(now) > unheard {
-			direct = true // its silence shows within that time
+			direct = true // the missing updates are detected within that time
 		}
 		if direct && !away {
 			direct = false
--- a/internal/instance/gatekeeper/peers.go
+++ b/internal/instance/gatekeeper/peers.go
@@ -9,22 +9,23 @@
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 )
 
-// Peers are the links to other instances.
+// Peers manages the connections to other instances.
 type Peers interface {
-	// Cut ends the link to an address.
+	// Cut closes the connection to an address.
 	Cut(address string)
-	// Linked reports whether there is a link to an address now, and an identity of it.
+	// Linked reports whether there is a connection to an address now, and returns an identity
+	// of it.
 	Linked(address string) (link any, ok bool)
-	// Open begins a conversation. If it returns an error the peer has not seen the
-	// message.
+	// Open sends a request and returns the conversation that answers it. If it returns an error
+	// the peer has not received the request.
 	Open(ctx context.Context, address string, m relayer.Message) (Conversation, error)
-	// Serve takes a link from a peer.
+	// Serve accepts a connection from a peer.
 	Serve(c *fasthttp.RequestCtx)
-	// Tell sends a message that wants no answer.
+	// Tell sends a message that is not answered.
 	Tell(ctx context.Context, address string, m relayer.Message) error
 }
 
-// A Conversation is what a peer answers to one message.
+// A Conversation is a stream of answers to one request.
 type Conversation interface {
 	// Close ends the conversation.
 	Close()
@@ -32,8 +33,8 @@
 	Next(ctx context.Context) (relayer.Message, error)
 }
 
-// askPeer asks a peer and returns the first message of its answer, and the conversation, which
-// the caller closes.
+// askPeer sends a request to a peer and returns the first message of its answer, and the
+// conversation, which the caller closes.
 func (g *Gatekeeper) askPeer(ctx context.Context, address string, m relayer.Message, timeout time.Duration) (Conversation, relayer.Message, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -49,15 +50,15 @@
 	return conversation, message, nil
 }
 
-// A replier takes the answer to a message of a peer.
+// A replier sends the answer to a request of a peer.
 type replier interface {
-	// Finish sends a message that ends the answer by itself.
+	// Finish sends a message that completes the answer.
 	Finish(m relayer.Message) error
 	// Send sends one message of the answer.
 	Send(m relayer.Message) error
 }
 
-// A Linker is the links of a mesh.
+// A Linker implements Peers with a mesh.
 type Linker struct{ *relayer.Mesh }
 
 // Open implements Peers.
--- a/internal/instance/gatekeeper/reach.go
+++ b/internal/instance/gatekeeper/reach.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// A reach is the span over which something was reached without a break. Its zero value is
-// ready.
+// reachability is the span during which a dependency was reachable without interruption. Its
+// zero value is ready.
 type reach struct {
 	first time.Time
 	last  time.Time
 }
 
-// briefBreak is how long the store may not be reached without that any row lapses: rows of
-// runners stay for longer without a heartbeat.
+// maxGap is how long the store may be unreachable without any row expiring: rows of runners
+// stay for longer without a heartbeat.
 const briefBreak = 2 * time.Second
 
-// seen takes in that it was reached from one time to another.
+// observe records that the dependency was reachable from one time to another.
 func (r *reach) seen(from, to time.Time) {
 	switch {
 	case r.first.IsZero(), from.Sub(r.last) > briefBreak:
 		r.first, r.last = from, to
 		return
 	case r.first.Sub(to) > briefBreak:
-		return // told late: a span from before the break
+		return // a late report of a span before the interruption
 	}
 	if from.Before(r.first) {
 		r.first = from
@@ -28,5 +28,5 @@
 	r.last = later(r.last, to)
 }
 
-// lasts reports whether it is reached now.
+// current reports whether the dependency is reachable now.
 func (r *reach) lasts(now time.Time) bool { return !r.first.IsZero() && now.Sub(r.last) <= briefBreak }
--- a/internal/instance/gatekeeper/reach_test.go
+++ b/internal/instance/gatekeeper/reach_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Guards against a pause between two calls that passes for an outage, and the reverse.
+// Guards against taking a pause between two calls for an outage, and the reverse.
 func TestReachBeginsAfterTheLastBreak(t *testing.T) {
 	start := time.Now()
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
@@ -19,12 +19,12 @@
 		since float64 // -1: not reached
 	}{
 		{"never", nil, 1, -1},
-		{"without a break", []span{{1, 1}, {2, 2}, {3.5, 3.5}}, 4, 1},
-		{"after a break", []span{{1, 1}, {2, 2}, {4.5, 4.5}, {5, 5}}, 6, 4.5},
-		{"not lately", []span{{1, 1}, {2, 2}}, 5, -1},
-		{"another one has reached it for longer", []span{{3, 3}, {1, 3.1}}, 4, 1},
-		{"told late", []span{{3, 3}, {2, 2}}, 4, 2},
-		{"told late of a span before the break", []span{{1, 2}, {5, 5}, {1, 2.5}}, 6, 5},
+		{"without an interruption", []span{{1, 1}, {2, 2}, {3.5, 3.5}}, 4, 1},
+		{"after an interruption", []span{{1, 1}, {2, 2}, {4.5, 4.5}, {5, 5}}, 6, 4.5},
+		{"not recently", []span{{1, 1}, {2, 2}}, 5, -1},
+		{"another instance has reached it for longer", []span{{3, 3}, {1, 3.1}}, 4, 1},
+		{"late report", []span{{3, 3}, {2, 2}}, 4, 2},
+		{"late report of a span before the interruption", []span{{1, 2}, {5, 5}, {1, 2.5}}, 6, 5},
 	} {
 		var r reach
 		for _, s := range tc.seen {
--- a/internal/instance/gatekeeper/resync.go
+++ b/internal/instance/gatekeeper/resync.go
@@ -15,15 +15,15 @@
 // for good. It requests a snapshot, and meanwhile does not rely on the sender.
 
 const (
-	// divergedFor is how long runners may differ before a snapshot is requested, as messages
-	// of several instances overtake each other.
+	// divergedFor is how long the runners may differ before a snapshot is requested, as
+	// messages of several instances may overtake each other.
 	divergedFor = 2 * beat
 	// resyncFirst and resyncMost bound the exponential delay between two requests.
 	resyncFirst = 500 * time.Millisecond
 	resyncMost  = 8 * time.Second
 )
 
-// A divergence is for how long the runners that are known differ from those of the source.
+// A divergence tracks for how long the known runners have differed from those of the source.
 // Its zero value is ready.
 type divergence struct {
 	since     time.Time // zero if they match
@@ -31,7 +31,7 @@
 	requests  int       // since they began to differ
 }
 
-// observe takes in whether they match.
+// observe records whether they match.
 func (d *divergence) observe(matches bool, now time.Time) {
 	switch {
 	case matches:
@@ -55,7 +55,7 @@
 	return true
 }
 
-// checksum returns that of one runner; those of several are combined with XOR, so that
+// checksum returns the checksum of one runner. Those of several are combined with XOR, so that
 // their order does not matter.
 func checksum(r tracker.Runner) uint64 {
 	id := r.ID
@@ -65,15 +65,15 @@
 	return xxhash.Sum64String(id)
 }
 
-// toggleChecksum changes the checksum of the domain by a runner that comes or goes.
+// toggleChecksum adds a runner to the checksum of the domain, or removes it.
 func (d *controller) toggleChecksum(r tracker.Runner) {
 	if r.Domain == d.domain {
 		d.sum ^= checksum(r)
 	}
 }
 
-// matches reports whether the runners of the sender are those that are known. One whose
-// removal is pending may be among them or not.
+// matches reports whether the sender has the same runners as this instance. Those whose removal
+// is pending here may be missing there.
 func (g *Gatekeeper) matches(domain string, n relayer.News) bool {
 	d := g.controllers[domain]
 	d.mu.Lock()
@@ -86,9 +86,9 @@
 	return n.Checksum == known^g.pendingChecksum(domain)
 }
 
-// deferToSource cancels the pending removals that the sender has read too without removing
-// the runner: its row is back, which is no delta, or the removal is pending there. A holder
-// goes by its own reading.
+// deferToSource cancels the pending removals that the sender has read too without removing the
+// runner: its row is back, which is no delta, or the removal is pending there. A leader relies
+// on its own reading.
 func (g *Gatekeeper) deferToSource(domain string, revision uint64) {
 	if !g.hasPending() || g.holdsAny() {
 		return
@@ -115,8 +115,8 @@
 	return sum
 }
 
-// needsResync reports whether a snapshot of the domain's runners is to be requested. A
-// holder reads the store itself.
+// needsResync reports whether to request a snapshot of the domain's runners. A leader reads the
+// store itself.
 func (l *link) needsResync() bool {
 	g := l.gatekeeper
 	if g.holdsAny() {
--- a/internal/instance/gatekeeper/retell.go
+++ b/internal/instance/gatekeeper/retell.go
@@ -11,17 +11,17 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
 )
 
-// An ownWord is a word that this instance has to tell.
+// An ownWord is a crash report about a request whose answer this instance saw break off.
 type ownWord struct {
 	since time.Time
-	heard source // who has told it back: it knows
+	heard source // source that has published it in turn, and so knows it
 }
 
-// retellFor is how long an instance tells what it saw itself to whoever tells it,
-// beyond the first that has it: one that dies may have told nobody.
+// retellFor is how long an instance repeats its own crash reports to its sources, even after
+// the first source has them: that one may fail before it has published them.
 const retellFor = time.Minute
 
-// ownAmong returns the words of requests of which this instance has seen a crash itself.
+// ownAmong returns the reports about requests of which this instance has seen a crash itself.
 func (g *Gatekeeper) ownAmong(words []quarantiner.Word) []quarantiner.Word {
 	q := &g.quarantine
 	q.mu.Lock()
@@ -39,7 +39,7 @@
 	return own
 }
 
-// tellCrashes tells what this instance saw itself, until ctx ends.
+// reportCrashes reports the crashes that this instance saw to its sources, until ctx ends.
 func (g *Gatekeeper) tellCrashes(ctx context.Context) {
 	repeater.Every(ctx, beat, g.quarantine.tell, func() {
 		if g.quarantine.ledger.Empty() {
@@ -48,19 +48,19 @@
 		g.keepApart()
 		for _, to := range g.tellers() {
 			if words := g.quarantine.untold(to, time.Now()); len(words) > 0 {
-				_ = g.Peers.Tell(ctx, to.address, relayer.Crashes{Words: words}) // told again until it is told back
+				_ = g.Peers.Tell(ctx, to.address, relayer.Crashes{Words: words}) // repeated until the source publishes it in turn
 			}
 		}
 	})
 }
 
-// tellers returns the instances that tell this one of crashes.
+// crashSources returns the instances that publish crash reports to this one.
 func (g *Gatekeeper) tellers() []source {
 	if t, ok := g.teller(); ok {
 		return []source{t}
 	}
 	if g.holdsAny() {
-		return nil // it is asked itself
+		return nil // others subscribe to it
 	}
 	var all []source
 	for _, l := range g.links {
@@ -76,12 +76,12 @@
 	g.hearWords(c.Words, from.ID)
 }
 
-// untold returns the words of this instance that another one has not told back.
+// untold returns this instance's reports that a source has not published in turn.
 func (q *quarantine) untold(to source, now time.Time) []quarantiner.Word {
 	return q.ownWords(now, func(w ownWord) bool { return w.heard != to })
 }
 
-// ownWords returns the words of this instance that fit, and forgets those that are old.
+// ownWords returns this instance's reports that match, and drops those that are too old.
 func (q *quarantine) ownWords(now time.Time, fits func(ownWord) bool) []quarantiner.Word {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -98,8 +98,8 @@
 	return words
 }
 
-// begun takes in that an instance begins to tell this one. It may have started again under
-// its name, with nothing known, and has to be told until it tells back once more.
+// begun records that a source starts to publish to this instance. It may have restarted under
+// the same name with no state, and is sent the reports until it publishes them once more.
 func (q *quarantine) begun(from source) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -111,7 +111,7 @@
 	}
 }
 
-// toldBack takes in the words of an instance: what it tells it need not be told.
+// toldBack records the reports that a source published: they need not be sent to it.
 func (q *quarantine) toldBack(from source, words []quarantiner.Word) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/instance/gatekeeper/runners.go
+++ b/internal/instance/gatekeeper/runners.go
@@ -5,7 +5,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// Why a runner is taken out, for the log.
+// Reasons for the removal of a runner, for the log.
 const (
 	whyReplaced = "it has started again"
 	whyRow      = "its row is gone"
@@ -13,7 +13,7 @@
 	whyUnlisted = "it is not listed"
 )
 
-// setRunner takes in the description of a runner that an instance told of, or the store.
+// setRunner applies the description of a runner that came from an instance or from the store.
 func (g *Gatekeeper) setRunner(r tracker.Runner, by string) {
 	g.cancelRemoval(r)
 	before, known := g.Fleet.Get(r.ID)
@@ -22,8 +22,8 @@
 	}
 	current, taken := g.Fleet.Get(r.ID)
 	if !taken || current.Revision != r.Revision {
-		// It is gone, or an older description. Told on, that one would hide from others that
-		// the runner leaves: once known it is news no more.
+		// The runner is gone, or the description is an older one. Published, that one would
+		// hide from others that the runner leaves: a known runner is no change any more.
 		return
 	}
 	r = current
@@ -39,7 +39,7 @@
 	g.controller(r.Domain).set(r, changed)
 }
 
-// removeNow takes a runner out by the word of an instance, or of the store.
+// removeNow removes a runner as reported by an instance or the store.
 func (g *Gatekeeper) removeNow(id string, revision uint64, by, why string) {
 	runner, known := g.Fleet.Get(id)
 	g.Fleet.Remove(id, revision)
@@ -48,11 +48,11 @@
 		return
 	}
 	for _, d := range g.controllers {
-		d.gone(id, revision) // it may have been found replaced by another one at its address
+		d.gone(id, revision) // its incarnation may have been found replaced by another one at its address
 	}
 }
 
-// forget drops what is kept of a runner that is gone beside its description.
+// forget drops the state of a removed runner other than its description.
 func (g *Gatekeeper) forget(r tracker.Runner, by, why string) {
 	g.Pool.Drop(r.ID)
 	gone := g.Fleet.Gone(r.ID)
@@ -61,8 +61,8 @@
 		"known", r.Revision, "gone", gone, "by", by, "why", why)
 }
 
-// controller returns the controller of a failure domain; that of the own one for
-// a domain that the settings do not name.
+// controller returns the controller of a failure domain, or that of this instance's own for a
+// domain that is not in the settings.
 func (g *Gatekeeper) controller(domain string) *controller {
 	if d, ok := g.controllers[domain]; ok {
 		return d
--- a/internal/instance/gatekeeper/runners_test.go
+++ b/internal/instance/gatekeeper/runners_test.go
@@ -10,18 +10,18 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// drainTime is how long after the store has accepted that a runner leaves requests may
-// still be sent to it.
+// drainTime is how long after the store has accepted that a runner drains requests may still be
+// sent to it.
 const drainTime = 2 * time.Second
 
-// A removed is a row of a runner that is gone after an outage of the store.
+// A removed is a runner whose row is removed after an outage of the store.
 type removed struct {
-	others time.Duration // that the store was back for others before it was for this instance
-	back   bool          // the row comes back after a second
+	others time.Duration // how much earlier the store was back for others than for this instance
+	back   bool          // the row is back after a second
 }
 
-// play returns whether the runner is known, right after its row is gone and when the
-// bound on leaving is over.
+// play returns whether the runner is known right after the removal of its row, and when
+// drainTime is over.
 func (r removed) play() (first, last bool) {
 	g := newChained("a-2", "a")
 	runner := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 5}
@@ -29,7 +29,7 @@
 	g.sawStore(time.Now(), errors.New("away"))
 	time.Sleep(5*time.Second - r.others)
 	for end := time.Now().Add(r.others); time.Now().Before(end); time.Sleep(beat) {
-		g.links["b"].take(relayer.News{Operator: relayer.Known{Newest: 1}}) // of a holder that reaches the store
+		g.links["b"].take(relayer.News{Operator: relayer.Known{Newest: 1}}) // of a leader that reaches the store
 	}
 	g.sawStore(time.Now(), nil)
 	time.Sleep(100 * time.Millisecond)
@@ -50,20 +50,20 @@
 	return first, known()
 }
 
-// A request goes to a runner 2.2 s after the store accepted that the runner leaves. The
-// store was away; it is back, for this instance some seconds later than for others; the
-// runner leaves just then. Its row may have lapsed in the outage and come back, so this
-// instance waits, but counts the time from its own return, as if the store had been away
-// until then. It must stop within the bound.
+// Guards against a request that goes to a runner 2.2 s after the store accepted that the runner
+// drains. The store was unavailable, and is back some seconds later for this instance than for
+// others; the runner drains just then. Its row may have expired in the outage and come back, so
+// this instance waits; when it counted the grace time from its own return of the store, it
+// stopped too late.
 func TestRunnerThatLeavesIsNotUsedWhereTheStoreCameBackLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		if _, used := (removed{others: 2600 * time.Millisecond}).play(); used {
-			t.Errorf("the runner is used %s after its row was removed", drainTime)
+			t.Errorf("the runner is still used %s after its row was removed", drainTime)
 		}
 	})
 }
 
-// Guards against an outage of the store that costs all living runners.
+// Guards against an outage of the store that removes all living runners.
 func TestFirstAnswerAfterAnOutageRemovesNoRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, w := newCalmSite(t, 3)
@@ -77,14 +77,15 @@
 			s.pass(50*time.Millisecond, w)
 			for _, m := range s.instances {
 				if !m.uses(lapsed.id) {
-					t.Fatalf("%s gave the runner up", m.id)
+					t.Fatalf("%s removed the runner", m.id)
 				}
 			}
 		}
 	})
 }
 
-// Guards against living runners that are lost as a source has started after the outage.
+// Guards against living runners that are removed by the snapshot of a source that has started
+// after the outage.
 func TestSnapshotOfOneThatMissedTheOutageRemovesNoRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, started := newChained("a-1", "a"), newTeller("b-1", "b", 60)
@@ -94,18 +95,18 @@
 		g.sawStore(time.Now(), nil)
 		tellSnapshot(started, g, "b")
 		if _, known := g.Fleet.Get("i-1"); !known {
-			t.Error("the runner was given up")
+			t.Error("the runner was removed")
 		}
 		time.Sleep(removalGrace + time.Millisecond)
 		g.removeExpired()
 		if _, known := g.Fleet.Get("i-1"); known {
-			t.Error("the runner is known on")
+			t.Error("the runner is still known after the grace time")
 		}
 	})
 }
 
-// Rows of living runners lapse while the store is away, and are back within two seconds
-// of its return. Without the wait every runner would be dropped after an outage, and every
+// Rows of living runners expire while the store is unavailable, and are back within two seconds
+// of its return. Without a grace time every runner would be removed after an outage, and every
 // request refused meanwhile.
 func TestRunnerWhoseRowLapsedIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/instance/gatekeeper/serve.go
+++ b/internal/instance/gatekeeper/serve.go
@@ -16,12 +16,12 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// idle is how long a caller's connection may stay unused. The operator's limit,
-// which callers know and stay within, is not read; it is 15 s where this was
-// tried, so that a request does not cross a close.
+// idle is how long a caller's connection may stay unused. The operator's limit, which callers
+// know and stay within, is not read; it was 15 s where this was tested, so a request never
+// races with the closing of its connection.
 const idle = time.Minute
 
-// metricsPath is where counters are read.
+// metricsPath is the path of the metrics page.
 const metricsPath = "/metrics"
 
 // listen serves the sockets until ctx ends.
@@ -49,7 +49,7 @@
 	return failed
 }
 
-// Forward answers a request, unless the instance is about to end.
+// Forward handles a request, unless the instance is about to stop.
 func (g *Gatekeeper) Forward(ctx context.Context, r *forwarder.Request, sink forwarder.Sink) *judge.Error {
 	if err := g.late(); err != nil {
 		g.Refused(r.ID, err)
@@ -69,7 +69,7 @@
 	return err
 }
 
-// measure counts a request and the time that it took.
+// measure counts a request and records its duration.
 func (g *Gatekeeper) measure(r *forwarder.Request, err *judge.Error) {
 	label := fmt.Sprintf(`{service=%q}`, r.Service)
 	g.Metrics.GetOrCreateHistogram("sardinetiller_request_seconds" + label).UpdateDuration(r.Arrived)
@@ -84,7 +84,7 @@
 	g.Metrics.GetOrCreateCounter(fmt.Sprintf(`sardinetiller_refusals_total{reason=%q,verdict=%q}`, err.Reason, err.Verdict)).Inc()
 }
 
-// Retried counts a request that goes out again, by what made it.
+// Retried counts a retried request by the error that caused the retry.
 func (g *Gatekeeper) Retried(err *judge.Error) {
 	g.Metrics.GetOrCreateCounter(fmt.Sprintf(`sardinetiller_retries_total{reason=%q,verdict=%q}`, err.Reason, err.Verdict)).Inc()
 }
@@ -95,12 +95,12 @@
 	g.Recorder.Log(recorder.Failed, "request", id, "verdict", err.Verdict, "reason", err.Reason, "retry", err.Retry, "err", err.Message)
 }
 
-// Burst returns this instance's share of the retries that a service allows
-// beyond the part of its requests.
+// Burst returns this instance's share of the retries that a service may make beyond its part of
+// the requests.
 func (g *Gatekeeper) Burst() float64 {
 	return g.Config.Bounds.Slack * burstPart / float64(g.Members())
 }
 
-// burstPart is the part of the allowed burst that is given out: the count of
-// members lags behind when one restarts.
+// burstPart is the part of the allowed burst that is used: the number of members lags behind
+// when one restarts.
 const burstPart = 0.7
--- a/internal/instance/gatekeeper/site_peers_test.go
+++ b/internal/instance/gatekeeper/site_peers_test.go
@@ -11,15 +11,15 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// wayTime is how long a word is on its way between two instances.
+// linkLatency is the latency of a message between two instances.
 const wayTime = 2 * time.Millisecond
 
-// linkTimeout is how long a link to an instance that does not answer takes to fail.
+// linkTimeout is the time after which a connection to an instance that does not respond fails.
 const linkTimeout = time.Second
 
-var errLink = errors.New("the link failed")
+var errLink = errors.New("the connection failed")
 
-// sitePeers are the links of one instance of a site.
+// sitePeers are the connections of one instance of a simulated deployment.
 type sitePeers struct{ from *member }
 
 // Cut implements Peers.
@@ -29,7 +29,7 @@
 func (sitePeers) Linked(string) (any, bool) { return nil, false }
 
 // Serve implements Peers.
-func (sitePeers) Serve(*fasthttp.RequestCtx) { panic("a site has no sockets") }
+func (sitePeers) Serve(*fasthttp.RequestCtx) { panic("a simulated deployment has no sockets") }
 
 // Tell implements Peers.
 func (sitePeers) Tell(context.Context, string, relayer.Message) error { return nil }
@@ -57,16 +57,16 @@
 	return c, nil
 }
 
-// A siteConversation is a conversation between two instances of a site.
+// A siteConversation is a conversation between two instances of a simulated deployment.
 type siteConversation struct {
 	from, to *member
-	lives    context.Context // of the process that answers
+	lives    context.Context // of the answering process
 	ctx      context.Context
 	cancel   context.CancelFunc
 	words    chan siteWord
 }
 
-// A siteWord is a message on its way.
+// A siteMessage is a message in transit.
 type siteWord struct {
 	at      time.Time // when it arrives
 	message relayer.Message
@@ -97,13 +97,12 @@
 	return nil
 }
 
-// Next implements Conversation. What is on its way over a link that is cut comes when the
-// cut is over.
+// Next implements Conversation. Messages in transit during a partition arrive when it is over.
 func (c *siteConversation) Next(ctx context.Context) (relayer.Message, error) {
 	for {
 		c.from.await(ctx)
 		if ctx.Err() != nil {
-			return nil, judge.Refuse(judge.ReasonDeadline, "nothing came")
+			return nil, judge.Refuse(judge.ReasonDeadline, "no message received")
 		}
 		if !c.from.reaches(c.to) {
 			pause(ctx, 10*time.Millisecond)
--- a/internal/instance/gatekeeper/site_runner_test.go
+++ b/internal/instance/gatekeeper/site_runner_test.go
@@ -9,19 +9,19 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// A siteRunner is a runner of a site.
+// A siteRunner is a runner of a simulated deployment.
 type siteRunner struct {
 	id     string
 	domain string
 
-	there     time.Time // since when its row has been there without a break; zero if it is not
+	there     time.Time // since when its row has existed without interruption; zero if it does not exist
 	leaving   bool
 	ended     bool
-	left      time.Time // when the store accepted that it leaves; zero if it does not
-	leftCalm  bool      // the store was well then
-	beat      time.Time // of its next heartbeat
-	ends      time.Time // when it ends; zero for not soon
-	lapsed    time.Time // when its row was removed last although it lives
+	left      time.Time // when the store accepted that it drains or its row was removed; zero if neither
+	leftCalm  bool      // the store had been available to everybody for stableTime then
+	beat      time.Time // time of its next heartbeat
+	ends      time.Time // when it ends; zero if no end is set
+	lapsed    time.Time // when its row last expired although it is alive
 	revisions int
 }
 
@@ -51,7 +51,7 @@
 	r.beat = time.Now().Add(time.Duration(s.rng.Int64N(int64(siteBeat))))
 }
 
-// leave has a runner leave: it says so, or its row is removed without a word.
+// leave makes a runner drain, or removes its row without that.
 func (s *site) leave(r *siteRunner, silent bool) {
 	r.left, r.leftCalm = time.Now(), s.calm(stableTime)
 	if silent {
@@ -65,18 +65,18 @@
 }
 
 const (
-	// siteBeat is how often a runner writes its row.
+	// siteBeat is the heartbeat interval of runners.
 	siteBeat = 1200 * time.Millisecond
-	// stableTime is how long after any trouble promises with a bound in time hold again.
+	// stableTime is the time after a fault from which on deadlines hold again.
 	stableTime = 3 * time.Second
 )
 
-// calm reports whether the store has been well for everybody for a time.
+// calm reports whether the store has been available to everybody for a time.
 func (s *site) calm(span time.Duration) bool {
 	return time.Since(s.troubled) >= span
 }
 
-// beats writes the rows that are due.
+// beats writes the rows whose heartbeats are due.
 func (s *site) beats() {
 	if s.store.down() {
 		return
--- a/internal/instance/gatekeeper/site_store_test.go
+++ b/internal/instance/gatekeeper/site_store_test.go
@@ -19,7 +19,7 @@
 	return s.mode != serves
 }
 
-// A portal is the way of one instance to the store.
+// A storeClient is the connection of one instance to the store.
 type portal struct {
 	*feedStore
 	owner *member
@@ -42,7 +42,7 @@
 	switch mode {
 	case turnsAway:
 		pause(ctx, time.Millisecond)
-		return fmt.Errorf("turned away")
+		return fmt.Errorf("rejected")
 	case swallows:
 		pause(ctx, wait+callTimeout)
 		return errNoAnswer
@@ -81,7 +81,7 @@
 	return rows, version, err
 }
 
-// A siteDecoder decodes the rows of a site.
+// A siteDecoder decodes the rows of a simulated deployment.
 type siteDecoder struct{ feedDecoder }
 
 // Runner implements Decoder.
--- a/internal/instance/gatekeeper/site_test.go
+++ b/internal/instance/gatekeeper/site_test.go
@@ -19,8 +19,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/pooler"
 )
 
-// A site is a deployment in virtual time: whole instances with their links, the store,
-// and the rows that runners write. Who holds the tenures is decided by the test.
+// A site is a simulated deployment in virtual time: complete instances with their connections,
+// the store, and the rows that runners write. The test decides who leads each domain.
 type site struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -32,33 +32,33 @@
 	instances []*member
 	fences    map[string]uint64
 	runners   []*siteRunner
-	away      time.Time // when the store served last
-	lost      time.Time // when it had served last before it came back
-	returned  time.Time // when it came back last
-	troubled  time.Time // until when the store was in trouble, for anybody
+	away      time.Time // when the store was last available
+	lost      time.Time // when it was last available before it came back
+	returned  time.Time // when it last came back
+	troubled  time.Time // when the store last failed for any instance
 	began     time.Time
 }
 
-// A member is one instance of a site.
+// A member is one instance of a simulated deployment.
 type member struct {
 	site   *site
 	id     string
 	domain string
-	way    *portal // to the store
+	way    *portal // connection to the store
 
 	mu        sync.Mutex
 	g         *Gatekeeper
 	ctx       context.Context
 	stop      context.CancelFunc
-	paused    time.Time // until when it stands still
-	cut       time.Time // until when it reaches no other instance
-	disturbed time.Time // until when anything of this was so
+	paused    time.Time // until when it is paused
+	cut       time.Time // until when it is partitioned from the other instances
+	disturbed time.Time // until when any fault lasts
 }
 
-// quotaWindow is over which quotas are judged.
+// quotaWindow is the window in which quotas are checked.
 const quotaWindow = 8 * time.Second
 
-// A siteLog keeps what instances log, with the time of the site.
+// A siteLog collects the logs of all instances, with the virtual time.
 type siteLog struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -71,8 +71,8 @@
 	return l.buf.Write(line)
 }
 
-// newSite returns a deployment that has just started, with the first instance of each
-// domain as the holder of its tenure.
+// newSite returns a deployment that has just started, with the first instance of each domain as
+// its leader.
 func newSite(t *testing.T, rng *rand.Rand, domains, instances int) *site {
 	s := &site{t: t, rng: rng, store: newFeedStore(), log: &siteLog{}, fences: make(map[string]uint64), began: time.Now()}
 	s.store.configure(1)
@@ -115,8 +115,8 @@
 	return nil
 }
 
-// newCalmSite returns a deployment of one failure domain with one runner, of which all
-// instances have known for a while.
+// newCalmSite returns a deployment of one failure domain with one runner, which all instances
+// have known for a while.
 func newCalmSite(t *testing.T, instances int) (*site, *witness) {
 	s := newSite(t, rand.New(rand.NewPCG(1, 1)), 1, instances)
 	s.addRunner("a")
@@ -125,7 +125,7 @@
 	return s, w
 }
 
-// give has an instance take the tenure of a domain.
+// give makes an instance the leader of a domain.
 func (s *site) give(domain string, m *member) {
 	s.mu.Lock()
 	s.fences[domain]++
@@ -139,7 +139,7 @@
 	s.store.put(tabler.Row{Key: tableHolders + "/" + domain, Value: value})
 }
 
-// holds reports whether an instance believes that it holds the tenure of a domain.
+// holds reports whether an instance believes that it leads a domain.
 func (m *member) holds(domain string) bool { return m.now().controllers[domain].holds() }
 
 func (m *member) hold(domain string, fence uint64) {
@@ -150,13 +150,13 @@
 	d.elector.Read(elector.Tenure{Fence: fence - 1}, fence, uptime())
 	w, ok := d.elector.Next(uptime())
 	if !ok {
-		m.site.t.Fatal("the tenure cannot be taken")
+		m.site.t.Fatal("the lease cannot be acquired")
 	}
 	d.elector.Written(w, fence+1, uptime())
-	m.now().Recorder.Log("belief", "msg", "takes the tenure", "domain", domain, "fence", fence)
+	m.now().Recorder.Log("belief", "msg", "acquires the lease", "domain", domain, "fence", fence)
 }
 
-// yield has an instance give up the tenure of a domain.
+// yield makes an instance give up the lease of a domain.
 func (m *member) yield(domain string) {
 	d := m.now().controllers[domain]
 	d.mu.Lock()
@@ -164,7 +164,7 @@
 	d.elector = elector.Elector{Self: m.id, Address: m.id, Lease: time.Hour}
 }
 
-// start starts the instance with nothing known.
+// start starts the instance without state.
 func (m *member) start() {
 	g := newTestGatekeeper()
 	g.Config.ID, g.Config.Domain, g.Config.Domains = m.id, m.domain, m.site.domains
@@ -191,7 +191,7 @@
 	}
 }
 
-// expireRemovals does what the instance does about rows that lapsed, unless it stands still.
+// expireRemovals executes pending removals, unless the instance is paused.
 func (m *member) expireRemovals(ctx context.Context) {
 	for g := m.now(); ctx.Err() == nil; pause(ctx, expireEvery) {
 		m.await(ctx)
@@ -199,7 +199,7 @@
 	}
 }
 
-// kill ends the instance; its links fail.
+// kill ends the instance; its connections fail.
 func (m *member) kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -223,7 +223,8 @@
 	return heartbeater.Instance{ID: m.id, Domain: m.domain, Address: m.id}
 }
 
-// disturb notes that something befalls the instance until a time.
+// disturb records a fault of the instance that lasts until a time. field is the kind of fault,
+// or nil.
 func (m *member) disturb(field *time.Time, until time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -235,14 +236,14 @@
 	}
 }
 
-// calmSince returns since when nothing has befallen the instance.
+// calmSince returns when the last fault of the instance ended.
 func (m *member) calmSince() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.disturbed
 }
 
-// await returns when the instance does not stand still, or when ctx ends.
+// await waits until the instance is not paused, or ctx ends.
 func (m *member) await(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.mu.Lock()
@@ -261,7 +262,7 @@
 	return known && !r.Leaving
 }
 
-// reaches reports whether words pass between two instances.
+// reaches reports whether messages pass between two instances.
 func (m *member) reaches(other *member) bool {
 	now := time.Now()
 	m.mu.Lock()
--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -12,15 +12,15 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// tellSnapshot has an instance send another a snapshot of a domain.
+// sendSnapshot sends a snapshot of a domain from one instance to another.
 func tellSnapshot(from, to *Gatekeeper, domain string) {
 	news, _, _ := from.controllers[domain].digest(to.Config.ID, -1, true)
 	news.From = from.Config.ID
 	to.links[domain].take(news)
 }
 
-// newTeller returns an instance that holds a tenure and has read the runners' table up to
-// a version.
+// newSource returns an instance that leads a domain and has read the runners' table up to a
+// version.
 func newTeller(id, domain string, upTo uint64) *Gatekeeper {
 	g := newChained(id, domain)
 	hold(g, domain)
@@ -28,12 +28,12 @@
 	return g
 }
 
-// Requests reached a runner seconds after it had said that it leaves, from a few of many
-// instances, soon after leaders had changed. An instance that had read that the runner
-// leaves received a slightly older snapshot, and from then on sent the older description in
-// its own snapshots; received once more, the leaving was no delta any more. The logs of the
-// random check (leaving_test.go) proved it: "leaving=true revision=58", then
-// "leaving=false revision=7" at the same instance.
+// Requests reached a runner seconds after it had started to drain, from a few of many
+// instances, soon after a change of leaders. An instance that had read that the runner drains
+// received a slightly older snapshot, and from then on sent the older description in its own
+// snapshots; received once more, the draining was no delta any more. The logs of the simulation
+// (leaving_test.go) proved it: "leaving=true revision=58", then "leaving=false revision=7" at
+// the same instance.
 func TestOlderSnapshotDoesNotHideThatARunnerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ready := tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 7}
@@ -54,7 +54,7 @@
 	})
 }
 
-// Guards against a runner that is used for good after a change of the source.
+// Guards against a runner that is used forever after a change of the source.
 func TestRunnerMissingFromAStaleSnapshotIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, second, member := newTeller("a-1", "a", 50), newTeller("a-3", "a", 60), newChained("a-2", "a")
@@ -67,7 +67,7 @@
 		time.Sleep(freshFor + time.Millisecond)
 		tellSnapshot(second, member, "a")
 		if _, known := member.Fleet.Get(one.ID); known {
-			t.Error("a runner is known that the source does not know")
+			t.Error("a runner that the source does not know is still known")
 		}
 	})
 }
@@ -79,12 +79,12 @@
 		g.setRunner(tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 6}, fromStore)
 		tellSnapshot(behind, g, "b")
 		if _, known := g.Fleet.Get("i-1"); !known {
-			t.Error("a runner was given up that the other instance could not know")
+			t.Error("a runner was removed that the other instance could not know")
 		}
 	})
 }
 
-// Guards against a removed runner that is used again: the store tells of a removal once.
+// Guards against using a removed runner again: the store reports a removal only once.
 func TestRunnerIsNotBroughtBackByAnOlderDescription(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -108,14 +108,14 @@
 				behind.setRunner(tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 5}, fromStore)
 				tellSnapshot(behind, g, "b")
 				if _, known := g.Fleet.Get("i-1"); known {
-					t.Error("a runner is known that the store has not had for long")
+					t.Error("a runner that the store removed long ago is known")
 				}
 			})
 		})
 	}
 }
 
-// Guards against a runner that is used for good as its pending removal was cancelled.
+// Guards against a runner that is used forever because its pending removal was cancelled.
 func TestOlderDescriptionCancelsNoRemoval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newChained("a-1", "a")
@@ -144,15 +144,15 @@
 		g.links["b"].take(relayer.News{Fresh: true})
 		g.links["a"].take(relayer.News{Fresh: true, Whole: true})
 		if _, known := g.Fleet.Get("i-1"); !known {
-			t.Error("a runner was given up")
+			t.Error("a runner was removed")
 		}
 		if g.told() {
-			t.Error("believes that it is told")
+			t.Error("relies on updates without a revision")
 		}
 	})
 }
 
-// Guards against instances that differ for good, as only deltas are sent.
+// Guards against instances whose runners differ forever, as only deltas are sent.
 func TestSnapshotIsRequestedAfterADivergence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, w := newCalmSite(t, 2)
--- a/internal/instance/gatekeeper/speak.go
+++ b/internal/instance/gatekeeper/speak.go
@@ -11,13 +11,12 @@
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 )
 
-// speak tells the holder what is needed until ctx ends.
+// reportLoop reports the demand to the leader until ctx ends.
 func (l *link) speak(ctx context.Context) {
 	repeater.Every(ctx, beat, l.kick, func() { l.say(ctx) })
 }
 
-// say tells the holder what is needed, through the instance that tells this one of
-// the domain if there is one.
+// report reports the demand to the leader, directly or through the source of the domain.
 func (l *link) say(ctx context.Context) {
 	g := l.gatekeeper
 	if l.silence() > unheard {
@@ -36,11 +35,11 @@
 	if l.saidSo(demand) {
 		return
 	}
-	_ = g.Peers.Tell(ctx, via.address, demand) // a failed link shows as silence
+	_ = g.Peers.Tell(ctx, via.address, demand) // a failed connection shows in missing updates
 }
 
-// saidSo reports whether a word may be left out, as neither it nor the last one told
-// of anything. An instance has no requests in most failure domains most of the time.
+// skipReport reports whether a report may be omitted, as neither it nor the previous one
+// carries any demand. An instance has no requests in most failure domains most of the time.
 func (l *link) saidSo(demand relayer.Demand) bool {
 	empty := demand.Others == 0 && demand.Empty()
 	now := time.Now()
@@ -53,12 +52,12 @@
 	return false
 }
 
-// idleBeat is how often an instance that needs nothing says so: a member that says
-// nothing for three seconds counts no more.
+// idleReportInterval is how often an instance without demand reports: a member that has not
+// reported for three seconds is no longer counted.
 const idleBeat = 900 * time.Millisecond
 
-// demand takes out what is to be told: what the requests do now, and what was seen
-// since the last word, by this instance and by those whose words it passes on.
+// demand returns and clears what is to be reported: the current requests, and what was observed
+// since the last report, by this instance and by those whose reports it relays.
 func (l *link) demand() relayer.Demand {
 	d := demandOf(l.domain, l.whole())
 	l.mu.Lock()
@@ -84,7 +83,7 @@
 	return d
 }
 
-// demandOf returns the demand that tells a word.
+// demandOf returns the message that reports the sums.
 func demandOf(domain string, w gatherer.Word) relayer.Demand {
 	d := relayer.Demand{Domain: domain, Others: w.Instances - 1, Loads: w.Loads}
 	for k, n := range w.Uses {
@@ -96,8 +95,8 @@
 	return d
 }
 
-// whole returns what this instance's requests do in the domain, and those of the
-// instances whose words it passes on.
+// totalDemand returns the sums of this instance's requests in the domain, and those of the
+// instances whose reports it relays.
 func (l *link) whole() gatherer.Word {
 	w := l.own()
 	g := l.gatekeeper
@@ -107,7 +106,7 @@
 	return w
 }
 
-// own returns what this instance's requests do in the domain.
+// ownDemand returns the sums of this instance's requests in the domain.
 func (l *link) own() gatherer.Word {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -125,7 +124,7 @@
 	return w
 }
 
-// sum drops the requests that wait no more and sums up the others.
+// sum drops the requests that no longer wait and adds up the others.
 func sum(waiters map[string]waiter, now time.Time) placer.Waiting {
 	w := placer.Waiting{Priority: placer.Spare}
 	for request, one := range waiters {
--- a/internal/instance/gatekeeper/stop.go
+++ b/internal/instance/gatekeeper/stop.go
@@ -9,36 +9,34 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// A stopState is how far an instance is with leaving.
+// A stopState is the progress of a graceful stop.
 type stopState struct {
-	since   moment       // when it began
-	working atomic.Int64 // requests under way
+	since   moment       // when the stop began
+	working atomic.Int64 // requests in progress
 }
 
 const (
-	// takeIn is the part of the grace time in which an instance that leaves
-	// still takes requests: the balancer needs two looks, a second apart, to
-	// send callers elsewhere. Later ones are told to come back, which leads them
-	// to another instance.
+	// acceptFraction is the fraction of the grace time during which a stopping instance still
+	// accepts requests: the balancer needs two health checks, a second apart, to send callers
+	// elsewhere. Later requests are refused with a retry hint, which leads callers to another
+	// instance.
 	takeIn = 0.35
-	// endBefore is how long before the end of the grace time the process ends
-	// by itself.
+	// exitMargin is how long before the end of the grace time the process exits by itself.
 	endBefore = 700 * time.Millisecond
-	// giveBack is how long before that end requests which still wait for an
-	// adapter are told to come back. Without it they were cut off with the process
-	// although nothing of them had run.
+	// refuseMargin is how long before that exit requests still waiting for an adapter are
+	// refused with a retry hint. Without it they were cut off by the exit although nothing of
+	// them had run.
 	giveBack = time.Second
-	// settle is how long an instance waits, once nothing is under way, for
-	// callers that have not seen yet that it leaves.
+	// idleGrace is how long an instance without requests in progress waits for callers that
+	// have not noticed yet that it is stopping.
 	settle = 2500 * time.Millisecond
-	// elsewhere is when a caller may come back that is sent to another
-	// instance: at once, but for the time that its new connection takes.
+	// redirectDelay is the retry hint for a caller that is to go to another instance: at once,
+	// but for the time that its new connection takes.
 	elsewhere = 50 * time.Millisecond
 )
 
-// leave stops the instance gracefully: it gives up its tenures, is not ready
-// any more, goes on with what it has, and ends when nothing is left or the
-// grace time is over.
+// leave stops the instance gracefully: it releases its leases, is no longer ready, continues
+// the requests in progress, and ends when none is left or the grace time is over.
 func (g *Gatekeeper) leave(ctx context.Context) {
 	began := time.Now()
 	g.since.set(began)
@@ -60,14 +58,14 @@
 	return leaving
 }
 
-// Ending reports whether the instance ends so soon that a request which still
-// waits cannot be answered any more.
+// Ending reports whether the instance ends so soon that a request still waiting can no longer
+// be answered.
 func (g *Gatekeeper) Ending() bool {
 	since, leaving := g.since.get()
 	return leaving && time.Since(since) >= g.Config.Bounds.Grace-endBefore-giveBack
 }
 
-// late refuses a request that an instance which leaves could not finish.
+// refuseLate refuses a request that a stopping instance could not finish.
 func (g *Gatekeeper) late() *judge.Error {
 	since, leaving := g.since.get()
 	if !leaving || time.Since(since) < time.Duration(takeIn*float64(g.Config.Bounds.Grace)) {
--- a/internal/instance/gatekeeper/store_test.go
+++ b/internal/instance/gatekeeper/store_test.go
@@ -13,31 +13,31 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/matcher"
 )
 
-// A storeMode is how a feedStore treats the calls that reach it.
+// A storeMode is how a feedStore treats calls.
 type storeMode int
 
 const (
 	serves    storeMode = iota
-	turnsAway           // answers at once that nothing was done
-	swallows            // takes calls and answers none, also later
+	turnsAway           // fails at once; nothing was done
+	swallows            // accepts calls and never answers them, even later
 )
 
-// callTimeout is how long the client of the store awaits an answer beyond what
-// it asked the store to wait.
+// callTimeout is how long the client of the store waits for a response beyond the time that the
+// call asked for.
 const callTimeout = 1500 * time.Millisecond
 
 var errNoAnswer = errors.New("no answer")
 
-// A feedStore is a store whose calls may go unanswered. A call that it took while
-// it served waits on through an outage, as those on a living connection do.
+// A feedStore is a store whose calls may go unanswered. A call that it accepted while it served
+// stays pending during an outage, as on a connection that stays open.
 type feedStore struct {
-	tabler.Feed // the calls that no test makes
+	tabler.Feed // calls that no test makes
 
 	mu      sync.Mutex
 	calls   int
-	changed chan struct{} // closed at each change
-	deaf    chan struct{} // closed when the calls under way fall silent
-	forgot  uint64        // changes up to this version are forgotten
+	changed chan struct{} // closed on each change
+	deaf    chan struct{} // closed when the calls in progress hang
+	forgot  uint64        // changes up to this version are no longer available
 	mode    storeMode
 	rows    map[string]tabler.Row
 	version uint64
@@ -68,7 +68,7 @@
 	s.mode = mode
 }
 
-// deafen makes the connections of all calls under way fall silent.
+// hangCalls makes the connections of all calls in progress hang.
 func (s *feedStore) deafen() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -86,14 +86,14 @@
 	s.changed = make(chan struct{})
 }
 
-// made returns how many calls were made so far.
+// callCount returns how many calls were made so far.
 func (s *feedStore) made() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
-// admit lets a call in, or returns how it fails.
+// admit accepts a call, or returns how it fails.
 func (s *feedStore) admit(ctx context.Context, wait time.Duration) error {
 	s.mu.Lock()
 	s.calls++
@@ -101,7 +101,7 @@
 	s.mu.Unlock()
 	switch mode {
 	case turnsAway:
-		return errors.New("turned away")
+		return errors.New("rejected")
 	case swallows:
 		pause(ctx, wait+callTimeout)
 		return errNoAnswer
@@ -160,7 +160,7 @@
 	}
 }
 
-// A feedState is what a feedStore has to tell of a table.
+// A feedState is the state of a table in a feedStore.
 type feedState struct {
 	rows      []tabler.Row
 	version   uint64
@@ -197,8 +197,7 @@
 // Version implements Decoder.
 func (feedDecoder) Version(tabler.Row) (placer.Copy, bool, error) { return placer.Copy{}, false, nil }
 
-// newFedGatekeeper returns an instance on a store that holds version 1 of the
-// configuration.
+// newFedGatekeeper returns an instance with a store that has version 1 of the configuration.
 func newFedGatekeeper() (*Gatekeeper, *feedStore) {
 	g := newTestGatekeeper()
 	s := newFeedStore()
--- a/internal/instance/gatekeeper/subscribe.go
+++ b/internal/instance/gatekeeper/subscribe.go
@@ -10,7 +10,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// listen follows the instance that passes the holder's word on, until ctx ends.
+// followSource subscribes to the source, which relays the leader's updates, until ctx ends.
 func (l *link) listen(ctx context.Context) {
 	for ctx.Err() == nil {
 		t, ok := l.gatekeeper.teller()
@@ -29,16 +29,15 @@
 	}
 }
 
-// passable reports whether an instance is to be asked to pass on the holder's word.
-// It is asked about the own domain first: where it does not answer that, five more
-// questions would meet the same silence.
+// sourceAnswers reports whether to request the domain from a source. The instance's own domain
+// is requested first: if the source does not answer that, five more requests would go
+// unanswered too.
 func (l *link) passable(t source) bool {
 	own := l.gatekeeper.links[l.gatekeeper.Config.Domain]
 	return l == own || l.gatekeeper.choice.hears(t)
 }
 
-// listenDirect follows the holder itself as long as nobody passes its word on, until
-// ctx ends.
+// followLeader subscribes to the leader itself while nobody relays its updates, until ctx ends.
 func (l *link) listenDirect(ctx context.Context) {
 	for ctx.Err() == nil {
 		if holder, ok := l.direct(); ok {
@@ -51,8 +50,8 @@
 	}
 }
 
-// direct returns the holder if it is to be asked itself: nobody tells this instance,
-// or whoever does has not heard of the holder for a while.
+// directLeader returns the leader if it is to be followed directly: there is no source, or the
+// source has received no update from the leader for a while.
 func (l *link) direct() (source, bool) {
 	_, telling := l.gatekeeper.teller()
 	chosen := l.gatekeeper.choice.began()
@@ -67,10 +66,10 @@
 	return sourceOf(l.holder), true
 }
 
-// passTrust is how long an instance leaves it to whoever tells it to hear a holder
-// again, and passSpread how much longer, by chance. A holder that is gone is heard by
-// nobody, and its successor soon by all who pass its words on; with everybody at its
-// door at once, it took a second to tell each of 195 instances what its runners hold.
+// minRelayTimeout is how long an instance waits for its source to receive updates of a leader
+// again, and relayTimeoutJitter the bound of a random time added to it. A failed leader reaches
+// no relay either, and its successor soon reaches all of them; when all instances subscribed to
+// the successor directly, it took a second to tell each of 195 instances what its runners hold.
 const (
 	passTrust  = 2 * time.Second
 	passSpread = time.Second
@@ -83,15 +82,14 @@
 	return b
 }
 
-// subscribe takes in what an instance tells of the domain, until it falls silent or
-// is not to be followed any more.
+// subscribe applies the updates of a source until they stop arriving or follow returns false.
 func (l *link) subscribe(ctx context.Context, from source, follow func() bool) {
 	g := l.gatekeeper
 	question := l.question(from)
 	conversation, err := g.Peers.Open(ctx, from.address, question)
 	if err != nil {
 		g.choice.silent(from, time.Now())
-		return // it is tried again, and silence shows in what follows from it
+		return // it is retried, and the missing updates show that it failed
 	}
 	defer conversation.Close()
 	if question.Crashes {
@@ -110,16 +108,16 @@
 		l.heardBy(from, news)
 		l.take(news)
 		if l.needsResync() {
-			return // a subscription begins with one
+			return // a new subscription begins with a snapshot
 		}
 	}
 }
 
-// ended takes in that an instance tells nothing more.
+// ended records that a subscription to a source has ended.
 func (l *link) ended(from source, err error) {
 	g := l.gatekeeper
 	if is(err, judge.ReasonOwner) || is(err, judge.ReasonStarting) {
-		g.choice.refused(from, time.Now()) // its link is sound
+		g.choice.refused(from, time.Now()) // its connection works
 		return
 	}
 	g.choice.silent(from, time.Now())
@@ -132,12 +130,12 @@
 	return errors.As(err, &refused) && refused.Reason == reason
 }
 
-// question returns what an instance is asked to tell.
+// subscription returns what to request from an instance.
 func (l *link) question(from source) relayer.Subscribe {
 	g := l.gatekeeper
 	s := relayer.Subscribe{Domain: l.domain, Passes: g.holdsAny()}
 	t, telling := g.teller()
-	// Once for each instance that tells: it tells the same beside every domain.
+	// Crash reports are requested once from each source: they are the same for all domains.
 	s.Crashes = !telling || t != from || l.domain == g.Config.Domain
 	if telling && t == from && l.domain == g.Config.Domain {
 		s.Tables = map[string]uint64{g.operator.name: g.operator.upTo(), g.holders.name: g.holders.upTo()}
@@ -145,7 +143,7 @@
 	return s
 }
 
-// heardBy takes in who told of the domain.
+// recordSource records which instance sent an update of the domain.
 func (l *link) heardBy(from source, n relayer.News) {
 	g := l.gatekeeper
 	g.quarantine.toldBack(from, n.Crashes)
@@ -169,24 +167,24 @@
 		l.former, l.parting = l.via, now.Add(overlap)
 	}
 	l.via = from
-	g.Recorder.Log(recorder.Belief, "msg", "told by", "domain", l.domain, "instance", from.id, "holder", l.holder.Holder)
+	g.Recorder.Log(recorder.Belief, "msg", "source of domain changed", "domain", l.domain, "instance", from.id, "holder", l.holder.Holder)
 }
 
-// overlap is how long an instance goes on telling whom it told before: the word of
-// whoever passes its needs on to the holder must have come there before this
-// instance's own is void, or the holder would give up copies in use.
+// overlap is how long an instance also reports to its previous source after a change: its
+// demand must have reached the leader through the new source before the old report is dropped,
+// or the leader would evict copies in use.
 const overlap = 500 * time.Millisecond
 
-// voice returns whom to tell what is needed.
+// reportTarget returns the instance to which demand is reported.
 func (l *link) voice() (source, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.via, l.via != (source{}) && time.Since(l.heard) <= unheard
 }
 
-// part tells whom this instance told before what it needs, for a while, and then
-// that it tells somebody else. Without that the holder would count each use twice,
-// for as long as it counts an instance that has died.
+// reportToPrevious reports the demand to the previous source for a while, and then unsubscribes
+// from it. Without that the leader would count each use twice, for as long as it counts a
+// failed instance.
 func (l *link) part(ctx context.Context) {
 	former, until, ok := l.parts()
 	if !ok {
@@ -194,17 +192,17 @@
 	}
 	peers := l.gatekeeper.Peers
 	if _, linked := peers.Linked(former.address); !linked {
-		return // it is not reached, and would hold up the word to others
+		return // it is unreachable, and would delay the reports to others
 	}
 	word := relayer.Demand{Domain: l.domain, Parted: true}
 	if time.Now().Before(until) {
 		word = demandOf(l.domain, l.whole())
 	}
-	_ = peers.Tell(ctx, former.address, word) // it forgets this instance after its silence
+	_ = peers.Tell(ctx, former.address, word) // it drops this instance's report after a while without one
 }
 
-// parts returns whom this instance told before, and until when it goes on with that;
-// ok is false if there is none, or none any more.
+// previousTarget returns the previous source, and until when this instance reports to it; ok is
+// false if there is none or its time is over.
 func (l *link) parts() (former source, until time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/instance/gatekeeper/table.go
+++ b/internal/instance/gatekeeper/table.go
@@ -15,14 +15,13 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// Who passes news on also tells the rows of the operator and of the tenures, so that
-// one instance of a failure domain asks the store for all of them. Each word says how long
-// ago a call to the store showed that there is no newer row; that time only
-// grows on the way, and whoever was told in this way tells nobody.
+// An instance that relays updates also sends the rows of the operator and of the leases, so
+// that one instance of a failure domain polls the store for all of them. Each update says how
+// long ago a call to the store showed that there is no newer row. That age only grows on the
+// way, and an instance that learned it from another one does not send it on.
 
-// tellTables returns the rows that a member has not been told of. after is up to
-// which version it knows each table; it is brought up to date. due says whether ages
-// are to be told too.
+// tableUpdates returns the rows that a member lacks. after is up to which version it knows each
+// table, and is updated. due says whether to include the ages.
 func (g *Gatekeeper) tellTables(after map[string]uint64, due bool) []relayer.Table {
 	var tables []relayer.Table
 	now := time.Now()
@@ -41,7 +40,7 @@
 	return tables
 }
 
-// takeTables takes in rows that another instance tells.
+// applyTables applies the rows that another instance published.
 func (g *Gatekeeper) takeTables(tables []relayer.Table, now time.Time) {
 	for _, t := range tables {
 		for _, v := range g.views() {
@@ -49,13 +48,13 @@
 				continue
 			}
 			if err := v.takeRows(t, now); err != nil {
-				g.Recorder.Log(recorder.Belief, "msg", "rows not understood", "table", t.Name, "err", err)
+				g.Recorder.Log(recorder.Belief, "msg", "published rows cannot be decoded", "table", t.Name, "err", err)
 			}
 		}
 	}
 }
 
-// tellRows returns the rows after a version; ok is false if not all of them are known.
+// updateAfter returns the rows after a version; ok is false if they are not all known.
 func (v *view) tellRows(after uint64, now time.Time) (t relayer.Table, ok bool) {
 	at, known := v.asOf()
 	v.mu.Lock()
@@ -76,8 +75,8 @@
 	return t, true
 }
 
-// takeRows takes in rows that another instance tells, and as of when they were all
-// that there were.
+// applyUpdate applies the rows that another instance published, and records as of when they
+// were all there were.
 func (v *view) takeRows(t relayer.Table, now time.Time) error {
 	for _, packed := range t.Rows {
 		row, err := unpack(packed)
@@ -98,12 +97,12 @@
 	return nil
 }
 
-// packLeast is the size in bytes from which on the value of a row is compressed. A
-// configuration of 64 KB takes 26 ms on a link of 20 Mbit/s, and nearly a second to
-// the 35 instances of a domain one after the other; its text shrinks to a tenth.
+// compressFrom is the size in bytes from which the value of a row is compressed. A
+// configuration of 64 KB takes 26 ms on a link of 20 Mbit/s, and nearly a second to the 35
+// instances of a domain one after the other; its text shrinks to a tenth.
 const packLeast = 1 << 10
 
-// rowLimit bounds the value of a row, in bytes; the store takes 64 KB.
+// rowLimit bounds the value of a row, in bytes; the limit of the store is 64 KB.
 const rowLimit = 1 << 20
 
 func pack(r tabler.Row) relayer.Row {
@@ -116,7 +115,7 @@
 	if err != nil {
 		panic(err) // the level is a valid one
 	}
-	_, _ = w.Write(r.Value) // a buffer takes everything
+	_, _ = w.Write(r.Value) // a buffer accepts any data
 	_ = w.Close()
 	packed.Value, packed.Packed = small.Bytes(), true
 	return packed
--- a/internal/instance/gatekeeper/table_test.go
+++ b/internal/instance/gatekeeper/table_test.go
@@ -16,13 +16,13 @@
 	"github.com/sardinetiller/sardinetiller/internal/platform/tabler"
 )
 
-// A script says when an instance that tells others does not.
+// A script determines when a source does not publish.
 type script struct {
-	mute  moment // it is cut off from those whom it tells until then
-	still moment // it stands still until then
+	mute  moment // the source is partitioned from its members until then
+	still moment // the source is paused until then
 }
 
-// speaks reports whether the instance tells anything now.
+// publishes reports whether the source publishes now.
 func (s *script) speaks(now time.Time) bool {
 	for _, m := range []*moment{&s.mute, &s.still} {
 		if until, ok := m.get(); ok && now.Before(until) {
@@ -32,7 +32,7 @@
 	return true
 }
 
-// tellRowsOf returns a loop in which one instance tells another the operator's rows.
+// publishRows returns a loop in which a source publishes the operator's rows to a member.
 func tellRowsOf(teller, member *Gatekeeper, s *script) func(ctx context.Context) {
 	return func(ctx context.Context) {
 		after := map[string]uint64{member.operator.name: member.operator.upTo()}
@@ -41,14 +41,14 @@
 			if s.speaks(now) {
 				member.takeTables(teller.tellTables(after, true), now)
 			} else {
-				after[member.operator.name] = 0 // the stream is begun anew
+				after[member.operator.name] = 0 // the subscription is restarted
 			}
 			pause(ctx, beat)
 		}
 	}
 }
 
-// newTold returns an instance that tells, one that is told, and the store of each.
+// newPair returns a source, a member that follows it, and the store of each.
 func newTold() (teller, member *Gatekeeper, tellers, members *feedStore) {
 	teller, tellers = newFedGatekeeper()
 	member, members = newFedGatekeeper()
@@ -58,9 +58,9 @@
 	return teller, member, tellers, members
 }
 
-// Hundreds of instances serve what the operator writes, and each call to the store is
-// paid for. One of them asks; the others are told, and a change is in force there
-// within the time of one word.
+// Hundreds of instances serve the operator's configuration, and each call to the store is
+// billed. Guards against calls of any instance but the source, and against changes that take
+// longer than one update to be in force at a member.
 func TestMembersAreToldWhatTheOperatorWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		teller, member, store, none := newTold()
@@ -79,23 +79,23 @@
 			time.Sleep(3 * time.Second)
 		}
 		if calls := none.made() - before; calls > 0 {
-			t.Errorf("%d calls to the store for what others tell", calls)
+			t.Errorf("%d calls to the store for what the source publishes", calls)
 		}
 	})
 }
 
-// The instance that tells falls silent, or goes on telling without reaching the store.
-// Callers must be served by a new configuration in time all the same: whoever is told
-// asks the store itself then.
+// The source stops publishing, or goes on without reaching the store. Guards against members
+// that rely on it and serve an old configuration for longer than allowed, in place of polling
+// the store themselves.
 func TestMembersAskWhenNobodyTellsWhatIsNew(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		happen func(s *script, tellers *feedStore)
 	}{
-		{"it is cut off from its members", func(s *script, _ *feedStore) { s.mute.set(time.Now().Add(time.Hour)) }},
-		{"it stands still", func(s *script, _ *feedStore) { s.still.set(time.Now().Add(time.Hour)) }},
-		{"the store turns it away", func(_ *script, tellers *feedStore) { tellers.set(turnsAway) }},
-		{"the store answers it nothing", func(_ *script, tellers *feedStore) {
+		{"it is partitioned from its members", func(s *script, _ *feedStore) { s.mute.set(time.Now().Add(time.Hour)) }},
+		{"it is paused", func(s *script, _ *feedStore) { s.still.set(time.Now().Add(time.Hour)) }},
+		{"the store rejects it", func(_ *script, tellers *feedStore) { tellers.set(turnsAway) }},
+		{"the store does not answer it", func(_ *script, tellers *feedStore) {
 			tellers.set(swallows)
 			tellers.deafen()
 		}},
@@ -110,7 +110,7 @@
 				tc.happen(&s, tellers)
 				for version := uint64(2); version < 6; version++ {
 					members.configure(version)
-					time.Sleep(inForce + 500*time.Millisecond) // one call more than where everybody asks for himself
+					time.Sleep(inForce + 500*time.Millisecond) // one call more than without a source
 					if got := member.version(); got != version {
 						t.Errorf("version %d in force, want %d", got, version)
 					}
@@ -120,9 +120,9 @@
 	}
 }
 
-// The age of what is told counts from the call to the store that showed it. Counted
-// from the word, an instance that has lost the store would keep all its members from
-// asking for as long as it speaks.
+// The published age counts from the call to the store that confirmed the rows. Counted from the
+// update, a source that has lost the store would keep all its members from polling for as long
+// as it publishes.
 func TestAgeOfWhatIsToldGrows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		teller, member, _, _ := newTold()
@@ -134,21 +134,21 @@
 			t.Errorf("age %s, want 1.5s", age)
 		}
 		if !member.operator.isSpared(time.Now()) {
-			t.Error("asks the store for what it was told a moment ago")
+			t.Error("polls the store for what was just published")
 		}
 		time.Sleep(patience)
 		member.takeTables(teller.tellTables(after, true), time.Now())
 		if member.operator.isSpared(time.Now()) {
-			t.Error("does not ask the store for what is old")
+			t.Error("does not poll the store for old rows")
 		}
 		if told := member.tellOperator(time.Now()); told.Newest != 0 {
-			t.Errorf("passes on %+v, which it was told itself", told)
+			t.Errorf("confirms %+v, which another instance published", told)
 		}
 	})
 }
 
-// Large values are compressed on the way: a configuration of 64 KB would hold up a
-// link of 20 Mbit/s for nearly a second on its way to the instances of a domain.
+// Large values are compressed for publication: a configuration of 64 KB would occupy a link of
+// 20 Mbit/s for nearly a second on its way to the instances of a domain.
 func TestRowsComeAsTheyWere(t *testing.T) {
 	for _, row := range []tabler.Row{
 		{Key: "op/small", Value: []byte("{}"), Version: 3},
@@ -157,7 +157,7 @@
 	} {
 		packed := pack(row)
 		if len(packed.Value) > packLeast {
-			t.Errorf("%s has %d bytes on the way", row.Key, len(packed.Value))
+			t.Errorf("%s has %d bytes when packed", row.Key, len(packed.Value))
 		}
 		got, err := unpack(packed)
 		if err != nil {
@@ -168,17 +168,17 @@
 		}
 	}
 	if _, err := unpack(relayer.Row{Packed: true, Value: []byte("no such thing")}); err == nil {
-		t.Error("takes what cannot be read")
+		t.Error("accepts data that cannot be decompressed")
 	}
 	if _, err := unpack(pack(tabler.Row{Value: bytes.Repeat([]byte{0}, rowLimit+1)})); err == nil {
-		t.Error("takes a row of any size")
+		t.Error("accepts a row over the limit")
 	}
 }
 
-// Whoever tells is cut off, stands still, loses the store and is followed by another
-// one with an older view, and the store fails its members too; the operator changes
-// the configuration all the while. Three seconds after the last trouble callers are
-// served by the newest configuration, and from then on by each new one in time.
+// Two sources, one of which may have an older view, are partitioned, paused and lose the store,
+// the store fails the member too, and the operator changes the configuration all the while.
+// Guards against a member that serves an older configuration later than three seconds after the
+// last fault, or a change that is not in force in time from then on.
 func TestConfigurationIsCurrentWhoeverTellsIt(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/instance/gatekeeper/take.go
+++ b/internal/instance/gatekeeper/take.go
@@ -10,7 +10,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// take takes in news of the domain.
+// take applies an update of the domain.
 func (l *link) take(n relayer.News) {
 	now := time.Now()
 	g := l.gatekeeper
@@ -59,7 +59,7 @@
 	d.heardOf(n.Tenure, n.Renewal, n.Age)
 }
 
-// takeReach takes in since when another holder has reached the store.
+// applyReach records since when another leader has reached the store.
 func (g *Gatekeeper) takeReach(n relayer.News, now time.Time) {
 	if n.Operator.Newest > 0 {
 		at := now.Add(-n.Operator.Age)
@@ -71,7 +71,7 @@
 	}
 }
 
-// end takes in that the holder has given the tenure up. It is looked after at once.
+// leaderEnded records that the leader has stepped down. Its lease counts as vacant at once.
 func (l *link) end(fence uint64) {
 	l.gatekeeper.controllers[l.domain].over(fence)
 	l.mu.Lock()
@@ -81,8 +81,8 @@
 	}
 }
 
-// takeRunners takes in which runners there are, and reports whether those that are known
-// then are those that the sender knows.
+// applyRunners applies the changes of the runners, and reports whether this instance now has
+// the same runners as the sender.
 func (l *link) takeRunners(n relayer.News) (matches bool) {
 	g := l.gatekeeper
 	g.learning.Lock()
@@ -94,7 +94,7 @@
 		g.setRunner(r, n.From)
 	}
 	for _, gone := range n.Gone {
-		if known, ok := g.Fleet.Get(gone.Runner); !ok || known.Revision <= gone.Revision { // else it was described anew since
+		if known, ok := g.Fleet.Get(gone.Runner); !ok || known.Revision <= gone.Revision { // else it was described again since
 			g.removeNow(gone.Runner, gone.Revision, n.From, whyTold)
 		}
 	}
@@ -104,7 +104,7 @@
 	return g.matches(l.domain, n)
 }
 
-// takeHeld takes in what the runners hold.
+// applyHeld applies what the runners hold.
 func (l *link) takeHeld(n relayer.News, now time.Time) {
 	fleet := l.gatekeeper.Fleet
 	if n.Whole {
@@ -136,8 +136,8 @@
 	}
 }
 
-// applySnapshot takes out the runners of a domain that a snapshot lacks. It is complete up to
-// the revision up to which its sender has read the store, and says nothing of runners that
+// applySnapshot removes the runners of a domain that a snapshot lacks. The snapshot is complete
+// up to the revision up to which its sender has read the store, and does not cover runners that
 // were described later.
 func (g *Gatekeeper) applySnapshot(domain string, n relayer.News) {
 	listed := make(map[string]bool, len(n.Runners))
@@ -152,7 +152,7 @@
 			later++
 		default:
 			dropped++
-			g.remove(r.ID, n.Revision, n.From, whyUnlisted) // its sender may have started after an outage
+			g.remove(r.ID, n.Revision, n.From, whyUnlisted) // the sender may have started after an outage; remove then waits for the grace time
 		}
 	}
 	g.Recorder.Log(recorder.Belief, "msg", "snapshot", "domain", domain, "by", n.From, "fresh", n.Fresh, "revision", n.Revision,
--- a/internal/instance/gatekeeper/teller.go
+++ b/internal/instance/gatekeeper/teller.go
@@ -10,53 +10,53 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// A source is an instance that tells others what changes.
+// A source is an instance that publishes updates to others.
 type source struct{ id, address string }
 
 func sourceOf(t elector.Tenure) source { return source{id: t.Holder, address: t.Address} }
 
-// A choice is who tells this instance what changes anywhere: the holder of its own
-// failure domain's tenure, or in its place that of another one. Its zero value is
-// ready; it is safe for concurrent use.
+// A sourceSelection is the source from which this instance receives the updates of all domains:
+// the leader of its own failure domain, or in its place the leader of another one. Its zero
+// value is ready; it is safe for concurrent use.
 type choice struct {
 	mu    sync.Mutex
-	last  source               // who was chosen last
-	since time.Time            // when it was
-	word  time.Time            // its last word
-	unfit map[source]exclusion // those that told nothing
+	last  source               // selected source
+	since time.Time            // when it was selected
+	word  time.Time            // when its last update was received
+	unfit map[source]exclusion // sources that recently sent nothing
 
-	refuser  source    // who had nothing to tell last
-	refusing time.Time // since when
+	refuser  source    // source that refused last
+	refusing time.Time // since when it has refused
 }
 
-// An exclusion is how often in a row an instance told nothing, and until when it is passed
-// over for that.
+// An exclusion is how often in a row an instance sent nothing, and until when it is excluded
+// from the selection for that.
 type exclusion struct {
 	times int
 	until time.Time
 }
 
 const (
-	// unfitFor is how long an instance that told nothing is passed over, and mostUnfit
-	// how long if it did so again and again: whoever asks one that stands still is told
-	// nothing until its silence shows.
+	// excludeFor is how long an instance that sent nothing is excluded, and maxExclude how long
+	// at most if that happens again and again: an instance that selects a stalled source
+	// receives nothing until the silence is detected.
 	unfitFor  = time.Second
 	mostUnfit = 8 * time.Second
-	// lingerFor is how long one that answers, but has nothing to tell yet, is asked
-	// again before another one takes its place. It has just started and will hold its
-	// tenure again, or has just given it up to an instance that will; to be told
-	// everything anew by an instance of another domain costs more than to wait.
+	// refusalGrace is how long a source that answers, but has nothing to publish yet, is
+	// retried before another one is selected. It has just started and will be leader again, or
+	// has just released its lease to an instance that will be; a snapshot from an instance of
+	// another domain costs more than waiting.
 	lingerFor = 500 * time.Millisecond
 )
 
-// fit reports whether an instance may be chosen.
+// eligible reports whether an instance may be selected.
 func (c *choice) fit(s source, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return !now.Before(c.unfit[s].until)
 }
 
-// refused takes in that an instance had nothing to tell.
+// refused records that a source had nothing to publish.
 func (c *choice) refused(s source, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// silent takes in that an instance did not answer, or fell silent.
+// failed records that a source did not answer, or stopped sending.
 func (c *choice) silent(s source, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -85,7 +85,7 @@
 	c.unfit[s] = l
 }
 
-// set takes in the choice; it reports whether it is another one than before.
+// set selects a source, and reports whether it is another one than before.
 func (c *choice) set(s source, now time.Time) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -96,21 +96,21 @@
 	return true
 }
 
-// now returns who was chosen last.
+// selected returns the selected source.
 func (c *choice) now() (source, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.last, c.last != (source{})
 }
 
-// began returns when the choice was made.
+// selectedAt returns when the source was selected.
 func (c *choice) began() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.since
 }
 
-// heard takes in a word of an instance.
+// received records an update of a source.
 func (c *choice) heard(s source, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -120,22 +120,22 @@
 	}
 }
 
-// hears reports whether an instance that was chosen tells.
+// receiving reports whether a source is the selected one and sends updates.
 func (c *choice) hears(s source) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.last == s && time.Since(c.word) <= unheard
 }
 
-// teller returns the instance that is to tell this one what changes anywhere. Holders
-// tell each other; everybody else is told by the holder of its own domain. When that
-// one is gone another takes its place, a different one for each instance: without it
-// all instances of the domain asked the store several times a second, and followed
-// each of the other holders, until the tenure was held again ten seconds later.
+// teller returns the source for this instance, and selects another one if necessary. Leaders
+// follow each other; every other instance follows the leader of its own domain. When that one
+// is gone another leader takes its place, a different one for each instance: without that all
+// instances of the domain polled the store several times a second, and followed each of the
+// other leaders, until the domain had a leader again ten seconds later.
 func (g *Gatekeeper) teller() (source, bool) {
 	s := g.fittest(time.Now())
 	if g.choice.set(s, time.Now()) {
-		g.Recorder.Log(recorder.Belief, "msg", "teller", "instance", s.id)
+		g.Recorder.Log(recorder.Belief, "msg", "source selected", "instance", s.id)
 	}
 	return s, s != (source{})
 }
@@ -154,8 +154,9 @@
 		switch {
 		case s.id == "" || s.id == g.Config.ID || !g.choice.fit(s, now):
 		case telling && s != last && silence > unheard:
-			// Whoever tells now does not hear that holder. Tried all the same every second,
-			// one that stood still for seven left its instances untold for half of them.
+			// The current source receives nothing from that leader. When it was tried all the
+			// same every second, a leader that was stalled for seven seconds left its instances
+			// without updates for half of them.
 		default:
 			return s
 		}
@@ -163,9 +164,9 @@
 	return source{}
 }
 
-// nearestDomains returns the failure domains in the order in which their holders are
-// asked to tell this instance: its own first, then the others, from a different one
-// on for each instance.
+// sourceDomains returns the failure domains in the order in which their leaders are considered
+// as the source: this instance's own first, then the others, starting at a different one for
+// each instance.
 func (g *Gatekeeper) nearestDomains() []string {
 	order := []string{g.Config.Domain}
 	var others []string
--- a/internal/instance/gatekeeper/teller_test.go
+++ b/internal/instance/gatekeeper/teller_test.go
@@ -11,10 +11,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 )
 
-// The holder of a domain stands still for seconds. Its instances are told by that of
-// another domain, and must stay with it: asked again every second, the one that stands
-// still tells nothing until its silence shows, and for half of the time callers were
-// refused for adapters of which nothing was known. When it is heard again it tells
+// The leader of a domain is paused for seconds, and its instances follow the leader of another
+// domain. They must stay with it: when the paused leader was tried again every second, its
+// silence had to be detected each time, and for half of the time callers were refused for
+// adapters whose state was unknown. Once the paused leader sends updates again it is the source
 // again.
 func TestInstancesStayWithWhoeverTells(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -33,7 +33,7 @@
 			return s
 		}
 		if diff := cmp.Diff("a-1", teller().id); diff != "" {
-			t.Fatal("before:", diff)
+			t.Fatal("before the pause:", diff)
 		}
 		hear(sourceOf(own), relayer.News{Tenure: own})
 		g.choice.silent(sourceOf(own), time.Now())
@@ -49,12 +49,12 @@
 		}
 		for _, id := range tellers {
 			if id != "b-1" {
-				t.Fatalf("left who tells: %v", tellers)
+				t.Fatalf("left the source: %v", tellers)
 			}
 		}
 		hear(sourceOf(other), relayer.News{Tenure: own})
 		if diff := cmp.Diff("a-1", teller().id); diff != "" {
-			t.Error("after it is heard again:", diff)
+			t.Error("after the pause:", diff)
 		}
 	})
 }
--- a/internal/instance/gatekeeper/view.go
+++ b/internal/instance/gatekeeper/view.go
@@ -11,50 +11,50 @@
 	"github.com/sardinetiller/sardinetiller/internal/platform/tabler"
 )
 
-// A view is what this instance knows of a table of the store, and as of when.
-// The fields before mu are set before its loops begin.
+// A view is this instance's copy of a table of the store, and as of when it is current. The
+// fields before mu are set before its loops begin.
 type view struct {
 	name     string
-	whole    func(rows []tabler.Row, version uint64) // nil: each row is a change
-	change   func(row tabler.Row)                    // of a table whose rows others tell
-	changes  func(rows []tabler.Row, version uint64) // nil: one after the other
-	others   func() (asOf time.Time, ok bool)        // what other instances tell of it
-	patience func() time.Duration                    // the age at which the store is asked
-	told     moment                                  // as of when others showed it to be as known here
+	whole    func(rows []tabler.Row, version uint64) // applies a whole table; nil: each row is applied as a change
+	change   func(row tabler.Row)                    // applies one row, of a table whose rows other instances publish
+	changes  func(rows []tabler.Row, version uint64) // applies a set of changes; nil: one after the other
+	others   func() (asOf time.Time, ok bool)        // as of when other instances show the table to be current
+	patience func() time.Duration                    // age at which the store is polled
+	told     moment                                  // as of when others confirmed it to be as known here
 
 	mu      sync.Mutex
-	rows    map[string]relayer.Row // by key, as passed on to others; not those of a table that is taken whole
-	spared  time.Time              // when another instance told it last, which asks the store for this one too
+	rows    map[string]relayer.Row // by key, as published to others; not for tables with applyTable
+	spared  time.Time              // when an instance that polls the store for this one last published it
 	known   bool
 	after   uint64    // the version up to which it is known
-	newest  uint64    // version of the newest row that a call brought
+	newest  uint64    // version of the newest row received
 	at      time.Time // as of when calls showed it to be current
-	ahead   uint64    // newest version of a row that another instance told of
-	aheadAt time.Time // when it told of it first
+	ahead   uint64    // newest version known to another instance
+	aheadAt time.Time // when that was first reported
 
-	last   time.Time               // when the last call that waits for changes was sent
+	last   time.Time               // when the last watch call was sent
 	asked  time.Time               // the same; zero if it has ended
-	cancel context.CancelCauseFunc // ends it
+	cancel context.CancelCauseFunc // cancels it
 	failed int                     // calls that failed since the last one that succeeded
 	err    error                   // of the last of them
 }
 
-// errReplaced ends a call in whose place another one is sent.
+// errReplaced cancels a call that is replaced by another one.
 var errReplaced = errors.New("replaced by a later call")
 
-// A viewState tells how old a view is, and why.
+// A viewState is the age of a view and the reasons for it.
 type viewState struct {
 	After  uint64        // the version up to which it is known
-	Age    time.Duration // since it was known to be current; never if it was not yet
+	Age    time.Duration // since it was last known to be current; never if it was not yet
 	Failed int           // calls that failed since the last one that succeeded
 	Err    error         // of the last of them
-	Waits  time.Duration // for the answer to the call under way; 0 if there is none
+	Waits  time.Duration // duration of the watch call in progress; 0 if there is none
 }
 
-// never is the age of what was not known yet.
+// never is the age of a view that was not read yet.
 const never = -time.Second
 
-// state returns how old the view is at now, and why.
+// state returns the age of the view at now and the reasons for it.
 func (v *view) state(now time.Time) viewState {
 	s := viewState{Age: never}
 	if at, ok := v.asOf(); ok {
@@ -69,8 +69,8 @@
 	return s
 }
 
-// asOf returns as of when the view is known to be current, by calls of this
-// instance or by what others tell; ok is false if it is not known yet.
+// asOf returns as of when the view is known to be current, by calls of this instance or by
+// reports of others; ok is false if it is not known yet.
 func (v *view) asOf() (at time.Time, ok bool) {
 	at, ok = v.firsthand()
 	if v.others == nil {
@@ -82,29 +82,28 @@
 	return at, ok
 }
 
-// firsthand returns as of when calls of this instance showed the view to be
-// current.
+// firsthand returns as of when calls of this instance showed the view to be current.
 func (v *view) firsthand() (at time.Time, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.at, !v.at.IsZero()
 }
 
-// doubtful reports whether the store is to be asked about the view: nothing shows
-// that it is current, or another instance knows of a row that has not come.
+// needsCheck reports whether to poll the store for the view: nothing shows that it is current,
+// or another instance knows of a row that has not arrived.
 func (v *view) doubtful(now time.Time) bool {
 	at, _ := v.asOf()
 	old := now.Sub(at) > v.patience()
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.known {
-		return false // all is being read, which shows as much
+		return false // the whole table is being read, which shows as much
 	}
 	return old || v.behind(now)
 }
 
-// current reports whether the view is known to be current: it is not old, and nobody knows of a
-// row that has not come.
+// current reports whether the view is known to be current: it is not old, and no other instance
+// knows of a row that has not arrived.
 func (v *view) current(now time.Time) bool {
 	at, ok := v.asOf()
 	recent := ok && now.Sub(at) <= v.patience()
@@ -113,8 +112,8 @@
 	return recent && !v.behind(now)
 }
 
-// behind reports whether another instance knows of a row that should have come by now.
-// The lock is held.
+// behind reports whether another instance knows of a row that should have arrived by now. The
+// lock is held.
 func (v *view) behind(now time.Time) bool {
 	return v.ahead > v.after && now.Sub(v.aheadAt) > onTheWay
 }
@@ -126,8 +125,8 @@
 	return v.after
 }
 
-// hear takes in that another instance knows the table up to the row with a
-// version. It reports whether this instance knows that row too.
+// observeVersion records that another instance knows the table up to a version. It reports
+// whether this instance does too.
 func (v *view) hear(newest uint64, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -143,18 +142,18 @@
 	return false
 }
 
-// tell returns what to tell other instances: the version of the newest row, and
-// how long ago a call of this instance showed that there is no newer one. What it
-// was told itself it does not pass on: two instances that told each other in turn
-// would find each other current for ever.
+// confirmed returns what to report to other instances: the version of the newest row, and how
+// long ago a call of this instance showed that there is no newer one. Reports of others are not
+// passed on: two instances that reported to each other in turn would consider each other
+// current forever.
 func (v *view) tell(now time.Time) (newest uint64, age time.Duration, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.newest, now.Sub(v.at), v.newest > 0 && !v.at.IsZero()
 }
 
-// began notes that the call that waits for changes is sent, and returns from which
-// version it is to ask; known is false if all is to be read.
+// watchBegan records that the watch call is sent, and returns from which version it is to
+// continue; known is false if the whole table is to be read.
 func (v *view) began(now time.Time, cancel context.CancelCauseFunc) (after uint64, known bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -162,14 +161,14 @@
 	return v.after, v.known
 }
 
-// lately reports whether a call that waits for changes was sent a moment ago.
+// calledLately reports whether a watch call was sent recently.
 func (v *view) lately(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return !v.last.IsZero() && now.Sub(v.last) < 2*lastAgain
 }
 
-// ended notes how a call ended.
+// callEnded records the result of a call.
 func (v *view) ended(err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -181,15 +180,15 @@
 	v.failed, v.err = 0, nil
 }
 
-// idle notes that no call waits for changes.
+// watchEnded records that no watch call is in progress.
 func (v *view) idle() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.asked, v.cancel = time.Time{}, nil
 }
 
-// replace ends the call that waits for changes, if it was sent before a time;
-// another one is sent in its place.
+// replace cancels the watch call if it was sent before a time; another one is sent in its
+// place.
 func (v *view) replace(before time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -198,8 +197,8 @@
 	}
 }
 
-// reached takes in the rows of a call, and up to which version and as of when the
-// table is known by it.
+// recordCall records the rows of a call, and up to which version and as of when the table is
+// known by it.
 func (v *view) reached(rows []tabler.Row, version uint64, at time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -209,7 +208,7 @@
 		v.at = at
 	}
 	if v.whole != nil {
-		return // nobody is told of it by rows
+		return // not published to others row by row
 	}
 	packed := make([]relayer.Row, 0, len(rows))
 	for _, r := range rows {
@@ -218,7 +217,7 @@
 	v.keep(packed)
 }
 
-// keep keeps rows for others.
+// storeRows stores rows for publication to others.
 func (v *view) keep(rows []relayer.Row) {
 	if v.rows == nil {
 		v.rows = make(map[string]relayer.Row)
@@ -231,25 +230,25 @@
 	}
 }
 
-// isSpared reports whether another instance tells this one of the table, so that it
-// need not ask the store itself.
+// isPublished reports whether another instance publishes the table to this one, so that it need
+// not poll the store itself.
 func (v *view) isSpared(now time.Time) bool {
 	at, ok := v.asOf()
-	recent := now.Sub(at) <= v.patience() // before the lock: it takes those of the tenures, which are held by whoever tells
+	recent := now.Sub(at) <= v.patience() // before locking: maxAge takes the locks of the controllers, and publishing takes them before this one
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return ok && recent && now.Sub(v.spared) <= unheard
 }
 
-// forget notes that the changes since the last call are not to be had: all is to
-// be read.
+// invalidate records that the changes since the last call are no longer available: the whole
+// table has to be read.
 func (v *view) forget() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.known = false
 }
 
-// take takes in all rows of the table as of a version.
+// applyAll applies all rows of the table as of a version.
 func (v *view) take(rows []tabler.Row, version uint64) {
 	if v.whole != nil {
 		v.whole(rows, version)
@@ -258,7 +257,7 @@
 	v.takeChanges(rows, version)
 }
 
-// takeChanges takes in the rows that have changed up to a version.
+// applyChanges applies the rows that have changed up to a version.
 func (v *view) takeChanges(rows []tabler.Row, version uint64) {
 	if v.changes != nil {
 		v.changes(rows, version)
--- a/internal/instance/gatekeeper/views.go
+++ b/internal/instance/gatekeeper/views.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// setViews sets what the views are of, and what others tell of each.
+// setViews initializes the views, and how each is confirmed by other instances.
 func (g *Gatekeeper) setViews() {
 	g.viewsSet.Do(func() {
 		operator, runners := g.Decoder.Tables()
@@ -36,8 +36,7 @@
 	})
 }
 
-// operatorPatience returns the age at which this instance asks about the operator's
-// rows.
+// operatorMaxAge returns the age at which this instance polls the operator's rows.
 func (g *Gatekeeper) operatorPatience() time.Duration {
 	own := patienceHolder
 	for _, domain := range g.domains() {
@@ -49,8 +48,7 @@
 	return patience
 }
 
-// sinceAll returns the earliest of a time of each link; ok is false if one has
-// none.
+// earliest returns the earliest of a time of each link; ok is false if one has none.
 func (g *Gatekeeper) sinceAll(of func(l *link) time.Time) (earliest time.Time, ok bool) {
 	for _, l := range g.links {
 		l.mu.Lock()
@@ -66,5 +64,5 @@
 	return earliest, !earliest.IsZero()
 }
 
-// views returns what this instance knows of the store's tables.
+// views returns the views of the store's tables.
 func (g *Gatekeeper) views() []*view { return []*view{&g.operator, &g.holders, &g.runners} }
