--- a/internal/instance/gatekeeper/watch.go
+++ b/internal/instance/gatekeeper/watch.go
@@ -10,32 +10,31 @@
 )
 
 const (
-	// shortWatch is how long one for changes of the runners waits. It bounds how
-	// old the knowledge of a runner's leaving may get where nothing else changes.
+	// runnersWatchTimeout is the timeout of a watch call on the runners. It bounds how long the
+	// draining of a runner may go unnoticed where nothing else changes.
 	shortWatch = 250 * time.Millisecond
-	// paceHolder is the pause between two such calls of an instance that tells
-	// others: the runners of a busy service change many times a second, and each
-	// answer would cost a call.
+	// leaderPollPause is the pause between two such calls of an instance that publishes to
+	// others: the runners of a busy service change many times a second, and each answer would
+	// cost a call.
 	paceHolder = 400 * time.Millisecond
-	// paceAwaiting is the pause of a holder while it waits for rows that lapsed.
+	// pendingPollPause is the pause of a leader while it waits for expired rows to come back.
 	paceAwaiting = 100 * time.Millisecond
-	// againHolder bounds the pause of a holder between two calls that fail. When the store is
-	// back it tells others so: which runners have left must be known soon after.
+	// maxLeaderRetryDelay bounds the pause of a leader between two failed calls. It tells
+	// others when the store is back: which runners have left must be known soon after.
 	againHolder = 500 * time.Millisecond
-	// paceAlone is the pause of an instance that nobody tells.
+	// unpublishedPollPause is the pause of an instance to which nobody publishes.
 	paceAlone = 600 * time.Millisecond
-	// unheard is how long an instance trusts that it is told of changes without
-	// hearing anything.
+	// unheard is how long without an update an instance considers a source alive.
 	unheard = 700 * time.Millisecond
-	// unfresh is how long it trusts that without hearing that the holder has
-	// reached the store itself, and toldEvery how often it looks. With the time
-	// for which a holder counts as fresh, an instance learns of a runner's leaving
-	// within 1.4 s also if its holder was turned away just before.
+	// freshTimeout is how long an instance relies on published runners without an update whose
+	// sender has recently reached the store, and checkInterval how often that is checked.
+	// Together with freshFor, an instance learns within 1.4 s that a runner drains, even if the
+	// store rejected its leader just before.
 	unfresh   = 500 * time.Millisecond
 	toldEvery = 100 * time.Millisecond
 )
 
-// sawStore takes in how a call to the store ended that was sent at a time.
+// sawStore records the result of a call to the store that was sent at the given time.
 func (g *Gatekeeper) sawStore(sent time.Time, err error) {
 	if !g.storeUp.set(err == nil, sent, time.Now()) {
 		return
@@ -46,21 +45,21 @@
 	}
 	g.Recorder.Log(recorder.Lifecycle, "msg", "the store is back")
 	signal(g.quarantine.write)
-	// A store that was away may have forgotten the calls that it had taken. Those about
-	// the runners are short.
+	// The store may have lost calls that it accepted before the outage. Those for the runners
+	// are short.
 	for _, v := range []*view{&g.operator, &g.holders} {
 		v.replace(time.Now())
 	}
 }
 
-// watchOperator keeps the configuration and the versions of adapters.
+// watchOperator keeps the configuration and the versions of adapters up to date.
 func (g *Gatekeeper) watchOperator(ctx context.Context) {
 	g.setViews()
 	g.follow(ctx, &g.operator, longWatch)
 }
 
-// operatorRow takes in a row of the operator. An older configuration than the
-// one in force changes nothing: rows may be told late.
+// operatorRow applies a row of the operator. A configuration older than the one in force
+// changes nothing: rows may be published late.
 func (g *Gatekeeper) operatorRow(r tabler.Row) {
 	c, ok, err := g.Decoder.Catalog(r)
 	if err != nil {
@@ -73,7 +72,7 @@
 	}
 	named, ok, err := g.Decoder.Version(r)
 	if err != nil {
-		g.Recorder.Log(recorder.Config, "msg", "version of an adapter refused", "row", r.Key, "err", err)
+		g.Recorder.Log(recorder.Config, "msg", "adapter version rejected: row cannot be decoded", "row", r.Key, "err", err)
 		return
 	}
 	if !ok {
@@ -88,9 +87,9 @@
 	}
 }
 
-// adopt puts a configuration in force, unless a newer one is. Rows come by calls of
-// this instance and from others at the same time; if the older of two was compared
-// first and stored last, it stayed in force until the operator wrote the next one.
+// adopt puts a configuration in force, unless a newer one is. Rows arrive from the store and
+// from other instances concurrently; when the older of two was compared first and stored last,
+// it stayed in force until the operator wrote the next one.
 func (g *Gatekeeper) adopt(c *matcher.Catalog) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -105,7 +104,7 @@
 	}
 }
 
-// watchRunners keeps the runners, as long as no peer tells of them.
+// watchRunners keeps the runners up to date while no other instance publishes them.
 func (g *Gatekeeper) watchRunners(ctx context.Context) {
 	g.setViews()
 	v := &g.runners
@@ -125,8 +124,8 @@
 	}
 }
 
-// pace returns the pause before the next call about the runners, where one that failed asks
-// for a time.
+// pollPause returns the pause before the next call for the runners. failed is what is left of
+// the retry delay after a failed call.
 func (g *Gatekeeper) pace(failed time.Duration) time.Duration {
 	switch {
 	case !g.holdsAny():
@@ -138,21 +137,20 @@
 	}
 }
 
-// fresh reports whether the runners are as they were in the store a moment ago.
-// A holder that the store turns away goes on telling its members, and without
-// this they would send requests to runners that have left since.
+// fresh reports whether the runners were read from the store recently. A leader that the store
+// rejects continues to publish to its members, and without this flag they would send requests
+// to runners that have left since.
 func (g *Gatekeeper) fresh() bool {
 	at, ok := g.runners.firsthand()
 	return ok && time.Since(at) < freshFor
 }
 
-// freshFor is how old what a holder knows of the runners may be for it to be told
+// freshFor is the maximum age of a leader's knowledge of the runners for them to be published
 // as fresh.
 const freshFor = paceHolder + shortWatch + freshMargin
 
-// freshMargin is for the way to the store and back. Without it a holder counted
-// as fresh for a part of the time only, and each of its members asked the store itself
-// every few seconds.
+// freshMargin allows for the round trip to the store. Without it a leader counted as fresh for
+// a part of the time only, and each of its members polled the store itself every few seconds.
 const freshMargin = 150 * time.Millisecond
 
 func (g *Gatekeeper) runnerRow(r tabler.Row) {
@@ -165,12 +163,12 @@
 		return
 	}
 	id := g.Fleet.Named(runner.ID)
-	if known, ok := g.Fleet.Get(id); !ok || known.Revision < r.Version { // else it was described anew since
+	if known, ok := g.Fleet.Get(id); !ok || known.Revision < r.Version { // else it was described again since
 		g.remove(id, r.Version, fromStore, whyRow)
 	}
 }
 
-// someRunners takes in the runners' rows that have changed up to a version.
+// applyRunnerRows applies the runners' rows that have changed up to a version.
 func (g *Gatekeeper) someRunners(rows []tabler.Row, version uint64) {
 	g.learning.Lock()
 	defer g.learning.Unlock()
@@ -180,22 +178,22 @@
 	g.allKnown(version)
 }
 
-// allKnown notes that all runners are known as of a version.
+// markComplete records that all runners are known as of a version.
 func (g *Gatekeeper) allKnown(version uint64) {
 	for _, domain := range g.domains() {
 		g.Fleet.CompleteTo(domain, version)
 	}
 }
 
-// foreign logs and counts a row among the runners' that cannot be one of theirs.
-// It names no runner, and every other row holds.
+// foreign logs and counts a row in the runners' table that is not the row of a runner. It is
+// skipped, and every other row is valid.
 func (g *Gatekeeper) foreign(key string, err error) {
 	g.Metrics.GetOrCreateCounter("sardinetiller_foreign_rows_total").Inc()
-	g.Recorder.Log(recorder.Belief, "msg", "row names no runner", "row", key, "err", err)
+	g.Recorder.Log(recorder.Belief, "msg", "row in the runners' table is not a runner; skipped", "row", key, "err", err)
 }
 
-// allRunners takes in the whole table as of a version: what is not in it, and was not
-// described later by another instance, is gone.
+// applyRunnerTable applies the whole table as of a version: runners that are not in it, and
+// were not described later by another instance, are gone.
 func (g *Gatekeeper) allRunners(rows []tabler.Row, version uint64) {
 	g.learning.Lock()
 	defer g.learning.Unlock()
--- a/internal/instance/gatekeeper/watch_silent_test.go
+++ b/internal/instance/gatekeeper/watch_silent_test.go
@@ -7,18 +7,16 @@
 	"time"
 )
 
-// settledAfter is how long after the end of any trouble an instance may go by what
-// it knew before. Callers are promised more from then on.
+// settledAfter is how long after the end of any fault an instance may use outdated state.
+// Deadlines hold again from then on.
 const settledAfter = 3 * time.Second
 
-// Callers of one instance got 404 for a route that every other instance served,
-// seconds after the operator's change was acknowledged. The store had taken calls
-// for seven seconds and answered none, without ending a connection. Instances whose
-// call for changes was sent before were told of the change when the store was back;
-// one that had to ask within those seconds waited for its answer for as long as it
-// had asked to wait, half a minute, while its short calls about other tables
-// succeeded. Proved by this order of events: the call for changes sent into the
-// outage is the only thing in which the two kinds of instance differ.
+// Guards against an instance whose callers get 404 for a route that every other instance
+// serves, seconds after the operator's change was acknowledged. The store had accepted calls
+// for seven seconds and answered none, without closing a connection. Instances whose watch call
+// was sent before received the change when the store was back; one that sent its watch call
+// during the outage waited for the answer for the whole timeout, half a minute, while its short
+// calls for other tables succeeded. Only that call distinguishes the two kinds of instance.
 func TestConfigurationIsCurrentSoonAfterCallsThatNobodyAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
@@ -26,7 +24,7 @@
 		go g.watchOperator(ctx)
 		time.Sleep(time.Second)
 		store.set(swallows)
-		store.configure(2) // tells the instance, which asks again into the outage
+		store.configure(2) // the instance receives it and sends the next watch call into the outage
 		time.Sleep(7 * time.Second)
 		store.set(serves)
 		store.configure(3)
--- a/internal/instance/gatekeeper/watch_test.go
+++ b/internal/instance/gatekeeper/watch_test.go
@@ -11,8 +11,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/platform/tabler"
 )
 
-// A still store is one in which nothing changes. Each call takes a few
-// milliseconds more than it waits.
+// A stillStore is a store in which nothing changes. Each call takes a few milliseconds more
+// than it waits.
 type stillStore struct{ tabler.Feed }
 
 func (stillStore) Scan(context.Context, string) ([]tabler.Row, uint64, error) { return nil, 1, nil }
@@ -27,16 +27,16 @@
 
 func (stillDecoder) Tables() (operator, runners string) { return "operator", "runners" }
 
-// A holder asks the store for the runners all the time, and nothing changes.
-// Were what it knows taken to be as old as the call that brought it, its members
-// would not trust it between two calls, and each would ask the store itself.
+// A leader reads the runners from the store all the time, and nothing changes. Guards against
+// taking its view to be as old as the start of the last call: its members would not rely on it
+// between two calls, and each would poll the store itself.
 func TestHolderThatReachesTheStoreIsFreshAllTheTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		g.Store, g.Decoder = stillStore{}, stillDecoder{}
 		hold(g, "a")
 		if !g.holdsAny() {
-			t.Fatal("does not hold the tenure; the test shows nothing")
+			t.Fatal("is not leader; the test proves nothing")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go g.watchRunners(ctx)
@@ -52,7 +52,7 @@
 	})
 }
 
-// hold makes an instance the holder of the tenure of a domain.
+// hold makes an instance the leader of a domain.
 func hold(g *Gatekeeper, domain string) {
 	d := g.controllers[domain]
 	d.elector.Late = 0
@@ -61,9 +61,9 @@
 	d.elector.Written(w, 1, uptime())
 }
 
-// Two configurations follow each other closely, and come by different ways at the same
-// time. Whichever is looked at first, callers must be served by the newer one: the older
-// stayed in force once, with nothing more to come that would have shown it.
+// Two configurations follow each other closely, and arrive concurrently from different senders.
+// Guards against the older one replacing the newer one: it stayed in force once, with no
+// further row to correct it.
 func TestOlderConfigurationDoesNotReplaceANewerOneThatComesAtTheSameTime(t *testing.T) {
 	g, store := newFedGatekeeper()
 	row := func(version uint64) tabler.Row {
@@ -82,9 +82,10 @@
 	}
 }
 
-// A holder looks whether it needs the store while it tells its members what it knows.
-// Each takes the lock of the other last; taken the other way round once, the instance
-// stood still for good and its callers were served by what held then.
+// A leader checks whether it has to poll the store while it publishes to its members. The first
+// must not hold the lock of the view while it takes those of the controllers, which the second
+// takes in the other order: the instance deadlocked for good, and its callers were served an
+// outdated configuration.
 func TestTellingAndDoubtingDoNotBlockEachOther(t *testing.T) {
 	g, _ := newFedGatekeeper()
 	g.setViews()
@@ -110,6 +111,6 @@
 	select {
 	case <-done:
 	case <-time.After(time.Minute):
-		t.Fatal("they block each other")
+		t.Fatal("deadlock")
 	}
 }
