--- a/internal/instance/gatekeeper/age.go
+++ b/internal/instance/gatekeeper/age.go
@@ -19,14 +19,14 @@
 
 // registerAgeGauges exports how old each view is and why. The metric names sort to the top of
 // the metrics page: a monitor may keep only the first few kilobytes of a page.
-func (g *Gatekeeper) measureAges() {
+func (g *Gatekeeper) registerAgeGauges() {
 	if g.Metrics == nil {
 		return
 	}
 	g.Metrics.GetOrCreateGauge("sardinetiller_belief_config_version", func() float64 { return float64(g.version()) })
 	for _, v := range g.views() {
-		gauge := func(what string, value func(s viewState) float64) {
-			g.Metrics.GetOrCreateGauge(fmt.Sprintf("sardinetiller_belief_%s{table=%q}", what, v.name), func() float64 {
+		gauge := func(metric string, value func(s viewState) float64) {
+			g.Metrics.GetOrCreateGauge(fmt.Sprintf("sardinetiller_belief_%s{table=%q}", metric, v.name), func() float64 {
 				return value(v.state(time.Now()))
 			})
 		}
@@ -38,7 +38,7 @@
 
 // registerUpdateGauges exports how long ago the leader of each failure domain last sent an
 // update, and whether its updates are relayed by another instance.
-func (g *Gatekeeper) measureWays() {
+func (g *Gatekeeper) registerUpdateGauges() {
 	if g.Metrics == nil {
 		return
 	}
@@ -48,7 +48,7 @@
 		g.Metrics.GetOrCreateGauge("sardinetiller_told_passed"+label, func() float64 {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			if l.via.id == l.holder.Holder {
+			if l.source.id == l.holder.Holder {
 				return 0
 			}
 			return 1
@@ -58,7 +58,7 @@
 
 // logAges logs the ages of the views, so that it can be found out later why an instance served
 // an older configuration than another.
-func (g *Gatekeeper) tellAges(ctx context.Context) {
+func (g *Gatekeeper) logAges(ctx context.Context) {
 	repeater.Every(ctx, paceEvery, nil, func() {
 		now := time.Now()
 		for _, v := range g.views() {
@@ -71,23 +71,23 @@
 
 // A staleAlarm logs when a view becomes older than the staleness check should allow, and when
 // it is current again.
-type ageAlarm struct {
+type staleAlarm struct {
 	gatekeeper *Gatekeeper
 	view       *view
-	old        bool
+	stale      bool
 }
 
 // staleFactor is how many times its maximum age a view may be old before that is logged: the
 // answer to the first staleness check normally arrives well before.
-const tooOld = 2
+const staleFactor = 2
 
-func (a *ageAlarm) look(now time.Time) {
+func (a *staleAlarm) check(now time.Time) {
 	s := a.view.state(now)
-	old := s.Age > tooOld*a.view.patience()
-	if old == a.old {
+	old := s.Age > staleFactor*a.view.maxAge()
+	if old == a.stale {
 		return
 	}
-	a.old = old
+	a.stale = old
 	msg := "current again"
 	if old {
 		msg = "may be old"
--- a/internal/instance/gatekeeper/age_test.go
+++ b/internal/instance/gatekeeper/age_test.go
@@ -21,21 +21,21 @@
 // call is not answered, without anything in the metrics or the log: nothing fails and nothing
 // is refused, so only the age of the view and the duration of the call tell that from an
 // instance that received the change and lost it.
-func TestAgeOfTheConfigurationAndItsCauseAreTold(t *testing.T) {
+func TestAgeOfTheConfigurationAndItsCauseAreExported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
 		var log, page bytes.Buffer
 		g.Metrics = metrics.NewSet()
 		g.Recorder = &recorder.Recorder{Metrics: g.Metrics, Out: &log}
 		g.setViews()
-		g.measureAges()
+		g.registerAgeGauges()
 		ctx, cancel := context.WithCancel(t.Context())
 		stop := make(chan struct{})
 		go g.Recorder.Run(stop)
 		go g.watchOperator(ctx)
-		go g.tellAges(ctx)
+		go g.logAges(ctx)
 		time.Sleep(time.Second)
-		store.set(swallows)
+		store.set(hangs)
 		store.configure(2) // the call in progress is answered; the next one is not
 		time.Sleep(4*time.Second + 10*time.Millisecond)
 		g.Metrics.WritePrometheus(&page)
@@ -81,7 +81,7 @@
 		go g.Recorder.Run(stop)
 		go g.watchOperator(ctx)
 		time.Sleep(10 * time.Second)
-		store.set(swallows)
+		store.set(hangs)
 		time.Sleep(10 * time.Second)
 		store.set(serves)
 		time.Sleep(10 * time.Second)
@@ -100,30 +100,30 @@
 	})
 }
 
-func TestStateOfAView(t *testing.T) {
+func TestViewState(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var v view
 		start := time.Now()
 		if diff := cmp.Diff(viewState{Age: never}, v.state(start)); diff != "" {
 			t.Error("before the first call:", diff)
 		}
-		v.began(start, nil)
+		v.watchBegan(start, nil)
 		if diff := cmp.Diff(viewState{Age: never, Waits: time.Second}, v.state(start.Add(time.Second))); diff != "" {
 			t.Error("while a call is under way:", diff)
 		}
-		v.idle()
-		v.ended(nil)
-		v.reached(nil, 7, start)
+		v.watchEnded()
+		v.callEnded(nil)
+		v.recordCall(nil, 7, start)
 		if diff := cmp.Diff(viewState{After: 7, Age: time.Minute}, v.state(start.Add(time.Minute))); diff != "" {
 			t.Error("after it:", diff)
 		}
-		v.ended(errNoAnswer)
-		v.ended(errNoAnswer)
+		v.callEnded(errNoAnswer)
+		v.callEnded(errNoAnswer)
 		got := v.state(start)
 		if got.Failed != 2 || got.Err == nil {
 			t.Errorf("after two that failed: %+v", got)
 		}
-		v.ended(nil)
+		v.callEnded(nil)
 		if got := v.state(start); got.Failed != 0 || got.Err != nil {
 			t.Errorf("after one that succeeded: %+v", got)
 		}
--- a/internal/instance/gatekeeper/begin.go
+++ b/internal/instance/gatekeeper/begin.go
@@ -13,50 +13,50 @@
 const (
 	// startJitter spreads the first calls of the instances: the first one acquires the lease
 	// within some 30 ms and publishes to the others.
-	firstSpread = time.Second
+	startJitter = time.Second
 	// discoveryTimeout bounds the wait for the first answer of the store, and
 	// firstUpdateTimeout the wait for the first update of the source.
-	firstAnswer = 300 * time.Millisecond
-	firstWord   = 300 * time.Millisecond
+	discoveryTimeout   = 300 * time.Millisecond
+	firstUpdateTimeout = 300 * time.Millisecond
 )
 
 // discoverLeaders reads who leads each failure domain, if that has to be known before anything
 // else.
-func (g *Gatekeeper) begin(ctx context.Context) {
+func (g *Gatekeeper) discoverLeaders(ctx context.Context) {
 	g.setViews()
 	if !g.Config.First {
 		return
 	}
-	pause(ctx, rand.N(firstSpread))
+	pause(ctx, rand.N(startJitter))
 	sent := time.Now()
-	g.mayAsk.set(sent.Add(firstAnswer))
+	g.discoveryEnds.set(sent.Add(discoveryTimeout))
 	err := g.refresh(ctx, &g.holders, longWatch)
 	g.sawStore(sent, err)
-	g.mayAsk.set(time.Now())
+	g.discoveryEnds.set(time.Now())
 }
 
 // afterDiscovery returns a loop that begins when the leaders are known.
-func (g *Gatekeeper) afterHolders(loop func(context.Context)) func(context.Context) {
-	return g.after(loop, func(time.Time) bool { return true })
+func (g *Gatekeeper) afterDiscovery(loop func(context.Context)) func(context.Context) {
+	return g.delayed(loop, func(time.Time) bool { return true })
 }
 
 // unlessPublished returns a loop that begins when the leaders are known and no source publishes
 // what the loop would read from the store.
-func (g *Gatekeeper) unlessTold(loop func(context.Context), told func(now time.Time) bool) func(context.Context) {
-	return g.after(loop, func(known time.Time) bool {
-		_, telling := g.teller()
+func (g *Gatekeeper) unlessPublished(loop func(context.Context), published func(now time.Time) bool) func(context.Context) {
+	return g.delayed(loop, func(known time.Time) bool {
+		_, hasSource := g.teller()
 		now := time.Now()
-		return !telling || told(now) || now.Sub(known) > firstWord
+		return !hasSource || published(now) || now.Sub(known) > firstUpdateTimeout
 	})
 }
 
 // delayed returns a loop that begins when the leaders are known, or discovery has timed out,
 // and ready returns true.
-func (g *Gatekeeper) after(loop func(context.Context), ready func(known time.Time) bool) func(context.Context) {
+func (g *Gatekeeper) delayed(loop func(context.Context), ready func(known time.Time) bool) func(context.Context) {
 	const step = 10 * time.Millisecond
 	return func(ctx context.Context) {
 		for g.Config.First && ctx.Err() == nil {
-			if known, ok := g.mayAsk.get(); ok && !time.Now().Before(known) && ready(known) {
+			if known, ok := g.discoveryEnds.get(); ok && !time.Now().Before(known) && ready(known) {
 				break
 			}
 			pause(ctx, step)
--- a/internal/instance/gatekeeper/dependency.go
+++ b/internal/instance/gatekeeper/dependency.go
@@ -8,62 +8,62 @@
 // A dependency tracks whether something that the instance needs, such as the store, is
 // available.
 type dependency struct {
-	mu     sync.Mutex
-	down   bool
-	since  time.Time // of the last change; if available: when it became available again, as seen by the first instance to reach it
-	away   time.Time // latest send time of a failed call, or the end of a stall of this instance
-	own    reach     // by successful calls of this instance
-	others reach     // by successful calls of other instances
+	mu          sync.Mutex
+	down        bool
+	changedAt   time.Time    // of the last change; if available: when it became available again, as seen by the first instance to reach it
+	lastFailure time.Time    // latest send time of a failed call, or the end of a stall of this instance
+	own         reachability // by successful calls of this instance
+	others      reachability // by successful calls of other instances
 }
 
 // observe records the outcome of a call that was sent at the given time, and reports whether
 // the availability changed. A failure of a call that was sent before another one succeeded is
 // ignored: calls sent during an outage may fail when it is over, and each made the instance see
 // the store lost and back once more.
-func (d *dependency) set(up bool, sent, now time.Time) bool {
+func (d *dependency) observe(up bool, sent, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if up {
-		d.own.seen(now, now)
-	} else if sent.After(d.away) {
-		d.away = sent
+		d.own.observe(now, now)
+	} else if sent.After(d.lastFailure) {
+		d.lastFailure = sent
 	}
 	changed := d.down == up && (up || !sent.Before(d.own.last))
 	if changed {
 		d.down = !up
-		d.since = now
-		d.returnWithOthers(now)
+		d.changedAt = now
+		d.adoptEarlierReturn(now)
 	}
 	return changed
 }
 
 // observeOthers records that another instance has reached the dependency during the given span.
-func (d *dependency) reachedByOthers(from, to, now time.Time) {
+func (d *dependency) observeOthers(from, to, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.others.seen(from, to)
-	d.returnWithOthers(now)
+	d.others.observe(from, to)
+	d.adoptEarlierReturn(now)
 }
 
 // adoptEarlierReturn moves the time of the return back to when other instances first reached
 // the dependency, if that was earlier.
-func (d *dependency) returnWithOthers(now time.Time) {
-	if !d.down && d.others.lasts(now) && d.others.first.Before(d.since) {
-		d.since = d.others.first
+func (d *dependency) adoptEarlierReturn(now time.Time) {
+	if !d.down && d.others.current(now) && d.others.first.Before(d.changedAt) {
+		d.changedAt = d.others.first
 	}
 }
 
 // reachableSpan returns the span during which the dependency was reachable, by calls of this
 // instance and, before them, by calls of others; ok is false if this instance does not reach it
 // now.
-func (d *dependency) reached(now time.Time) (first, last time.Time, ok bool) {
+func (d *dependency) reachableSpan(now time.Time) (first, last time.Time, ok bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	first = d.own.first
-	if d.others.lasts(now) && first.Sub(d.others.last) <= briefBreak && d.others.first.Before(first) {
+	if d.others.current(now) && first.Sub(d.others.last) <= maxGap && d.others.first.Before(first) {
 		first = d.others.first
 	}
-	return first, d.own.last, d.own.lasts(now)
+	return first, d.own.last, d.own.current(now)
 }
 
 // returned returns when the dependency became available again for the first instance to reach
@@ -74,22 +74,22 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
-	case d.down && d.others.lasts(now):
+	case d.down && d.others.current(now):
 		return d.others.first, true
 	case d.down:
 		return now, true // a row applied now arrives with the first answer
 	default:
-		return d.since, !d.since.IsZero()
+		return d.changedAt, !d.changedAt.IsZero()
 	}
 }
 
-// stoodStill records that the instance was stalled until now: its calls under way say nothing
+// stoodStill records that the instance was stalled until now: its calls in progress say nothing
 // about how long the dependency was unavailable.
 func (d *dependency) stoodStill(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if now.After(d.away) {
-		d.away = now
+	if now.After(d.lastFailure) {
+		d.lastFailure = now
 	}
 }
 
@@ -97,13 +97,13 @@
 func (d *dependency) lastAway() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.away
+	return d.lastFailure
 }
 
 // status returns whether the dependency is down, and when that last changed; the zero time if
 // it was never down.
-func (d *dependency) back() (at time.Time, down bool) {
+func (d *dependency) status() (at time.Time, down bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.since, d.down
+	return d.changedAt, d.down
 }
--- a/internal/instance/gatekeeper/dependency_test.go
+++ b/internal/instance/gatekeeper/dependency_test.go
@@ -8,7 +8,7 @@
 // Calls that were sent during an outage of the store fail one after the other when it is over.
 // Guards against a second loss and return of the store: operators read both times in the log,
 // and runners whose rows have expired are given a grace time from the return.
-func TestFailureOfAnEarlierCallDoesNotLoseTheStoreAgain(t *testing.T) {
+func TestFailureOfAnEarlierCallIsIgnored(t *testing.T) {
 	start := time.Now()
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
 	var d dependency
@@ -25,11 +25,11 @@
 		{"one that was sent after that fails", false, 7, 8, true},
 		{"one that was sent before the outage is answered", true, 0, 9, true},
 	} {
-		if got := d.set(step.up, at(step.sent), at(step.now)); got != step.changed {
+		if got := d.observe(step.up, at(step.sent), at(step.now)); got != step.changed {
 			t.Errorf("%s: changed %v, want %v", step.name, got, step.changed)
 		}
 	}
-	if back, down := d.back(); down || !back.Equal(at(9)) {
+	if back, down := d.status(); down || !back.Equal(at(9)) {
 		t.Errorf("back at %s, down %v", back.Sub(start), down)
 	}
 }
--- a/internal/instance/gatekeeper/doubt_test.go
+++ b/internal/instance/gatekeeper/doubt_test.go
@@ -16,26 +16,26 @@
 
 // changeDeadline is how long after its acknowledgement a change has to be in force at an
 // instance without recent faults.
-const inForce = 2 * time.Second
+const changeDeadline = 2 * time.Second
 
 // The store hangs, rejects calls and loses its history, connections of watch calls hang,
 // another instance publishes what it knows or does not, and the operator changes the
 // configuration all the while, in random order. Guards against an instance that serves an older
 // configuration later than three seconds after the last fault, or a change that is not in force
 // in time from then on.
-func TestConfigurationIsCurrentSoonAfterAnyTrouble(t *testing.T) {
+func TestConfigurationIsCurrentSoonAfterAnyFault(t *testing.T) {
 	for seed := range uint64(300) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playTroubles(t, rand.New(rand.NewPCG(seed, seed))) })
+			synctest.Test(t, func(t *testing.T) { runFaults(t, rand.New(rand.NewPCG(seed, seed))) })
 		})
 	}
 }
 
-func playTroubles(t *testing.T, rng *rand.Rand) {
+func runFaults(t *testing.T, rng *rand.Rand) {
 	g, store := newFedGatekeeper()
 	defer start(t, g.watchOperator, g.watchRunners)()
 	if rng.IntN(2) == 0 {
-		defer start(t, tellFrom(g, store))()
+		defer start(t, publishFrom(g, store))()
 	}
 	version := uint64(1)
 	change := func() {
@@ -45,15 +45,15 @@
 	for range 3 + rng.IntN(12) {
 		switch rng.IntN(6) {
 		case 0:
-			store.set(swallows)
+			store.set(hangs)
 		case 1:
-			store.set(turnsAway)
+			store.set(rejects)
 		case 2:
 			store.set(serves)
 		case 3:
-			store.deafen()
+			store.hangCalls()
 		case 4:
-			store.forget()
+			store.compact()
 		default:
 			change()
 		}
@@ -61,19 +61,19 @@
 	}
 	store.set(serves)
 	change()
-	time.Sleep(settledAfter)
+	time.Sleep(recoveryTime)
 	for range 5 {
 		if got := g.version(); got != version {
 			t.Fatalf("version %d in force, want %d", got, version)
 		}
 		change()
-		time.Sleep(inForce)
+		time.Sleep(changeDeadline)
 	}
 }
 
 // publishFrom returns a loop that publishes to an instance what another one that reaches the
 // store knows.
-func tellFrom(g *Gatekeeper, store *feedStore) func(ctx context.Context) {
+func publishFrom(g *Gatekeeper, store *feedStore) func(ctx context.Context) {
 	return func(ctx context.Context) {
 		for ctx.Err() == nil {
 			store.mu.Lock()
@@ -84,7 +84,7 @@
 				n.Operator = relayer.Known{Newest: newest}
 			}
 			g.links["a"].take(n)
-			pause(ctx, farBeat)
+			pause(ctx, farUpdateInterval)
 		}
 	}
 }
@@ -104,16 +104,16 @@
 // The store is back after an outage in which it answered nothing. Guards against a watch call
 // that was sent during the outage and is lost there: if it is not replaced, each change takes
 // until the next staleness check to be in force, for half a minute.
-func TestCallsSentIntoAnOutageAreReplacedAfterIt(t *testing.T) {
+func TestWatchCallsSentDuringAnOutageAreReplacedAfterIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
 		defer start(t, g.watchOperator, g.watchRunners)()
 		time.Sleep(time.Second)
-		store.set(swallows)
+		store.set(hangs)
 		store.configure(2)
 		time.Sleep(7 * time.Second)
 		store.set(serves)
-		time.Sleep(settledAfter)
+		time.Sleep(recoveryTime)
 		store.configure(3)
 		time.Sleep(20 * time.Millisecond)
 		if got := g.version(); got != 3 {
@@ -125,7 +125,7 @@
 // The store is lost and back while calls are in progress, and the watch calls are replaced.
 // Guards against counting that as a failure of the store: it would be lost again, and its
 // return would replace the next calls, over and over.
-func TestReturnOfTheStoreDoesNotMakeItLost(t *testing.T) {
+func TestReplacedWatchCallsAreNoStoreFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, _ := newFedGatekeeper()
 		defer start(t, g.watchOperator, g.watchRunners)()
@@ -134,7 +134,7 @@
 			g.sawStore(time.Now(), errNoAnswer)
 			g.sawStore(time.Now(), nil)
 			synctest.Wait()
-			if _, down := g.storeUp.back(); down {
+			if _, down := g.storeUp.status(); down {
 				t.Fatal("the store counts as lost after its return")
 			}
 		}
@@ -143,20 +143,20 @@
 
 // The changes are no longer available and the whole table is being read. Guards against further
 // calls for changes, and against counting a call that was not made as an answer of the store.
-func TestNothingIsDoubtedWhileAllIsRead(t *testing.T) {
+func TestNoStalenessCheckDuringAFullRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
 		g.setViews()
-		g.operator.reached(nil, 1, time.Now())
+		g.operator.recordCall(nil, 1, time.Now())
 		time.Sleep(time.Minute)
-		if !g.operator.doubtful(time.Now()) {
+		if !g.operator.needsCheck(time.Now()) {
 			t.Fatal("an old view needs no check; the test proves nothing")
 		}
-		g.operator.forget()
-		end := start(t, func(ctx context.Context) { g.doubt(ctx, &g.operator) })
+		g.operator.invalidate()
+		end := start(t, func(ctx context.Context) { g.pollWhenStale(ctx, &g.operator) })
 		time.Sleep(10 * time.Second)
 		end()
-		if n := store.made(); n != 0 {
+		if n := store.callCount(); n != 0 {
 			t.Errorf("%d calls to the store, want none", n)
 		}
 	})
@@ -165,15 +165,15 @@
 // The connection of the watch call hangs, and another instance reports a row that has not
 // arrived here. Guards against a change that is not in force until this instance's own
 // staleness check: it has to be read as soon as it should have arrived.
-func TestInstanceThatIsToldOfANewerRowAsksForIt(t *testing.T) {
+func TestReportOfANewerRowTriggersAPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
 		defer start(t, g.watchOperator)()
 		time.Sleep(time.Second)
-		store.deafen()
+		store.hangCalls()
 		store.configure(2)
 		g.links["a"].take(relayer.News{Operator: relayer.Known{Newest: 2}})
-		time.Sleep(onTheWay + 2*toldEvery)
+		time.Sleep(deliveryTime + 2*checkInterval)
 		if got := g.version(); got != 2 {
 			t.Errorf("version %d, want 2", got)
 		}
@@ -188,18 +188,18 @@
 // Two instances that cannot reach the store report to each other what they know. Guards against
 // taking that as a confirmation: they would consider each other current forever, and serve
 // callers by the configuration from before the store was lost.
-func TestWhatOthersToldIsNotPassedOn(t *testing.T) {
+func TestConfirmationsByOthersAreNotRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, _ := newFedGatekeeper()
 		g.setViews()
-		g.operator.reached([]tabler.Row{{Version: 5}}, 5, time.Now())
+		g.operator.recordCall([]tabler.Row{{Version: 5}}, 5, time.Now())
 		time.Sleep(time.Minute)
 		g.links["a"].take(relayer.News{Operator: relayer.Known{Newest: 5}})
 		if s := g.operator.state(time.Now()); s.Age != 0 {
 			t.Errorf("age %s after the report, want 0", s.Age)
 		}
-		if told := g.tellOperator(time.Now()); told.Age < time.Minute {
-			t.Errorf("publishes an age of %s that another instance reported", told.Age)
+		if reported := g.operatorVersion(time.Now()); reported.Age < time.Minute {
+			t.Errorf("publishes an age of %s that another instance reported", reported.Age)
 		}
 	})
 }
@@ -207,10 +207,10 @@
 // Each call to the store is billed. Guards against more than about one call a second of an
 // instance that publishes to others, and against any but the watch call of an instance that
 // receives updates.
-func TestDoubtCostsLittleWhileNothingFails(t *testing.T) {
+func TestStalenessChecksAreFewWithoutFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		holds bool
+		leads bool
 		most  int // calls in a minute
 	}{
 		{"publishes to others", true, 64},
@@ -219,15 +219,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g, store := newFedGatekeeper()
-				if tc.holds {
+				if tc.leads {
 					hold(g, "a")
 				}
 				defer start(t, g.watchOperator)()
-				if !tc.holds {
-					defer start(t, tellFrom(g, store))()
+				if !tc.leads {
+					defer start(t, publishFrom(g, store))()
 				}
 				time.Sleep(time.Minute)
-				if n := store.made(); n > tc.most {
+				if n := store.callCount(); n > tc.most {
 					t.Errorf("%d calls in a minute, want %d at most", n, tc.most)
 				}
 			})
@@ -237,20 +237,20 @@
 
 // Several instances publish to others. The leader of the first domain polls the store; the
 // others learn of the answer before it is their turn, and take over when it is gone.
-func TestOneOfThoseThatTellAsks(t *testing.T) {
+func TestLeadersPollOneAfterTheOther(t *testing.T) {
 	g := newTestGatekeeper()
 	g.Config.Domains = []string{"a", "b", "c", "d", "e", "f"}
 	for _, tc := range []struct {
 		holds string
 		want  time.Duration
 	}{
-		{"", patience}, {"f", patience}, {"c", patienceHolder + 2*stagger}, {"a", patienceHolder},
+		{"", maxAge}, {"f", maxAge}, {"c", maxAgeLeader + 2*maxAgeStagger}, {"a", maxAgeLeader},
 	} {
 		g.init()
 		if tc.holds != "" {
 			hold(g, tc.holds)
 		}
-		if got := g.operatorPatience(); got != tc.want {
+		if got := g.operatorMaxAge(); got != tc.want {
 			t.Errorf("leader of %q polls after %s, want %s", tc.holds, got, tc.want)
 		}
 	}
@@ -259,7 +259,7 @@
 // A leader fails and another instance takes over while the watch call on the leaders hangs.
 // Guards against an instance that does not follow the new leader: until it does, its requests
 // in that domain get no adapter loaded.
-func TestNewHolderIsKnownFromTheRowOfItsTenure(t *testing.T) {
+func TestNewLeaderIsKnownFromItsLeaseRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
 		g.links["a"].setHolder(elector.Tenure{Holder: "front-1", Fence: 1})
--- a/internal/instance/gatekeeper/follow.go
+++ b/internal/instance/gatekeeper/follow.go
@@ -20,28 +20,28 @@
 	// calls are billed like others, and a third of the instances, rejected for seconds, made
 	// half of a day's calls. maxRetryDelay also bounds when an instance that the store serves
 	// again catches up; time limits apply to it again three seconds after the store's return.
-	again     = 250 * time.Millisecond
-	lastAgain = 2 * time.Second
+	again         = 250 * time.Millisecond
+	maxRetryDelay = 2 * time.Second
 	// nextCall is more than the time between two calls while the store is unavailable.
-	nextCall = lastAgain + time.Second
+	nextCall = maxRetryDelay + time.Second
 
 	// maxAge is the age at which an instance polls the store to check that its view of the
 	// operator's rows is current. A change has to be in force two seconds after its
 	// acknowledgement.
-	patience = 2 * time.Second
+	maxAge = 2 * time.Second
 	// maxAgeLeader is the same for an instance that publishes to others, and maxAgeStagger how
 	// much longer it is for the leader of each further failure domain. Others learn of an
 	// answer within 250 ms, so one call a second serves a whole deployment, and the next leader
 	// makes it when the first is gone. Without the stagger all of them poll at the same moment.
-	patienceHolder = time.Second
-	stagger        = 300 * time.Millisecond
+	maxAgeLeader  = time.Second
+	maxAgeStagger = 300 * time.Millisecond
 	// maxAgeLeases is the same for the leases, which are known to be current while updates of
 	// all leaders are received. Half of a lease: nobody waits for one.
-	patienceTenures = lease / 2
+	maxAgeLeases = leaseDuration / 2
 	// deliveryTime is how long a row that another instance knows may take to arrive here. Rows
 	// reach all instances within some 50 ms; a configuration of 64 KB takes as long on a link
 	// of 10 Mbit/s.
-	onTheWay = 200 * time.Millisecond
+	deliveryTime = 200 * time.Millisecond
 )
 
 // follow keeps a view up to date with watch calls until ctx ends.
@@ -51,13 +51,13 @@
 // other instances served. So the view is also polled whenever it may be stale: it exceeds its
 // maximum age for no longer than one short call takes, whatever becomes of the watch call.
 func (g *Gatekeeper) follow(ctx context.Context, v *view, wait time.Duration) {
-	var doubts sync.WaitGroup
-	defer doubts.Wait()
-	doubts.Go(func() { g.doubt(ctx, v) })
+	var checks sync.WaitGroup
+	defer checks.Wait()
+	checks.Go(func() { g.pollWhenStale(ctx, v) })
 	failed := newPauses()
 	for ctx.Err() == nil {
-		if v.isSpared(time.Now()) {
-			pause(ctx, toldEvery)
+		if v.isPublished(time.Now()) {
+			pause(ctx, checkInterval)
 			continue
 		}
 		began := time.Now()
@@ -75,17 +75,17 @@
 
 // pollWhenStale polls the store whenever nothing shows that the view is current, until ctx
 // ends.
-func (g *Gatekeeper) doubt(ctx context.Context, v *view) {
+func (g *Gatekeeper) pollWhenStale(ctx context.Context, v *view) {
 	failed := newPauses()
-	alarm := ageAlarm{gatekeeper: g, view: v}
+	alarm := staleAlarm{gatekeeper: g, view: v}
 	for ctx.Err() == nil {
-		pause(ctx, toldEvery)
+		pause(ctx, checkInterval)
 		now := time.Now()
-		alarm.look(now)
-		if !v.doubtful(now) || g.futile() {
+		alarm.check(now)
+		if !v.needsCheck(now) || g.futile() {
 			continue
 		}
-		err := g.probe(ctx, v)
+		err := g.poll(ctx, v)
 		if ctx.Err() != nil {
 			return
 		}
@@ -98,29 +98,29 @@
 // calls for the runners show when it is back. Without this check the calls during an outage
 // would double.
 func (g *Gatekeeper) futile() bool {
-	_, down := g.storeUp.back()
-	return down && !g.told() && g.runners.lately(time.Now())
+	_, down := g.storeUp.status()
+	return down && !g.runnersPublished() && g.runners.calledLately(time.Now())
 }
 
 // poll fetches the changes without waiting for any. If there are some, the watch call has
 // missed them and is replaced.
-func (g *Gatekeeper) probe(ctx context.Context, v *view) error {
-	asked := time.Now()
+func (g *Gatekeeper) poll(ctx context.Context, v *view) error {
+	sentAt := time.Now()
 	after := v.upTo()
 	rows, version, err := g.Store.Watch(ctx, v.name, after, 0)
 	if errors.Is(err, tabler.ErrForgotten) {
-		g.forgotten(v, after)
+		g.resetView(v, after)
 		v.replace(time.Now())
 		return nil
 	}
-	v.ended(err)
+	v.callEnded(err)
 	if err != nil {
 		return err
 	}
-	g.changed(v, rows, version, asked)
+	g.applyChanges(v, rows, version, sentAt)
 	if len(rows) > 0 {
-		g.Recorder.Log(recorder.Belief, "msg", "changes missed by the watch call; replacing it", "table", v.name, "rows", len(rows), "waited", v.state(asked).Waits)
-		v.replace(asked)
+		g.Recorder.Log(recorder.Belief, "msg", "changes missed by the watch call; replacing it", "table", v.name, "rows", len(rows), "waited", v.state(sentAt).Waits)
+		v.replace(sentAt)
 	}
 	return nil
 }
@@ -129,62 +129,62 @@
 func (g *Gatekeeper) refresh(ctx context.Context, v *view, wait time.Duration) error {
 	call, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	err := g.ask(call, v, wait, cancel)
-	v.idle()
+	err := g.fetch(call, v, wait, cancel)
+	v.watchEnded()
 	if errors.Is(context.Cause(call), errReplaced) {
 		return errReplaced
 	}
-	v.ended(err)
+	v.callEnded(err)
 	return err
 }
 
-func (g *Gatekeeper) ask(ctx context.Context, v *view, wait time.Duration, cancel context.CancelCauseFunc) error {
-	asked := time.Now()
-	after, known := v.began(asked, cancel)
+func (g *Gatekeeper) fetch(ctx context.Context, v *view, wait time.Duration, cancel context.CancelCauseFunc) error {
+	sentAt := time.Now()
+	after, known := v.watchBegan(sentAt, cancel)
 	if !known {
 		rows, version, err := g.Store.Scan(ctx, v.name)
 		if err != nil {
 			return err
 		}
-		v.take(rows, version)
-		v.reached(rows, version, asked)
+		v.applyAll(rows, version)
+		v.recordCall(rows, version, sentAt)
 		return nil
 	}
 	rows, version, err := g.Store.Watch(ctx, v.name, after, wait)
 	if errors.Is(err, tabler.ErrForgotten) {
-		g.forgotten(v, after)
+		g.resetView(v, after)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	if waited := asked.Add(wait); len(rows) == 0 && !time.Now().Before(waited) {
-		asked = waited // the store answers without a change only after the full wait
+	if waited := sentAt.Add(wait); len(rows) == 0 && !time.Now().Before(waited) {
+		sentAt = waited // the store answers without a change only after the full wait
 	}
-	g.changed(v, rows, version, asked)
+	g.applyChanges(v, rows, version, sentAt)
 	return nil
 }
 
-// changed applies the answer to a call for changes.
-func (g *Gatekeeper) changed(v *view, rows []tabler.Row, version uint64, at time.Time) {
-	v.takeChanges(rows, version)
-	v.reached(rows, version, at)
+// applyChanges applies the answer to a call for changes.
+func (g *Gatekeeper) applyChanges(v *view, rows []tabler.Row, version uint64, at time.Time) {
+	v.applyChanges(rows, version)
+	v.recordCall(rows, version, at)
 }
 
-func (g *Gatekeeper) forgotten(v *view, after uint64) {
+func (g *Gatekeeper) resetView(v *view, after uint64) {
 	g.Recorder.Log(recorder.Belief, "msg", "changes no longer available in the store; reading the whole table", "table", v.name, "after", after)
-	v.forget()
+	v.invalidate()
 }
 
 // newPauses returns the pauses between calls that fail one after the other.
 func newPauses() *backoff.ExponentialBackOff {
-	return &backoff.ExponentialBackOff{InitialInterval: again, Multiplier: 2, MaxInterval: lastAgain}
+	return &backoff.ExponentialBackOff{InitialInterval: again, Multiplier: 2, MaxInterval: maxRetryDelay}
 }
 
 // pauseAfter returns the time from the beginning of a call to that of the next one: none after
-// a success. It counts from the beginning, as a call may have waited in vain for a good part of
-// it: counted from its end, an instance polled a store that did not answer every 3.7 s, and
-// noticed its return too late.
+// a success. It counts from the beginning, as a failed call may have taken a good part of it:
+// counted from its end, an instance polled a store that did not answer every 3.7 s, and noticed
+// its return too late.
 func pauseAfter(err error, failed *backoff.ExponentialBackOff) time.Duration {
 	if err == nil {
 		failed.Reset()
--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -88,19 +88,19 @@
 	holders  view // leader of each failure domain
 	runners  view // runners
 
-	nearest   []string // failure domains in the order in which their leaders are considered as the source
-	choice    choice   // the source in use
-	headcount headcount
-	reached   moment // when another leader last reached the store
-	mayAsk    moment // until then the store is not read for what others may publish
+	sourceDomains []string        // failure domains in the order in which their leaders are considered as the source
+	source        sourceSelection // the source in use
+	headcount     headcount
+	reached       atomicTime // when another leader last reached the store
+	discoveryEnds atomicTime // until then the store is not read for rows that others may publish
 
 	learning sync.Mutex // held while the known runners are compared with published ones
 	looked   time.Time  // when due removals were last checked; guarded by learning
 
-	mu          sync.Mutex
-	versions    map[copyName]int       // newest version of adapters whose version is not the default one
-	controllers map[string]*controller // by failure domain
-	links       map[string]*link       // by failure domain
+	mu              sync.Mutex
+	adapterVersions map[adapterKey]int     // newest version of adapters whose version is not the default one
+	controllers     map[string]*controller // by failure domain
+	links           map[string]*link       // by failure domain
 	stopState
 	pending    pendingRemovals
 	storeUp    dependency
@@ -110,35 +110,35 @@
 }
 
 // An adapterKey identifies an adapter without its version.
-type copyName struct{ model, adapter string }
+type adapterKey struct{ model, adapter string }
 
 // defaultVersion is the version of an adapter for which the store names none.
-const firstVersion = 1
+const defaultVersion = 1
 
 // Run serves until ctx ends, then stops gracefully.
 func (g *Gatekeeper) Run(ctx context.Context) error {
 	g.init()
 	g.setViews()
-	g.measureAges()
-	g.measureWays()
+	g.registerAgeGauges()
+	g.registerUpdateGauges()
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var loops sync.WaitGroup
 	defer loops.Wait()
 	defer cancel()
 	for _, loop := range []func(context.Context){
-		g.begin, g.afterHolders(g.lead),
-		g.unlessTold(g.watchHolders, g.holders.isSpared),
-		g.unlessTold(g.watchOperator, g.operator.isSpared),
-		g.unlessTold(g.watchRunners, func(time.Time) bool { return g.told() }),
-		g.expireRemovals, g.sweep, g.tellPaces, g.tellAges, g.tellCrashes, g.keepRows, g.watchQuarantine, g.settleQuotas,
+		g.discoverLeaders, g.afterDiscovery(g.lead),
+		g.unlessPublished(g.watchHolders, g.holders.isPublished),
+		g.unlessPublished(g.watchOperator, g.operator.isPublished),
+		g.unlessPublished(g.watchRunners, func(time.Time) bool { return g.runnersPublished() }),
+		g.expireRemovals, g.closeIdle, g.tellPaces, g.logAges, g.reportCrashes, g.keepRows, g.watchQuarantine, g.settleQuotas,
 	} {
 		loops.Go(func() { loop(work) })
 	}
 	for _, l := range g.links {
-		loops.Go(func() { l.listen(work) })
-		loops.Go(func() { l.listenDirect(work) })
-		loops.Go(func() { l.speak(work) })
+		loops.Go(func() { l.followSource(work) })
+		loops.Go(func() { l.followLeader(work) })
+		loops.Go(func() { l.reportLoop(work) })
 	}
 	g.Recorder.Log(recorder.Lifecycle, "msg", "started", "caller", g.Listeners.Caller.Addr(), "domain", g.Config.Domain)
 	failed := g.listen(work, &loops)
@@ -155,28 +155,28 @@
 	g.kicks = make(chan struct{}, 1)
 	g.quarantine.init()
 	g.quotas.init(g)
-	g.versions = make(map[copyName]int)
+	g.adapterVersions = make(map[adapterKey]int)
 	g.controllers = make(map[string]*controller)
 	g.links = make(map[string]*link)
 	g.loads.set(firstLoad)
 	g.returns.set(firstReturn)
-	g.nearest = g.nearestDomains()
+	g.sourceDomains = g.orderSourceDomains()
 	for _, domain := range g.domains() {
-		late, heard := rand.N(ownLate)+g.Config.Link.Late(), time.Time{}
+		late, lastUpdate := rand.N(takeoverJitter)+g.Config.Link.Late(), time.Time{}
 		if domain != g.Config.Domain {
 			// At a start no domain has a leader. Without this each instance tried to acquire
 			// the leases of all domains at once: 500 calls by 64 instances.
-			late, heard = foreignLate, time.Now()
+			late, lastUpdate = foreignLate, time.Now()
 		}
 		d := &controller{
 			gatekeeper: g, domain: domain, runners: make(map[string]*runnerState),
 			elector: elector.Elector{
-				Self: g.Config.ID, Address: g.Config.Reached(), Lease: lease, Quiet: g.Config.Bounds.Quiet + quietMargin, Late: late,
+				Self: g.Config.ID, Address: g.Config.Reached(), Lease: leaseDuration, Quiet: g.Config.Bounds.Quiet + quietMargin, Late: late,
 			},
 		}
 		d.gather = gatherer.Gatherer{Freed: d.freed, Silent: silent, Waits: d.waits}
 		g.controllers[domain] = d
-		g.links[domain] = &link{gatekeeper: g, domain: domain, heard: heard, kick: make(chan struct{}, 1), trust: passTrust + rand.N(passSpread)}
+		g.links[domain] = &link{gatekeeper: g, domain: domain, heard: lastUpdate, kick: make(chan struct{}, 1), relayTimeout: minRelayTimeout + rand.N(relayTimeoutJitter)}
 	}
 }
 
@@ -193,7 +193,7 @@
 	// gone for good is replaced sooner, while one that restarts resumes at once in any case.
 	// While a domain has no leader, adapters are not loaded there: at 4 s an outage of 7 s left
 	// 500 callers without theirs in one recorded day.
-	lease = 8 * time.Second
+	leaseDuration = 8 * time.Second
 	// quietMargin is added to the configured quiet time between the orders of two leaders, for
 	// an order in transit.
 	quietMargin = 500 * time.Millisecond
@@ -203,7 +203,7 @@
 	// takeoverJitter spreads the takeover of a lease by the instances of a domain. One write is
 	// enough, and the others learn of it; without the jitter 34 of 35 wrote in vain and read
 	// the row again.
-	ownLate = 400 * time.Millisecond
+	takeoverJitter = 400 * time.Millisecond
 )
 
 // Catalog returns the configuration in force, or nil.
@@ -216,10 +216,10 @@
 func (g *Gatekeeper) Newest(model, adapter string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if v, ok := g.versions[copyName{model, adapter}]; ok {
+	if v, ok := g.adapterVersions[adapterKey{model, adapter}]; ok {
 		return v
 	}
-	return firstVersion
+	return defaultVersion
 }
 
 // Serving reports whether this instance can serve callers.
@@ -228,7 +228,7 @@
 }
 
 // closeIdle closes idle connections.
-func (g *Gatekeeper) sweep(ctx context.Context) {
+func (g *Gatekeeper) closeIdle(ctx context.Context) {
 	repeater.Every(ctx, time.Second, nil, func() { g.Pool.Sweep(time.Now()) })
 }
 
--- a/internal/instance/gatekeeper/headcount.go
+++ b/internal/instance/gatekeeper/headcount.go
@@ -8,39 +8,39 @@
 // A headcount is the number of instances as reported to this one. It rises at once and falls
 // late. Its zero value is ready; it is safe for concurrent use.
 type headcount struct {
-	mu     sync.Mutex
-	began  time.Time // start of the current window; zero before the first report
-	now    int       // largest count reported in it
-	before int       // and in the window before
+	mu          sync.Mutex
+	windowStart time.Time // start of the current window; zero before the first report
+	current     int       // largest count reported in it
+	previous    int       // and in the window before
 }
 
 const (
 	// countWindow is the window whose largest count stays valid until the end of the next one.
-	countFor = 1500 * time.Millisecond
+	countWindow = 1500 * time.Millisecond
 	// countSettleTime is how long a leader must have received reports from members before it
 	// publishes their number: after a restart it starts from zero, and instances that took the
 	// few that had reported for all of hundreds would each spend the retries of a hundred
 	// others. All have reported within three intervals.
-	countSure = 3*beat + 50*time.Millisecond
+	countSettleTime = 3*updateInterval + 50*time.Millisecond
 	// assumedInstances is the number of instances that is assumed without a recent report: a
 	// share of the retries that is safe among hundreds is safe in a small deployment too.
-	manyMembers = 400
+	assumedInstances = 400
 )
 
-// observe records a reported count; zero or less is ignored.
+// tell records a reported count; zero or less is ignored.
 func (h *headcount) tell(n int, now time.Time) {
 	if n <= 0 {
 		return
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	switch since := now.Sub(h.began); {
-	case h.began.IsZero(), since >= 2*countFor:
-		h.began, h.before, h.now = now, 0, 0
-	case since >= countFor:
-		h.began, h.before, h.now = now, h.now, 0
+	switch since := now.Sub(h.windowStart); {
+	case h.windowStart.IsZero(), since >= 2*countWindow:
+		h.windowStart, h.previous, h.current = now, 0, 0
+	case since >= countWindow:
+		h.windowStart, h.previous, h.current = now, h.current, 0
 	}
-	h.now = max(h.now, n)
+	h.current = max(h.current, n)
 }
 
 // get returns the count, or that of a large deployment without a recent report.
@@ -48,19 +48,19 @@
 	if n := h.told(); n > 0 {
 		return n
 	}
-	return manyMembers
+	return assumedInstances
 }
 
 // told returns the largest count reported recently, 0 for none.
 func (h *headcount) told() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return max(h.now, h.before)
+	return max(h.current, h.previous)
 }
 
 // count returns the number of instances, 0 until enough reports have arrived.
 func (d *controller) count(now time.Time) int {
-	if d.counting.IsZero() || now.Sub(d.counting) < countSure {
+	if d.counting.IsZero() || now.Sub(d.counting) < countSettleTime {
 		return 0
 	}
 	return max(1, d.gather.Instances())
--- a/internal/instance/gatekeeper/headcount_test.go
+++ b/internal/instance/gatekeeper/headcount_test.go
@@ -12,28 +12,28 @@
 // All instances restart together, and the leader that counts them starts from zero. Guards
 // against publishing the first counts: each of a hundred instances would take itself for one of
 // three and retry on behalf of thirty, to runners that are full already.
-func TestShareOfTheRetriesIsSafeAfterARestart(t *testing.T) {
+func TestRetryShareIsSafeAfterARestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const instances = 195
-		holder, member := newChained("b-1", "b"), newChained("b-2", "b")
-		hold(holder, "b")
+		leader, member := newChained("b-1", "b"), newChained("b-2", "b")
+		hold(leader, "b")
 		if got := member.Members(); got < instances {
 			t.Errorf("%d members before the first update, want %d or more", got, instances)
 		}
 		number := -1
 		for n := range instances {
-			holder.controllers["b"].demanded(fmt.Sprint("front-", n), relayer.Demand{Domain: "b"})
+			leader.controllers["b"].demanded(fmt.Sprint("front-", n), relayer.Demand{Domain: "b"})
 			time.Sleep(2 * time.Millisecond)
-			news, next, _ := holder.controllers["b"].digest("b-2", number, true)
+			update, next, _ := leader.controllers["b"].updateFor("b-2", number, true)
 			number = next
-			member.links["b"].take(news)
+			member.links["b"].take(update)
 			if got := member.Members(); got < instances {
 				t.Fatalf("%d members after %d have reported, want %d or more", got, n+1, instances)
 			}
 		}
-		time.Sleep(countSure)
-		news, _, _ := holder.controllers["b"].digest("b-2", number, true)
-		member.links["b"].take(news)
+		time.Sleep(countSettleTime)
+		update, _, _ := leader.controllers["b"].updateFor("b-2", number, true)
+		member.links["b"].take(update)
 		if got := member.Members(); got != instances {
 			t.Errorf("%d members when all have reported, want %d", got, instances)
 		}
@@ -45,21 +45,21 @@
 	var h headcount
 	start := time.Now()
 	for _, step := range []struct {
-		at   time.Duration
-		told int
-		want int
+		at       time.Duration
+		reported int
+		want     int
 	}{
-		{0, 0, manyMembers},
+		{0, 0, assumedInstances},
 		{100 * time.Millisecond, 9, 9},
 		{200 * time.Millisecond, 195, 195},
-		{countFor, 3, 195},
-		{2 * countFor, 3, 195},
-		{3*countFor + 200*time.Millisecond, 3, 3},
-		{10 * countFor, 9, 9},
+		{countWindow, 3, 195},
+		{2 * countWindow, 3, 195},
+		{3*countWindow + 200*time.Millisecond, 3, 3},
+		{10 * countWindow, 9, 9},
 	} {
-		h.tell(step.told, start.Add(step.at))
+		h.tell(step.reported, start.Add(step.at))
 		if got := h.get(); got != step.want {
-			t.Errorf("after %s, report of %d: %d instances, want %d", step.at, step.told, got, step.want)
+			t.Errorf("after %s, report of %d: %d instances, want %d", step.at, step.reported, got, step.want)
 		}
 	}
 }
--- a/internal/instance/gatekeeper/journal.go
+++ b/internal/instance/gatekeeper/journal.go
@@ -51,7 +51,7 @@
 }
 
 // reset drops all events, so that every member receives a snapshot.
-func (j *journal) cut() {
+func (j *journal) reset() {
 	j.first = j.end() + 1
 	j.events = nil
 }
--- a/internal/instance/gatekeeper/leaving_test.go
+++ b/internal/instance/gatekeeper/leaving_test.go
@@ -22,7 +22,7 @@
 // whichever instances fail, in whatever order.
 func TestRunnersAreThoseOfTheStoreWhoeverTellsOfThem(t *testing.T) {
 	for seed := *siteFirst; seed < *siteFirst+*siteSeeds; seed++ {
-		playSite(t, seed, newWitness)
+		runSimulation(t, seed, newWitness)
 	}
 }
 
@@ -30,18 +30,18 @@
 // was alive, after the first fixes.
 func TestRunnersOfSeedsThatFailed(t *testing.T) {
 	for _, seed := range []uint64{375, 926, 1100, 1600, 1824, 2055, 2110, 2121, 2209, 2344, 2591, 2646} {
-		playSite(t, seed, newWitness)
+		runSimulation(t, seed, newWitness)
 	}
 }
 
 // Guards against living runners that are removed because their rows expired during an outage.
 func TestRunnersWhoseRowsLapsedAreKeptWhoeverTellsOfThem(t *testing.T) {
 	for seed := *siteFirst; seed < *siteFirst+*siteSeeds; seed++ {
-		playSite(t, seed, newLapseWitness)
+		runSimulation(t, seed, newExpiryChecker)
 	}
 }
 
-func playSite(t *testing.T, seed uint64, by func(s *site) *witness) {
+func runSimulation(t *testing.T, seed uint64, newChecker func(s *site) *checker) {
 	t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 		t.Parallel()
 		synctest.Test(t, func(t *testing.T) {
@@ -51,18 +51,18 @@
 				domains, instances = 3+rng.IntN(4), *siteInstances
 			}
 			s := newSite(t, rng, domains, instances)
-			s.play(by(s))
+			s.play(newChecker(s))
 		})
 	})
 }
 
-func (s *site) play(w *witness) {
+func (s *site) play(w *checker) {
 	for n := range 12 {
 		s.addRunner(s.domains[n%len(s.domains)])
 	}
 	s.pass(3*time.Second, w)
 	for range 20 + s.rng.IntN(20) {
-		s.trouble()
+		s.injectFault()
 		s.pass(time.Duration(s.rng.Int64N(int64(1500*time.Millisecond))), w)
 		if s.t.Failed() {
 			return
@@ -78,36 +78,36 @@
 }
 
 // pass lets time pass, and checks the invariants.
-func (s *site) pass(span time.Duration, w *witness) {
+func (s *site) pass(span time.Duration, w *checker) {
 	for end := time.Now().Add(span); time.Now().Before(end) && !s.t.Failed(); time.Sleep(siteStep) {
-		s.beats()
+		s.writeHeartbeats()
 		if s.store.down() && s.rng.IntN(8) == 0 {
-			s.lapse(s.runners[s.rng.IntN(len(s.runners))])
+			s.expireRow(s.runners[s.rng.IntN(len(s.runners))])
 		}
-		s.replaceHolders()
-		s.noteTrouble()
-		w.look()
+		s.replaceLeaders()
+		s.recordFaults()
+		w.checkAll()
 	}
 }
 
 // recordFaults records whether the store fails for any instance.
-func (s *site) noteTrouble() {
-	troubled := s.store.down()
-	if !troubled {
-		s.away = time.Now()
+func (s *site) recordFaults() {
+	faulty := s.store.down()
+	if !faulty {
+		s.lastAvailable = time.Now()
 	}
 	for _, m := range s.instances {
-		m.way.mu.Lock()
-		troubled = troubled || m.way.mode != serves
-		m.way.mu.Unlock()
+		m.store.mu.Lock()
+		faulty = faulty || m.store.mode != serves
+		m.store.mu.Unlock()
 	}
-	if troubled {
-		s.troubled = time.Now()
+	if faulty {
+		s.lastFault = time.Now()
 	}
 }
 
 // injectFault injects one random fault or change.
-func (s *site) trouble() {
+func (s *site) injectFault() {
 	m := s.instances[s.rng.IntN(len(s.instances))]
 	if s.rng.IntN(2) == 0 {
 		if h := s.holder(s.domains[s.rng.IntN(len(s.domains))]); h != nil {
@@ -121,52 +121,52 @@
 		s.leave(r, n < 2)
 		if h := s.holder(r.domain); h != nil && s.rng.IntN(2) == 0 {
 			time.Sleep(time.Duration(s.rng.Int64N(int64(400 * time.Millisecond)))) // some have learned of it by then
-			s.strike(h, span)
+			s.disrupt(h, span)
 		}
 	case n < 6 && !s.store.down():
 		s.addRunner(s.domains[s.rng.IntN(len(s.domains))])
 	case n < 10:
-		s.strike(m, span)
+		s.disrupt(m, span)
 	case n < 11:
-		m.way.set(storeMode(s.rng.IntN(3)))
+		m.store.set(storeMode(s.rng.IntN(3)))
 	case n == 11:
-		s.store.set(turnsAway)
+		s.store.set(rejects)
 	case n == 12:
-		s.store.set(swallows)
-		s.store.deafen()
+		s.store.set(hangs)
+		s.store.hangCalls()
 	case n == 13:
-		s.store.forget()
+		s.store.compact()
 	default:
-		s.comeBack()
+		s.restoreStore()
 	}
 }
 
-// lapse removes the row of a living runner if the store has been unavailable for long enough.
-func (s *site) lapse(r *siteRunner) {
-	if now := time.Now(); !r.ended && !r.there.IsZero() && now.Sub(s.away) > 2*siteBeat {
-		r.lapsed = now
-		s.drop(r)
+// expireRow removes the row of a living runner if the store has been unavailable for long enough.
+func (s *site) expireRow(r *siteRunner) {
+	if now := time.Now(); !r.ended && !r.rowSince.IsZero() && now.Sub(s.lastAvailable) > 2*heartbeatInterval {
+		r.expiredAt = now
+		s.removeRow(r)
 	}
 }
 
 // restoreStore lets the store serve all instances. Expired rows are back within two seconds.
-func (s *site) comeBack() {
+func (s *site) restoreStore() {
 	if s.store.down() {
-		s.lost, s.returned = s.away, time.Now()
+		s.outageStart, s.outageEnd = s.lastAvailable, time.Now()
 		for _, r := range s.runners {
-			if r.there.IsZero() {
-				r.beat = time.Now().Add(time.Duration(s.rng.Int64N(int64(lapsedTime))))
+			if r.rowSince.IsZero() {
+				r.nextHeartbeat = time.Now().Add(time.Duration(s.rng.Int64N(int64(rowReturnTime))))
 			}
 		}
 	}
 	s.store.set(serves)
 	for _, m := range s.instances {
-		m.way.set(serves)
+		m.store.set(serves)
 	}
 }
 
 // disrupt restarts or pauses an instance, or cuts it off from the others, for a time.
-func (s *site) strike(m *member, span time.Duration) {
+func (s *site) disrupt(m *member, span time.Duration) {
 	now := time.Now()
 	switch s.rng.IntN(4) {
 	case 0, 1:
@@ -174,7 +174,7 @@
 		m.disturb(nil, now)
 		m.start()
 	case 2:
-		m.disturb(&m.paused, now.Add(span))
+		m.disturb(&m.pausedUntil, now.Add(span))
 	default:
 		m.disturb(&m.cut, now.Add(span))
 	}
@@ -183,7 +183,7 @@
 // holder returns an instance that believes that it leads a domain.
 func (s *site) holder(domain string) *member {
 	for _, m := range s.instances {
-		if m.holds(domain) {
+		if m.leads(domain) {
 			return m
 		}
 	}
@@ -192,28 +192,28 @@
 
 // replaceLeaders gives the leases of domains whose leader is missing or paused to others. A
 // leader that was paused goes on for a moment before it notices.
-func (s *site) replaceHolders() {
+func (s *site) replaceLeaders() {
 	now := time.Now()
 	for _, domain := range s.domains {
 		var live []*member
 		for _, m := range s.instances {
-			if !m.holds(domain) {
+			if !m.leads(domain) {
 				continue
 			}
 			m.mu.Lock()
-			still := now.Before(m.paused)
+			paused := now.Before(m.pausedUntil)
 			m.mu.Unlock()
-			if !still {
+			if !paused {
 				live = append(live, m)
 			}
 		}
 		switch {
 		case len(live) == 0 && s.rng.IntN(40) == 0 && !s.store.down():
-			if m := s.instances[s.rng.IntN(len(s.instances))]; !now.Before(m.paused) {
+			if m := s.instances[s.rng.IntN(len(s.instances))]; !now.Before(m.pausedUntil) {
 				s.give(domain, m)
 			}
 		case len(live) > 1 && s.rng.IntN(8) == 0:
-			live[s.rng.IntN(len(live))].yield(domain)
+			live[s.rng.IntN(len(live))].stepDown(domain)
 		}
 	}
 }
--- a/internal/instance/gatekeeper/link.go
+++ b/internal/instance/gatekeeper/link.go
@@ -15,34 +15,34 @@
 	domain     string
 	kick       chan struct{}
 
-	mu       sync.Mutex
-	asked    map[gatherer.Key]time.Time // when the leader was last sent an urgent request for a copy
-	diverged divergence
-	former   source    // previous source, to which this instance reported before
-	fresh    time.Time // when the source last had current runners that matched this instance's
-	heard    time.Time // when the last update of the leader was received
-	holder   elector.Tenure
-	idle     bool // the last report was empty
-	needs    needs
-	passed   time.Time     // when the leader sent its last update that arrived through another instance
-	parting  time.Time     // until when this instance also reports to previous
-	said     time.Time     // when the last report was sent
-	trust    time.Duration // how long the source may receive no update from the leader before the leader is followed directly
-	via      source        // source of the last update of the domain; reports go to it
+	mu            sync.Mutex
+	asked         map[gatherer.Key]time.Time // when the leader was last sent an urgent request for a copy
+	diverged      divergence
+	previous      source    // previous source, to which this instance reported before
+	freshAt       time.Time // when the source last had current runners that matched this instance's
+	heard         time.Time // when the last update of the leader was received
+	holder        elector.Tenure
+	lastEmpty     bool // the last report was empty
+	needs         needs
+	relayedAt     time.Time     // when the leader sent its last update that arrived through another instance
+	unsubscribeAt time.Time     // until when this instance also reports to previous
+	reportedAt    time.Time     // when the last report was sent
+	relayTimeout  time.Duration // how long the source may receive no update from the leader before the leader is followed directly
+	source        source        // source of the last update of the domain; reports go to it
 }
 
 const (
 	// updateInterval is the interval between reports of load and use to the leader, and between
 	// its updates. The load of a runner changes by about one request in that time.
-	beat = 150 * time.Millisecond
+	updateInterval = 150 * time.Millisecond
 	// hurryAgain is the minimum time between two urgent requests for the same copy.
 	hurryAgain = time.Second
 	// reconnectDelay is the pause after a failed connection, resubscribeDelay the one before a
 	// source that refused or ended a subscription is tried again, and sourcePollInterval the
 	// one between checks whether a source answers.
-	redial = 200 * time.Millisecond
-	reask  = 50 * time.Millisecond
-	relook = 20 * time.Millisecond
+	reconnectDelay     = 200 * time.Millisecond
+	resubscribeDelay   = 50 * time.Millisecond
+	sourcePollInterval = 20 * time.Millisecond
 )
 
 // setHolder records the current lease.
@@ -61,10 +61,10 @@
 
 // orderer returns the leader, which sends orders in the domain, and the source of its updates;
 // ok is false if the leader is not to be called, as no recent update was received from it.
-func (l *link) orderer() (holder, via source, ok bool) {
+func (l *link) orderer() (leader, via source, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return sourceOf(l.holder), l.via, l.holder.Holder != "" && time.Since(l.heard) <= unheard
+	return sourceOf(l.holder), l.source, l.holder.Holder != "" && time.Since(l.heard) <= unheard
 }
 
 // setMembers records the number of instances.
@@ -89,20 +89,20 @@
 
 // sinceFresh returns how long ago the leader's view of the runners was last known to be
 // current.
-func (l *link) stale() time.Duration {
+func (l *link) sinceFresh() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return time.Since(l.fresh)
+	return time.Since(l.freshAt)
 }
 
 // runnersPublished reports whether the leaders of all domains publish current runners to this
 // instance, so that it need not poll the store itself.
-func (g *Gatekeeper) told() bool {
+func (g *Gatekeeper) runnersPublished() bool {
 	if g.holdsAny() {
 		return false
 	}
 	for _, l := range g.links {
-		if l.stale() > unfresh {
+		if l.sinceFresh() > freshTimeout {
 			return false
 		}
 	}
--- a/internal/instance/gatekeeper/link_test.go
+++ b/internal/instance/gatekeeper/link_test.go
@@ -33,22 +33,22 @@
 // The store rejects the leader and serves everybody else, and the leader goes on publishing
 // outdated runners. Guards against members that rely on it: when a runner leaves, they would
 // send requests to it until they poll the store themselves.
-func TestNewsOfAHolderWithoutTheStoreIsNotBelieved(t *testing.T) {
+func TestUpdatesOfALeaderWithoutTheStoreAreNotTrusted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		l := g.links["a"]
 		l.take(relayer.News{Fresh: true, Tenure: elector.Tenure{Holder: "front-1", Fence: 1}, Renewal: 5})
-		if !g.told() {
+		if !g.runnersPublished() {
 			t.Fatal("does not rely on a fresh update")
 		}
 		for range 5 {
-			time.Sleep(beat)
+			time.Sleep(updateInterval)
 			l.take(relayer.News{})
 		}
 		if l.silence() > unheard {
 			t.Fatal("no update from the leader; the test proves nothing")
 		}
-		if g.told() {
+		if g.runnersPublished() {
 			t.Error("relies on a leader that has not reached the store")
 		}
 	})
@@ -57,7 +57,7 @@
 // The store rejects a leader, and a runner registers meanwhile. A member that reads the store
 // itself knows it, and receives an older snapshot when it reconnects to the leader. Guards
 // against dropping the new runner, or refusing what only that one could take.
-func TestOldNewsOfAllRunnersDropsNone(t *testing.T) {
+func TestOutdatedSnapshotDropsNoRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		g.Pool = &pooler.Pool{}
@@ -79,7 +79,7 @@
 // An instance restarts and acquires its lease before it has read the runners, as the store is
 // slow. Guards against a snapshot without runners: the members dropped all runners of the
 // domain and refused every request, until each runner had written its row again.
-func TestHolderTellsNothingBeforeItKnowsTheRunners(t *testing.T) {
+func TestLeaderPublishesNothingBeforeItHasReadTheRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, _ := newFedGatekeeper()
 		g.setViews()
@@ -96,13 +96,13 @@
 // alive to take over. The leader must see that the lease is vacant and acquire it again when
 // the store is back. When it took its own name in the row for a sign of life, its callers got
 // no further adapters for good.
-func TestHolderWhoseTenureRanOutSeesThatItIsVacant(t *testing.T) {
+func TestLeaderDetectsThatItsOwnLeaseExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		l := g.links["a"]
 		l.setHolder(elector.Tenure{Holder: g.Config.ID, Fence: 1})
 		ctx, cancel := context.WithCancel(t.Context())
-		go l.speak(ctx)
+		go l.reportLoop(ctx)
 		time.Sleep(2 * quietDomain)
 		if !g.controllers["a"].vacant() {
 			t.Error("an expired lease does not count as vacant")
@@ -114,7 +114,7 @@
 
 // A leader that the store rejects publishes a runner that the member has seen removed from the
 // store. Requests must not go there again.
-func TestRunnerThatIsGoneIsNotBroughtBackByOldNews(t *testing.T) {
+func TestRemovedRunnerIsNotRestoredByAnOldUpdate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		old := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 7}
@@ -134,7 +134,7 @@
 
 // Between two updates with loads a member receives other changes. It must not take the missing
 // loads for idle runners, or it would send all its requests to the busiest one.
-func TestNewsWithoutLoadsLeavesThemAsTheyWere(t *testing.T) {
+func TestUpdateWithoutLoadsKeepsThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		l := g.links["a"]
@@ -154,13 +154,13 @@
 
 // The store rejects an instance for a while. Each call is billed, so the pause between them
 // grows; the first success resets it.
-func TestPauseAfterFailedCallsGrows(t *testing.T) {
+func TestRetryDelayGrows(t *testing.T) {
 	failed := newPauses()
 	var got []time.Duration
 	for _, err := range []error{nil, io.EOF, io.EOF, io.EOF, io.EOF, io.EOF, nil, io.EOF} {
 		got = append(got, pauseAfter(err, failed))
 	}
-	want := []time.Duration{0, again, 2 * again, 4 * again, lastAgain, lastAgain, 0, again}
+	want := []time.Duration{0, again, 2 * again, 4 * again, maxRetryDelay, maxRetryDelay, 0, again}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -169,7 +169,7 @@
 // All instances start together. Each tries to acquire the lease of its own domain at once; the
 // other domains have instances of their own, and trying for theirs too only costs calls, unless
 // they stay without a leader for a while.
-func TestAtAStartOnlyTheOwnTenureIsLookedAfter(t *testing.T) {
+func TestAtAStartOnlyTheOwnLeaseCountsAsVacant(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		g.Config.Domains = []string{"a", "b"}
@@ -190,7 +190,7 @@
 // A leader fails. The next one must not send orders before the configured quiet time is over,
 // counted from the end of the old lease: the old leader may have sent orders until then, and a
 // runner that does not check fencing tokens would execute the orders of both in turn.
-func TestNewHolderKeepsTheQuietTimeOfTheSettings(t *testing.T) {
+func TestNewLeaderKeepsTheConfiguredQuietTime(t *testing.T) {
 	g := newTestGatekeeper()
 	g.Config.Bounds.Quiet = 3 * time.Second
 	g.init()
@@ -217,7 +217,7 @@
 		}
 		now += step
 	}
-	if quiet := now - began - lease; quiet < g.Config.Bounds.Quiet || quiet > 3*g.Config.Bounds.Quiet {
+	if quiet := now - began - leaseDuration; quiet < g.Config.Bounds.Quiet || quiet > 3*g.Config.Bounds.Quiet {
 		t.Errorf("orders %s after the end of the old lease, want %s or a little more", quiet, g.Config.Bounds.Quiet)
 	}
 }
--- a/internal/instance/gatekeeper/moment.go
+++ b/internal/instance/gatekeeper/moment.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// A moment is a time that several goroutines may set and read. It keeps the monotonic clock
-// reading: a time stored as a number of seconds does not, and when the wall clock is set back,
-// a time long past looks recent.
-type moment struct{ at atomic.Pointer[time.Time] }
+// An atomicTime is a time that several goroutines may set and read. It keeps the monotonic
+// clock reading: a time stored as a number of seconds does not, and when the wall clock is set
+// back, a time long past looks recent.
+type atomicTime struct{ at atomic.Pointer[time.Time] }
 
-func (m *moment) set(t time.Time) { m.at.Store(&t) }
+func (m *atomicTime) set(t time.Time) { m.at.Store(&t) }
 
 // advance sets the time unless a later one was set.
-func (m *moment) advance(t time.Time) {
+func (m *atomicTime) advance(t time.Time) {
 	for {
 		p := m.at.Load()
 		if p != nil && !t.After(*p) || m.at.CompareAndSwap(p, &t) {
@@ -23,7 +23,7 @@
 }
 
 // get returns the time that was set last; ok is false if none was.
-func (m *moment) get() (t time.Time, ok bool) {
+func (m *atomicTime) get() (t time.Time, ok bool) {
 	if p := m.at.Load(); p != nil {
 		return *p, true
 	}
--- a/internal/instance/gatekeeper/pass.go
+++ b/internal/instance/gatekeeper/pass.go
@@ -19,21 +19,21 @@
 
 // A retold is the state that the leader of another failure domain published last.
 type retold struct {
-	acting  bool
-	back    time.Duration // load time of an adapter that the runner held before
-	line    time.Duration
-	load    time.Duration           // load time of an adapter from the weight store
-	loads   map[string]tracker.Load // of the instances that do not report through this one
-	members int
+	acting     bool
+	returnTime time.Duration // load time of an adapter that the runner held before
+	line       time.Duration
+	loadTime   time.Duration           // load time of an adapter from the weight store
+	loads      map[string]tracker.Load // of the instances that do not report through this one
+	members    int
 }
 
 // recordUpdate records an update of the leader, for the instances to which this one relays the
 // domain.
-func (d *controller) hear(n relayer.News, now time.Time) {
+func (d *controller) recordUpdate(n relayer.News, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.heard.acting, d.heard.line = n.Acting, n.Line
-	d.heard.load, d.heard.back = n.Load, n.Return
+	d.heard.loadTime, d.heard.returnTime = n.Load, n.Return
 	if n.Loaded {
 		d.heard.loads, d.heard.members = n.Loads, n.Members
 	}
@@ -41,7 +41,7 @@
 		return
 	}
 	if n.Whole {
-		d.news.cut()
+		d.news.reset()
 		return
 	}
 	for _, h := range n.Held {
@@ -55,7 +55,7 @@
 }
 
 // addFollower counts a member that follows the domain here, until done is called.
-func (d *controller) followed() (done func()) {
+func (d *controller) addFollower() (done func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.followers++
@@ -67,28 +67,28 @@
 }
 
 // addRelayedState adds the state that the leader of the domain published last.
-func (d *controller) retell(news *relayer.News, member string, due bool, now time.Time) {
+func (d *controller) addRelayedState(update *relayer.News, member string, due bool, now time.Time) {
 	l := d.gatekeeper.links[d.domain]
-	news.Tenure = d.elector.Holder()
-	news.Renewal, news.Age = d.elector.Renewal(uptime())
-	news.Silence = l.silence()
-	if mute(*news) {
+	update.Tenure = d.elector.Holder()
+	update.Renewal, update.Age = d.elector.Renewal(uptime())
+	update.Silence = l.silence()
+	if lacksLeaderState(*update) {
 		return
 	}
-	news.Acting, news.Line = d.heard.acting, d.heard.line
-	news.Load, news.Return = d.heard.load, d.heard.back
+	update.Acting, update.Line = d.heard.acting, d.heard.line
+	update.Load, update.Return = d.heard.loadTime, d.heard.returnTime
 	if !due {
 		return
 	}
-	news.Loaded = true
-	news.Loads = d.others(member, now)
-	addLoads(news.Loads, d.heard.loads)
-	addLoads(news.Loads, d.gatekeeper.Fleet.LoadsIn(d.domain))
-	news.Members = d.heard.members
+	update.Loaded = true
+	update.Loads = d.others(member, now)
+	addLoads(update.Loads, d.heard.loads)
+	addLoads(update.Loads, d.gatekeeper.Fleet.LoadsIn(d.domain))
+	update.Members = d.heard.members
 }
 
 // relayedDemand returns the sum of the demand that is relayed to the leader of the domain.
-func (d *controller) passed(now time.Time) gatherer.Word {
+func (d *controller) relayedDemand(now time.Time) gatherer.Word {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.gather.Drop(d.gatekeeper.Config.ID) // recorded while this instance was leader
@@ -97,7 +97,7 @@
 }
 
 // relayedLoads returns the load that is relayed to the leader of the domain.
-func (d *controller) passedLoads(now time.Time) map[string]tracker.Load {
+func (d *controller) relayedLoads(now time.Time) map[string]tracker.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.others(d.gatekeeper.Config.ID, now)
@@ -106,7 +106,7 @@
 // lacksLeaderState reports whether an update carries no leader state, as its sender receives no
 // updates from the domain's leader. It only lists the runners, which the sender reads from the
 // store itself.
-func mute(n relayer.News) bool { return n.Silence > unheard }
+func lacksLeaderState(n relayer.News) bool { return n.Silence > unheard }
 
 func addLoads(sum, more map[string]tracker.Load) {
 	for runner, load := range more {
@@ -128,16 +128,16 @@
 	for _, n := range demand.Spare {
 		l.needs.spare = mark(l.needs.spare, keyOf(n.Runner, n.Copy))
 	}
-	hurry := len(demand.Missing) > 0
+	urgent := len(demand.Missing) > 0
 	for _, n := range demand.Missing {
 		l.needs.missing = mark(l.needs.missing, keyOf(n.Runner, n.Copy))
 	}
 	for _, w := range demand.Waits {
 		if l.newlyAsked(keyOf(w.Runner, w.Copy), now) {
-			hurry = true
+			urgent = true
 		}
 	}
-	if hurry {
+	if urgent {
 		l.hurry()
 	}
 }
@@ -150,9 +150,9 @@
 	}
 }
 
-// standing returns which copies a runner holds and from when on, and how long a copy that it
+// copyState returns which copies a runner holds and from when on, and how long a copy that it
 // does not hold waits for an adapter slot.
-func (d *controller) standing(c *runnerState) (map[placer.Copy]time.Time, time.Duration) {
+func (d *controller) copyState(c *runnerState) (map[placer.Copy]time.Time, time.Duration) {
 	if d.elector.Holds(uptime()) {
 		return c.told, c.wait
 	}
--- a/internal/instance/gatekeeper/pass_test.go
+++ b/internal/instance/gatekeeper/pass_test.go
@@ -21,12 +21,12 @@
 // A chain is a leader of domain b, a leader of domain a that relays, and a member of a that
 // receives updates of b from it. Messages are delivered by calls of the test.
 type chain struct {
-	holder, passer, member *Gatekeeper
-	toPasser, toMember     int // sequence number up to which each received the changes
+	leader, relay, member *Gatekeeper
+	relaySeq, memberSeq   int // sequence number up to which each received the changes
 }
 
 func newChain() *chain {
-	c := &chain{holder: newChained("b-1", "b"), passer: newChained("a-1", "a"), member: newChained("a-2", "a")}
+	c := &chain{leader: newChained("b-1", "b"), relay: newChained("a-1", "a"), member: newChained("a-2", "a")}
 	c.begin()
 	return c
 }
@@ -43,10 +43,10 @@
 }
 
 func (c *chain) begin() {
-	hold(c.holder, "b")
-	hold(c.passer, "a")
-	c.toPasser, c.toMember = -1, -1
-	for _, g := range []*Gatekeeper{c.passer, c.member} {
+	hold(c.leader, "b")
+	hold(c.relay, "a")
+	c.relaySeq, c.memberSeq = -1, -1
+	for _, g := range []*Gatekeeper{c.relay, c.member} {
 		g.links["a"].setHolder(elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1})
 		g.links["b"].setHolder(elector.Tenure{Holder: "b-1", Address: "b-1", Fence: 1})
 	}
@@ -54,37 +54,37 @@
 
 // leaderToRelay delivers an update of the leader to the relay, and relayToMember one of the
 // relay to the member.
-func (c *chain) hear() {
-	news, next, _ := c.holder.controllers["b"].digest("a-1", c.toPasser, true)
-	c.toPasser = next
-	l := c.passer.links["b"]
-	l.heardBy(source{"b-1", "b-1"}, news)
-	l.take(news)
+func (c *chain) leaderToRelay() {
+	update, next, _ := c.leader.controllers["b"].updateFor("a-1", c.relaySeq, true)
+	c.relaySeq = next
+	l := c.relay.links["b"]
+	l.recordSource(source{"b-1", "b-1"}, update)
+	l.take(update)
 }
 
-func (c *chain) retell() {
-	defer c.passer.controllers["b"].followed()()
-	news, next, _ := c.passer.controllers["b"].digest("a-2", c.toMember, true)
-	c.toMember = next
+func (c *chain) relayToMember() {
+	defer c.relay.controllers["b"].addFollower()()
+	update, next, _ := c.relay.controllers["b"].updateFor("a-2", c.memberSeq, true)
+	c.memberSeq = next
 	l := c.member.links["b"]
-	l.heardBy(source{"a-1", "a-1"}, news)
-	l.take(news)
+	l.recordSource(source{"a-1", "a-1"}, update)
+	l.take(update)
 }
 
 // memberToRelay delivers the member's report to the relay, and relayToLeader the sums of the
 // relay to the leader.
-func (c *chain) speak() {
-	c.passer.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
+func (c *chain) memberToRelay() {
+	c.relay.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
 }
 
-func (c *chain) pass() {
-	c.holder.Demanded(heartbeater.Instance{ID: "a-1", Domain: "a"}, c.passer.links["b"].demand())
+func (c *chain) relayToLeader() {
+	c.leader.Demanded(heartbeater.Instance{ID: "a-1", Domain: "a"}, c.relay.links["b"].demand())
 }
 
-var chained = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}}
+var chainedKey = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}}
 
 func (c *chain) addRunner() {
-	for _, g := range []*Gatekeeper{c.holder, c.passer, c.member} {
+	for _, g := range []*Gatekeeper{c.leader, c.relay, c.member} {
 		g.setRunner(tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 1}, fromStore)
 	}
 }
@@ -93,90 +93,90 @@
 // there through the leader of its own domain. The copy must stay as long as the request runs,
 // and its slot must become free afterwards, whichever instance has failed or missed a message
 // meanwhile.
-func TestUsesArePassedOn(t *testing.T) {
+func TestUsesAreRelayed(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		happen func(c *chain, done func())
-		want   int
+		name  string
+		event func(c *chain, done func())
+		want  int
 	}{
 		{"begins", func(c *chain, _ func()) {
-			c.speak()
-			c.pass()
+			c.memberToRelay()
+			c.relayToLeader()
 		}, 1},
 		{"a slot was reserved, and neither report has arrived yet", func(c *chain, _ func()) {
-			c.holder.controllers["b"].used("a-1", chained)
+			c.leader.controllers["b"].used("a-1", chainedKey)
 		}, 1},
 		{"a slot was reserved, and both reports have arrived", func(c *chain, _ func()) {
-			c.holder.controllers["b"].used("a-1", chained)
-			c.speak()
-			c.pass()
+			c.leader.controllers["b"].used("a-1", chainedKey)
+			c.memberToRelay()
+			c.relayToLeader()
 		}, 1},
 		{"ends", func(c *chain, done func()) {
-			c.speak()
-			c.pass()
+			c.memberToRelay()
+			c.relayToLeader()
 			done()
-			c.speak()
-			c.pass()
+			c.memberToRelay()
+			c.relayToLeader()
 		}, 0},
 		{"ends, and that report is lost", func(c *chain, done func()) {
-			c.speak()
-			c.pass()
+			c.memberToRelay()
+			c.relayToLeader()
 			done()
 			_ = c.member.links["b"].demand()
-			c.speak()
-			c.pass()
+			c.memberToRelay()
+			c.relayToLeader()
 		}, 0},
 		{"goes on while the relay misses a report", func(c *chain, _ func()) {
-			c.speak()
-			c.pass()
+			c.memberToRelay()
+			c.relayToLeader()
 			time.Sleep(silent / 2)
-			c.pass()
+			c.relayToLeader()
 		}, 1},
 		{"the member fails", func(c *chain, _ func()) {
-			c.speak()
-			c.pass()
+			c.memberToRelay()
+			c.relayToLeader()
 			for range 30 {
-				time.Sleep(beat)
-				c.pass()
+				time.Sleep(updateInterval)
+				c.relayToLeader()
 			}
 		}, 0},
 		{"the relay fails", func(c *chain, _ func()) {
-			c.speak()
-			c.pass()
+			c.memberToRelay()
+			c.relayToLeader()
 			time.Sleep(silent + time.Second)
-			c.holder.controllers["b"].others("", time.Now())
+			c.leader.controllers["b"].others("", time.Now())
 		}, 0},
 		{"the relay loses its lease, and the member has not noticed", func(c *chain, _ func()) {
-			c.speak()
-			c.pass()
-			c.passer.controllers["a"].elector.Leave(uptime())
-			c.speak()
-			c.pass()
+			c.memberToRelay()
+			c.relayToLeader()
+			c.relay.controllers["a"].elector.Leave(uptime())
+			c.memberToRelay()
+			c.relayToLeader()
 		}, 1},
 		{"the relay loses its lease, and the member reports to the leader itself", func(c *chain, _ func()) {
-			c.speak()
-			c.pass()
-			c.passer.controllers["a"].elector.Leave(uptime())
-			c.holder.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
-			c.passer.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Parted: true})
-			c.pass()
+			c.memberToRelay()
+			c.relayToLeader()
+			c.relay.controllers["a"].elector.Leave(uptime())
+			c.leader.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
+			c.relay.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Parted: true})
+			c.relayToLeader()
 		}, 1},
 		{"the member reported to the leader itself before, and has unsubscribed since", func(c *chain, done func()) {
-			c.holder.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
-			c.speak()
-			c.pass()
-			c.holder.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Parted: true})
+			c.leader.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
+			c.memberToRelay()
+			c.relayToLeader()
+			c.leader.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Parted: true})
 			done()
-			c.speak()
-			c.pass()
+			c.memberToRelay()
+			c.relayToLeader()
 		}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				c := newChain()
 				c.addRunner()
-				tc.happen(c, c.member.Use(chained.Runner, chained.Copy))
-				if diff := cmp.Diff(tc.want, c.holder.controllers["b"].gather.Uses(chained)); diff != "" {
+				tc.event(c, c.member.Use(chainedKey.Runner, chainedKey.Copy))
+				if diff := cmp.Diff(tc.want, c.leader.controllers["b"].gather.Uses(chainedKey)); diff != "" {
 					t.Error(diff)
 				}
 			})
@@ -186,27 +186,27 @@
 
 // The members of a domain choose a runner of another one by the loads of all others there. With
 // their own load left out, or counted twice, they would all send to the same runner or to none.
-func TestLoadsOfAllOthersAreRetold(t *testing.T) {
+func TestLoadsOfAllOthersAreRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
 		c.addRunner()
 		loads := func(n int) relayer.Demand {
 			return relayer.Demand{Domain: "b", Loads: map[string]tracker.Load{"i-1": {Running: n}}}
 		}
-		c.holder.Demanded(heartbeater.Instance{ID: "b-2", Domain: "b"}, loads(100))
-		c.passer.Fleet.Begin("i-1", 0, time.Now())
+		c.leader.Demanded(heartbeater.Instance{ID: "b-2", Domain: "b"}, loads(100))
+		c.relay.Fleet.Begin("i-1", 0, time.Now())
 		c.member.Fleet.Begin("i-1", 0, time.Now())
 		c.member.Fleet.Begin("i-1", 0, time.Now())
-		c.passer.Demanded(heartbeater.Instance{ID: "a-3", Domain: "a"}, loads(10))
-		c.speak()
-		c.pass()
-		time.Sleep(countSure)
-		c.hear()
-		c.retell()
+		c.relay.Demanded(heartbeater.Instance{ID: "a-3", Domain: "a"}, loads(10))
+		c.memberToRelay()
+		c.relayToLeader()
+		time.Sleep(countSettleTime)
+		c.leaderToRelay()
+		c.relayToMember()
 		running := func(g *Gatekeeper) int {
 			return g.Fleet.Candidates(tracker.Demand{Service: "llm"}, time.Now())[0].Running
 		}
-		got := map[string]int{"relay": running(c.passer), "member": running(c.member), "leader": c.holder.controllers["b"].gather.Loads("")["i-1"].Running}
+		got := map[string]int{"relay": running(c.relay), "member": running(c.member), "leader": c.leader.controllers["b"].gather.Loads("")["i-1"].Running}
 		if diff := cmp.Diff(map[string]int{"relay": 113, "member": 113, "leader": 113}, got); diff != "" {
 			t.Error(diff)
 		}
@@ -218,36 +218,36 @@
 
 // A copy is loaded at a runner of another failure domain, and evicted again. Members that learn
 // of neither send requests there in vain, or load it once more.
-func TestWhatRunnersHoldIsRetold(t *testing.T) {
+func TestCopiesOfRunnersAreRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
 		c.addRunner()
-		done := c.passer.controllers["b"].followed()
+		done := c.relay.controllers["b"].addFollower()
 		defer done()
 		holds := func() bool {
 			held, _ := c.member.Fleet.Standing("i-1")
-			_, ok := held[chained.Copy]
+			_, ok := held[chainedKey.Copy]
 			return ok
 		}
 		at := time.Now()
-		c.holder.controllers["b"].news.add(event{held: &heldEvent{runner: "i-1", copy: chained.Copy, at: at, there: true}})
-		c.hear()
-		c.retell()
-		c.hear() // in case the first update was a snapshot
-		c.retell()
-		c.holder.controllers["b"].news.add(event{held: &heldEvent{runner: "i-1", copy: chained.Copy, at: at, there: true}})
-		c.holder.controllers["b"].news.add(event{room: &roomEvent{runner: "i-1", wait: time.Second}})
-		c.hear()
-		c.retell()
+		c.leader.controllers["b"].news.add(event{held: &heldEvent{runner: "i-1", copy: chainedKey.Copy, at: at, there: true}})
+		c.leaderToRelay()
+		c.relayToMember()
+		c.leaderToRelay() // in case the first update was a snapshot
+		c.relayToMember()
+		c.leader.controllers["b"].news.add(event{held: &heldEvent{runner: "i-1", copy: chainedKey.Copy, at: at, there: true}})
+		c.leader.controllers["b"].news.add(event{room: &roomEvent{runner: "i-1", wait: time.Second}})
+		c.leaderToRelay()
+		c.relayToMember()
 		if !holds() {
 			t.Error("a new copy was not relayed")
 		}
 		if !c.member.Fleet.Tight("i-1") {
 			t.Error("a wait for a slot was not relayed")
 		}
-		c.holder.controllers["b"].news.add(event{held: &heldEvent{runner: "i-1", copy: chained.Copy}})
-		c.hear()
-		c.retell()
+		c.leader.controllers["b"].news.add(event{held: &heldEvent{runner: "i-1", copy: chainedKey.Copy}})
+		c.leaderToRelay()
+		c.relayToMember()
 		if holds() {
 			t.Error("the eviction of the copy was not relayed")
 		}
@@ -258,31 +258,31 @@
 // against members that take the relay's updates for the leader's: they would wait for adapters
 // that nobody loads. Runners that come and go are published all the same, as the relay reads
 // them from the store.
-func TestSilenceOfAHolderIsNotHiddenByWhoeverPassesItsWordsOn(t *testing.T) {
+func TestRelayDoesNotHideThatTheLeaderIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
-		c.passer.runners.reached(nil, 1, time.Now())
-		c.hear()
-		c.retell()
+		c.relay.runners.recordCall(nil, 1, time.Now())
+		c.leaderToRelay()
+		c.relayToMember()
 		if c.member.links["b"].silence() > 0 {
 			t.Fatal("no update from the leader; the test proves nothing")
 		}
-		c.passer.setRunner(tracker.Runner{ID: "i-9", Domain: "b", Service: "llm", Revision: 9}, fromStore)
-		for range int((passTrust+passSpread)/beat) + 2 {
-			time.Sleep(beat)
-			c.passer.runners.reached(nil, 1, time.Now())
-			c.retell()
+		c.relay.setRunner(tracker.Runner{ID: "i-9", Domain: "b", Service: "llm", Revision: 9}, fromStore)
+		for range int((minRelayTimeout+relayTimeoutJitter)/updateInterval) + 2 {
+			time.Sleep(updateInterval)
+			c.relay.runners.recordCall(nil, 1, time.Now())
+			c.relayToMember()
 		}
-		if silence := c.member.links["b"].silence(); silence < unheard {
-			t.Errorf("the last update of a failed leader was received %s ago", silence)
+		if age := c.member.links["b"].silence(); age < unheard {
+			t.Errorf("the last update of a failed leader was received %s ago", age)
 		}
-		if _, ok := c.member.links["b"].direct(); !ok {
+		if _, ok := c.member.links["b"].directLeader(); !ok {
 			t.Error("does not follow the leader directly")
 		}
 		if _, known := c.member.Fleet.Get("i-9"); !known {
 			t.Error("a new runner was not relayed")
 		}
-		if c.member.links["b"].stale() > beat {
+		if c.member.links["b"].sinceFresh() > updateInterval {
 			t.Error("the runners count as not current, and each member would poll the store")
 		}
 	})
@@ -292,19 +292,19 @@
 // paused, loses its lease or restarts. Guards against a leader that counts uses that have ended
 // once all has been quiet for a while, or a copy as free that a request has used for longer
 // than reports take.
-func TestUsesSurviveWhoeverPassesThemOn(t *testing.T) {
+func TestUsesAreCountedWhateverHappensToTheRelay(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playChain(t, rand.New(rand.NewPCG(seed, seed))) })
+			synctest.Test(t, func(t *testing.T) { runChain(t, rand.New(rand.NewPCG(seed, seed))) })
 		})
 	}
 }
 
-func playChain(t *testing.T, rng *rand.Rand) {
+func runChain(t *testing.T, rng *rand.Rand) {
 	c := newChain()
 	c.addRunner()
 	var running []func()
-	frozen, direct := time.Time{}, false
+	pausedUntil, direct := time.Time{}, false
 	used := time.Now() // start of the current use
 	for range 400 {
 		now := time.Now()
@@ -313,58 +313,58 @@
 			if len(running) == 0 {
 				used = now
 			}
-			running = append(running, c.member.Use(chained.Runner, chained.Copy))
-			by := "a-1"
+			running = append(running, c.member.Use(chainedKey.Runner, chainedKey.Copy))
+			reporter := "a-1"
 			if direct {
-				by = "a-2"
+				reporter = "a-2"
 			}
-			c.holder.controllers["b"].used(by, chained)
+			c.leader.controllers["b"].used(reporter, chainedKey)
 		case n < 6 && len(running) > 0:
 			running[0]()
 			running = running[1:]
 		case n == 6:
-			frozen = now.Add(time.Duration(rng.Int64N(int64(5 * time.Second))))
+			pausedUntil = now.Add(time.Duration(rng.Int64N(int64(5 * time.Second))))
 		case n == 7: // restart without state
-			c.passer = newChained("a-1", "a")
-			c.passer.links["a"].setHolder(elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1})
-			hold(c.passer, "a")
+			c.relay = newChained("a-1", "a")
+			c.relay.links["a"].setHolder(elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1})
+			hold(c.relay, "a")
 			c.addRunner()
-			frozen = time.Time{}
+			pausedUntil = time.Time{}
 		}
-		away := now.Before(frozen)
-		if !direct && away && frozen.Sub(now) > unheard {
+		paused := now.Before(pausedUntil)
+		if !direct && paused && pausedUntil.Sub(now) > unheard {
 			direct = true // the missing updates are detected within that time
 		}
-		if direct && !away {
+		if direct && !paused {
 			direct = false
-			c.speak()
-			c.pass()
-			c.holder.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Parted: true})
+			c.memberToRelay()
+			c.relayToLeader()
+			c.leader.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Parted: true})
 		}
 		lost := rng.IntN(10) == 0
 		switch {
 		case direct:
-			c.holder.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
-		case !away && !lost:
-			c.speak()
-			c.pass()
+			c.leader.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
+		case !paused && !lost:
+			c.memberToRelay()
+			c.relayToLeader()
 		}
-		c.holder.controllers["b"].others("", now)
-		if uses := c.holder.controllers["b"].gather.Uses(chained); uses == 0 && len(running) > 0 && now.Sub(used) > time.Second {
+		c.leader.controllers["b"].others("", now)
+		if uses := c.leader.controllers["b"].gather.Uses(chainedKey); uses == 0 && len(running) > 0 && now.Sub(used) > time.Second {
 			t.Fatalf("%d requests use a copy that counts as free", len(running))
 		}
-		time.Sleep(beat)
+		time.Sleep(updateInterval)
 	}
 	for _, done := range running {
 		done()
 	}
 	for range 50 {
-		c.speak()
-		c.pass()
-		c.holder.controllers["b"].others("", time.Now())
-		time.Sleep(beat)
+		c.memberToRelay()
+		c.relayToLeader()
+		c.leader.controllers["b"].others("", time.Now())
+		time.Sleep(updateInterval)
 	}
-	if uses := c.holder.controllers["b"].gather.Uses(chained); uses != 0 {
+	if uses := c.leader.controllers["b"].gather.Uses(chainedKey); uses != 0 {
 		t.Errorf("%d uses are counted after all have ended", uses)
 	}
 }
--- a/internal/instance/gatekeeper/reach.go
+++ b/internal/instance/gatekeeper/reach.go
@@ -4,22 +4,22 @@
 
 // reachability is the span during which a dependency was reachable without interruption. Its
 // zero value is ready.
-type reach struct {
+type reachability struct {
 	first time.Time
 	last  time.Time
 }
 
 // maxGap is how long the store may be unreachable without any row expiring: rows of runners
 // stay for longer without a heartbeat.
-const briefBreak = 2 * time.Second
+const maxGap = 2 * time.Second
 
 // observe records that the dependency was reachable from one time to another.
-func (r *reach) seen(from, to time.Time) {
+func (r *reachability) observe(from, to time.Time) {
 	switch {
-	case r.first.IsZero(), from.Sub(r.last) > briefBreak:
+	case r.first.IsZero(), from.Sub(r.last) > maxGap:
 		r.first, r.last = from, to
 		return
-	case r.first.Sub(to) > briefBreak:
+	case r.first.Sub(to) > maxGap:
 		return // a late report of a span before the interruption
 	}
 	if from.Before(r.first) {
@@ -29,4 +29,6 @@
 }
 
 // current reports whether the dependency is reachable now.
-func (r *reach) lasts(now time.Time) bool { return !r.first.IsZero() && now.Sub(r.last) <= briefBreak }
+func (r *reachability) current(now time.Time) bool {
+	return !r.first.IsZero() && now.Sub(r.last) <= maxGap
+}
--- a/internal/instance/gatekeeper/reach_test.go
+++ b/internal/instance/gatekeeper/reach_test.go
@@ -8,7 +8,7 @@
 )
 
 // Guards against taking a pause between two calls for an outage, and the reverse.
-func TestReachBeginsAfterTheLastBreak(t *testing.T) {
+func TestReachabilityBeginsAfterTheLastInterruption(t *testing.T) {
 	start := time.Now()
 	at := func(s float64) time.Time { return start.Add(time.Duration(s * float64(time.Second))) }
 	type span struct{ from, to float64 }
@@ -26,12 +26,12 @@
 		{"late report", []span{{3, 3}, {2, 2}}, 4, 2},
 		{"late report of a span before the interruption", []span{{1, 2}, {5, 5}, {1, 2.5}}, 6, 5},
 	} {
-		var r reach
+		var r reachability
 		for _, s := range tc.seen {
-			r.seen(at(s.from), at(s.to))
+			r.observe(at(s.from), at(s.to))
 		}
 		got := -1.0
-		if r.lasts(at(tc.now)) {
+		if r.current(at(tc.now)) {
 			got = r.first.Sub(start).Seconds()
 		}
 		if diff := cmp.Diff(tc.since, got); diff != "" {
--- a/internal/instance/gatekeeper/resync.go
+++ b/internal/instance/gatekeeper/resync.go
@@ -17,7 +17,7 @@
 const (
 	// divergedFor is how long the runners may differ before a snapshot is requested, as
 	// messages of several instances may overtake each other.
-	divergedFor = 2 * beat
+	divergedFor = 2 * updateInterval
 	// resyncFirst and resyncMost bound the exponential delay between two requests.
 	resyncFirst = 500 * time.Millisecond
 	resyncMost  = 8 * time.Second
--- a/internal/instance/gatekeeper/retell.go
+++ b/internal/instance/gatekeeper/retell.go
@@ -11,10 +11,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
 )
 
-// An ownWord is a crash report about a request whose answer this instance saw break off.
+// An ownWord records a crash or a clearance that this instance observed itself.
 type ownWord struct {
-	since time.Time
-	heard source // source that has published it in turn, and so knows it
+	since          time.Time
+	acknowledgedBy source // source that has published it in turn, and so knows it
 }
 
 // retellFor is how long an instance repeats its own crash reports to its sources, even after
@@ -22,7 +22,7 @@
 const retellFor = time.Minute
 
 // ownAmong returns the reports about requests of which this instance has seen a crash itself.
-func (g *Gatekeeper) ownAmong(words []quarantiner.Word) []quarantiner.Word {
+func (g *Gatekeeper) ownAmong(reports []quarantiner.Word) []quarantiner.Word {
 	q := &g.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -31,7 +31,7 @@
 		seen[c.Digest] = true
 	}
 	var own []quarantiner.Word
-	for _, w := range words {
+	for _, w := range reports {
 		if seen[w.Digest] {
 			own = append(own, w)
 		}
@@ -40,22 +40,22 @@
 }
 
 // reportCrashes reports the crashes that this instance saw to its sources, until ctx ends.
-func (g *Gatekeeper) tellCrashes(ctx context.Context) {
-	repeater.Every(ctx, beat, g.quarantine.tell, func() {
+func (g *Gatekeeper) reportCrashes(ctx context.Context) {
+	repeater.Every(ctx, updateInterval, g.quarantine.tell, func() {
 		if g.quarantine.ledger.Empty() {
 			return
 		}
 		g.keepApart()
-		for _, to := range g.tellers() {
-			if words := g.quarantine.untold(to, time.Now()); len(words) > 0 {
-				_ = g.Peers.Tell(ctx, to.address, relayer.Crashes{Words: words}) // repeated until the source publishes it in turn
+		for _, to := range g.crashSources() {
+			if reports := g.quarantine.untold(to, time.Now()); len(reports) > 0 {
+				_ = g.Peers.Tell(ctx, to.address, relayer.Crashes{Words: reports}) // repeated until the source publishes it in turn
 			}
 		}
 	})
 }
 
 // crashSources returns the instances that publish crash reports to this one.
-func (g *Gatekeeper) tellers() []source {
+func (g *Gatekeeper) crashSources() []source {
 	if t, ok := g.teller(); ok {
 		return []source{t}
 	}
@@ -64,8 +64,8 @@
 	}
 	var all []source
 	for _, l := range g.links {
-		if via, ok := l.voice(); ok && !slices.Contains(all, via) {
-			all = append(all, via)
+		if target, ok := l.reportTarget(); ok && !slices.Contains(all, target) {
+			all = append(all, target)
 		}
 	}
 	return all
@@ -78,24 +78,24 @@
 
 // untold returns this instance's reports that a source has not published in turn.
 func (q *quarantine) untold(to source, now time.Time) []quarantiner.Word {
-	return q.ownWords(now, func(w ownWord) bool { return w.heard != to })
+	return q.ownWords(now, func(w ownWord) bool { return w.acknowledgedBy != to })
 }
 
 // ownWords returns this instance's reports that match, and drops those that are too old.
-func (q *quarantine) ownWords(now time.Time, fits func(ownWord) bool) []quarantiner.Word {
+func (q *quarantine) ownWords(now time.Time, match func(ownWord) bool) []quarantiner.Word {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var words []quarantiner.Word
+	var reports []quarantiner.Word
 	for c, own := range q.own {
 		if now.Sub(own.since) > retellFor {
 			delete(q.own, c)
 			continue
 		}
-		if w, ok := q.ledger.Word(c, now); ok && fits(own) {
-			words = append(words, w)
+		if w, ok := q.ledger.Word(c, now); ok && match(own) {
+			reports = append(reports, w)
 		}
 	}
-	return words
+	return reports
 }
 
 // begun records that a source starts to publish to this instance. It may have restarted under
@@ -104,21 +104,21 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for c, own := range q.own {
-		if own.heard == from {
-			own.heard = source{}
+		if own.acknowledgedBy == from {
+			own.acknowledgedBy = source{}
 			q.own[c] = own
 		}
 	}
 }
 
 // toldBack records the reports that a source published: they need not be sent to it.
-func (q *quarantine) toldBack(from source, words []quarantiner.Word) {
+func (q *quarantine) toldBack(from source, reports []quarantiner.Word) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, w := range words {
+	for _, w := range reports {
 		own, ok := q.own[w.Crash()]
 		if current, _ := q.ledger.Word(w.Crash(), time.Now()); ok && current.Cleared == w.Cleared {
-			own.heard = from
+			own.acknowledgedBy = from
 			q.own[w.Crash()] = own
 		}
 	}
--- a/internal/instance/gatekeeper/runners_test.go
+++ b/internal/instance/gatekeeper/runners_test.go
@@ -10,25 +10,25 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// drainTime is how long after the store has accepted that a runner drains requests may still be
+// drainDeadline is how long after the store has accepted that a runner drains requests may still be
 // sent to it.
-const drainTime = 2 * time.Second
+const drainDeadline = 2 * time.Second
 
-// A removed is a runner whose row is removed after an outage of the store.
-type removed struct {
-	others time.Duration // how much earlier the store was back for others than for this instance
-	back   bool          // the row is back after a second
+// A removedRow is a runner whose row is removed after an outage of the store.
+type removedRow struct {
+	earlierForOthers time.Duration // how much earlier the store was back for others than for this instance
+	back             bool          // the row is back after a second
 }
 
-// play returns whether the runner is known right after the removal of its row, and when
-// drainTime is over.
-func (r removed) play() (first, last bool) {
+// run returns whether the runner is known right after the removal of its row, and when
+// drainDeadline is over.
+func (r removedRow) run() (first, last bool) {
 	g := newChained("a-2", "a")
 	runner := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 5}
 	g.setRunner(runner, fromStore)
 	g.sawStore(time.Now(), errors.New("away"))
-	time.Sleep(5*time.Second - r.others)
-	for end := time.Now().Add(r.others); time.Now().Before(end); time.Sleep(beat) {
+	time.Sleep(5*time.Second - r.earlierForOthers)
+	for end := time.Now().Add(r.earlierForOthers); time.Now().Before(end); time.Sleep(updateInterval) {
 		g.links["b"].take(relayer.News{Operator: relayer.Known{Newest: 1}}) // of a leader that reaches the store
 	}
 	g.sawStore(time.Now(), nil)
@@ -39,9 +39,9 @@
 	}
 	g.remove(runner.ID, runner.Revision, fromStore, whyRow)
 	first = known()
-	for n := range int(drainTime / beat) {
-		time.Sleep(beat)
-		if r.back && n == int(time.Second/beat) {
+	for n := range int(drainDeadline / updateInterval) {
+		time.Sleep(updateInterval)
+		if r.back && n == int(time.Second/updateInterval) {
 			runner.Revision++
 			g.setRunner(runner, fromStore)
 		}
@@ -55,10 +55,10 @@
 // others; the runner drains just then. Its row may have expired in the outage and come back, so
 // this instance waits; when it counted the grace time from its own return of the store, it
 // stopped too late.
-func TestRunnerThatLeavesIsNotUsedWhereTheStoreCameBackLate(t *testing.T) {
+func TestDrainingRunnerIsNotUsedWhenTheStoreReturnsLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		if _, used := (removed{others: 2600 * time.Millisecond}).play(); used {
-			t.Errorf("the runner is still used %s after its row was removed", drainTime)
+		if _, used := (removedRow{earlierForOthers: 2600 * time.Millisecond}).run(); used {
+			t.Errorf("the runner is still used %s after its row was removed", drainDeadline)
 		}
 	})
 }
@@ -67,16 +67,16 @@
 func TestFirstAnswerAfterAnOutageRemovesNoRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, w := newCalmSite(t, 3)
-		s.store.set(turnsAway)
+		s.store.set(rejects)
 		s.pass(4*time.Second, w)
-		lapsed := s.runners[0]
-		s.lapse(lapsed)
-		s.comeBack()
-		lapsed.beat = time.Now().Add(1900 * time.Millisecond)
+		expired := s.runners[0]
+		s.expireRow(expired)
+		s.restoreStore()
+		expired.nextHeartbeat = time.Now().Add(1900 * time.Millisecond)
 		for range 40 {
 			s.pass(50*time.Millisecond, w)
 			for _, m := range s.instances {
-				if !m.uses(lapsed.id) {
+				if !m.uses(expired.id) {
 					t.Fatalf("%s removed the runner", m.id)
 				}
 			}
@@ -86,14 +86,14 @@
 
 // Guards against living runners that are removed by the snapshot of a source that has started
 // after the outage.
-func TestSnapshotOfOneThatMissedTheOutageRemovesNoRunner(t *testing.T) {
+func TestSnapshotOfASourceStartedAfterTheOutageRemovesNoRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, started := newChained("a-1", "a"), newTeller("b-1", "b", 60)
+		g, started := newChained("a-1", "a"), newSource("b-1", "b", 60)
 		g.setRunner(tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 5}, fromStore)
 		g.sawStore(time.Now(), errNoAnswer)
 		time.Sleep(5 * time.Second)
 		g.sawStore(time.Now(), nil)
-		tellSnapshot(started, g, "b")
+		sendSnapshot(started, g, "b")
 		if _, known := g.Fleet.Get("i-1"); !known {
 			t.Error("the runner was removed")
 		}
@@ -108,10 +108,10 @@
 // Rows of living runners expire while the store is unavailable, and are back within two seconds
 // of its return. Without a grace time every runner would be removed after an outage, and every
 // request refused meanwhile.
-func TestRunnerWhoseRowLapsedIsKept(t *testing.T) {
+func TestRunnerWithExpiredRowIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		if first, last := (removed{back: true}).play(); !first || !last {
-			t.Errorf("the runner is known right after: %v, after %s: %v", first, drainTime, last)
+		if first, last := (removedRow{back: true}).run(); !first || !last {
+			t.Errorf("the runner is known right after: %v, after %s: %v", first, drainDeadline, last)
 		}
 	})
 }
--- a/internal/instance/gatekeeper/serve.go
+++ b/internal/instance/gatekeeper/serve.go
@@ -51,7 +51,7 @@
 
 // Forward handles a request, unless the instance is about to stop.
 func (g *Gatekeeper) Forward(ctx context.Context, r *forwarder.Request, sink forwarder.Sink) *judge.Error {
-	if err := g.late(); err != nil {
+	if err := g.refuseLate(); err != nil {
 		g.Refused(r.ID, err)
 		return err
 	}
--- a/internal/instance/gatekeeper/site_peers_test.go
+++ b/internal/instance/gatekeeper/site_peers_test.go
@@ -12,12 +12,12 @@
 )
 
 // linkLatency is the latency of a message between two instances.
-const wayTime = 2 * time.Millisecond
+const linkLatency = 2 * time.Millisecond
 
 // linkTimeout is the time after which a connection to an instance that does not respond fails.
 const linkTimeout = time.Second
 
-var errLink = errors.New("the connection failed")
+var errConnection = errors.New("the connection failed")
 
 // sitePeers are the connections of one instance of a simulated deployment.
 type sitePeers struct{ from *member }
@@ -37,22 +37,22 @@
 // Open implements Peers.
 func (p sitePeers) Open(ctx context.Context, address string, m relayer.Message) (Conversation, error) {
 	to := p.from.site.at(address)
-	p.from.await(ctx)
+	p.from.awaitResumed(ctx)
 	if !p.from.reaches(to) {
 		pause(ctx, linkTimeout)
-		return nil, errLink
+		return nil, errConnection
 	}
-	g, lives := to.running()
-	if lives.Err() != nil {
-		return nil, errLink
+	g, running := to.running()
+	if running.Err() != nil {
+		return nil, errConnection
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	c := &siteConversation{from: p.from, to: to, lives: lives, ctx: ctx, cancel: cancel, words: make(chan siteWord, 64)}
+	c := &siteConversation{from: p.from, to: to, lives: running, ctx: ctx, cancel: cancel, messages: make(chan siteMessage, 64)}
 	go func() {
-		pause(ctx, wayTime)
-		to.await(ctx)
-		err := g.answer(ctx, p.from.self(), m, c)
-		c.put(siteWord{err: err, at: time.Now().Add(wayTime), over: true})
+		pause(ctx, linkLatency)
+		to.awaitResumed(ctx)
+		err := g.handle(ctx, p.from.self(), m, c)
+		c.put(siteMessage{err: err, at: time.Now().Add(linkLatency), over: true})
 	}()
 	return c, nil
 }
@@ -63,20 +63,20 @@
 	lives    context.Context // of the answering process
 	ctx      context.Context
 	cancel   context.CancelFunc
-	words    chan siteWord
+	messages chan siteMessage
 }
 
 // A siteMessage is a message in transit.
-type siteWord struct {
+type siteMessage struct {
 	at      time.Time // when it arrives
 	message relayer.Message
 	err     error
 	over    bool
 }
 
-func (c *siteConversation) put(w siteWord) {
+func (c *siteConversation) put(w siteMessage) {
 	select {
-	case c.words <- w:
+	case c.messages <- w:
 	case <-c.ctx.Done():
 	}
 }
@@ -89,18 +89,18 @@
 
 // Send implements replier.
 func (c *siteConversation) Send(m relayer.Message) error {
-	c.to.await(c.ctx)
+	c.to.awaitResumed(c.ctx)
 	if c.lives.Err() != nil || c.ctx.Err() != nil {
-		return errLink
+		return errConnection
 	}
-	c.put(siteWord{at: time.Now().Add(wayTime), message: m})
+	c.put(siteMessage{at: time.Now().Add(linkLatency), message: m})
 	return nil
 }
 
 // Next implements Conversation. Messages in transit during a partition arrive when it is over.
 func (c *siteConversation) Next(ctx context.Context) (relayer.Message, error) {
 	for {
-		c.from.await(ctx)
+		c.from.awaitResumed(ctx)
 		if ctx.Err() != nil {
 			return nil, judge.Refuse(judge.ReasonDeadline, "no message received")
 		}
@@ -109,16 +109,16 @@
 			continue
 		}
 		select {
-		case w := <-c.words:
+		case w := <-c.messages:
 			pause(ctx, time.Until(w.at))
-			_, lives := c.from.running()
-			c.from.await(lives)
+			_, running := c.from.running()
+			c.from.awaitResumed(running)
 			if w.over && w.err == nil {
-				w.err = errLink
+				w.err = errConnection
 			}
 			return w.message, w.err
 		case <-c.lives.Done():
-			return nil, errLink
+			return nil, errConnection
 		case <-ctx.Done():
 		}
 	}
--- a/internal/instance/gatekeeper/site_runner_test.go
+++ b/internal/instance/gatekeeper/site_runner_test.go
@@ -14,15 +14,15 @@
 	id     string
 	domain string
 
-	there     time.Time // since when its row has existed without interruption; zero if it does not exist
-	leaving   bool
-	ended     bool
-	left      time.Time // when the store accepted that it drains or its row was removed; zero if neither
-	leftCalm  bool      // the store had been available to everybody for stableTime then
-	beat      time.Time // time of its next heartbeat
-	ends      time.Time // when it ends; zero if no end is set
-	lapsed    time.Time // when its row last expired although it is alive
-	revisions int
+	rowSince           time.Time // since when its row has existed without interruption; zero if it does not exist
+	leaving            bool
+	ended              bool
+	drainedAt          time.Time // when the store accepted that it drains or its row was removed; zero if neither
+	drainedUndisturbed bool      // the store had been available to everybody for stableTime then
+	nextHeartbeat      time.Time // time of its next heartbeat
+	endsAt             time.Time // when it ends; zero if no end is set
+	expiredAt          time.Time // when its row last expired although it is alive
+	revisions          int
 }
 
 // register writes the row of a runner.
@@ -32,52 +32,52 @@
 		s.t.Fatal(err)
 	}
 	s.store.put(tabler.Row{Key: "runners/" + r.id, Value: value})
-	if r.there.IsZero() {
-		r.there = time.Now()
+	if r.rowSince.IsZero() {
+		r.rowSince = time.Now()
 	}
 	r.revisions++
 }
 
-// drop removes the row of a runner.
-func (s *site) drop(r *siteRunner) {
+// removeRow removes the row of a runner.
+func (s *site) removeRow(r *siteRunner) {
 	s.store.put(tabler.Row{Key: "runners/" + r.id, Removed: true})
-	r.there = time.Time{}
+	r.rowSince = time.Time{}
 }
 
 func (s *site) addRunner(domain string) {
 	r := &siteRunner{id: fmt.Sprint("i-", len(s.runners)), domain: domain}
 	s.runners = append(s.runners, r)
 	s.register(r)
-	r.beat = time.Now().Add(time.Duration(s.rng.Int64N(int64(siteBeat))))
+	r.nextHeartbeat = time.Now().Add(time.Duration(s.rng.Int64N(int64(heartbeatInterval))))
 }
 
 // leave makes a runner drain, or removes its row without that.
-func (s *site) leave(r *siteRunner, silent bool) {
-	r.left, r.leftCalm = time.Now(), s.calm(stableTime)
-	if silent {
+func (s *site) leave(r *siteRunner, abrupt bool) {
+	r.drainedAt, r.drainedUndisturbed = time.Now(), s.undisturbed(stableTime)
+	if abrupt {
 		r.ended = true
-		s.drop(r)
+		s.removeRow(r)
 		return
 	}
 	r.leaving = true
-	r.ends = time.Now().Add(drainTime + time.Duration(s.rng.Int64N(int64(5*time.Second))))
+	r.endsAt = time.Now().Add(drainDeadline + time.Duration(s.rng.Int64N(int64(5*time.Second))))
 	s.register(r)
 }
 
 const (
-	// siteBeat is the heartbeat interval of runners.
-	siteBeat = 1200 * time.Millisecond
+	// heartbeatInterval is the heartbeat interval of runners.
+	heartbeatInterval = 1200 * time.Millisecond
 	// stableTime is the time after a fault from which on deadlines hold again.
 	stableTime = 3 * time.Second
 )
 
-// calm reports whether the store has been available to everybody for a time.
-func (s *site) calm(span time.Duration) bool {
-	return time.Since(s.troubled) >= span
+// undisturbed reports whether the store has been available to everybody for a time.
+func (s *site) undisturbed(span time.Duration) bool {
+	return time.Since(s.lastFault) >= span
 }
 
-// beats writes the rows whose heartbeats are due.
-func (s *site) beats() {
+// writeHeartbeats writes the rows whose heartbeats are due.
+func (s *site) writeHeartbeats() {
 	if s.store.down() {
 		return
 	}
@@ -85,11 +85,11 @@
 	for _, r := range s.runners {
 		switch {
 		case r.ended:
-		case !r.ends.IsZero() && now.After(r.ends):
+		case !r.endsAt.IsZero() && now.After(r.endsAt):
 			r.ended = true
-			s.drop(r)
-		case !now.Before(r.beat):
-			r.beat = now.Add(siteBeat)
+			s.removeRow(r)
+		case !now.Before(r.nextHeartbeat):
+			r.nextHeartbeat = now.Add(heartbeatInterval)
 			s.register(r)
 		}
 	}
--- a/internal/instance/gatekeeper/site_store_test.go
+++ b/internal/instance/gatekeeper/site_store_test.go
@@ -20,7 +20,7 @@
 }
 
 // A storeClient is the connection of one instance to the store.
-type portal struct {
+type storeClient struct {
 	*feedStore
 	owner *member
 
@@ -28,22 +28,22 @@
 	mode storeMode
 }
 
-func (p *portal) set(mode storeMode) {
+func (p *storeClient) set(mode storeMode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.mode = mode
 }
 
-func (p *portal) admit(ctx context.Context, wait time.Duration) error {
-	p.owner.await(ctx)
+func (p *storeClient) admit(ctx context.Context, wait time.Duration) error {
+	p.owner.awaitResumed(ctx)
 	p.mu.Lock()
 	mode := p.mode
 	p.mu.Unlock()
 	switch mode {
-	case turnsAway:
+	case rejects:
 		pause(ctx, time.Millisecond)
 		return fmt.Errorf("rejected")
-	case swallows:
+	case hangs:
 		pause(ctx, wait+callTimeout)
 		return errNoAnswer
 	default:
@@ -52,18 +52,18 @@
 }
 
 // Scan implements tabler.Feed.
-func (p *portal) Scan(ctx context.Context, table string) ([]tabler.Row, uint64, error) {
+func (p *storeClient) Scan(ctx context.Context, table string) ([]tabler.Row, uint64, error) {
 	if err := p.admit(ctx, 0); err != nil {
 		return nil, 0, err
 	}
 	rows, version, err := p.feedStore.Scan(ctx, table)
-	p.owner.await(ctx)
+	p.owner.awaitResumed(ctx)
 	rows = slices.DeleteFunc(rows, func(r tabler.Row) bool { return r.Removed })
 	return rows, version, err
 }
 
 // Get implements tabler.Feed.
-func (p *portal) Get(ctx context.Context, key string) (tabler.Row, error) {
+func (p *storeClient) Get(ctx context.Context, key string) (tabler.Row, error) {
 	if err := p.admit(ctx, 0); err != nil {
 		return tabler.Row{}, err
 	}
@@ -71,12 +71,12 @@
 }
 
 // Watch implements tabler.Feed.
-func (p *portal) Watch(ctx context.Context, table string, after uint64, wait time.Duration) ([]tabler.Row, uint64, error) {
+func (p *storeClient) Watch(ctx context.Context, table string, after uint64, wait time.Duration) ([]tabler.Row, uint64, error) {
 	if err := p.admit(ctx, wait); err != nil {
 		return nil, 0, err
 	}
 	rows, version, err := p.feedStore.Watch(ctx, table, after, wait)
-	p.owner.await(ctx)
+	p.owner.awaitResumed(ctx)
 	slices.SortFunc(rows, func(a, b tabler.Row) int { return int(a.Version) - int(b.Version) })
 	return rows, version, err
 }
--- a/internal/instance/gatekeeper/site_test.go
+++ b/internal/instance/gatekeeper/site_test.go
@@ -28,15 +28,15 @@
 	store   *feedStore
 	log     *siteLog
 
-	mu        sync.Mutex
-	instances []*member
-	fences    map[string]uint64
-	runners   []*siteRunner
-	away      time.Time // when the store was last available
-	lost      time.Time // when it was last available before it came back
-	returned  time.Time // when it last came back
-	troubled  time.Time // when the store last failed for any instance
-	began     time.Time
+	mu            sync.Mutex
+	instances     []*member
+	fences        map[string]uint64
+	runners       []*siteRunner
+	lastAvailable time.Time // when the store was last available
+	outageStart   time.Time // when it was last available before it came back
+	outageEnd     time.Time // when it last came back
+	lastFault     time.Time // when the store last failed for any instance
+	began         time.Time
 }
 
 // A member is one instance of a simulated deployment.
@@ -44,15 +44,15 @@
 	site   *site
 	id     string
 	domain string
-	way    *portal // connection to the store
+	store  *storeClient // connection to the store
 
-	mu        sync.Mutex
-	g         *Gatekeeper
-	ctx       context.Context
-	stop      context.CancelFunc
-	paused    time.Time // until when it is paused
-	cut       time.Time // until when it is partitioned from the other instances
-	disturbed time.Time // until when any fault lasts
+	mu          sync.Mutex
+	g           *Gatekeeper
+	ctx         context.Context
+	stop        context.CancelFunc
+	pausedUntil time.Time // until when it is paused
+	cut         time.Time // until when it is partitioned from the other instances
+	faultUntil  time.Time // until when any fault lasts
 }
 
 // quotaWindow is the window in which quotas are checked.
@@ -81,7 +81,7 @@
 	}
 	for n := range instances {
 		m := &member{site: s, id: fmt.Sprint("front-", n), domain: s.domains[n%domains]}
-		m.way = &portal{feedStore: s.store, owner: m}
+		m.store = &storeClient{feedStore: s.store, owner: m}
 		s.instances = append(s.instances, m)
 		m.start()
 		if n < domains {
@@ -117,7 +117,7 @@
 
 // newCalmSite returns a deployment of one failure domain with one runner, which all instances
 // have known for a while.
-func newCalmSite(t *testing.T, instances int) (*site, *witness) {
+func newCalmSite(t *testing.T, instances int) (*site, *checker) {
 	s := newSite(t, rand.New(rand.NewPCG(1, 1)), 1, instances)
 	s.addRunner("a")
 	w := newWitness(s)
@@ -131,7 +131,7 @@
 	s.fences[domain]++
 	fence := s.fences[domain]
 	s.mu.Unlock()
-	m.hold(domain, fence)
+	m.lead(domain, fence)
 	value, err := encoder.Marshal(elector.Tenure{Holder: m.id, Address: m.id, Fence: fence})
 	if err != nil {
 		s.t.Fatal(err)
@@ -139,11 +139,11 @@
 	s.store.put(tabler.Row{Key: tableHolders + "/" + domain, Value: value})
 }
 
-// holds reports whether an instance believes that it leads a domain.
-func (m *member) holds(domain string) bool { return m.now().controllers[domain].holds() }
+// leads reports whether an instance believes that it leads a domain.
+func (m *member) leads(domain string) bool { return m.gatekeeper().controllers[domain].holds() }
 
-func (m *member) hold(domain string, fence uint64) {
-	d := m.now().controllers[domain]
+func (m *member) lead(domain string, fence uint64) {
+	d := m.gatekeeper().controllers[domain]
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.elector = elector.Elector{Self: m.id, Address: m.id, Lease: time.Hour}
@@ -153,12 +153,12 @@
 		m.site.t.Fatal("the lease cannot be acquired")
 	}
 	d.elector.Written(w, fence+1, uptime())
-	m.now().Recorder.Log("belief", "msg", "acquires the lease", "domain", domain, "fence", fence)
+	m.gatekeeper().Recorder.Log("belief", "msg", "acquires the lease", "domain", domain, "fence", fence)
 }
 
-// yield makes an instance give up the lease of a domain.
-func (m *member) yield(domain string) {
-	d := m.now().controllers[domain]
+// stepDown makes an instance give up the lease of a domain.
+func (m *member) stepDown(domain string) {
+	d := m.gatekeeper().controllers[domain]
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.elector = elector.Elector{Self: m.id, Address: m.id, Lease: time.Hour}
@@ -170,7 +170,7 @@
 	g.Config.ID, g.Config.Domain, g.Config.Domains = m.id, m.domain, m.site.domains
 	g.Fleet = &tracker.Fleet{Domain: m.domain}
 	g.Pool = &pooler.Pool{}
-	g.Store, g.Decoder, g.Peers = m.way, siteDecoder{}, sitePeers{m}
+	g.Store, g.Decoder, g.Peers = m.store, siteDecoder{}, sitePeers{m}
 	g.Recorder.Instance, g.Recorder.Out = m.id, m.site.log
 	g.Config.Bounds.Quota = quotaWindow
 	g.init()
@@ -184,7 +184,7 @@
 		loops = append(loops, func(ctx context.Context) { g.Recorder.Run(ctx.Done()) })
 	}
 	for _, l := range g.links {
-		loops = append(loops, l.listen, l.listenDirect)
+		loops = append(loops, l.followSource, l.followLeader)
 	}
 	for _, loop := range loops {
 		go loop(ctx)
@@ -193,8 +193,8 @@
 
 // expireRemovals executes pending removals, unless the instance is paused.
 func (m *member) expireRemovals(ctx context.Context) {
-	for g := m.now(); ctx.Err() == nil; pause(ctx, expireEvery) {
-		m.await(ctx)
+	for g := m.gatekeeper(); ctx.Err() == nil; pause(ctx, expireEvery) {
+		m.awaitResumed(ctx)
 		g.removeExpired()
 	}
 }
@@ -206,7 +206,7 @@
 	m.stop()
 }
 
-func (m *member) now() *Gatekeeper {
+func (m *member) gatekeeper() *Gatekeeper {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.g
@@ -231,23 +231,23 @@
 	if field != nil && until.After(*field) {
 		*field = until
 	}
-	if until.After(m.disturbed) {
-		m.disturbed = until
+	if until.After(m.faultUntil) {
+		m.faultUntil = until
 	}
 }
 
-// calmSince returns when the last fault of the instance ended.
-func (m *member) calmSince() time.Time {
+// undisturbedSince returns when the last fault of the instance ended.
+func (m *member) undisturbedSince() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.disturbed
+	return m.faultUntil
 }
 
-// await waits until the instance is not paused, or ctx ends.
-func (m *member) await(ctx context.Context) {
+// awaitResumed waits until the instance is not paused, or ctx ends.
+func (m *member) awaitResumed(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.mu.Lock()
-		left := time.Until(m.paused)
+		left := time.Until(m.pausedUntil)
 		m.mu.Unlock()
 		if left <= 0 {
 			return
@@ -258,7 +258,7 @@
 
 // uses reports whether the instance would send requests to a runner.
 func (m *member) uses(runner string) bool {
-	r, known := m.now().Fleet.Get(runner)
+	r, known := m.gatekeeper().Fleet.Get(runner)
 	return known && !r.Leaving
 }
 
--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -13,18 +13,18 @@
 )
 
 // sendSnapshot sends a snapshot of a domain from one instance to another.
-func tellSnapshot(from, to *Gatekeeper, domain string) {
-	news, _, _ := from.controllers[domain].digest(to.Config.ID, -1, true)
-	news.From = from.Config.ID
-	to.links[domain].take(news)
+func sendSnapshot(from, to *Gatekeeper, domain string) {
+	update, _, _ := from.controllers[domain].updateFor(to.Config.ID, -1, true)
+	update.From = from.Config.ID
+	to.links[domain].take(update)
 }
 
 // newSource returns an instance that leads a domain and has read the runners' table up to a
 // version.
-func newTeller(id, domain string, upTo uint64) *Gatekeeper {
+func newSource(id, domain string, upTo uint64) *Gatekeeper {
 	g := newChained(id, domain)
 	hold(g, domain)
-	g.runners.reached(nil, upTo, time.Now())
+	g.runners.recordCall(nil, upTo, time.Now())
 	return g
 }
 
@@ -34,21 +34,21 @@
 // snapshots; received once more, the draining was no delta any more. The logs of the simulation
 // (leaving_test.go) proved it: "leaving=true revision=58", then "leaving=false revision=7" at
 // the same instance.
-func TestOlderSnapshotDoesNotHideThatARunnerLeaves(t *testing.T) {
+func TestOlderSnapshotDoesNotHideThatARunnerDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ready := tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 7}
 		leaves := ready
 		leaves.Revision, leaves.Leaving = 58, true
-		teller, behind, member := newTeller("a-1", "a", 60), newTeller("b-1", "b", 50), newChained("a-2", "a")
+		source, behind, member := newSource("a-1", "a", 60), newSource("b-1", "b", 50), newChained("a-2", "a")
 		behind.setRunner(ready, fromStore)
-		teller.setRunner(ready, fromStore)
-		teller.setRunner(leaves, fromStore)
-		tellSnapshot(behind, teller, "b")
-		tellSnapshot(teller, member, "b")
+		source.setRunner(ready, fromStore)
+		source.setRunner(leaves, fromStore)
+		sendSnapshot(behind, source, "b")
+		sendSnapshot(source, member, "b")
 		behind.setRunner(leaves, fromStore)
-		tellSnapshot(behind, teller, "b")
-		told, _ := member.Fleet.Get("i-1")
-		if diff := cmp.Diff(leaves, told); diff != "" {
+		sendSnapshot(behind, source, "b")
+		got, _ := member.Fleet.Get("i-1")
+		if diff := cmp.Diff(leaves, got); diff != "" {
 			t.Error(diff)
 		}
 	})
@@ -57,15 +57,15 @@
 // Guards against a runner that is used forever after a change of the source.
 func TestRunnerMissingFromAStaleSnapshotIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second, member := newTeller("a-1", "a", 50), newTeller("a-3", "a", 60), newChained("a-2", "a")
+		first, second, member := newSource("a-1", "a", 50), newSource("a-3", "a", 60), newChained("a-2", "a")
 		one := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 40}
 		two := tracker.Runner{ID: "i-2", Domain: "a", Service: "llm", Revision: 41}
 		first.setRunner(one, fromStore)
 		first.setRunner(two, fromStore)
 		second.setRunner(two, fromStore)
-		tellSnapshot(first, member, "a")
+		sendSnapshot(first, member, "a")
 		time.Sleep(freshFor + time.Millisecond)
-		tellSnapshot(second, member, "a")
+		sendSnapshot(second, member, "a")
 		if _, known := member.Fleet.Get(one.ID); known {
 			t.Error("a runner that the source does not know is still known")
 		}
@@ -75,9 +75,9 @@
 // Guards against requests refused for want of runners that have just registered.
 func TestOlderSnapshotRemovesNoRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, behind := newTeller("a-1", "a", 7), newTeller("b-1", "b", 5)
+		g, behind := newSource("a-1", "a", 7), newSource("b-1", "b", 5)
 		g.setRunner(tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 6}, fromStore)
-		tellSnapshot(behind, g, "b")
+		sendSnapshot(behind, g, "b")
 		if _, known := g.Fleet.Get("i-1"); !known {
 			t.Error("a runner was removed that the other instance could not know")
 		}
@@ -85,7 +85,7 @@
 }
 
 // Guards against using a removed runner again: the store reports a removal only once.
-func TestRunnerIsNotBroughtBackByAnOlderDescription(t *testing.T) {
+func TestRunnerIsNotRestoredByAnOlderDescription(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		before []tracker.Runner // read first
@@ -104,9 +104,9 @@
 				if err := g.refresh(t.Context(), &g.runners, 0); err != nil {
 					t.Fatal(err)
 				}
-				behind := newTeller("b-1", "b", 5)
+				behind := newSource("b-1", "b", 5)
 				behind.setRunner(tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 5}, fromStore)
-				tellSnapshot(behind, g, "b")
+				sendSnapshot(behind, g, "b")
 				if _, known := g.Fleet.Get("i-1"); known {
 					t.Error("a runner that the store removed long ago is known")
 				}
@@ -146,7 +146,7 @@
 		if _, known := g.Fleet.Get("i-1"); !known {
 			t.Error("a runner was removed")
 		}
-		if g.told() {
+		if g.runnersPublished() {
 			t.Error("relies on updates without a revision")
 		}
 	})
@@ -156,12 +156,12 @@
 func TestSnapshotIsRequestedAfterADivergence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, w := newCalmSite(t, 2)
-		member := s.instances[1].now()
+		member := s.instances[1].gatekeeper()
 		ghost := tracker.Runner{ID: "i-9", Domain: "a", Service: "llm", Revision: s.store.version + 1}
 		member.setRunner(ghost, "test")
-		s.pass(drainTime, w)
+		s.pass(drainDeadline, w)
 		if _, known := member.Fleet.Get(ghost.ID); known {
-			t.Errorf("a runner that nobody else knows is known for %s", drainTime)
+			t.Errorf("a runner that nobody else knows is known for %s", drainDeadline)
 		}
 	})
 }
--- a/internal/instance/gatekeeper/speak.go
+++ b/internal/instance/gatekeeper/speak.go
@@ -12,12 +12,12 @@
 )
 
 // reportLoop reports the demand to the leader until ctx ends.
-func (l *link) speak(ctx context.Context) {
-	repeater.Every(ctx, beat, l.kick, func() { l.say(ctx) })
+func (l *link) reportLoop(ctx context.Context) {
+	repeater.Every(ctx, updateInterval, l.kick, func() { l.report(ctx) })
 }
 
 // report reports the demand to the leader, directly or through the source of the domain.
-func (l *link) say(ctx context.Context) {
+func (l *link) report(ctx context.Context) {
 	g := l.gatekeeper
 	if l.silence() > unheard {
 		g.Fleet.Staffed(l.domain, false)
@@ -26,40 +26,40 @@
 		g.tellSelf(l.domain, l.demand())
 		return
 	}
-	l.part(ctx)
-	via, ok := l.voice()
+	l.reportToPrevious(ctx)
+	target, ok := l.reportTarget()
 	if !ok {
 		return
 	}
 	demand := l.demand()
-	if l.saidSo(demand) {
+	if l.skipReport(demand) {
 		return
 	}
-	_ = g.Peers.Tell(ctx, via.address, demand) // a failed connection shows in missing updates
+	_ = g.Peers.Tell(ctx, target.address, demand) // a failed connection shows in missing updates
 }
 
 // skipReport reports whether a report may be omitted, as neither it nor the previous one
 // carries any demand. An instance has no requests in most failure domains most of the time.
-func (l *link) saidSo(demand relayer.Demand) bool {
+func (l *link) skipReport(demand relayer.Demand) bool {
 	empty := demand.Others == 0 && demand.Empty()
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if empty && l.idle && now.Sub(l.said) < idleBeat {
+	if empty && l.lastEmpty && now.Sub(l.reportedAt) < idleReportInterval {
 		return true
 	}
-	l.idle, l.said = empty, now
+	l.lastEmpty, l.reportedAt = empty, now
 	return false
 }
 
 // idleReportInterval is how often an instance without demand reports: a member that has not
 // reported for three seconds is no longer counted.
-const idleBeat = 900 * time.Millisecond
+const idleReportInterval = 900 * time.Millisecond
 
 // demand returns and clears what is to be reported: the current requests, and what was observed
 // since the last report, by this instance and by those whose reports it relays.
 func (l *link) demand() relayer.Demand {
-	d := demandOf(l.domain, l.whole())
+	d := demandOf(l.domain, l.totalDemand())
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
@@ -97,17 +97,17 @@
 
 // totalDemand returns the sums of this instance's requests in the domain, and those of the
 // instances whose reports it relays.
-func (l *link) whole() gatherer.Word {
-	w := l.own()
+func (l *link) totalDemand() gatherer.Word {
+	w := l.ownDemand()
 	g := l.gatekeeper
 	if d := g.controllers[l.domain]; !d.holds() {
-		w.Add(d.passed(time.Now()))
+		w.Add(d.relayedDemand(time.Now()))
 	}
 	return w
 }
 
 // ownDemand returns the sums of this instance's requests in the domain.
-func (l *link) own() gatherer.Word {
+func (l *link) ownDemand() gatherer.Word {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := gatherer.Word{
@@ -115,7 +115,7 @@
 	}
 	now := time.Now()
 	for k, waiters := range l.needs.waits {
-		if waiting := sum(waiters, now); waiting.Requests > 0 {
+		if waiting := sumWaiters(waiters, now); waiting.Requests > 0 {
 			w.Waits[k] = waiting
 		} else {
 			delete(l.needs.waits, k)
@@ -124,8 +124,8 @@
 	return w
 }
 
-// sum drops the requests that no longer wait and adds up the others.
-func sum(waiters map[string]waiter, now time.Time) placer.Waiting {
+// sumWaiters drops the requests that no longer wait and adds up the others.
+func sumWaiters(waiters map[string]waiter, now time.Time) placer.Waiting {
 	w := placer.Waiting{Priority: placer.Spare}
 	for request, one := range waiters {
 		if now.Sub(one.last) > stillWaits {
--- a/internal/instance/gatekeeper/stop.go
+++ b/internal/instance/gatekeeper/stop.go
@@ -11,7 +11,7 @@
 
 // A stopState is the progress of a graceful stop.
 type stopState struct {
-	since   moment       // when the stop began
+	since   atomicTime   // when the stop began
 	working atomic.Int64 // requests in progress
 }
 
@@ -20,19 +20,19 @@
 	// accepts requests: the balancer needs two health checks, a second apart, to send callers
 	// elsewhere. Later requests are refused with a retry hint, which leads callers to another
 	// instance.
-	takeIn = 0.35
+	acceptFraction = 0.35
 	// exitMargin is how long before the end of the grace time the process exits by itself.
-	endBefore = 700 * time.Millisecond
+	exitMargin = 700 * time.Millisecond
 	// refuseMargin is how long before that exit requests still waiting for an adapter are
 	// refused with a retry hint. Without it they were cut off by the exit although nothing of
 	// them had run.
-	giveBack = time.Second
+	refuseMargin = time.Second
 	// idleGrace is how long an instance without requests in progress waits for callers that
 	// have not noticed yet that it is stopping.
-	settle = 2500 * time.Millisecond
+	idleGrace = 2500 * time.Millisecond
 	// redirectDelay is the retry hint for a caller that is to go to another instance: at once,
 	// but for the time that its new connection takes.
-	elsewhere = 50 * time.Millisecond
+	redirectDelay = 50 * time.Millisecond
 )
 
 // leave stops the instance gracefully: it releases its leases, is no longer ready, continues
@@ -44,7 +44,7 @@
 	g.resign(ctx)
 	for {
 		took := time.Since(began)
-		if took >= g.Config.Bounds.Grace-endBefore || took >= settle && g.working.Load() == 0 {
+		if took >= g.Config.Bounds.Grace-exitMargin || took >= idleGrace && g.working.Load() == 0 {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
@@ -62,14 +62,14 @@
 // be answered.
 func (g *Gatekeeper) Ending() bool {
 	since, leaving := g.since.get()
-	return leaving && time.Since(since) >= g.Config.Bounds.Grace-endBefore-giveBack
+	return leaving && time.Since(since) >= g.Config.Bounds.Grace-exitMargin-refuseMargin
 }
 
 // refuseLate refuses a request that a stopping instance could not finish.
-func (g *Gatekeeper) late() *judge.Error {
+func (g *Gatekeeper) refuseLate() *judge.Error {
 	since, leaving := g.since.get()
-	if !leaving || time.Since(since) < time.Duration(takeIn*float64(g.Config.Bounds.Grace)) {
+	if !leaving || time.Since(since) < time.Duration(acceptFraction*float64(g.Config.Bounds.Grace)) {
 		return nil
 	}
-	return judge.Refuse(judge.ReasonStopping, "the instance is stopping").After(elsewhere)
+	return judge.Refuse(judge.ReasonStopping, "the instance is stopping").After(redirectDelay)
 }
--- a/internal/instance/gatekeeper/store_test.go
+++ b/internal/instance/gatekeeper/store_test.go
@@ -17,9 +17,9 @@
 type storeMode int
 
 const (
-	serves    storeMode = iota
-	turnsAway           // fails at once; nothing was done
-	swallows            // accepts calls and never answers them, even later
+	serves  storeMode = iota
+	rejects           // fails at once; nothing was done
+	hangs             // accepts calls and never answers them, even later
 )
 
 // callTimeout is how long the client of the store waits for a response beyond the time that the
@@ -33,18 +33,18 @@
 type feedStore struct {
 	tabler.Feed // calls that no test makes
 
-	mu      sync.Mutex
-	calls   int
-	changed chan struct{} // closed on each change
-	deaf    chan struct{} // closed when the calls in progress hang
-	forgot  uint64        // changes up to this version are no longer available
-	mode    storeMode
-	rows    map[string]tabler.Row
-	version uint64
+	mu            sync.Mutex
+	calls         int
+	changed       chan struct{} // closed on each change
+	hung          chan struct{} // closed when the calls in progress hang
+	compactedUpTo uint64        // changes up to this version are no longer available
+	mode          storeMode
+	rows          map[string]tabler.Row
+	version       uint64
 }
 
 func newFeedStore() *feedStore {
-	return &feedStore{changed: make(chan struct{}), deaf: make(chan struct{}), rows: make(map[string]tabler.Row)}
+	return &feedStore{changed: make(chan struct{}), hung: make(chan struct{}), rows: make(map[string]tabler.Row)}
 }
 
 // configure writes the configuration with a version.
@@ -69,25 +69,25 @@
 }
 
 // hangCalls makes the connections of all calls in progress hang.
-func (s *feedStore) deafen() {
+func (s *feedStore) hangCalls() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	close(s.deaf)
-	s.deaf = make(chan struct{})
+	close(s.hung)
+	s.hung = make(chan struct{})
 }
 
-// forget drops the history of changes.
-func (s *feedStore) forget() {
+// compact drops the history of changes.
+func (s *feedStore) compact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.version++
-	s.forgot = s.version
+	s.compactedUpTo = s.version
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // callCount returns how many calls were made so far.
-func (s *feedStore) made() int {
+func (s *feedStore) callCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
@@ -100,9 +100,9 @@
 	mode := s.mode
 	s.mu.Unlock()
 	switch mode {
-	case turnsAway:
+	case rejects:
 		return errors.New("rejected")
-	case swallows:
+	case hangs:
 		pause(ctx, wait+callTimeout)
 		return errNoAnswer
 	default:
@@ -137,12 +137,12 @@
 	}
 	asked, end := time.Now(), time.After(wait)
 	s.mu.Lock()
-	deaf := s.deaf
+	deaf := s.hung
 	s.mu.Unlock()
 	for {
 		state := s.since(table, after)
 		switch {
-		case state.forgotten:
+		case state.compacted:
 			return nil, 0, tabler.ErrForgotten
 		case len(state.rows) > 0:
 			return state.rows, state.version, nil
@@ -165,13 +165,13 @@
 	rows      []tabler.Row
 	version   uint64
 	changed   <-chan struct{}
-	forgotten bool
+	compacted bool
 }
 
 func (s *feedStore) since(table string, after uint64) feedState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	state := feedState{version: s.version, changed: s.changed, forgotten: after < s.forgot}
+	state := feedState{version: s.version, changed: s.changed, compacted: after < s.compactedUpTo}
 	for _, r := range s.rows {
 		if strings.HasPrefix(r.Key, table+"/") && r.Version > after {
 			state.rows = append(state.rows, r)
--- a/internal/instance/gatekeeper/subscribe.go
+++ b/internal/instance/gatekeeper/subscribe.go
@@ -11,20 +11,20 @@
 )
 
 // followSource subscribes to the source, which relays the leader's updates, until ctx ends.
-func (l *link) listen(ctx context.Context) {
+func (l *link) followSource(ctx context.Context) {
 	for ctx.Err() == nil {
 		t, ok := l.gatekeeper.teller()
 		switch {
 		case !ok:
-			pause(ctx, redial)
-		case !l.passable(t):
-			pause(ctx, relook)
+			pause(ctx, reconnectDelay)
+		case !l.sourceAnswers(t):
+			pause(ctx, sourcePollInterval)
 		default:
 			l.subscribe(ctx, t, func() bool {
-				now, ok := l.gatekeeper.teller()
-				return ok && now == t
+				current, ok := l.gatekeeper.teller()
+				return ok && current == t
 			})
-			pause(ctx, reask)
+			pause(ctx, resubscribeDelay)
 		}
 	}
 }
@@ -32,35 +32,35 @@
 // sourceAnswers reports whether to request the domain from a source. The instance's own domain
 // is requested first: if the source does not answer that, five more requests would go
 // unanswered too.
-func (l *link) passable(t source) bool {
+func (l *link) sourceAnswers(t source) bool {
 	own := l.gatekeeper.links[l.gatekeeper.Config.Domain]
-	return l == own || l.gatekeeper.choice.hears(t)
+	return l == own || l.gatekeeper.source.receiving(t)
 }
 
 // followLeader subscribes to the leader itself while nobody relays its updates, until ctx ends.
-func (l *link) listenDirect(ctx context.Context) {
+func (l *link) followLeader(ctx context.Context) {
 	for ctx.Err() == nil {
-		if holder, ok := l.direct(); ok {
-			l.subscribe(ctx, holder, func() bool {
-				now, ok := l.direct()
-				return ok && now == holder
+		if leader, ok := l.directLeader(); ok {
+			l.subscribe(ctx, leader, func() bool {
+				current, ok := l.directLeader()
+				return ok && current == leader
 			})
 		}
-		pause(ctx, redial)
+		pause(ctx, reconnectDelay)
 	}
 }
 
 // directLeader returns the leader if it is to be followed directly: there is no source, or the
 // source has received no update from the leader for a while.
-func (l *link) direct() (source, bool) {
-	_, telling := l.gatekeeper.teller()
-	chosen := l.gatekeeper.choice.began()
+func (l *link) directLeader() (source, bool) {
+	_, hasSource := l.gatekeeper.teller()
+	selectedAt := l.gatekeeper.source.selectedAt()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.holder.Holder == "" || l.holder.Holder == l.self() {
 		return source{}, false
 	}
-	if telling && time.Since(later(l.passed, chosen)) <= l.trust {
+	if hasSource && time.Since(later(l.relayedAt, selectedAt)) <= l.relayTimeout {
 		return source{}, false
 	}
 	return sourceOf(l.holder), true
@@ -71,8 +71,8 @@
 // no relay either, and its successor soon reaches all of them; when all instances subscribed to
 // the successor directly, it took a second to tell each of 195 instances what its runners hold.
 const (
-	passTrust  = 2 * time.Second
-	passSpread = time.Second
+	minRelayTimeout    = 2 * time.Second
+	relayTimeoutJitter = time.Second
 )
 
 func later(a, b time.Time) time.Time {
@@ -85,28 +85,28 @@
 // subscribe applies the updates of a source until they stop arriving or follow returns false.
 func (l *link) subscribe(ctx context.Context, from source, follow func() bool) {
 	g := l.gatekeeper
-	question := l.question(from)
-	conversation, err := g.Peers.Open(ctx, from.address, question)
+	request := l.subscription(from)
+	conversation, err := g.Peers.Open(ctx, from.address, request)
 	if err != nil {
-		g.choice.silent(from, time.Now())
+		g.source.failed(from, time.Now())
 		return // it is retried, and the missing updates show that it failed
 	}
 	defer conversation.Close()
-	if question.Crashes {
+	if request.Crashes {
 		g.quarantine.begun(from)
 	}
 	for follow() {
 		bounded, cancel := context.WithTimeout(ctx, unheard)
 		message, err := conversation.Next(bounded)
 		cancel()
-		news, ok := message.(relayer.News)
+		update, ok := message.(relayer.News)
 		if err != nil || !ok {
 			l.ended(from, err)
 			return
 		}
-		news.From = from.id
-		l.heardBy(from, news)
-		l.take(news)
+		update.From = from.id
+		l.recordSource(from, update)
+		l.take(update)
 		if l.needsResync() {
 			return // a new subscription begins with a snapshot
 		}
@@ -117,10 +117,10 @@
 func (l *link) ended(from source, err error) {
 	g := l.gatekeeper
 	if is(err, judge.ReasonOwner) || is(err, judge.ReasonStarting) {
-		g.choice.refused(from, time.Now()) // its connection works
+		g.source.refused(from, time.Now()) // its connection works
 		return
 	}
-	g.choice.silent(from, time.Now())
+	g.source.failed(from, time.Now())
 	g.Peers.Cut(from.address)
 }
 
@@ -131,84 +131,84 @@
 }
 
 // subscription returns what to request from an instance.
-func (l *link) question(from source) relayer.Subscribe {
+func (l *link) subscription(from source) relayer.Subscribe {
 	g := l.gatekeeper
 	s := relayer.Subscribe{Domain: l.domain, Passes: g.holdsAny()}
-	t, telling := g.teller()
+	t, hasSource := g.teller()
 	// Crash reports are requested once from each source: they are the same for all domains.
-	s.Crashes = !telling || t != from || l.domain == g.Config.Domain
-	if telling && t == from && l.domain == g.Config.Domain {
+	s.Crashes = !hasSource || t != from || l.domain == g.Config.Domain
+	if hasSource && t == from && l.domain == g.Config.Domain {
 		s.Tables = map[string]uint64{g.operator.name: g.operator.upTo(), g.holders.name: g.holders.upTo()}
 	}
 	return s
 }
 
 // recordSource records which instance sent an update of the domain.
-func (l *link) heardBy(from source, n relayer.News) {
+func (l *link) recordSource(from source, n relayer.News) {
 	g := l.gatekeeper
 	g.quarantine.toldBack(from, n.Crashes)
 	g.hearWords(n.Crashes, from.id)
 	if t, ok := g.teller(); ok && t == from {
-		g.choice.heard(from, time.Now())
+		g.source.received(from, time.Now())
 	}
-	if mute(n) {
+	if lacksLeaderState(n) {
 		return
 	}
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t, ok := g.choice.now(); ok && t == from {
-		l.passed = now.Add(-n.Silence)
+	if t, ok := g.source.selected(); ok && t == from {
+		l.relayedAt = now.Add(-n.Silence)
 	}
-	if l.via == from {
+	if l.source == from {
 		return
 	}
-	if l.via != (source{}) {
-		l.former, l.parting = l.via, now.Add(overlap)
+	if l.source != (source{}) {
+		l.previous, l.unsubscribeAt = l.source, now.Add(handoverOverlap)
 	}
-	l.via = from
+	l.source = from
 	g.Recorder.Log(recorder.Belief, "msg", "source of domain changed", "domain", l.domain, "instance", from.id, "holder", l.holder.Holder)
 }
 
-// overlap is how long an instance also reports to its previous source after a change: its
-// demand must have reached the leader through the new source before the old report is dropped,
-// or the leader would evict copies in use.
-const overlap = 500 * time.Millisecond
+// handoverOverlap is how long an instance also reports to its previous source after a change:
+// its demand must have reached the leader through the new source before the old report is
+// dropped, or the leader would evict copies in use.
+const handoverOverlap = 500 * time.Millisecond
 
 // reportTarget returns the instance to which demand is reported.
-func (l *link) voice() (source, bool) {
+func (l *link) reportTarget() (source, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.via, l.via != (source{}) && time.Since(l.heard) <= unheard
+	return l.source, l.source != (source{}) && time.Since(l.heard) <= unheard
 }
 
 // reportToPrevious reports the demand to the previous source for a while, and then unsubscribes
 // from it. Without that the leader would count each use twice, for as long as it counts a
 // failed instance.
-func (l *link) part(ctx context.Context) {
-	former, until, ok := l.parts()
+func (l *link) reportToPrevious(ctx context.Context) {
+	previous, until, ok := l.previousTarget()
 	if !ok {
 		return
 	}
 	peers := l.gatekeeper.Peers
-	if _, linked := peers.Linked(former.address); !linked {
+	if _, connected := peers.Linked(previous.address); !connected {
 		return // it is unreachable, and would delay the reports to others
 	}
-	word := relayer.Demand{Domain: l.domain, Parted: true}
+	demand := relayer.Demand{Domain: l.domain, Parted: true}
 	if time.Now().Before(until) {
-		word = demandOf(l.domain, l.whole())
+		demand = demandOf(l.domain, l.totalDemand())
 	}
-	_ = peers.Tell(ctx, former.address, word) // it drops this instance's report after a while without one
+	_ = peers.Tell(ctx, previous.address, demand) // it drops this instance's report after a while without one
 }
 
 // previousTarget returns the previous source, and until when this instance reports to it; ok is
 // false if there is none or its time is over.
-func (l *link) parts() (former source, until time.Time, ok bool) {
+func (l *link) previousTarget() (previous source, until time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	former, until = l.former, l.parting
-	if former == l.via || time.Now().After(until) {
-		l.former = source{}
+	previous, until = l.previous, l.unsubscribeAt
+	if previous == l.source || time.Now().After(until) {
+		l.previous = source{}
 	}
-	return former, until, former != (source{}) && former != l.via
+	return previous, until, previous != (source{}) && previous != l.source
 }
--- a/internal/instance/gatekeeper/table.go
+++ b/internal/instance/gatekeeper/table.go
@@ -15,22 +15,22 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// An instance that relays updates also sends the rows of the operator and of the leases, so
+// An instance that publishes updates also sends the rows of the operator and of the leases, so
 // that one instance of a failure domain polls the store for all of them. Each update says how
 // long ago a call to the store showed that there is no newer row. That age only grows on the
-// way, and an instance that learned it from another one does not send it on.
+// way, and the instances that receive rows in this way publish to nobody.
 
 // tableUpdates returns the rows that a member lacks. after is up to which version it knows each
 // table, and is updated. due says whether to include the ages.
-func (g *Gatekeeper) tellTables(after map[string]uint64, due bool) []relayer.Table {
+func (g *Gatekeeper) tableUpdates(after map[string]uint64, due bool) []relayer.Table {
 	var tables []relayer.Table
 	now := time.Now()
 	for _, v := range g.views() {
-		from, asked := after[v.name]
-		if !asked {
+		from, wanted := after[v.name]
+		if !wanted {
 			continue
 		}
-		t, ok := v.tellRows(from, now)
+		t, ok := v.updateAfter(from, now)
 		if !ok || !due && len(t.Rows) == 0 {
 			continue
 		}
@@ -41,13 +41,13 @@
 }
 
 // applyTables applies the rows that another instance published.
-func (g *Gatekeeper) takeTables(tables []relayer.Table, now time.Time) {
+func (g *Gatekeeper) applyTables(tables []relayer.Table, now time.Time) {
 	for _, t := range tables {
 		for _, v := range g.views() {
 			if v.name != t.Name {
 				continue
 			}
-			if err := v.takeRows(t, now); err != nil {
+			if err := v.applyUpdate(t, now); err != nil {
 				g.Recorder.Log(recorder.Belief, "msg", "published rows cannot be decoded", "table", t.Name, "err", err)
 			}
 		}
@@ -55,7 +55,7 @@
 }
 
 // updateAfter returns the rows after a version; ok is false if they are not all known.
-func (v *view) tellRows(after uint64, now time.Time) (t relayer.Table, ok bool) {
+func (v *view) updateAfter(after uint64, now time.Time) (t relayer.Table, ok bool) {
 	at, known := v.asOf()
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -77,22 +77,22 @@
 
 // applyUpdate applies the rows that another instance published, and records as of when they
 // were all there were.
-func (v *view) takeRows(t relayer.Table, now time.Time) error {
+func (v *view) applyUpdate(t relayer.Table, now time.Time) error {
 	for _, packed := range t.Rows {
 		row, err := unpack(packed)
 		if err != nil {
 			return errors.Wrapf(err, "row %s", packed.Key)
 		}
-		v.change(row)
+		v.applyRow(row)
 	}
 	v.mu.Lock()
-	v.keep(t.Rows)
+	v.storeRows(t.Rows)
 	v.known = true
 	v.after = max(v.after, t.UpTo)
-	v.spared = now
+	v.publishedAt = now
 	v.mu.Unlock()
-	if v.hear(t.Newest, now) {
-		v.told.advance(now.Add(-t.Age))
+	if v.observeVersion(t.Newest, now) {
+		v.confirmedAt.advance(now.Add(-t.Age))
 	}
 	return nil
 }
@@ -100,14 +100,14 @@
 // compressFrom is the size in bytes from which the value of a row is compressed. A
 // configuration of 64 KB takes 26 ms on a link of 20 Mbit/s, and nearly a second to the 35
 // instances of a domain one after the other; its text shrinks to a tenth.
-const packLeast = 1 << 10
+const compressFrom = 1 << 10
 
 // rowLimit bounds the value of a row, in bytes; the limit of the store is 64 KB.
 const rowLimit = 1 << 20
 
 func pack(r tabler.Row) relayer.Row {
 	packed := relayer.Row{Key: r.Key, Value: r.Value, Removed: r.Removed, Version: r.Version}
-	if len(r.Value) < packLeast {
+	if len(r.Value) < compressFrom {
 		return packed
 	}
 	var small bytes.Buffer
--- a/internal/instance/gatekeeper/table_test.go
+++ b/internal/instance/gatekeeper/table_test.go
@@ -16,15 +16,15 @@
 	"github.com/sardinetiller/sardinetiller/internal/platform/tabler"
 )
 
-// A script determines when a source does not publish.
-type script struct {
-	mute  moment // the source is partitioned from its members until then
-	still moment // the source is paused until then
+// A schedule determines when a source does not publish.
+type schedule struct {
+	partitioned atomicTime // the source is partitioned from its members until then
+	paused      atomicTime // the source is paused until then
 }
 
 // publishes reports whether the source publishes now.
-func (s *script) speaks(now time.Time) bool {
-	for _, m := range []*moment{&s.mute, &s.still} {
+func (s *schedule) publishes(now time.Time) bool {
+	for _, m := range []*atomicTime{&s.partitioned, &s.paused} {
 		if until, ok := m.get(); ok && now.Before(until) {
 			return false
 		}
@@ -33,52 +33,52 @@
 }
 
 // publishRows returns a loop in which a source publishes the operator's rows to a member.
-func tellRowsOf(teller, member *Gatekeeper, s *script) func(ctx context.Context) {
+func publishRows(source, member *Gatekeeper, s *schedule) func(ctx context.Context) {
 	return func(ctx context.Context) {
 		after := map[string]uint64{member.operator.name: member.operator.upTo()}
 		for ctx.Err() == nil {
 			now := time.Now()
-			if s.speaks(now) {
-				member.takeTables(teller.tellTables(after, true), now)
+			if s.publishes(now) {
+				member.applyTables(source.tableUpdates(after, true), now)
 			} else {
 				after[member.operator.name] = 0 // the subscription is restarted
 			}
-			pause(ctx, beat)
+			pause(ctx, updateInterval)
 		}
 	}
 }
 
 // newPair returns a source, a member that follows it, and the store of each.
-func newTold() (teller, member *Gatekeeper, tellers, members *feedStore) {
-	teller, tellers = newFedGatekeeper()
-	member, members = newFedGatekeeper()
-	teller.setViews()
+func newPair() (source, member *Gatekeeper, sourceStore, memberStore *feedStore) {
+	source, sourceStore = newFedGatekeeper()
+	member, memberStore = newFedGatekeeper()
+	source.setViews()
 	member.setViews()
-	hold(teller, "a")
-	return teller, member, tellers, members
+	hold(source, "a")
+	return source, member, sourceStore, memberStore
 }
 
 // Hundreds of instances serve the operator's configuration, and each call to the store is
 // billed. Guards against calls of any instance but the source, and against changes that take
 // longer than one update to be in force at a member.
-func TestMembersAreToldWhatTheOperatorWrites(t *testing.T) {
+func TestMembersReceiveTheOperatorsRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		teller, member, store, none := newTold()
-		none.set(turnsAway)
-		defer start(t, teller.watchOperator)()
-		defer start(t, tellRowsOf(teller, member, &script{}))()
+		source, member, store, memberStore := newPair()
+		memberStore.set(rejects)
+		defer start(t, source.watchOperator)()
+		defer start(t, publishRows(source, member, &schedule{}))()
 		time.Sleep(time.Second)
-		before := none.made()
+		before := memberStore.callCount()
 		defer start(t, member.watchOperator)()
 		for version := uint64(2); version < 12; version++ {
 			store.configure(version)
-			time.Sleep(2 * beat)
+			time.Sleep(2 * updateInterval)
 			if got := member.version(); got != version {
 				t.Errorf("version %d in force, want %d", got, version)
 			}
 			time.Sleep(3 * time.Second)
 		}
-		if calls := none.made() - before; calls > 0 {
+		if calls := memberStore.callCount() - before; calls > 0 {
 			t.Errorf("%d calls to the store for what the source publishes", calls)
 		}
 	})
@@ -87,30 +87,30 @@
 // The source stops publishing, or goes on without reaching the store. Guards against members
 // that rely on it and serve an old configuration for longer than allowed, in place of polling
 // the store themselves.
-func TestMembersAskWhenNobodyTellsWhatIsNew(t *testing.T) {
+func TestMembersPollWhenTheSourceFails(t *testing.T) {
 	for _, tc := range []struct {
-		name   string
-		happen func(s *script, tellers *feedStore)
+		name string
+		fail func(s *schedule, sourceStore *feedStore)
 	}{
-		{"it is partitioned from its members", func(s *script, _ *feedStore) { s.mute.set(time.Now().Add(time.Hour)) }},
-		{"it is paused", func(s *script, _ *feedStore) { s.still.set(time.Now().Add(time.Hour)) }},
-		{"the store rejects it", func(_ *script, tellers *feedStore) { tellers.set(turnsAway) }},
-		{"the store does not answer it", func(_ *script, tellers *feedStore) {
-			tellers.set(swallows)
-			tellers.deafen()
+		{"it is partitioned from its members", func(s *schedule, _ *feedStore) { s.partitioned.set(time.Now().Add(time.Hour)) }},
+		{"it is paused", func(s *schedule, _ *feedStore) { s.paused.set(time.Now().Add(time.Hour)) }},
+		{"the store rejects it", func(_ *schedule, sourceStore *feedStore) { sourceStore.set(rejects) }},
+		{"the store does not answer it", func(_ *schedule, sourceStore *feedStore) {
+			sourceStore.set(hangs)
+			sourceStore.hangCalls()
 		}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				teller, member, tellers, members := newTold()
-				var s script
-				defer start(t, teller.watchOperator, teller.watchRunners)()
-				defer start(t, tellRowsOf(teller, member, &s), member.watchOperator)()
+				source, member, sourceStore, memberStore := newPair()
+				var s schedule
+				defer start(t, source.watchOperator, source.watchRunners)()
+				defer start(t, publishRows(source, member, &s), member.watchOperator)()
 				time.Sleep(5 * time.Second)
-				tc.happen(&s, tellers)
+				tc.fail(&s, sourceStore)
 				for version := uint64(2); version < 6; version++ {
-					members.configure(version)
-					time.Sleep(inForce + 500*time.Millisecond) // one call more than without a source
+					memberStore.configure(version)
+					time.Sleep(changeDeadline + 500*time.Millisecond) // one call more than without a source
 					if got := member.version(); got != version {
 						t.Errorf("version %d in force, want %d", got, version)
 					}
@@ -123,40 +123,40 @@
 // The published age counts from the call to the store that confirmed the rows. Counted from the
 // update, a source that has lost the store would keep all its members from polling for as long
 // as it publishes.
-func TestAgeOfWhatIsToldGrows(t *testing.T) {
+func TestPublishedAgeGrows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		teller, member, _, _ := newTold()
-		teller.operator.reached([]tabler.Row{{Key: "operator/config", Value: make([]byte, 8), Version: 5}}, 5, time.Now())
+		source, member, _, _ := newPair()
+		source.operator.recordCall([]tabler.Row{{Key: "operator/config", Value: make([]byte, 8), Version: 5}}, 5, time.Now())
 		time.Sleep(1500 * time.Millisecond)
-		after := map[string]uint64{teller.operator.name: 0}
-		member.takeTables(teller.tellTables(after, true), time.Now())
+		after := map[string]uint64{source.operator.name: 0}
+		member.applyTables(source.tableUpdates(after, true), time.Now())
 		if age := member.operator.state(time.Now()).Age; age != 1500*time.Millisecond {
 			t.Errorf("age %s, want 1.5s", age)
 		}
-		if !member.operator.isSpared(time.Now()) {
+		if !member.operator.isPublished(time.Now()) {
 			t.Error("polls the store for what was just published")
 		}
-		time.Sleep(patience)
-		member.takeTables(teller.tellTables(after, true), time.Now())
-		if member.operator.isSpared(time.Now()) {
+		time.Sleep(maxAge)
+		member.applyTables(source.tableUpdates(after, true), time.Now())
+		if member.operator.isPublished(time.Now()) {
 			t.Error("does not poll the store for old rows")
 		}
-		if told := member.tellOperator(time.Now()); told.Newest != 0 {
-			t.Errorf("confirms %+v, which another instance published", told)
+		if confirmed := member.operatorVersion(time.Now()); confirmed.Newest != 0 {
+			t.Errorf("confirms %+v, which another instance published", confirmed)
 		}
 	})
 }
 
 // Large values are compressed for publication: a configuration of 64 KB would occupy a link of
 // 20 Mbit/s for nearly a second on its way to the instances of a domain.
-func TestRowsComeAsTheyWere(t *testing.T) {
+func TestPackedRowsAreRestored(t *testing.T) {
 	for _, row := range []tabler.Row{
 		{Key: "op/small", Value: []byte("{}"), Version: 3},
 		{Key: "op/none", Version: 4, Removed: true},
 		{Key: "op/large", Value: []byte(strings.Repeat(`{"prefix":"/v1/","service":"llm"},`, 2000)), Version: 5},
 	} {
 		packed := pack(row)
-		if len(packed.Value) > packLeast {
+		if len(packed.Value) > compressFrom {
 			t.Errorf("%s has %d bytes when packed", row.Key, len(packed.Value))
 		}
 		got, err := unpack(packed)
@@ -179,21 +179,21 @@
 // the store fails the member too, and the operator changes the configuration all the while.
 // Guards against a member that serves an older configuration later than three seconds after the
 // last fault, or a change that is not in force in time from then on.
-func TestConfigurationIsCurrentWhoeverTellsIt(t *testing.T) {
+func TestConfigurationIsCurrentWhicheverSourceFails(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
-			synctest.Test(t, func(t *testing.T) { playTellers(t, rand.New(rand.NewPCG(seed, seed))) })
+			synctest.Test(t, func(t *testing.T) { runSources(t, rand.New(rand.NewPCG(seed, seed))) })
 		})
 	}
 }
 
-func playTellers(t *testing.T, rng *rand.Rand) {
-	first, member, ownStore, members := newTold()
-	second, _, otherStore, _ := newTold()
-	stores := []*feedStore{ownStore, otherStore, members}
-	scripts := []*script{{}, {}}
+func runSources(t *testing.T, rng *rand.Rand) {
+	first, member, ownStore, memberStore := newPair()
+	second, _, otherStore, _ := newPair()
+	stores := []*feedStore{ownStore, otherStore, memberStore}
+	schedules := []*schedule{{}, {}}
 	defer start(t, first.watchOperator, first.watchRunners, second.watchOperator, second.watchRunners, member.watchOperator, member.watchRunners)()
-	defer start(t, tellRowsOf(first, member, scripts[0]), tellRowsOf(second, member, scripts[1]))()
+	defer start(t, publishRows(first, member, schedules[0]), publishRows(second, member, schedules[1]))()
 	version := uint64(1)
 	change := func() {
 		version++
@@ -202,21 +202,21 @@
 		}
 	}
 	for range 3 + rng.IntN(12) {
-		store, s := stores[rng.IntN(len(stores))], scripts[rng.IntN(len(scripts))]
+		store, s := stores[rng.IntN(len(stores))], schedules[rng.IntN(len(schedules))]
 		until := time.Now().Add(time.Duration(rng.Int64N(int64(6 * time.Second))))
 		switch rng.IntN(8) {
 		case 0:
-			store.set(swallows)
+			store.set(hangs)
 		case 1:
-			store.set(turnsAway)
+			store.set(rejects)
 		case 2, 3:
 			store.set(serves)
 		case 4:
-			store.deafen()
+			store.hangCalls()
 		case 5:
-			s.mute.set(until)
+			s.partitioned.set(until)
 		case 6:
-			s.still.set(until)
+			s.paused.set(until)
 		default:
 			change()
 		}
@@ -226,12 +226,12 @@
 		s.set(serves)
 	}
 	change()
-	time.Sleep(settledAfter)
+	time.Sleep(recoveryTime)
 	for range 5 {
 		if got := member.version(); got != version {
 			t.Fatalf("version %d in force, want %d", got, version)
 		}
 		change()
-		time.Sleep(inForce)
+		time.Sleep(changeDeadline)
 	}
 }
--- a/internal/instance/gatekeeper/take.go
+++ b/internal/instance/gatekeeper/take.go
@@ -15,18 +15,18 @@
 	now := time.Now()
 	g := l.gatekeeper
 	if n.Ended > 0 {
-		l.end(n.Ended)
+		l.leaderEnded(n.Ended)
 		return
 	}
-	g.takeReach(n, now)
-	matches := l.takeRunners(n)
+	g.applyReach(n, now)
+	matches := l.applyRunners(n)
 	l.mu.Lock()
 	l.diverged.observe(matches, now)
 	if n.Fresh && matches {
-		l.fresh = now
+		l.freshAt = now
 	}
-	if heard := now.Add(-n.Silence); heard.After(l.heard) {
-		l.heard = heard
+	if sent := now.Add(-n.Silence); sent.After(l.heard) {
+		l.heard = sent
 	}
 	if n.Loaded {
 		l.setMembers(n.Members)
@@ -35,22 +35,22 @@
 	if n.Tenure.Holder != "" {
 		l.setHolder(n.Tenure)
 	}
-	g.takeTables(n.Tables, now)
-	if n.Operator.Newest > 0 && g.operator.hear(n.Operator.Newest, now) {
-		g.operator.told.advance(now.Add(-n.Operator.Age))
+	g.applyTables(n.Tables, now)
+	if n.Operator.Newest > 0 && g.operator.observeVersion(n.Operator.Newest, now) {
+		g.operator.confirmedAt.advance(now.Add(-n.Operator.Age))
 	}
-	if mute(n) {
+	if lacksLeaderState(n) {
 		return
 	}
-	l.takeHeld(n, now)
+	l.applyHeld(n, now)
 	d := g.controllers[l.domain]
-	d.hear(n, now)
+	d.recordUpdate(n, now)
 	if n.Loaded {
 		others := maps.Clone(n.Loads)
 		if others == nil {
 			others = make(map[string]tracker.Load)
 		}
-		addLoads(others, d.passedLoads(now))
+		addLoads(others, d.relayedLoads(now))
 		g.Fleet.OthersIn(l.domain, others)
 	}
 	g.Fleet.Staffed(l.domain, n.Acting)
@@ -60,19 +60,19 @@
 }
 
 // applyReach records since when another leader has reached the store.
-func (g *Gatekeeper) takeReach(n relayer.News, now time.Time) {
+func (g *Gatekeeper) applyReach(n relayer.News, now time.Time) {
 	if n.Operator.Newest > 0 {
 		at := now.Add(-n.Operator.Age)
 		g.reached.advance(at)
-		g.storeUp.reachedByOthers(at, at, now)
+		g.storeUp.observeOthers(at, at, now)
 	}
 	if n.Reached != (relayer.Span{}) {
-		g.storeUp.reachedByOthers(now.Add(-n.Reached.First), now.Add(-n.Reached.Last), now)
+		g.storeUp.observeOthers(now.Add(-n.Reached.First), now.Add(-n.Reached.Last), now)
 	}
 }
 
 // leaderEnded records that the leader has stepped down. Its lease counts as vacant at once.
-func (l *link) end(fence uint64) {
+func (l *link) leaderEnded(fence uint64) {
 	l.gatekeeper.controllers[l.domain].over(fence)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,7 +83,7 @@
 
 // applyRunners applies the changes of the runners, and reports whether this instance now has
 // the same runners as the sender.
-func (l *link) takeRunners(n relayer.News) (matches bool) {
+func (l *link) applyRunners(n relayer.News) (matches bool) {
 	g := l.gatekeeper
 	g.learning.Lock()
 	defer g.learning.Unlock()
@@ -105,19 +105,19 @@
 }
 
 // applyHeld applies what the runners hold.
-func (l *link) takeHeld(n relayer.News, now time.Time) {
+func (l *link) applyHeld(n relayer.News, now time.Time) {
 	fleet := l.gatekeeper.Fleet
 	if n.Whole {
-		whole := make(map[string]map[placer.Copy]time.Time)
+		copies := make(map[string]map[placer.Copy]time.Time)
 		for _, h := range n.Held {
-			if whole[h.Runner] == nil {
-				whole[h.Runner] = make(map[placer.Copy]time.Time)
+			if copies[h.Runner] == nil {
+				copies[h.Runner] = make(map[placer.Copy]time.Time)
 			}
 			for _, s := range h.Copies {
-				whole[h.Runner][h.Copy(s)] = now.Add(s.In)
+				copies[h.Runner][h.Copy(s)] = now.Add(s.In)
 			}
 		}
-		for runner, held := range whole {
+		for runner, held := range copies {
 			fleet.Held(runner, held)
 		}
 	} else {
--- a/internal/instance/gatekeeper/teller.go
+++ b/internal/instance/gatekeeper/teller.go
@@ -18,15 +18,15 @@
 // A sourceSelection is the source from which this instance receives the updates of all domains:
 // the leader of its own failure domain, or in its place the leader of another one. Its zero
 // value is ready; it is safe for concurrent use.
-type choice struct {
-	mu    sync.Mutex
-	last  source               // selected source
-	since time.Time            // when it was selected
-	word  time.Time            // when its last update was received
-	unfit map[source]exclusion // sources that recently sent nothing
-
-	refuser  source    // source that refused last
-	refusing time.Time // since when it has refused
+type sourceSelection struct {
+	mu         sync.Mutex
+	last       source               // selected source
+	since      time.Time            // when it was selected
+	lastUpdate time.Time            // when its last update was received
+	excluded   map[source]exclusion // sources that recently sent nothing
+
+	lastRefuser   source    // source that refused last
+	refusingSince time.Time // since when it has refused
 }
 
 // An exclusion is how often in a row an instance sent nothing, and until when it is excluded
@@ -40,91 +40,91 @@
 	// excludeFor is how long an instance that sent nothing is excluded, and maxExclude how long
 	// at most if that happens again and again: an instance that selects a stalled source
 	// receives nothing until the silence is detected.
-	unfitFor  = time.Second
-	mostUnfit = 8 * time.Second
+	excludeFor = time.Second
+	maxExclude = 8 * time.Second
 	// refusalGrace is how long a source that answers, but has nothing to publish yet, is
 	// retried before another one is selected. It has just started and will be leader again, or
 	// has just released its lease to an instance that will be; a snapshot from an instance of
 	// another domain costs more than waiting.
-	lingerFor = 500 * time.Millisecond
+	refusalGrace = 500 * time.Millisecond
 )
 
 // eligible reports whether an instance may be selected.
-func (c *choice) fit(s source, now time.Time) bool {
+func (c *sourceSelection) eligible(s source, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !now.Before(c.unfit[s].until)
+	return !now.Before(c.excluded[s].until)
 }
 
 // refused records that a source had nothing to publish.
-func (c *choice) refused(s source, now time.Time) {
+func (c *sourceSelection) refused(s source, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.refuser != s || now.Sub(c.refusing) > unfitFor {
-		c.refuser, c.refusing = s, now
+	if c.lastRefuser != s || now.Sub(c.refusingSince) > excludeFor {
+		c.lastRefuser, c.refusingSince = s, now
 	}
-	if now.Sub(c.refusing) > lingerFor {
-		c.passOver(s, now)
+	if now.Sub(c.refusingSince) > refusalGrace {
+		c.exclude(s, now)
 	}
 }
 
 // failed records that a source did not answer, or stopped sending.
-func (c *choice) silent(s source, now time.Time) {
+func (c *sourceSelection) failed(s source, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.passOver(s, now)
+	c.exclude(s, now)
 }
 
-func (c *choice) passOver(s source, now time.Time) {
-	if c.unfit == nil {
-		c.unfit = make(map[source]exclusion)
+func (c *sourceSelection) exclude(s source, now time.Time) {
+	if c.excluded == nil {
+		c.excluded = make(map[source]exclusion)
 	}
-	l := c.unfit[s]
-	l.until = now.Add(min(mostUnfit, unfitFor<<min(l.times, 8)))
+	l := c.excluded[s]
+	l.until = now.Add(min(maxExclude, excludeFor<<min(l.times, 8)))
 	l.times++
-	c.unfit[s] = l
+	c.excluded[s] = l
 }
 
 // set selects a source, and reports whether it is another one than before.
-func (c *choice) set(s source, now time.Time) (changed bool) {
+func (c *sourceSelection) set(s source, now time.Time) (changed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.last == s {
 		return false
 	}
-	c.last, c.since, c.word = s, now, time.Time{}
+	c.last, c.since, c.lastUpdate = s, now, time.Time{}
 	return true
 }
 
 // selected returns the selected source.
-func (c *choice) now() (source, bool) {
+func (c *sourceSelection) selected() (source, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.last, c.last != (source{})
 }
 
 // selectedAt returns when the source was selected.
-func (c *choice) began() time.Time {
+func (c *sourceSelection) selectedAt() time.Time {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.since
 }
 
 // received records an update of a source.
-func (c *choice) heard(s source, now time.Time) {
+func (c *sourceSelection) received(s source, now time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.last == s {
-		c.word = now
-		delete(c.unfit, s)
+		c.lastUpdate = now
+		delete(c.excluded, s)
 	}
 }
 
 // receiving reports whether a source is the selected one and sends updates.
-func (c *choice) hears(s source) bool {
+func (c *sourceSelection) receiving(s source) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last == s && time.Since(c.word) <= unheard
+	return c.last == s && time.Since(c.lastUpdate) <= unheard
 }
 
 // teller returns the source for this instance, and selects another one if necessary. Leaders
@@ -133,27 +133,27 @@
 // instances of the domain polled the store several times a second, and followed each of the
 // other leaders, until the domain had a leader again ten seconds later.
 func (g *Gatekeeper) teller() (source, bool) {
-	s := g.fittest(time.Now())
-	if g.choice.set(s, time.Now()) {
+	s := g.selectSource(time.Now())
+	if g.source.set(s, time.Now()) {
 		g.Recorder.Log(recorder.Belief, "msg", "source selected", "instance", s.id)
 	}
 	return s, s != (source{})
 }
 
-func (g *Gatekeeper) fittest(now time.Time) source {
+func (g *Gatekeeper) selectSource(now time.Time) source {
 	if g.holdsAny() {
 		return source{}
 	}
-	last, _ := g.choice.now()
-	telling := g.choice.hears(last)
-	for _, domain := range g.nearest {
+	last, _ := g.source.selected()
+	sending := g.source.receiving(last)
+	for _, domain := range g.sourceDomains {
 		l := g.links[domain]
 		l.mu.Lock()
-		s, silence := sourceOf(l.holder), now.Sub(l.heard)
+		s, sinceUpdate := sourceOf(l.holder), now.Sub(l.heard)
 		l.mu.Unlock()
 		switch {
-		case s.id == "" || s.id == g.Config.ID || !g.choice.fit(s, now):
-		case telling && s != last && silence > unheard:
+		case s.id == "" || s.id == g.Config.ID || !g.source.eligible(s, now):
+		case sending && s != last && sinceUpdate > unheard:
 			// The current source receives nothing from that leader. When it was tried all the
 			// same every second, a leader that was stalled for seven seconds left its instances
 			// without updates for half of them.
@@ -164,10 +164,10 @@
 	return source{}
 }
 
-// sourceDomains returns the failure domains in the order in which their leaders are considered
-// as the source: this instance's own first, then the others, starting at a different one for
-// each instance.
-func (g *Gatekeeper) nearestDomains() []string {
+// orderSourceDomains returns the failure domains in the order in which their leaders are
+// considered as the source: this instance's own first, then the others, starting at a different
+// one for each instance.
+func (g *Gatekeeper) orderSourceDomains() []string {
 	order := []string{g.Config.Domain}
 	var others []string
 	for _, domain := range g.domains() {
--- a/internal/instance/gatekeeper/teller_test.go
+++ b/internal/instance/gatekeeper/teller_test.go
@@ -16,44 +16,44 @@
 // silence had to be detected each time, and for half of the time callers were refused for
 // adapters whose state was unknown. Once the paused leader sends updates again it is the source
 // again.
-func TestInstancesStayWithWhoeverTells(t *testing.T) {
+func TestInstancesKeepAWorkingSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newChained("a-2", "a")
-		own := elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1}
-		other := elector.Tenure{Holder: "b-1", Address: "b-1", Fence: 1}
-		g.links["a"].setHolder(own)
-		g.links["b"].setHolder(other)
-		hear := func(from source, a relayer.News) {
-			g.choice.heard(from, time.Now())
+		ownLease := elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1}
+		otherLease := elector.Tenure{Holder: "b-1", Address: "b-1", Fence: 1}
+		g.links["a"].setHolder(ownLease)
+		g.links["b"].setHolder(otherLease)
+		receive := func(from source, a relayer.News) {
+			g.source.received(from, time.Now())
 			g.links["a"].take(a)
-			g.links["b"].take(relayer.News{Tenure: other})
+			g.links["b"].take(relayer.News{Tenure: otherLease})
 		}
-		teller := func() source {
+		selected := func() source {
 			s, _ := g.teller()
 			return s
 		}
-		if diff := cmp.Diff("a-1", teller().id); diff != "" {
+		if diff := cmp.Diff("a-1", selected().id); diff != "" {
 			t.Fatal("before the pause:", diff)
 		}
-		hear(sourceOf(own), relayer.News{Tenure: own})
-		g.choice.silent(sourceOf(own), time.Now())
-		silent := time.Now()
-		var tellers []string
-		for time.Since(silent) < 7*time.Second {
-			s := teller()
-			tellers = append(tellers, s.id)
-			if s == sourceOf(other) {
-				hear(s, relayer.News{Tenure: own, Silence: time.Since(silent)})
+		receive(sourceOf(ownLease), relayer.News{Tenure: ownLease})
+		g.source.failed(sourceOf(ownLease), time.Now())
+		pauseStart := time.Now()
+		var sources []string
+		for time.Since(pauseStart) < 7*time.Second {
+			s := selected()
+			sources = append(sources, s.id)
+			if s == sourceOf(otherLease) {
+				receive(s, relayer.News{Tenure: ownLease, Silence: time.Since(pauseStart)})
 			}
-			time.Sleep(beat)
+			time.Sleep(updateInterval)
 		}
-		for _, id := range tellers {
+		for _, id := range sources {
 			if id != "b-1" {
-				t.Fatalf("left the source: %v", tellers)
+				t.Fatalf("left the source: %v", sources)
 			}
 		}
-		hear(sourceOf(other), relayer.News{Tenure: own})
-		if diff := cmp.Diff("a-1", teller().id); diff != "" {
+		receive(sourceOf(otherLease), relayer.News{Tenure: ownLease})
+		if diff := cmp.Diff("a-1", selected().id); diff != "" {
 			t.Error("after the pause:", diff)
 		}
 	})
--- a/internal/instance/gatekeeper/view.go
+++ b/internal/instance/gatekeeper/view.go
@@ -14,29 +14,29 @@
 // A view is this instance's copy of a table of the store, and as of when it is current. The
 // fields before mu are set before its loops begin.
 type view struct {
-	name     string
-	whole    func(rows []tabler.Row, version uint64) // applies a whole table; nil: each row is applied as a change
-	change   func(row tabler.Row)                    // applies one row, of a table whose rows other instances publish
-	changes  func(rows []tabler.Row, version uint64) // applies a set of changes; nil: one after the other
-	others   func() (asOf time.Time, ok bool)        // as of when other instances show the table to be current
-	patience func() time.Duration                    // age at which the store is polled
-	told     moment                                  // as of when others confirmed it to be as known here
+	name          string
+	applyTable    func(rows []tabler.Row, version uint64) // applies a whole table; nil: each row is applied as a change
+	applyRow      func(row tabler.Row)                    // applies one row, of a table whose rows other instances publish
+	applyRows     func(rows []tabler.Row, version uint64) // applies a set of changes; nil: one after the other
+	publishedAsOf func() (asOf time.Time, ok bool)        // as of when other instances show the table to be current
+	maxAge        func() time.Duration                    // age at which the store is polled
+	confirmedAt   atomicTime                              // as of when others confirmed it to be as known here
 
-	mu      sync.Mutex
-	rows    map[string]relayer.Row // by key, as published to others; not for tables with applyTable
-	spared  time.Time              // when an instance that polls the store for this one last published it
-	known   bool
-	after   uint64    // the version up to which it is known
-	newest  uint64    // version of the newest row received
-	at      time.Time // as of when calls showed it to be current
-	ahead   uint64    // newest version known to another instance
-	aheadAt time.Time // when that was first reported
+	mu          sync.Mutex
+	rows        map[string]relayer.Row // by key, as published to others; not for tables with applyTable
+	publishedAt time.Time              // when an instance that polls the store for this one last published it
+	known       bool
+	after       uint64    // the version up to which it is known
+	newest      uint64    // version of the newest row received
+	currentAt   time.Time // as of when calls showed it to be current
+	ahead       uint64    // newest version known to another instance
+	aheadAt     time.Time // when that was first reported
 
-	last   time.Time               // when the last watch call was sent
-	asked  time.Time               // the same; zero if it has ended
-	cancel context.CancelCauseFunc // cancels it
-	failed int                     // calls that failed since the last one that succeeded
-	err    error                   // of the last of them
+	last        time.Time               // when the last watch call was sent
+	watchSentAt time.Time               // the same; zero if it has ended
+	cancel      context.CancelCauseFunc // cancels it
+	failed      int                     // calls that failed since the last one that succeeded
+	err         error                   // of the last of them
 }
 
 // errReplaced cancels a call that is replaced by another one.
@@ -63,8 +63,8 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	s.After, s.Failed, s.Err = v.after, v.failed, v.err
-	if !v.asked.IsZero() {
-		s.Waits = now.Sub(v.asked)
+	if !v.watchSentAt.IsZero() {
+		s.Waits = now.Sub(v.watchSentAt)
 	}
 	return s
 }
@@ -73,11 +73,11 @@
 // reports of others; ok is false if it is not known yet.
 func (v *view) asOf() (at time.Time, ok bool) {
 	at, ok = v.firsthand()
-	if v.others == nil {
+	if v.publishedAsOf == nil {
 		return at, ok
 	}
-	if heard, told := v.others(); told && heard.After(at) {
-		return heard, true
+	if published, ok := v.publishedAsOf(); ok && published.After(at) {
+		return published, true
 	}
 	return at, ok
 }
@@ -86,14 +86,14 @@
 func (v *view) firsthand() (at time.Time, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.at, !v.at.IsZero()
+	return v.currentAt, !v.currentAt.IsZero()
 }
 
 // needsCheck reports whether to poll the store for the view: nothing shows that it is current,
 // or another instance knows of a row that has not arrived.
-func (v *view) doubtful(now time.Time) bool {
+func (v *view) needsCheck(now time.Time) bool {
 	at, _ := v.asOf()
-	old := now.Sub(at) > v.patience()
+	old := now.Sub(at) > v.maxAge()
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if !v.known {
@@ -106,7 +106,7 @@
 // knows of a row that has not arrived.
 func (v *view) current(now time.Time) bool {
 	at, ok := v.asOf()
-	recent := ok && now.Sub(at) <= v.patience()
+	recent := ok && now.Sub(at) <= v.maxAge()
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return recent && !v.behind(now)
@@ -115,7 +115,7 @@
 // behind reports whether another instance knows of a row that should have arrived by now. The
 // lock is held.
 func (v *view) behind(now time.Time) bool {
-	return v.ahead > v.after && now.Sub(v.aheadAt) > onTheWay
+	return v.ahead > v.after && now.Sub(v.aheadAt) > deliveryTime
 }
 
 // upTo returns the version up to which the table is known.
@@ -127,7 +127,7 @@
 
 // observeVersion records that another instance knows the table up to a version. It reports
 // whether this instance does too.
-func (v *view) hear(newest uint64, now time.Time) bool {
+func (v *view) observeVersion(newest uint64, now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if newest <= v.after {
@@ -146,30 +146,30 @@
 // long ago a call of this instance showed that there is no newer one. Reports of others are not
 // passed on: two instances that reported to each other in turn would consider each other
 // current forever.
-func (v *view) tell(now time.Time) (newest uint64, age time.Duration, ok bool) {
+func (v *view) confirmed(now time.Time) (newest uint64, age time.Duration, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.newest, now.Sub(v.at), v.newest > 0 && !v.at.IsZero()
+	return v.newest, now.Sub(v.currentAt), v.newest > 0 && !v.currentAt.IsZero()
 }
 
 // watchBegan records that the watch call is sent, and returns from which version it is to
 // continue; known is false if the whole table is to be read.
-func (v *view) began(now time.Time, cancel context.CancelCauseFunc) (after uint64, known bool) {
+func (v *view) watchBegan(now time.Time, cancel context.CancelCauseFunc) (after uint64, known bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.last, v.asked, v.cancel = now, now, cancel
+	v.last, v.watchSentAt, v.cancel = now, now, cancel
 	return v.after, v.known
 }
 
 // calledLately reports whether a watch call was sent recently.
-func (v *view) lately(now time.Time) bool {
+func (v *view) calledLately(now time.Time) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return !v.last.IsZero() && now.Sub(v.last) < 2*lastAgain
+	return !v.last.IsZero() && now.Sub(v.last) < 2*maxRetryDelay
 }
 
 // callEnded records the result of a call.
-func (v *view) ended(err error) {
+func (v *view) callEnded(err error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if err != nil {
@@ -181,10 +181,10 @@
 }
 
 // watchEnded records that no watch call is in progress.
-func (v *view) idle() {
+func (v *view) watchEnded() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.asked, v.cancel = time.Time{}, nil
+	v.watchSentAt, v.cancel = time.Time{}, nil
 }
 
 // replace cancels the watch call if it was sent before a time; another one is sent in its
@@ -192,33 +192,33 @@
 func (v *view) replace(before time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.cancel != nil && v.asked.Before(before) {
+	if v.cancel != nil && v.watchSentAt.Before(before) {
 		v.cancel(errReplaced)
 	}
 }
 
 // recordCall records the rows of a call, and up to which version and as of when the table is
 // known by it.
-func (v *view) reached(rows []tabler.Row, version uint64, at time.Time) {
+func (v *view) recordCall(rows []tabler.Row, version uint64, at time.Time) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.known = true
 	v.after = max(v.after, version)
-	if at.After(v.at) {
-		v.at = at
+	if at.After(v.currentAt) {
+		v.currentAt = at
 	}
-	if v.whole != nil {
+	if v.applyTable != nil {
 		return // not published to others row by row
 	}
 	packed := make([]relayer.Row, 0, len(rows))
 	for _, r := range rows {
 		packed = append(packed, pack(r))
 	}
-	v.keep(packed)
+	v.storeRows(packed)
 }
 
 // storeRows stores rows for publication to others.
-func (v *view) keep(rows []relayer.Row) {
+func (v *view) storeRows(rows []relayer.Row) {
 	if v.rows == nil {
 		v.rows = make(map[string]relayer.Row)
 	}
@@ -232,38 +232,38 @@
 
 // isPublished reports whether another instance publishes the table to this one, so that it need
 // not poll the store itself.
-func (v *view) isSpared(now time.Time) bool {
+func (v *view) isPublished(now time.Time) bool {
 	at, ok := v.asOf()
-	recent := now.Sub(at) <= v.patience() // before locking: maxAge takes the locks of the controllers, and publishing takes them before this one
+	recent := now.Sub(at) <= v.maxAge() // before locking: maxAge takes the locks of the controllers, and publishing takes them before this one
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return ok && recent && now.Sub(v.spared) <= unheard
+	return ok && recent && now.Sub(v.publishedAt) <= unheard
 }
 
 // invalidate records that the changes since the last call are no longer available: the whole
 // table has to be read.
-func (v *view) forget() {
+func (v *view) invalidate() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.known = false
 }
 
 // applyAll applies all rows of the table as of a version.
-func (v *view) take(rows []tabler.Row, version uint64) {
-	if v.whole != nil {
-		v.whole(rows, version)
+func (v *view) applyAll(rows []tabler.Row, version uint64) {
+	if v.applyTable != nil {
+		v.applyTable(rows, version)
 		return
 	}
-	v.takeChanges(rows, version)
+	v.applyChanges(rows, version)
 }
 
 // applyChanges applies the rows that have changed up to a version.
-func (v *view) takeChanges(rows []tabler.Row, version uint64) {
-	if v.changes != nil {
-		v.changes(rows, version)
+func (v *view) applyChanges(rows []tabler.Row, version uint64) {
+	if v.applyRows != nil {
+		v.applyRows(rows, version)
 		return
 	}
 	for _, row := range rows {
-		v.change(row)
+		v.applyRow(row)
 	}
 }
--- a/internal/instance/gatekeeper/views.go
+++ b/internal/instance/gatekeeper/views.go
@@ -9,47 +9,47 @@
 	g.viewsSet.Do(func() {
 		operator, runners := g.Decoder.Tables()
 		v := &g.operator
-		v.name, v.change = operator, g.operatorRow
-		v.others = v.told.get
-		v.patience = g.operatorPatience
+		v.name, v.applyRow = operator, g.operatorRow
+		v.publishedAsOf = v.confirmedAt.get
+		v.maxAge = g.operatorMaxAge
 		v = &g.holders
-		v.name, v.change = tableHolders, g.holderRow
-		v.others = func() (time.Time, bool) {
-			heard, all := g.sinceAll(func(l *link) time.Time { return l.heard })
-			if told, ok := g.holders.told.get(); ok && told.After(heard) {
-				return told, true
+		v.name, v.applyRow = tableHolders, g.holderRow
+		v.publishedAsOf = func() (time.Time, bool) {
+			received, all := g.earliest(func(l *link) time.Time { return l.heard })
+			if confirmed, ok := g.holders.confirmedAt.get(); ok && confirmed.After(received) {
+				return confirmed, true
 			}
-			return heard, all
+			return received, all
 		}
-		v.patience = func() time.Duration {
+		v.maxAge = func() time.Duration {
 			if g.quarantine.lately(time.Now()) {
-				return patienceHolder
+				return maxAgeLeader
 			}
-			return patienceTenures
+			return maxAgeLeases
 		}
 		v = &g.runners
-		v.name, v.changes, v.whole = runners, g.someRunners, g.allRunners
-		v.others = func() (time.Time, bool) {
-			at, ok := g.sinceAll(func(l *link) time.Time { return l.fresh })
+		v.name, v.applyRows, v.applyTable = runners, g.applyRunnerRows, g.applyRunnerTable
+		v.publishedAsOf = func() (time.Time, bool) {
+			at, ok := g.earliest(func(l *link) time.Time { return l.freshAt })
 			return at.Add(-freshFor), ok && !g.holdsAny()
 		}
 	})
 }
 
 // operatorMaxAge returns the age at which this instance polls the operator's rows.
-func (g *Gatekeeper) operatorPatience() time.Duration {
-	own := patienceHolder
+func (g *Gatekeeper) operatorMaxAge() time.Duration {
+	age := maxAgeLeader
 	for _, domain := range g.domains() {
 		if g.controllers[domain].holds() {
-			return min(own, patience)
+			return min(age, maxAge)
 		}
-		own += stagger
+		age += maxAgeStagger
 	}
-	return patience
+	return maxAge
 }
 
 // earliest returns the earliest of a time of each link; ok is false if one has none.
-func (g *Gatekeeper) sinceAll(of func(l *link) time.Time) (earliest time.Time, ok bool) {
+func (g *Gatekeeper) earliest(of func(l *link) time.Time) (earliest time.Time, ok bool) {
 	for _, l := range g.links {
 		l.mu.Lock()
 		at := of(l)
--- a/internal/instance/gatekeeper/watch.go
+++ b/internal/instance/gatekeeper/watch.go
@@ -12,31 +12,31 @@
 const (
 	// runnersWatchTimeout is the timeout of a watch call on the runners. It bounds how long the
 	// draining of a runner may go unnoticed where nothing else changes.
-	shortWatch = 250 * time.Millisecond
+	runnersWatchTimeout = 250 * time.Millisecond
 	// leaderPollPause is the pause between two such calls of an instance that publishes to
 	// others: the runners of a busy service change many times a second, and each answer would
 	// cost a call.
-	paceHolder = 400 * time.Millisecond
+	leaderPollPause = 400 * time.Millisecond
 	// pendingPollPause is the pause of a leader while it waits for expired rows to come back.
-	paceAwaiting = 100 * time.Millisecond
+	pendingPollPause = 100 * time.Millisecond
 	// maxLeaderRetryDelay bounds the pause of a leader between two failed calls. It tells
 	// others when the store is back: which runners have left must be known soon after.
-	againHolder = 500 * time.Millisecond
+	maxLeaderRetryDelay = 500 * time.Millisecond
 	// unpublishedPollPause is the pause of an instance to which nobody publishes.
-	paceAlone = 600 * time.Millisecond
+	unpublishedPollPause = 600 * time.Millisecond
 	// unheard is how long without an update an instance considers a source alive.
 	unheard = 700 * time.Millisecond
 	// freshTimeout is how long an instance relies on published runners without an update whose
 	// sender has recently reached the store, and checkInterval how often that is checked.
 	// Together with freshFor, an instance learns within 1.4 s that a runner drains, even if the
 	// store rejected its leader just before.
-	unfresh   = 500 * time.Millisecond
-	toldEvery = 100 * time.Millisecond
+	freshTimeout  = 500 * time.Millisecond
+	checkInterval = 100 * time.Millisecond
 )
 
 // sawStore records the result of a call to the store that was sent at the given time.
 func (g *Gatekeeper) sawStore(sent time.Time, err error) {
-	if !g.storeUp.set(err == nil, sent, time.Now()) {
+	if !g.storeUp.observe(err == nil, sent, time.Now()) {
 		return
 	}
 	if err != nil {
@@ -80,9 +80,9 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	key := copyName{named.Model, named.Adapter}
-	if named.Version > g.versions[key] {
-		g.versions[key] = named.Version
+	key := adapterKey{named.Model, named.Adapter}
+	if named.Version > g.adapterVersions[key] {
+		g.adapterVersions[key] = named.Version
 		g.Recorder.Log(recorder.Config, "msg", "adapter version", "copy", named)
 	}
 }
@@ -110,44 +110,44 @@
 	v := &g.runners
 	failed := newPauses()
 	for ctx.Err() == nil {
-		if g.told() {
-			pause(ctx, toldEvery)
+		if g.runnersPublished() {
+			pause(ctx, checkInterval)
 			continue
 		}
 		began := time.Now()
-		err := g.refresh(ctx, v, shortWatch)
+		err := g.refresh(ctx, v, runnersWatchTimeout)
 		if ctx.Err() != nil {
 			return
 		}
 		g.sawStore(began, err)
-		pause(ctx, g.pace(pauseAfter(err, failed)-time.Since(began)))
+		pause(ctx, g.pollPause(pauseAfter(err, failed)-time.Since(began)))
 	}
 }
 
 // pollPause returns the pause before the next call for the runners. failed is what is left of
 // the retry delay after a failed call.
-func (g *Gatekeeper) pace(failed time.Duration) time.Duration {
+func (g *Gatekeeper) pollPause(failed time.Duration) time.Duration {
 	switch {
 	case !g.holdsAny():
-		return max(paceAlone, failed)
+		return max(unpublishedPollPause, failed)
 	case g.hasPending():
-		return paceAwaiting
+		return pendingPollPause
 	default:
-		return max(paceHolder, min(failed, againHolder))
+		return max(leaderPollPause, min(failed, maxLeaderRetryDelay))
 	}
 }
 
-// fresh reports whether the runners were read from the store recently. A leader that the store
-// rejects continues to publish to its members, and without this flag they would send requests
-// to runners that have left since.
-func (g *Gatekeeper) fresh() bool {
+// runnersFresh reports whether the runners were read from the store recently. A leader that the
+// store rejects continues to publish to its members, and without this flag they would send
+// requests to runners that have left since.
+func (g *Gatekeeper) runnersFresh() bool {
 	at, ok := g.runners.firsthand()
 	return ok && time.Since(at) < freshFor
 }
 
 // freshFor is the maximum age of a leader's knowledge of the runners for them to be published
 // as fresh.
-const freshFor = paceHolder + shortWatch + freshMargin
+const freshFor = leaderPollPause + runnersWatchTimeout + freshMargin
 
 // freshMargin allows for the round trip to the store. Without it a leader counted as fresh for
 // a part of the time only, and each of its members polled the store itself every few seconds.
@@ -169,17 +169,17 @@
 }
 
 // applyRunnerRows applies the runners' rows that have changed up to a version.
-func (g *Gatekeeper) someRunners(rows []tabler.Row, version uint64) {
+func (g *Gatekeeper) applyRunnerRows(rows []tabler.Row, version uint64) {
 	g.learning.Lock()
 	defer g.learning.Unlock()
 	for _, r := range rows {
 		g.runnerRow(r)
 	}
-	g.allKnown(version)
+	g.markComplete(version)
 }
 
 // markComplete records that all runners are known as of a version.
-func (g *Gatekeeper) allKnown(version uint64) {
+func (g *Gatekeeper) markComplete(version uint64) {
 	for _, domain := range g.domains() {
 		g.Fleet.CompleteTo(domain, version)
 	}
@@ -194,25 +194,25 @@
 
 // applyRunnerTable applies the whole table as of a version: runners that are not in it, and
 // were not described later by another instance, are gone.
-func (g *Gatekeeper) allRunners(rows []tabler.Row, version uint64) {
+func (g *Gatekeeper) applyRunnerTable(rows []tabler.Row, version uint64) {
 	g.learning.Lock()
 	defer g.learning.Unlock()
-	there := make(map[string]bool, len(rows))
+	listed := make(map[string]bool, len(rows))
 	for _, r := range rows {
 		runner, err := g.Decoder.Runner(r)
 		if err != nil {
 			g.foreign(r.Key, err)
 			continue
 		}
-		there[runner.ID] = true
+		listed[runner.ID] = true
 		g.setRunner(runner, fromStore)
 	}
 	for _, d := range g.controllers {
 		for _, known := range d.known() {
-			if !there[known.ID] && known.Revision <= version {
+			if !listed[known.ID] && known.Revision <= version {
 				g.remove(known.ID, version, fromStore, whyUnlisted)
 			}
 		}
 	}
-	g.allKnown(version)
+	g.markComplete(version)
 }
--- a/internal/instance/gatekeeper/watch_silent_test.go
+++ b/internal/instance/gatekeeper/watch_silent_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// settledAfter is how long after the end of any fault an instance may use outdated state.
+// recoveryTime is how long after the end of any fault an instance may use outdated state.
 // Deadlines hold again from then on.
-const settledAfter = 3 * time.Second
+const recoveryTime = 3 * time.Second
 
 // Guards against an instance whose callers get 404 for a route that every other instance
 // serves, seconds after the operator's change was acknowledged. The store had accepted calls
@@ -17,20 +17,20 @@
 // was sent before received the change when the store was back; one that sent its watch call
 // during the outage waited for the answer for the whole timeout, half a minute, while its short
 // calls for other tables succeeded. Only that call distinguishes the two kinds of instance.
-func TestConfigurationIsCurrentSoonAfterCallsThatNobodyAnswered(t *testing.T) {
+func TestConfigurationIsCurrentSoonAfterHangingCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
 		ctx, cancel := context.WithCancel(t.Context())
 		go g.watchOperator(ctx)
 		time.Sleep(time.Second)
-		store.set(swallows)
+		store.set(hangs)
 		store.configure(2) // the instance receives it and sends the next watch call into the outage
 		time.Sleep(7 * time.Second)
 		store.set(serves)
 		store.configure(3)
-		time.Sleep(settledAfter)
+		time.Sleep(recoveryTime)
 		if got := g.version(); got != 3 {
-			t.Errorf("version %d in force %s after the store was back, want 3", got, settledAfter)
+			t.Errorf("version %d in force %s after the store was back, want 3", got, recoveryTime)
 		}
 		cancel()
 		synctest.Wait()
--- a/internal/instance/gatekeeper/watch_test.go
+++ b/internal/instance/gatekeeper/watch_test.go
@@ -30,7 +30,7 @@
 // A leader reads the runners from the store all the time, and nothing changes. Guards against
 // taking its view to be as old as the start of the last call: its members would not rely on it
 // between two calls, and each would poll the store itself.
-func TestHolderThatReachesTheStoreIsFreshAllTheTime(t *testing.T) {
+func TestLeaderThatReachesTheStoreStaysFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		g.Store, g.Decoder = stillStore{}, stillDecoder{}
@@ -42,7 +42,7 @@
 		go g.watchRunners(ctx)
 		time.Sleep(time.Second)
 		for range 60 {
-			if !g.fresh() {
+			if !g.runnersFresh() {
 				t.Fatal("not fresh")
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -64,7 +64,7 @@
 // Two configurations follow each other closely, and arrive concurrently from different senders.
 // Guards against the older one replacing the newer one: it stayed in force once, with no
 // further row to correct it.
-func TestOlderConfigurationDoesNotReplaceANewerOneThatComesAtTheSameTime(t *testing.T) {
+func TestOlderConfigurationDoesNotReplaceAConcurrentNewerOne(t *testing.T) {
 	g, store := newFedGatekeeper()
 	row := func(version uint64) tabler.Row {
 		store.configure(version)
@@ -86,24 +86,24 @@
 // must not hold the lock of the view while it takes those of the controllers, which the second
 // takes in the other order: the instance deadlocked for good, and its callers were served an
 // outdated configuration.
-func TestTellingAndDoubtingDoNotBlockEachOther(t *testing.T) {
+func TestPublishingAndStalenessChecksDoNotDeadlock(t *testing.T) {
 	g, _ := newFedGatekeeper()
 	g.setViews()
 	hold(g, "a")
-	g.operator.reached([]tabler.Row{{Key: "operator/config", Version: 1}}, 1, time.Now())
-	g.operator.spared = time.Now().Add(time.Hour)
+	g.operator.recordCall([]tabler.Row{{Key: "operator/config", Version: 1}}, 1, time.Now())
+	g.operator.publishedAt = time.Now().Add(time.Hour)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		var both sync.WaitGroup
 		both.Go(func() {
 			for range 20_000 {
-				g.operator.isSpared(time.Now())
+				g.operator.isPublished(time.Now())
 			}
 		})
 		both.Go(func() {
 			for range 20_000 {
-				g.controllers["a"].digest("front-1", -1, true)
+				g.controllers["a"].updateFor("front-1", -1, true)
 			}
 		})
 		both.Wait()
