--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -32,7 +32,7 @@
 // instances, soon after a change of leaders. An instance that had read that the runner drains
 // received a slightly older snapshot, and from then on sent the older description in its own
 // snapshots; received once more, the draining was no delta any more. The logs of the simulation
-// (leaving_test.go) proved it: "leaving=true revision=58", then "leaving=false revision=7" at
+// (runners_random_test.go) proved it: "leaving=true revision=58", then "leaving=false revision=7" at
 // the same instance.
 func TestOlderSnapshotDoesNotHideThatARunnerDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
