--- a/internal/instance/gatekeeper/publish.go
+++ b/internal/instance/gatekeeper/publish.go
@@ -114,7 +114,7 @@
 // publish sends updates to a member until either of the two stops or the domain is no longer
 // published here.
 func (d *controller) publish(ctx context.Context, member heartbeater.Instance, s relayer.Subscribe, reply replier) error {
-	defer d.addFollower()()
+	defer d.addSubscriber()()
 	intervals := d.intervals(member, s)
 	sequence, lastDue := -1, time.Time{}
 	crashes := 0 // last change of the ledger that was sent
--- a/internal/instance/gatekeeper/relay.go
+++ b/internal/instance/gatekeeper/relay.go
@@ -54,8 +54,8 @@
 	}
 }
 
-// addFollower counts a member that follows the domain here, until done is called.
-func (d *controller) addFollower() (done func()) {
+// addSubscriber counts a member that subscribes to the domain here, until done is called.
+func (d *controller) addSubscriber() (done func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.followers++
--- a/internal/instance/gatekeeper/relay_test.go
+++ b/internal/instance/gatekeeper/relay_test.go
@@ -63,7 +63,7 @@
 }
 
 func (c *chain) relayToMember() {
-	defer c.relay.controllers["b"].addFollower()()
+	defer c.relay.controllers["b"].addSubscriber()()
 	update, next, _ := c.relay.controllers["b"].updateFor("a-2", c.memberSeq, true)
 	c.memberSeq = next
 	l := c.member.links["b"]
@@ -222,7 +222,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
 		c.addRunner()
-		done := c.relay.controllers["b"].addFollower()
+		done := c.relay.controllers["b"].addSubscriber()
 		defer done()
 		holds := func() bool {
 			held, _ := c.member.Fleet.Standing("i-1")
