--- a/internal/instance/gatekeeper/view.go
+++ b/internal/instance/gatekeeper/view.go
@@ -76,7 +76,7 @@
 	if v.publishedAsOf == nil {
 		return at, ok
 	}
-	if published, ok := v.publishedAsOf(); ok && published.After(at) {
+	if published, confirmed := v.publishedAsOf(); confirmed && published.After(at) {
 		return published, true
 	}
 	return at, ok
