--- a/internal/instance/gatekeeper/age.go
+++ b/internal/instance/gatekeeper/age.go
@@ -9,7 +9,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// version returns that of the configuration in force, 0 if there is none.
+// version returns the version of the configuration in force, 0 if there is none.
 func (g *Gatekeeper) version() uint64 {
 	if c := g.Catalog(); c != nil {
 		return c.Version
@@ -17,17 +17,16 @@
 	return 0
 }
 
-// measureAges shows on the page of counters how old what the instance believes is
-// and why. The names sort to its beginning: a monitor may keep only the first few
-// kilobytes of a page.
-func (g *Gatekeeper) measureAges() {
+// registerAgeGauges exports how old each view is and why. The metric names sort to the top of
+// the metrics page: a monitor may keep only the first few kilobytes of a page.
+func (g *Gatekeeper) registerAgeGauges() {
 	if g.Metrics == nil {
 		return
 	}
 	g.Metrics.GetOrCreateGauge("sardinetiller_belief_config_version", func() float64 { return float64(g.version()) })
 	for _, v := range g.views() {
-		gauge := func(what string, value func(s viewState) float64) {
-			g.Metrics.GetOrCreateGauge(fmt.Sprintf("sardinetiller_belief_%s{table=%q}", what, v.name), func() float64 {
+		gauge := func(metric string, value func(s viewState) float64) {
+			g.Metrics.GetOrCreateGauge(fmt.Sprintf("sardinetiller_belief_%s{table=%q}", metric, v.name), func() float64 {
 				return value(v.state(time.Now()))
 			})
 		}
@@ -37,9 +36,9 @@
 	}
 }
 
-// measureWays shows how long ago the holder of each failure domain spoke, and whether
-// its word is passed on by another instance.
-func (g *Gatekeeper) measureWays() {
+// registerUpdateGauges exports how long ago the leader of each failure domain last sent an
+// update, and whether its updates are relayed by another instance.
+func (g *Gatekeeper) registerUpdateGauges() {
 	if g.Metrics == nil {
 		return
 	}
@@ -49,7 +48,7 @@
 		g.Metrics.GetOrCreateGauge("sardinetiller_told_passed"+label, func() float64 {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			if l.via.id == l.holder.Holder {
+			if l.source.id == l.holder.Holder {
 				return 0
 			}
 			return 1
@@ -57,9 +56,9 @@
 	}
 }
 
-// tellAges logs the same, for whoever asks later why an instance went by an older
-// configuration than another.
-func (g *Gatekeeper) tellAges(ctx context.Context) {
+// logAges logs the ages of the views, so that it can be found out later why an instance served
+// an older configuration than another.
+func (g *Gatekeeper) logAges(ctx context.Context) {
 	repeater.Every(ctx, paceEvery, nil, func() {
 		now := time.Now()
 		for _, v := range g.views() {
@@ -70,25 +69,25 @@
 	})
 }
 
-// An ageAlarm logs when a view becomes older than doubting it should allow, and when
+// A staleAlarm logs when a view becomes older than the staleness check should allow, and when
 // it is current again.
-type ageAlarm struct {
+type staleAlarm struct {
 	gatekeeper *Gatekeeper
 	view       *view
-	old        bool
+	stale      bool
 }
 
-// tooOld is how many times its patience a view may be old before that is logged: an
-// answer to the first doubt comes well before.
-const tooOld = 2
+// staleFactor is how many times its maximum age a view may be old before that is logged: the
+// answer to the first staleness check normally arrives well before.
+const staleFactor = 2
 
-func (a *ageAlarm) look(now time.Time) {
+func (a *staleAlarm) check(now time.Time) {
 	s := a.view.state(now)
-	old := s.Age > tooOld*a.view.patience()
-	if old == a.old {
+	old := s.Age > staleFactor*a.view.maxAge()
+	if old == a.stale {
 		return
 	}
-	a.old = old
+	a.stale = old
 	msg := "current again"
 	if old {
 		msg = "may be old"
--- a/internal/instance/gatekeeper/take.go
+++ b/internal/instance/gatekeeper/apply.go
@@ -10,23 +10,23 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// take takes in news of the domain.
+// take applies an update of the domain.
 func (l *link) take(n relayer.News) {
 	now := time.Now()
 	g := l.gatekeeper
 	if n.Ended > 0 {
-		l.end(n.Ended)
+		l.leaderEnded(n.Ended)
 		return
 	}
-	g.takeReach(n, now)
-	matches := l.takeRunners(n)
+	g.applyReach(n, now)
+	matches := l.applyRunners(n)
 	l.mu.Lock()
 	l.diverged.observe(matches, now)
 	if n.Fresh && matches {
-		l.fresh = now
+		l.freshAt = now
 	}
-	if heard := now.Add(-n.Silence); heard.After(l.heard) {
-		l.heard = heard
+	if sent := now.Add(-n.Silence); sent.After(l.heard) {
+		l.heard = sent
 	}
 	if n.Loaded {
 		l.setMembers(n.Members)
@@ -35,22 +35,22 @@
 	if n.Tenure.Holder != "" {
 		l.setHolder(n.Tenure)
 	}
-	g.takeTables(n.Tables, now)
-	if n.Operator.Newest > 0 && g.operator.hear(n.Operator.Newest, now) {
-		g.operator.told.advance(now.Add(-n.Operator.Age))
+	g.applyTables(n.Tables, now)
+	if n.Operator.Newest > 0 && g.operator.observeVersion(n.Operator.Newest, now) {
+		g.operator.confirmedAt.advance(now.Add(-n.Operator.Age))
 	}
-	if mute(n) {
+	if lacksLeaderState(n) {
 		return
 	}
-	l.takeHeld(n, now)
+	l.applyHeld(n, now)
 	d := g.controllers[l.domain]
-	d.hear(n, now)
+	d.recordUpdate(n, now)
 	if n.Loaded {
 		others := maps.Clone(n.Loads)
 		if others == nil {
 			others = make(map[string]tracker.Load)
 		}
-		addLoads(others, d.passedLoads(now))
+		addLoads(others, d.relayedLoads(now))
 		g.Fleet.OthersIn(l.domain, others)
 	}
 	g.Fleet.Staffed(l.domain, n.Acting)
@@ -59,20 +59,20 @@
 	d.heardOf(n.Tenure, n.Renewal, n.Age)
 }
 
-// takeReach takes in since when another holder has reached the store.
-func (g *Gatekeeper) takeReach(n relayer.News, now time.Time) {
+// applyReach records since when another leader has reached the store.
+func (g *Gatekeeper) applyReach(n relayer.News, now time.Time) {
 	if n.Operator.Newest > 0 {
 		at := now.Add(-n.Operator.Age)
 		g.reached.advance(at)
-		g.storeUp.reachedByOthers(at, at, now)
+		g.storeUp.observeOthers(at, at, now)
 	}
 	if n.Reached != (relayer.Span{}) {
-		g.storeUp.reachedByOthers(now.Add(-n.Reached.First), now.Add(-n.Reached.Last), now)
+		g.storeUp.observeOthers(now.Add(-n.Reached.First), now.Add(-n.Reached.Last), now)
 	}
 }
 
-// end takes in that the holder has given the tenure up. It is looked after at once.
-func (l *link) end(fence uint64) {
+// leaderEnded records that the leader has stepped down. Its lease counts as vacant at once.
+func (l *link) leaderEnded(fence uint64) {
 	l.gatekeeper.controllers[l.domain].over(fence)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,9 +81,9 @@
 	}
 }
 
-// takeRunners takes in which runners there are, and reports whether those that are known
-// then are those that the sender knows.
-func (l *link) takeRunners(n relayer.News) (matches bool) {
+// applyRunners applies the changes of the runners, and reports whether this instance now has
+// the same runners as the sender.
+func (l *link) applyRunners(n relayer.News) (matches bool) {
 	g := l.gatekeeper
 	g.learning.Lock()
 	defer g.learning.Unlock()
@@ -94,7 +94,7 @@
 		g.setRunner(r, n.From)
 	}
 	for _, gone := range n.Gone {
-		if known, ok := g.Fleet.Get(gone.Runner); !ok || known.Revision <= gone.Revision { // else it was described anew since
+		if known, ok := g.Fleet.Get(gone.Runner); !ok || known.Revision <= gone.Revision { // else it was described again since
 			g.removeNow(gone.Runner, gone.Revision, n.From, whyTold)
 		}
 	}
@@ -104,20 +104,20 @@
 	return g.matches(l.domain, n)
 }
 
-// takeHeld takes in what the runners hold.
-func (l *link) takeHeld(n relayer.News, now time.Time) {
+// applyHeld applies what the runners hold.
+func (l *link) applyHeld(n relayer.News, now time.Time) {
 	fleet := l.gatekeeper.Fleet
 	if n.Whole {
-		whole := make(map[string]map[placer.Copy]time.Time)
+		copies := make(map[string]map[placer.Copy]time.Time)
 		for _, h := range n.Held {
-			if whole[h.Runner] == nil {
-				whole[h.Runner] = make(map[placer.Copy]time.Time)
+			if copies[h.Runner] == nil {
+				copies[h.Runner] = make(map[placer.Copy]time.Time)
 			}
 			for _, s := range h.Copies {
-				whole[h.Runner][h.Copy(s)] = now.Add(s.In)
+				copies[h.Runner][h.Copy(s)] = now.Add(s.In)
 			}
 		}
-		for runner, held := range whole {
+		for runner, held := range copies {
 			fleet.Held(runner, held)
 		}
 	} else {
@@ -136,8 +136,8 @@
 	}
 }
 
-// applySnapshot takes out the runners of a domain that a snapshot lacks. It is complete up to
-// the revision up to which its sender has read the store, and says nothing of runners that
+// applySnapshot removes the runners of a domain that a snapshot lacks. The snapshot is complete
+// up to the revision up to which its sender has read the store, and does not cover runners that
 // were described later.
 func (g *Gatekeeper) applySnapshot(domain string, n relayer.News) {
 	listed := make(map[string]bool, len(n.Runners))
@@ -152,7 +152,7 @@
 			later++
 		default:
 			dropped++
-			g.remove(r.ID, n.Revision, n.From, whyUnlisted) // its sender may have started after an outage
+			g.remove(r.ID, n.Revision, n.From, whyUnlisted) // the sender may have started after an outage; remove then waits for the grace time
 		}
 	}
 	g.Recorder.Log(recorder.Belief, "msg", "snapshot", "domain", domain, "by", n.From, "fresh", n.Fresh, "revision", n.Revision,
--- /dev/null
+++ b/internal/instance/gatekeeper/checker_test.go
@@ -0,0 +1,91 @@
+package gatekeeper
+
+import "time"
+
+// A checker checks invariants of runners.
+type checker struct {
+	site       *site
+	check      func(w *checker, p instanceRunner, now time.Time)
+	usedSince  map[instanceRunner]time.Time // since when the instance has used the runner
+	usedBefore map[instanceRunner]bool      // the instance used the runner before the outage, and there was no other fault
+}
+
+// An instanceRunner is a runner and an instance that may use it.
+type instanceRunner struct {
+	member *member
+	runner *siteRunner
+}
+
+// newWitness returns a checker of runners that leave, and of runners that do not.
+func newWitness(s *site) *checker {
+	return &checker{site: s, check: (*checker).checkUndisturbed, usedSince: make(map[instanceRunner]time.Time)}
+}
+
+// newExpiryChecker returns one that checks living runners whose rows expire.
+func newExpiryChecker(s *site) *checker {
+	return &checker{site: s, check: (*checker).checkAfterOutage, usedBefore: make(map[instanceRunner]bool)}
+}
+
+// rowReturnTime is how long after the store's return an expired row may be missing.
+const rowReturnTime = 2 * time.Second
+
+// removalTime is how long after its row has expired a runner may be removed by an instance that
+// had faults of its own meanwhile.
+const removalTime = 5 * time.Second
+
+func (w *checker) checkAll() {
+	now := time.Now()
+	for _, m := range w.site.instances {
+		for _, r := range w.site.runners {
+			w.check(w, instanceRunner{m, r}, now)
+		}
+	}
+}
+
+// checkUndisturbed checks that an instance without recent faults uses no runner that has left,
+// and removes none that is alive.
+func (w *checker) checkUndisturbed(p instanceRunner, now time.Time) {
+	s, m, r := w.site, p.member, p.runner
+	if now.Sub(m.undisturbedSince()) < stableTime || !s.undisturbed(stableTime) {
+		delete(w.usedSince, p)
+		return
+	}
+	uses, since := m.uses(r.id), w.usedSince[p]
+	switch {
+	case uses && r.drainedUndisturbed && !r.drainedAt.IsZero() && now.Sub(r.drainedAt) > drainDeadline:
+		s.t.Errorf("%s: %s uses %s %s after the store accepted that it drains", now.Sub(s.began), m.id, r.id, now.Sub(r.drainedAt))
+	case !uses && w.alive(r, now) && !since.IsZero() && r.rowSince.Before(since):
+		s.t.Errorf("%s: %s has removed %s, whose row has existed for %s", now.Sub(s.began), m.id, r.id, now.Sub(r.rowSince))
+	case !uses && w.alive(r, now) && now.Sub(r.rowSince) > stableTime:
+		s.t.Errorf("%s: %s does not know %s, whose row has existed for %s", now.Sub(s.began), m.id, r.id, now.Sub(r.rowSince))
+	}
+	switch {
+	case !uses:
+		delete(w.usedSince, p)
+	case since.IsZero():
+		w.usedSince[p] = now
+	}
+}
+
+// checkAfterOutage checks that an instance without other faults keeps the living runners whose
+// rows expired while the store was unavailable.
+func (w *checker) checkAfterOutage(p instanceRunner, now time.Time) {
+	s, m, r := w.site, p.member, p.runner
+	uses := m.uses(r.id)
+	switch {
+	case s.store.down():
+		if now.Sub(s.lastAvailable) <= 2*siteStep {
+			w.usedBefore[p] = uses
+		}
+	case m.undisturbedSince().After(s.outageStart.Add(-removalTime)), s.lastFault.After(s.outageEnd.Add(siteStep)), r.leaving, r.ended:
+		w.usedBefore[p] = false
+	case now.Sub(s.outageEnd) < rowReturnTime && w.usedBefore[p] && !uses:
+		s.t.Errorf("%s: %s has removed %s, whose row expired; the store has been back for %s", now.Sub(s.began), m.id, r.id, now.Sub(s.outageEnd))
+		w.usedBefore[p] = false
+	}
+}
+
+// alive reports whether a runner accepts requests, and its row has not expired recently.
+func (w *checker) alive(r *siteRunner, now time.Time) bool {
+	return !r.leaving && !r.ended && !r.rowSince.IsZero() && now.Sub(r.expiredAt) > removalTime
+}
--- /dev/null
+++ b/internal/instance/gatekeeper/publish.go
@@ -0,0 +1,261 @@
+package gatekeeper
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/sardinetiller/sardinetiller/internal/member/heartbeater"
+	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
+	"github.com/sardinetiller/sardinetiller/internal/request/judge"
+)
+
+const (
+	// changeInterval is how often changes are sent to members of the domain. A copy being
+	// loaded is announced well before it has arrived.
+	changeInterval = 50 * time.Millisecond
+	// farChangeInterval is the same for members of other failure domains, and farUpdateInterval
+	// how often they are sent loads, or that nothing has changed. They send few requests here,
+	// and traffic between domains is billed: at the rate of the domain's own members, these
+	// updates were half of the bytes.
+	farChangeInterval = 150 * time.Millisecond
+	// relayedChangeInterval is how often the leader of a member's own domain sends it the
+	// changes of another domain. That leader itself receives them as often as a member of the
+	// other domain, so that members learn of them no later than by farChangeInterval.
+	relayedChangeInterval = 100 * time.Millisecond
+	farUpdateInterval     = 250 * time.Millisecond
+)
+
+// Answer implements relayer.Handler. It handles subscriptions, reservations, requests for a
+// request slot and settlements of quotas.
+func (g *Gatekeeper) Answer(ctx context.Context, from heartbeater.Instance, m relayer.Message, reply *relayer.Reply) error {
+	return g.handle(ctx, from, m, reply)
+}
+
+func (g *Gatekeeper) handle(ctx context.Context, from heartbeater.Instance, m relayer.Message, reply replier) error {
+	switch m := m.(type) {
+	case relayer.Reserve:
+		d, err := g.ledController(m.Domain)
+		if err != nil {
+			return err
+		}
+		reserved, err := d.reserve(from.ID, m)
+		if err != nil {
+			return err
+		}
+		return reply.Finish(reserved)
+	case relayer.Subscribe:
+		d, ok := g.controllers[m.Domain]
+		if !ok || !d.publishes() {
+			return judge.Refuse(judge.ReasonOwner, "nothing of %s is told here", m.Domain)
+		}
+		if _, known := g.runners.firsthand(); !known {
+			// This instance may have the lease already, under the name that it had before a
+			// restart. Members would take an update without runners for their removal, drop
+			// them all and refuse every request. They retry within 200 ms and keep what they
+			// know.
+			return judge.Refuse(judge.ReasonStarting, "the runners are not known here yet")
+		}
+		return d.publish(ctx, from, m, reply)
+	case relayer.Place:
+		d, err := g.ledController(m.Domain)
+		if err != nil {
+			return err
+		}
+		return d.holdPlace(ctx, m, reply)
+	case relayer.Settle:
+		settled, err := g.settle(m)
+		if err != nil {
+			return err
+		}
+		return reply.Finish(settled)
+	default:
+		return judge.Refuse(judge.ReasonPeer, "a gateway answers no %T", m)
+	}
+}
+
+// ledController returns the controller of a domain that this instance leads.
+func (g *Gatekeeper) ledController(domain string) (*controller, error) {
+	d, ok := g.controllers[domain]
+	if !ok || !d.holds() {
+		return nil, judge.Refuse(judge.ReasonOwner, "the tenure of %s is not held here", domain)
+	}
+	return d, nil
+}
+
+// Heard implements relayer.Handler. It ignores heartbeats: the demand reports of members show
+// that they are alive.
+func (g *Gatekeeper) Heard(heartbeater.Instance, relayer.Beat) {}
+
+// publishes reports whether this instance publishes updates of the domain: as its leader, or as
+// the leader of another domain, which relays what it receives.
+func (d *controller) publishes() bool {
+	return !d.gatekeeper.Leaving() && (d.holds() || d.gatekeeper.holdsAny())
+}
+
+// publishIntervals are the intervals between updates of a domain.
+type publishIntervals struct {
+	changes time.Duration // between changes
+	loads   time.Duration // between loads, or updates without changes
+}
+
+// intervals returns how often a member is sent updates.
+func (d *controller) intervals(member heartbeater.Instance, s relayer.Subscribe) publishIntervals {
+	switch {
+	case s.Passes, member.Domain == d.domain:
+		return publishIntervals{changeInterval, updateInterval}
+	case member.Domain == d.gatekeeper.Config.Domain:
+		return publishIntervals{relayedChangeInterval, updateInterval}
+	default:
+		return publishIntervals{farChangeInterval, farUpdateInterval}
+	}
+}
+
+// publish sends updates to a member until either of the two stops or the domain is no longer
+// published here.
+func (d *controller) publish(ctx context.Context, member heartbeater.Instance, s relayer.Subscribe, reply replier) error {
+	defer d.addSubscriber()()
+	intervals := d.intervals(member, s)
+	sequence, lastDue := -1, time.Time{}
+	crashes := 0 // last change of the ledger that was sent
+	fence := d.currentFence()
+	ticker := time.NewTicker(intervals.changes)
+	defer ticker.Stop()
+	for {
+		if !d.publishes() {
+			return d.endStream(reply, fence)
+		}
+		due := time.Since(lastDue) >= intervals.loads
+		update, next, changed := d.updateFor(member.ID, sequence, due)
+		update.Tables = d.gatekeeper.tableUpdates(s.Tables, due)
+		if s.Crashes {
+			update.Crashes, crashes = d.gatekeeper.quarantine.ledger.Since(crashes, time.Now())
+		}
+		if changed || due || len(update.Tables)+len(update.Crashes) > 0 {
+			if err := reply.Send(update); err != nil {
+				return fmt.Errorf("tell %s: %w", member.ID, err)
+			}
+			sequence = next
+		}
+		if due {
+			lastDue = time.Now()
+		}
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-ticker.C:
+		}
+	}
+}
+
+// endStream ends a subscription. It reports if this instance has stepped down since the
+// subscription began.
+func (d *controller) endStream(reply replier, fence uint64) error {
+	d.mu.Lock()
+	ended := d.ended
+	d.mu.Unlock()
+	if ended > 0 && ended == fence {
+		if err := reply.Send(relayer.News{Ended: ended}); err != nil {
+			return fmt.Errorf("tell of the end: %w", err)
+		}
+	}
+	return judge.Refuse(judge.ReasonOwner, "nothing of %s is told here any more", d.domain)
+}
+
+func (d *controller) currentFence() uint64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.elector.Holder().Fence
+}
+
+// updateFor returns the changes since a sequence number as an update for a member, and the next
+// sequence number. due says whether to include the loads.
+func (d *controller) updateFor(member string, sequence int, due bool) (update relayer.News, next int, changed bool) {
+	now := time.Now()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	update.Fresh, update.Revision, update.Checksum = d.gatekeeper.runnersFresh(), d.gatekeeper.runners.upTo(), d.sum
+	if d.elector.Holds(uptime()) {
+		d.addLeaderState(&update, member, due, now)
+	} else {
+		d.addRelayedState(&update, member, due, now)
+	}
+	events, ok := d.news.since(sequence)
+	if !ok {
+		d.addSnapshot(&update, now)
+		return update, d.news.end(), true
+	}
+	for _, e := range events {
+		switch {
+		case e.runner != nil:
+			update.Runners = append(update.Runners, *e.runner)
+		case e.gone != nil:
+			update.Gone = append(update.Gone, *e.gone)
+		case e.held != nil:
+			update.AddHeld(e.held.runner, e.held.copy, e.held.delay(now))
+		case e.room != nil:
+			update.Rooms = append(update.Rooms, relayer.Room{Runner: e.room.runner, Wait: e.room.wait})
+		}
+	}
+	return update, d.news.end(), len(events) > 0
+}
+
+// addLeaderState adds what this instance knows as the leader of the domain.
+func (d *controller) addLeaderState(update *relayer.News, member string, due bool, now time.Time) {
+	if due {
+		update.Loads, update.Members = d.others(member, now), d.count(now)
+		update.Loaded = true
+		update.Operator = d.gatekeeper.operatorVersion(now)
+		update.Reached = d.gatekeeper.reachableSpan(now)
+	}
+	update.Line = d.wait(now)
+	update.Load, update.Return = d.gatekeeper.LoadTime(), d.gatekeeper.ReturnTime()
+	_, update.Acting = d.elector.Acts(uptime())
+	update.Renewal, update.Age = d.elector.Renewal(uptime())
+	update.Tenure = d.elector.Holder()
+}
+
+// reachableSpan returns the span during which the store was reachable.
+func (g *Gatekeeper) reachableSpan(now time.Time) relayer.Span {
+	first, last, ok := g.storeUp.reachableSpan(now)
+	if !ok {
+		return relayer.Span{}
+	}
+	return relayer.Span{First: now.Sub(first), Last: now.Sub(last)}
+}
+
+// operatorVersion returns the newest version of the operator's rows that this instance knows,
+// and how long ago it was confirmed to be the newest.
+func (g *Gatekeeper) operatorVersion(now time.Time) relayer.Known {
+	newest, age, ok := g.operator.confirmed(now)
+	if !ok {
+		return relayer.Known{}
+	}
+	return relayer.Known{Newest: newest, Age: age.Round(time.Millisecond)}
+}
+
+// addSnapshot fills in a snapshot of the domain.
+func (d *controller) addSnapshot(update *relayer.News, now time.Time) {
+	update.Whole = true
+	for _, c := range d.runners {
+		r := c.runner
+		held, wait := d.copyState(c)
+		if len(held) > 0 {
+			r.Adapters = nil // the list from its own row is older
+		}
+		update.Runners = append(update.Runners, r)
+		update.Rooms = append(update.Rooms, relayer.Room{Runner: r.ID, Wait: wait})
+		for copied, at := range held {
+			update.AddHeld(r.ID, copied, max(0, at.Sub(now)))
+		}
+	}
+}
+
+// delay returns the time until the copy is usable, as clocks differ between instances; negative
+// if the runner does not hold it.
+func (h heldEvent) delay(now time.Time) time.Duration {
+	if !h.there {
+		return -1
+	}
+	return max(0, h.at.Sub(now)).Round(time.Millisecond)
+}
--- /dev/null
+++ b/internal/instance/gatekeeper/relay.go
@@ -0,0 +1,160 @@
+package gatekeeper
+
+import (
+	"time"
+
+	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
+	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
+	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
+	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
+)
+
+// A leader relays to the instances of its own failure domain the updates that it receives from
+// the leaders of the others, and reports to each of those the sum of the demand of its
+// instances. So between two failure domains there is one stream each way, however many
+// instances they have.
+//
+// Updates are relayed complete, and each instance relays only what it received directly from a
+// leader: there is at most one relay on the way.
+
+// A retold is the state that the leader of another failure domain published last.
+type retold struct {
+	acting     bool
+	returnTime time.Duration // load time of an adapter that the runner held before
+	line       time.Duration
+	loadTime   time.Duration           // load time of an adapter from the weight store
+	loads      map[string]tracker.Load // of the instances that do not report through this one
+	members    int
+}
+
+// recordUpdate records an update of the leader, for the instances to which this one relays the
+// domain.
+func (d *controller) recordUpdate(n relayer.News, now time.Time) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.heard.acting, d.heard.line = n.Acting, n.Line
+	d.heard.loadTime, d.heard.returnTime = n.Load, n.Return
+	if n.Loaded {
+		d.heard.loads, d.heard.members = n.Loads, n.Members
+	}
+	if d.followers == 0 {
+		return
+	}
+	if n.Whole {
+		d.news.reset()
+		return
+	}
+	for _, h := range n.Held {
+		for _, s := range h.Copies {
+			d.news.add(event{held: &heldEvent{runner: h.Runner, copy: h.Copy(s), at: now.Add(s.In), there: s.In >= 0}})
+		}
+	}
+	for _, r := range n.Rooms {
+		d.news.add(event{room: &roomEvent{runner: r.Runner, wait: r.Wait}})
+	}
+}
+
+// addSubscriber counts a member that subscribes to the domain here, until done is called.
+func (d *controller) addSubscriber() (done func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.followers++
+	return func() {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		d.followers--
+	}
+}
+
+// addRelayedState adds the state that the leader of the domain published last.
+func (d *controller) addRelayedState(update *relayer.News, member string, due bool, now time.Time) {
+	l := d.gatekeeper.links[d.domain]
+	update.Tenure = d.elector.Holder()
+	update.Renewal, update.Age = d.elector.Renewal(uptime())
+	update.Silence = l.silence()
+	if lacksLeaderState(*update) {
+		return
+	}
+	update.Acting, update.Line = d.heard.acting, d.heard.line
+	update.Load, update.Return = d.heard.loadTime, d.heard.returnTime
+	if !due {
+		return
+	}
+	update.Loaded = true
+	update.Loads = d.others(member, now)
+	addLoads(update.Loads, d.heard.loads)
+	addLoads(update.Loads, d.gatekeeper.Fleet.LoadsIn(d.domain))
+	update.Members = d.heard.members
+}
+
+// relayedDemand returns the sum of the demand that is relayed to the leader of the domain.
+func (d *controller) relayedDemand(now time.Time) gatherer.Word {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.gather.Drop(d.gatekeeper.Config.ID) // recorded while this instance was leader
+	d.gather.Expire(now)
+	return d.gather.Word()
+}
+
+// relayedLoads returns the load that is relayed to the leader of the domain.
+func (d *controller) relayedLoads(now time.Time) map[string]tracker.Load {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.others(d.gatekeeper.Config.ID, now)
+}
+
+// lacksLeaderState reports whether an update carries no leader state, as its sender receives no
+// updates from the domain's leader. It only lists the runners, which the sender reads from the
+// store itself.
+func lacksLeaderState(n relayer.News) bool { return n.Silence > unheard }
+
+func addLoads(sum, more map[string]tracker.Load) {
+	for runner, load := range more {
+		sum[runner] = sum[runner].Plus(load)
+	}
+}
+
+// pass merges a member's demand into this instance's next report to the leader, which is sent
+// at once if the member's demand is urgent.
+func (l *link) pass(demand relayer.Demand) {
+	now := time.Now()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.needs.short += demand.Short
+	l.needs.long += demand.Long
+	for _, n := range demand.There {
+		l.needs.find(keyOf(n.Runner, n.Copy), found{requests: n.Requests, sent: now.Add(-n.Ago)})
+	}
+	for _, n := range demand.Spare {
+		l.needs.spare = mark(l.needs.spare, keyOf(n.Runner, n.Copy))
+	}
+	urgent := len(demand.Missing) > 0
+	for _, n := range demand.Missing {
+		l.needs.missing = mark(l.needs.missing, keyOf(n.Runner, n.Copy))
+	}
+	for _, w := range demand.Waits {
+		if l.newlyAsked(keyOf(w.Runner, w.Copy), now) {
+			urgent = true
+		}
+	}
+	if urgent {
+		l.hurry()
+	}
+}
+
+// freed requests an urgent report when the last use of a relayed copy has ended and others wait
+// for its adapter slot.
+func (d *controller) freed(k gatherer.Key) {
+	if d.acting == 0 && d.gatekeeper.Fleet.Tight(k.Runner) {
+		d.gatekeeper.links[d.domain].hurry()
+	}
+}
+
+// copyState returns which copies a runner holds and from when on, and how long a copy that it
+// does not hold waits for an adapter slot.
+func (d *controller) copyState(c *runnerState) (map[placer.Copy]time.Time, time.Duration) {
+	if d.elector.Holds(uptime()) {
+		return c.told, c.wait
+	}
+	return d.gatekeeper.Fleet.Standing(c.runner.ID)
+}
--- a/internal/instance/gatekeeper/site_test.go
+++ b/internal/instance/gatekeeper/simulation_test.go
@@ -19,8 +19,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/pooler"
 )
 
-// A site is a deployment in virtual time: whole instances with their links, the store,
-// and the rows that runners write. Who holds the tenures is decided by the test.
+// A site is a simulated deployment in virtual time: complete instances with their connections,
+// the store, and the rows that runners write. The test decides who leads each domain.
 type site struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -28,37 +28,37 @@
 	store   *feedStore
 	log     *siteLog
 
-	mu        sync.Mutex
-	instances []*member
-	fences    map[string]uint64
-	runners   []*siteRunner
-	away      time.Time // when the store served last
-	lost      time.Time // when it had served last before it came back
-	returned  time.Time // when it came back last
-	troubled  time.Time // until when the store was in trouble, for anybody
-	began     time.Time
+	mu            sync.Mutex
+	instances     []*member
+	fences        map[string]uint64
+	runners       []*siteRunner
+	lastAvailable time.Time // when the store was last available
+	outageStart   time.Time // when it was last available before it came back
+	outageEnd     time.Time // when it last came back
+	lastFault     time.Time // when the store last failed for any instance
+	began         time.Time
 }
 
-// A member is one instance of a site.
+// A member is one instance of a simulated deployment.
 type member struct {
 	site   *site
 	id     string
 	domain string
-	way    *portal // to the store
+	store  *storeClient // connection to the store
 
-	mu        sync.Mutex
-	g         *Gatekeeper
-	ctx       context.Context
-	stop      context.CancelFunc
-	paused    time.Time // until when it stands still
-	cut       time.Time // until when it reaches no other instance
-	disturbed time.Time // until when anything of this was so
+	mu          sync.Mutex
+	g           *Gatekeeper
+	ctx         context.Context
+	stop        context.CancelFunc
+	pausedUntil time.Time // until when it is paused
+	cut         time.Time // until when it is partitioned from the other instances
+	faultUntil  time.Time // until when any fault lasts
 }
 
-// quotaWindow is over which quotas are judged.
+// quotaWindow is the window in which quotas are checked.
 const quotaWindow = 8 * time.Second
 
-// A siteLog keeps what instances log, with the time of the site.
+// A siteLog collects the logs of all instances, with the virtual time.
 type siteLog struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -71,8 +71,8 @@
 	return l.buf.Write(line)
 }
 
-// newSite returns a deployment that has just started, with the first instance of each
-// domain as the holder of its tenure.
+// newSite returns a deployment that has just started, with the first instance of each domain as
+// its leader.
 func newSite(t *testing.T, rng *rand.Rand, domains, instances int) *site {
 	s := &site{t: t, rng: rng, store: newFeedStore(), log: &siteLog{}, fences: make(map[string]uint64), began: time.Now()}
 	s.store.configure(1)
@@ -81,7 +81,7 @@
 	}
 	for n := range instances {
 		m := &member{site: s, id: fmt.Sprint("front-", n), domain: s.domains[n%domains]}
-		m.way = &portal{feedStore: s.store, owner: m}
+		m.store = &storeClient{feedStore: s.store, owner: m}
 		s.instances = append(s.instances, m)
 		m.start()
 		if n < domains {
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// newCalmSite returns a deployment of one failure domain with one runner, of which all
-// instances have known for a while.
-func newCalmSite(t *testing.T, instances int) (*site, *witness) {
+// newCalmSite returns a deployment of one failure domain with one runner, which all instances
+// have known for a while.
+func newCalmSite(t *testing.T, instances int) (*site, *checker) {
 	s := newSite(t, rand.New(rand.NewPCG(1, 1)), 1, instances)
 	s.addRunner("a")
 	w := newWitness(s)
@@ -125,13 +125,13 @@
 	return s, w
 }
 
-// give has an instance take the tenure of a domain.
+// give makes an instance the leader of a domain.
 func (s *site) give(domain string, m *member) {
 	s.mu.Lock()
 	s.fences[domain]++
 	fence := s.fences[domain]
 	s.mu.Unlock()
-	m.hold(domain, fence)
+	m.lead(domain, fence)
 	value, err := encoder.Marshal(elector.Tenure{Holder: m.id, Address: m.id, Fence: fence})
 	if err != nil {
 		s.t.Fatal(err)
@@ -139,38 +139,38 @@
 	s.store.put(tabler.Row{Key: tableHolders + "/" + domain, Value: value})
 }
 
-// holds reports whether an instance believes that it holds the tenure of a domain.
-func (m *member) holds(domain string) bool { return m.now().controllers[domain].holds() }
+// leads reports whether an instance believes that it leads a domain.
+func (m *member) leads(domain string) bool { return m.gatekeeper().controllers[domain].holds() }
 
-func (m *member) hold(domain string, fence uint64) {
-	d := m.now().controllers[domain]
+func (m *member) lead(domain string, fence uint64) {
+	d := m.gatekeeper().controllers[domain]
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.elector = elector.Elector{Self: m.id, Address: m.id, Lease: time.Hour}
 	d.elector.Read(elector.Tenure{Fence: fence - 1}, fence, uptime())
 	w, ok := d.elector.Next(uptime())
 	if !ok {
-		m.site.t.Fatal("the tenure cannot be taken")
+		m.site.t.Fatal("the lease cannot be acquired")
 	}
 	d.elector.Written(w, fence+1, uptime())
-	m.now().Recorder.Log("belief", "msg", "takes the tenure", "domain", domain, "fence", fence)
+	m.gatekeeper().Recorder.Log("belief", "msg", "acquires the lease", "domain", domain, "fence", fence)
 }
 
-// yield has an instance give up the tenure of a domain.
-func (m *member) yield(domain string) {
-	d := m.now().controllers[domain]
+// stepDown makes an instance give up the lease of a domain.
+func (m *member) stepDown(domain string) {
+	d := m.gatekeeper().controllers[domain]
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.elector = elector.Elector{Self: m.id, Address: m.id, Lease: time.Hour}
 }
 
-// start starts the instance with nothing known.
+// start starts the instance without state.
 func (m *member) start() {
 	g := newTestGatekeeper()
 	g.Config.ID, g.Config.Domain, g.Config.Domains = m.id, m.domain, m.site.domains
 	g.Fleet = &tracker.Fleet{Domain: m.domain}
 	g.Pool = &pooler.Pool{}
-	g.Store, g.Decoder, g.Peers = m.way, siteDecoder{}, sitePeers{m}
+	g.Store, g.Decoder, g.Peers = m.store, siteDecoder{}, sitePeers{m}
 	g.Recorder.Instance, g.Recorder.Out = m.id, m.site.log
 	g.Config.Bounds.Quota = quotaWindow
 	g.init()
@@ -184,29 +184,29 @@
 		loops = append(loops, func(ctx context.Context) { g.Recorder.Run(ctx.Done()) })
 	}
 	for _, l := range g.links {
-		loops = append(loops, l.listen, l.listenDirect)
+		loops = append(loops, l.followSource, l.followLeader)
 	}
 	for _, loop := range loops {
 		go loop(ctx)
 	}
 }
 
-// expireRemovals does what the instance does about rows that lapsed, unless it stands still.
+// expireRemovals executes pending removals, unless the instance is paused.
 func (m *member) expireRemovals(ctx context.Context) {
-	for g := m.now(); ctx.Err() == nil; pause(ctx, expireEvery) {
-		m.await(ctx)
+	for g := m.gatekeeper(); ctx.Err() == nil; pause(ctx, expireEvery) {
+		m.awaitResumed(ctx)
 		g.removeExpired()
 	}
 }
 
-// kill ends the instance; its links fail.
+// kill ends the instance; its connections fail.
 func (m *member) kill() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.stop()
 }
 
-func (m *member) now() *Gatekeeper {
+func (m *member) gatekeeper() *Gatekeeper {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.g
@@ -223,30 +223,31 @@
 	return heartbeater.Instance{ID: m.id, Domain: m.domain, Address: m.id}
 }
 
-// disturb notes that something befalls the instance until a time.
+// disturb records a fault of the instance that lasts until a time. field is the kind of fault,
+// or nil.
 func (m *member) disturb(field *time.Time, until time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if field != nil && until.After(*field) {
 		*field = until
 	}
-	if until.After(m.disturbed) {
-		m.disturbed = until
+	if until.After(m.faultUntil) {
+		m.faultUntil = until
 	}
 }
 
-// calmSince returns since when nothing has befallen the instance.
-func (m *member) calmSince() time.Time {
+// undisturbedSince returns when the last fault of the instance ended.
+func (m *member) undisturbedSince() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.disturbed
+	return m.faultUntil
 }
 
-// await returns when the instance does not stand still, or when ctx ends.
-func (m *member) await(ctx context.Context) {
+// awaitResumed waits until the instance is not paused, or ctx ends.
+func (m *member) awaitResumed(ctx context.Context) {
 	for ctx.Err() == nil {
 		m.mu.Lock()
-		left := time.Until(m.paused)
+		left := time.Until(m.pausedUntil)
 		m.mu.Unlock()
 		if left <= 0 {
 			return
@@ -257,11 +258,11 @@
 
 // uses reports whether the instance would send requests to a runner.
 func (m *member) uses(runner string) bool {
-	r, known := m.now().Fleet.Get(runner)
+	r, known := m.gatekeeper().Fleet.Get(runner)
 	return known && !r.Leaving
 }
 
-// reaches reports whether words pass between two instances.
+// reaches reports whether messages pass between two instances.
 func (m *member) reaches(other *member) bool {
 	now := time.Now()
 	m.mu.Lock()
--- a/internal/instance/gatekeeper/table.go
+++ b/internal/instance/gatekeeper/table.go
@@ -15,23 +15,22 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// Who passes news on also tells the rows of the operator and of the tenures, so that
-// one instance of a failure domain asks the store for all of them. Each word says how long
-// ago a call to the store showed that there is no newer row; that time only
-// grows on the way, and whoever was told in this way tells nobody.
+// An instance that publishes updates also sends the rows of the operator and of the leases, so
+// that one instance of a failure domain polls the store for all of them. Each update says how
+// long ago a call to the store showed that there is no newer row. That age only grows on the
+// way, and the instances that receive rows in this way publish to nobody.
 
-// tellTables returns the rows that a member has not been told of. after is up to
-// which version it knows each table; it is brought up to date. due says whether ages
-// are to be told too.
-func (g *Gatekeeper) tellTables(after map[string]uint64, due bool) []relayer.Table {
+// tableUpdates returns the rows that a member lacks. after is up to which version it knows each
+// table, and is updated. due says whether to include the ages.
+func (g *Gatekeeper) tableUpdates(after map[string]uint64, due bool) []relayer.Table {
 	var tables []relayer.Table
 	now := time.Now()
 	for _, v := range g.views() {
-		from, asked := after[v.name]
-		if !asked {
+		from, wanted := after[v.name]
+		if !wanted {
 			continue
 		}
-		t, ok := v.tellRows(from, now)
+		t, ok := v.updateAfter(from, now)
 		if !ok || !due && len(t.Rows) == 0 {
 			continue
 		}
@@ -41,22 +40,22 @@
 	return tables
 }
 
-// takeTables takes in rows that another instance tells.
-func (g *Gatekeeper) takeTables(tables []relayer.Table, now time.Time) {
+// applyTables applies the rows that another instance published.
+func (g *Gatekeeper) applyTables(tables []relayer.Table, now time.Time) {
 	for _, t := range tables {
 		for _, v := range g.views() {
 			if v.name != t.Name {
 				continue
 			}
-			if err := v.takeRows(t, now); err != nil {
-				g.Recorder.Log(recorder.Belief, "msg", "rows not understood", "table", t.Name, "err", err)
+			if err := v.applyUpdate(t, now); err != nil {
+				g.Recorder.Log(recorder.Belief, "msg", "published rows cannot be decoded", "table", t.Name, "err", err)
 			}
 		}
 	}
 }
 
-// tellRows returns the rows after a version; ok is false if not all of them are known.
-func (v *view) tellRows(after uint64, now time.Time) (t relayer.Table, ok bool) {
+// updateAfter returns the rows after a version; ok is false if they are not all known.
+func (v *view) updateAfter(after uint64, now time.Time) (t relayer.Table, ok bool) {
 	at, known := v.asOf()
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -76,39 +75,39 @@
 	return t, true
 }
 
-// takeRows takes in rows that another instance tells, and as of when they were all
-// that there were.
-func (v *view) takeRows(t relayer.Table, now time.Time) error {
+// applyUpdate applies the rows that another instance published, and records as of when they
+// were all there were.
+func (v *view) applyUpdate(t relayer.Table, now time.Time) error {
 	for _, packed := range t.Rows {
 		row, err := unpack(packed)
 		if err != nil {
 			return errors.Wrapf(err, "row %s", packed.Key)
 		}
-		v.change(row)
+		v.applyRow(row)
 	}
 	v.mu.Lock()
-	v.keep(t.Rows)
+	v.storeRows(t.Rows)
 	v.known = true
 	v.after = max(v.after, t.UpTo)
-	v.spared = now
+	v.publishedAt = now
 	v.mu.Unlock()
-	if v.hear(t.Newest, now) {
-		v.told.advance(now.Add(-t.Age))
+	if v.observeVersion(t.Newest, now) {
+		v.confirmedAt.advance(now.Add(-t.Age))
 	}
 	return nil
 }
 
-// packLeast is the size in bytes from which on the value of a row is compressed. A
-// configuration of 64 KB takes 26 ms on a link of 20 Mbit/s, and nearly a second to
-// the 35 instances of a domain one after the other; its text shrinks to a tenth.
-const packLeast = 1 << 10
+// compressFrom is the size in bytes from which the value of a row is compressed. A
+// configuration of 64 KB takes 26 ms on a link of 20 Mbit/s, and nearly a second to the 35
+// instances of a domain one after the other; its text shrinks to a tenth.
+const compressFrom = 1 << 10
 
-// rowLimit bounds the value of a row, in bytes; the store takes 64 KB.
+// rowLimit bounds the value of a row, in bytes; the limit of the store is 64 KB.
 const rowLimit = 1 << 20
 
 func pack(r tabler.Row) relayer.Row {
 	packed := relayer.Row{Key: r.Key, Value: r.Value, Removed: r.Removed, Version: r.Version}
-	if len(r.Value) < packLeast {
+	if len(r.Value) < compressFrom {
 		return packed
 	}
 	var small bytes.Buffer
@@ -116,7 +115,7 @@
 	if err != nil {
 		panic(err) // the level is a valid one
 	}
-	_, _ = w.Write(r.Value) // a buffer takes everything
+	_, _ = w.Write(r.Value) // a buffer accepts any data
 	_ = w.Close()
 	packed.Value, packed.Packed = small.Bytes(), true
 	return packed
--- a/internal/instance/gatekeeper/watch_test.go
+++ b/internal/instance/gatekeeper/watch_test.go
@@ -11,8 +11,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/platform/tabler"
 )
 
-// A still store is one in which nothing changes. Each call takes a few
-// milliseconds more than it waits.
+// A stillStore is a store in which nothing changes. Each call takes a few milliseconds more
+// than it waits.
 type stillStore struct{ tabler.Feed }
 
 func (stillStore) Scan(context.Context, string) ([]tabler.Row, uint64, error) { return nil, 1, nil }
@@ -27,22 +27,22 @@
 
 func (stillDecoder) Tables() (operator, runners string) { return "operator", "runners" }
 
-// A holder asks the store for the runners all the time, and nothing changes.
-// Were what it knows taken to be as old as the call that brought it, its members
-// would not trust it between two calls, and each would ask the store itself.
-func TestHolderThatReachesTheStoreIsFreshAllTheTime(t *testing.T) {
+// A leader reads the runners from the store all the time, and nothing changes. Guards against
+// taking its view to be as old as the start of the last call: its members would not rely on it
+// between two calls, and each would poll the store itself.
+func TestLeaderThatReachesTheStoreStaysFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		g.Store, g.Decoder = stillStore{}, stillDecoder{}
 		hold(g, "a")
 		if !g.holdsAny() {
-			t.Fatal("does not hold the tenure; the test shows nothing")
+			t.Fatal("is not leader; the test proves nothing")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		go g.watchRunners(ctx)
 		time.Sleep(time.Second)
 		for range 60 {
-			if !g.fresh() {
+			if !g.runnersFresh() {
 				t.Fatal("not fresh")
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -52,7 +52,7 @@
 	})
 }
 
-// hold makes an instance the holder of the tenure of a domain.
+// hold makes an instance the leader of a domain.
 func hold(g *Gatekeeper, domain string) {
 	d := g.controllers[domain]
 	d.elector.Late = 0
@@ -61,10 +61,10 @@
 	d.elector.Written(w, 1, uptime())
 }
 
-// Two configurations follow each other closely, and come by different ways at the same
-// time. Whichever is looked at first, callers must be served by the newer one: the older
-// stayed in force once, with nothing more to come that would have shown it.
-func TestOlderConfigurationDoesNotReplaceANewerOneThatComesAtTheSameTime(t *testing.T) {
+// Two configurations follow each other closely, and arrive concurrently from different senders.
+// Guards against the older one replacing the newer one: it stayed in force once, with no
+// further row to correct it.
+func TestOlderConfigurationDoesNotReplaceAConcurrentNewerOne(t *testing.T) {
 	g, store := newFedGatekeeper()
 	row := func(version uint64) tabler.Row {
 		store.configure(version)
@@ -82,27 +82,28 @@
 	}
 }
 
-// A holder looks whether it needs the store while it tells its members what it knows.
-// Each takes the lock of the other last; taken the other way round once, the instance
-// stood still for good and its callers were served by what held then.
-func TestTellingAndDoubtingDoNotBlockEachOther(t *testing.T) {
+// A leader checks whether it has to poll the store while it publishes to its members. The first
+// must not hold the lock of the view while it takes those of the controllers, which the second
+// takes in the other order: the instance deadlocked for good, and its callers were served an
+// outdated configuration.
+func TestPublishingAndStalenessChecksDoNotDeadlock(t *testing.T) {
 	g, _ := newFedGatekeeper()
 	g.setViews()
 	hold(g, "a")
-	g.operator.reached([]tabler.Row{{Key: "operator/config", Version: 1}}, 1, time.Now())
-	g.operator.spared = time.Now().Add(time.Hour)
+	g.operator.recordCall([]tabler.Row{{Key: "operator/config", Version: 1}}, 1, time.Now())
+	g.operator.publishedAt = time.Now().Add(time.Hour)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		var both sync.WaitGroup
 		both.Go(func() {
 			for range 20_000 {
-				g.operator.isSpared(time.Now())
+				g.operator.isPublished(time.Now())
 			}
 		})
 		both.Go(func() {
 			for range 20_000 {
-				g.controllers["a"].digest("front-1", -1, true)
+				g.controllers["a"].updateFor("front-1", -1, true)
 			}
 		})
 		both.Wait()
@@ -110,6 +111,6 @@
 	select {
 	case <-done:
 	case <-time.After(time.Minute):
-		t.Fatal("they block each other")
+		t.Fatal("deadlock")
 	}
 }
