--- a/internal/account/limiter/ledger.go
+++ b/internal/account/limiter/ledger.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// silentAfter is the time after its last update from which on a party that still had a share
+// unresponsiveAfter is the time after its last update from which on a party that still had a share
 // is taken to go on without a Ledger. It is longer than a Spender trusts a balance.
-const silentAfter = trust + 300*time.Millisecond
+const unresponsiveAfter = balanceTTL + 300*time.Millisecond
 
 // A Ledger sums up what all instances spend. Its fields are set before use; it is safe for
 // concurrent use.
@@ -18,30 +18,30 @@
 	Window time.Duration // over which quotas are judged: what was spent too much is forgotten after it
 
 	mu       sync.Mutex
-	since    time.Time // when it began; zero: it settles nothing
+	startedAt    time.Time // when it began; zero: it settles nothing
 	adopted  bool      // it knows what was spent before it began
 	accounts map[string]*tally
-	parties  map[string]*party // by instance
+	reporters  map[string]*reporter // by instance
 	leaders  []string          // instances that keep other Ledgers
-	silent   []*party
-	swept    time.Time
+	unresponsive   []*reporter
+	lastSweep    time.Time
 }
 
 // A party is who settles here.
-type party struct {
+type reporter struct {
 	Party
-	seen time.Time
+	lastSeen time.Time
 }
 
 // A tally is what was spent of one account's quota.
 type tally struct {
 	bucket             // what is left
-	own      float64   // tokens that parties spent which settle with no other Ledger
-	reported int64     // those of them in the last report
+	domainSpent      float64   // tokens that parties spent which settle with no other Ledger
+	lastReported int64     // those of them in the last report
 	seq      int64     // of the last report
-	back     float64   // tokens to be given back with the next update of another Ledger
-	settled  time.Time // last
-	use      meter
+	refundDue     float64   // tokens to be given back with the next update of another Ledger
+	lastSettled  time.Time // last
+	usage      meter
 	entries  map[string]*entry // by instance
 }
 
@@ -49,40 +49,40 @@
 type entry struct {
 	counted int64
 	seq     int64 // of the latest update
-	use     meter
+	usage     meter
 	share   float64   // of the limit and of what is left, which it goes on to spend if it is silent
-	left    float64   // tokens that were left at its last update
-	kept    float64   // tokens that are kept back for it since then
-	until   time.Time // up to when
+	remaining    float64   // tokens that were left at its last update
+	reserved    float64   // tokens that are kept back for it since then
+	asOf   time.Time // up to when
 }
 
-// sweepEvery is how often it is looked who is silent.
-const sweepEvery = 100 * time.Millisecond
+// sweepInterval is how often it is looked who is silent.
+const sweepInterval = 100 * time.Millisecond
 
 // Begin begins with nothing known. Next to nothing is left of any quota then: those who
 // settled with another Ledger before may have spent it.
 func (l *Ledger) Begin(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since, l.adopted = now, false
+	l.startedAt, l.adopted = now, false
 	l.accounts = make(map[string]*tally)
-	l.parties = make(map[string]*party)
-	l.leaders, l.silent = nil, nil
+	l.reporters = make(map[string]*reporter)
+	l.leaders, l.unresponsive = nil, nil
 }
 
 // End forgets everything.
 func (l *Ledger) End() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since = time.Time{}
-	l.accounts, l.parties, l.leaders, l.silent = nil, nil, nil, nil
+	l.startedAt = time.Time{}
+	l.accounts, l.reporters, l.leaders, l.unresponsive = nil, nil, nil, nil
 }
 
 // Began returns since when it settles; ok is false if it does not.
 func (l *Ledger) Began() (since time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.since, !l.since.IsZero()
+	return l.startedAt, !l.startedAt.IsZero()
 }
 
 // Adopt takes in how accounts stand by a Ledger that is older by an age. What that one does
@@ -91,7 +91,7 @@
 func (l *Ledger) Adopt(balances []Balance, age time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.since.IsZero() || l.adopted || age < l.Window || now.Sub(l.since) > l.Window {
+	if l.startedAt.IsZero() || l.adopted || age < l.Window || now.Sub(l.startedAt) > l.Window {
 		return
 	}
 	l.adopted = true
@@ -107,7 +107,7 @@
 func (l *Ledger) Settle(from Party, spent []Spent, now time.Time) (balances []Balance, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.since.IsZero() {
+	if l.startedAt.IsZero() {
 		return nil, false
 	}
 	l.observe(from, now)
@@ -118,7 +118,7 @@
 			balances = append(balances, l.settle(from, s, limit, now))
 		}
 	}
-	if from.leads() && from.Age < l.Window {
+	if from.isLedger() && from.Age < l.Window {
 		balances = l.addOthers(balances, now)
 	}
 	return balances, true
@@ -136,34 +136,34 @@
 			continue
 		}
 		t := l.tally(name, limit, now)
-		l.advance(t, limit, now)
-		balances = append(balances, Balance{Account: name, Left: int64(l.left(t, now)), Use: int64(t.use.value(now))})
+		l.reserve(t, limit, now)
+		balances = append(balances, Balance{Account: name, Left: int64(l.left(t, now)), Use: int64(t.usage.value(now))})
 	}
 	return balances
 }
 
 func (l *Ledger) settle(from Party, s Spent, limit Limit, now time.Time) Balance {
 	t := l.tally(s.Account, limit, now)
-	t.settled = now
-	limit.Burst = l.advance(t, limit, now)
+	t.lastSettled = now
+	limit.Burst = l.reserve(t, limit, now)
 	e := l.entry(t, from, s, now)
 	t.release(e, from)
 	if s.Seq >= e.seq {
 		e.seq = s.Seq
-		t.take(e, from, s.Counter-e.counted, now)
+		t.record(e, from, s.Counter-e.counted, now)
 	} else {
-		t.take(e, from, -s.Want, now) // the counter of the update that overtook it contains this request
+		t.record(e, from, -s.Want, now) // the counter of the update that overtook it contains this request
 	}
 	t.level = max(t.level, -limit.Rate*l.Window.Seconds())
 	left := l.left(t, now)
 	granted := s.Want > 0 && fits(s.Want, left, limit)
 	if granted {
-		t.take(e, from, s.Want, now)
+		t.record(e, from, s.Want, now)
 		left -= float64(s.Want)
 	}
-	e.share = shareOf(e.use.value(now), t.use.value(now), limit)
-	e.left = max(0, left)
-	return Balance{Account: s.Account, Counted: e.counted, Granted: granted, Left: int64(left), Use: int64(t.use.value(now))}
+	e.share = shareOf(e.usage.value(now), t.usage.value(now), limit)
+	e.remaining = max(0, left)
+	return Balance{Account: s.Account, Counted: e.counted, Granted: granted, Left: int64(left), Use: int64(t.usage.value(now))}
 }
 
 // left returns what is left of a quota. Other Ledgers have gone on to admit as they did since
@@ -172,7 +172,7 @@
 	left := t.level
 	for _, instance := range l.leaders {
 		if e, ok := t.entries[instance]; ok {
-			left -= e.use.value(now) * now.Sub(e.until).Seconds()
+			left -= e.usage.value(now) * now.Sub(e.asOf).Seconds()
 		}
 	}
 	return left
@@ -192,11 +192,11 @@
 	defer l.mu.Unlock()
 	var report []Spent
 	for name, t := range l.accounts {
-		if now.Sub(t.settled) <= reportedFor {
-			counter := int64(t.own)
+		if now.Sub(t.lastSettled) <= idleAfter {
+			counter := int64(t.domainSpent)
 			t.seq++
-			report = append(report, Spent{Account: name, Counter: counter, Recent: counter - t.reported, Seq: t.seq})
-			t.reported = counter
+			report = append(report, Spent{Account: name, Counter: counter, Recent: counter - t.lastReported, Seq: t.seq})
+			t.lastReported = counter
 		}
 	}
 	return report
@@ -207,7 +207,7 @@
 func (l *Ledger) tally(account string, limit Limit, now time.Time) *tally {
 	t, ok := l.accounts[account]
 	if !ok {
-		t = &tally{settled: now, bucket: bucket{level: l.first(limit), at: l.emptyAt()}, entries: make(map[string]*entry)}
+		t = &tally{lastSettled: now, bucket: bucket{level: l.initialLevel(limit), at: l.emptyAt()}, entries: make(map[string]*entry)}
 		l.accounts[account] = t
 	}
 	t.fill(limit.Rate, limit.Burst, now)
@@ -217,12 +217,12 @@
 // emptyAt returns when next to nothing was left of a quota of which nothing was settled since.
 func (l *Ledger) emptyAt() time.Time {
 	if l.adopted {
-		return l.since.Add(-l.Window)
+		return l.startedAt.Add(-l.Window)
 	}
-	return l.since
+	return l.startedAt
 }
 
-func (l *Ledger) first(limit Limit) float64 {
+func (l *Ledger) initialLevel(limit Limit) float64 {
 	if l.First == nil {
 		return 0
 	}
@@ -235,56 +235,56 @@
 	e, ok := t.entries[from.Instance]
 	if !ok {
 		e = &entry{counted: s.Counter - s.Recent}
-		if from.leads() && from.Age <= now.Sub(l.since) {
+		if from.isLedger() && from.Age <= now.Sub(l.startedAt) {
 			e.counted = 0
 		}
 		t.entries[from.Instance] = e
 	}
-	e.until = now
+	e.asOf = now
 	return e
 }
 
-func (t *tally) take(e *entry, from Party, tokens int64, now time.Time) {
+func (t *tally) record(e *entry, from Party, tokens int64, now time.Time) {
 	e.counted += tokens
-	e.use.add(float64(tokens), now)
-	t.spend(from, float64(tokens), now)
+	e.usage.add(float64(tokens), now)
+	t.deduct(from, float64(tokens), now)
 }
 
-func (t *tally) spend(by Party, tokens float64, now time.Time) {
+func (t *tally) deduct(by Party, tokens float64, now time.Time) {
 	t.level -= tokens
-	t.use.add(tokens, now)
-	if !by.leads() {
-		t.own += tokens
+	t.usage.add(tokens, now)
+	if !by.isLedger() {
+		t.domainSpent += tokens
 	}
 }
 
 // release gives back what was kept for a party while it was silent; it says now what it
 // has spent.
 func (t *tally) release(e *entry, from Party) {
-	t.level += e.kept
-	if !from.leads() {
-		t.own -= e.kept
+	t.level += e.reserved
+	if !from.isLedger() {
+		t.domainSpent -= e.reserved
 	}
-	e.kept = 0
-	if from.leads() {
-		t.level += t.back
-		t.back = 0
+	e.reserved = 0
+	if from.isLedger() {
+		t.level += t.refundDue
+		t.refundDue = 0
 	}
 }
 
-// advance keeps back what silent parties may spend, and returns the burst that the others
+// reserve keeps back what silent parties may spend, and returns the burst that the others
 // have. Without it both sides of a cut would spend the whole quota.
-func (l *Ledger) advance(t *tally, limit Limit, now time.Time) (burst float64) {
+func (l *Ledger) reserve(t *tally, limit Limit, now time.Time) (burst float64) {
 	rest := 1.0
-	for _, p := range l.silent {
+	for _, p := range l.unresponsive {
 		e, ok := t.entries[p.Instance]
 		if !ok {
 			continue
 		}
-		tokens := e.share * (e.left + limit.Rate*now.Sub(e.until).Seconds())
-		e.left, e.until = 0, now
-		e.kept += tokens
-		t.spend(p.Party, tokens, now)
+		tokens := e.share * (e.remaining + limit.Rate*now.Sub(e.asOf).Seconds())
+		e.remaining, e.asOf = 0, now
+		e.reserved += tokens
+		t.deduct(p.Party, tokens, now)
 		rest -= e.share
 	}
 	burst = max(0, rest) * limit.Burst
@@ -294,71 +294,71 @@
 
 // observe takes in that a party lives.
 func (l *Ledger) observe(from Party, now time.Time) {
-	before, ok := l.parties[from.Instance]
-	if ok && (before.Born != from.Born || before.leads() != from.leads()) {
+	before, ok := l.reporters[from.Instance]
+	if ok && (before.Born != from.Born || before.isLedger() != from.isLedger()) {
 		l.drop(from.Instance)
 		ok = false
 	}
 	if !ok {
-		l.replace(from)
-		before = &party{}
-		l.parties[from.Instance] = before
-		if from.leads() {
+		l.replaceLedger(from)
+		before = &reporter{}
+		l.reporters[from.Instance] = before
+		if from.isLedger() {
 			l.leaders = append(l.leaders, from.Instance)
 		}
 	}
-	before.Party, before.seen = from, now
+	before.Party, before.lastSeen = from, now
 }
 
-// replace forgets the Ledger of a domain that another one follows. Its parties settle with
+// replaceLedger forgets the Ledger of a domain that another one follows. Its parties settle with
 // that one, which reports what they have spent since it began.
-func (l *Ledger) replace(by Party) {
-	if !by.leads() {
+func (l *Ledger) replaceLedger(successor Party) {
+	if !successor.isLedger() {
 		return
 	}
-	for instance, p := range l.parties {
-		if p.Domain == by.Domain {
-			l.giveBack(p, by.Age)
+	for instance, p := range l.reporters {
+		if p.Domain == successor.Domain {
+			l.refund(p, successor.Age)
 			l.drop(instance)
 		}
 	}
 }
 
-// giveBack gives back, with the next update of a Ledger, what was kept for a silent one for a
+// refund gives back, with the next update of a Ledger, what was kept for a silent one for a
 // time that the next one reports on. Both were taken for spent otherwise.
-func (l *Ledger) giveBack(p *party, reported time.Duration) {
+func (l *Ledger) refund(p *reporter, reported time.Duration) {
 	for name, t := range l.accounts {
 		e, ok := t.entries[p.Instance]
 		limit, bounds := l.Limits(name)
 		if !ok || !bounds {
 			continue
 		}
-		t.back += min(e.kept, e.share*limit.Rate*reported.Seconds())
+		t.refundDue += min(e.reserved, e.share*limit.Rate*reported.Seconds())
 	}
 }
 
 func (l *Ledger) drop(instance string) {
-	delete(l.parties, instance)
+	delete(l.reporters, instance)
 	for _, t := range l.accounts {
 		delete(t.entries, instance)
 	}
 	l.leaders = slices.DeleteFunc(l.leaders, func(other string) bool { return other == instance })
-	l.silent = slices.DeleteFunc(l.silent, func(p *party) bool { return p.Instance == instance })
+	l.unresponsive = slices.DeleteFunc(l.unresponsive, func(p *reporter) bool { return p.Instance == instance })
 }
 
 // sweep looks who is silent, and forgets those that have been for too long.
 func (l *Ledger) sweep(now time.Time) {
-	if now.Sub(l.swept) < sweepEvery {
+	if now.Sub(l.lastSweep) < sweepInterval {
 		return
 	}
-	l.swept = now
-	l.silent = l.silent[:0]
-	for instance, p := range l.parties {
-		switch silence := now.Sub(p.seen); {
-		case silence > aloneFor:
+	l.lastSweep = now
+	l.unresponsive = l.unresponsive[:0]
+	for instance, p := range l.reporters {
+		switch sinceUpdate := now.Sub(p.lastSeen); {
+		case sinceUpdate > disconnectedLimit:
 			l.drop(instance)
-		case silence > silentAfter:
-			l.silent = append(l.silent, p)
+		case sinceUpdate > unresponsiveAfter:
+			l.unresponsive = append(l.unresponsive, p)
 		}
 	}
 }
--- a/internal/account/limiter/message.go
+++ b/internal/account/limiter/message.go
@@ -11,8 +11,8 @@
 	Age      time.Duration // since its counters were zero
 }
 
-// leads reports whether the party is a Ledger.
-func (p Party) leads() bool { return p.Domain != "" }
+// isLedger reports whether the party is a Ledger.
+func (p Party) isLedger() bool { return p.Domain != "" }
 
 // A Spent is what a party has spent of one account's quota.
 type Spent struct {
--- a/internal/account/limiter/meter.go
+++ b/internal/account/limiter/meter.go
@@ -11,12 +11,12 @@
 	at   time.Time
 }
 
-// meterTime is the age at which use counts for a third. Callers of an account send in
+// meterTimeConstant is the age at which use counts for a third. Callers of an account send in
 // clumps of about a second.
-const meterTime = 2 * time.Second
+const meterTimeConstant = 2 * time.Second
 
 func (m *meter) add(tokens float64, now time.Time) {
-	m.rate = max(0, m.value(now)+tokens/meterTime.Seconds())
+	m.rate = max(0, m.value(now)+tokens/meterTimeConstant.Seconds())
 	m.at = now
 }
 
@@ -24,22 +24,22 @@
 	if m.rate == 0 {
 		return 0
 	}
-	return m.rate * math.Exp(-now.Sub(m.at).Seconds()/meterTime.Seconds())
+	return m.rate * math.Exp(-now.Sub(m.at).Seconds()/meterTimeConstant.Seconds())
 }
 
 // shareOf returns the share of a limit of a party that spends a part of all that is spent.
 // Where next to nothing is spent nobody has one: it would be kept back for whoever spent
 // last and has nothing more to say.
-func shareOf(use, all float64, l Limit) float64 {
-	all = max(all, use) + idlePart*l.Rate
-	if all <= 0 {
+func shareOf(usage, total float64, l Limit) float64 {
+	total = max(total, usage) + negligibleFraction*l.Rate
+	if total <= 0 {
 		return 0
 	}
-	return (1 - even) * use / all
+	return (1 - evenShare) * usage / total
 }
 
-// idlePart is the part of a limit that counts as next to nothing.
-const idlePart = 0.02
+// negligibleFraction is the part of a limit that counts as next to nothing.
+const negligibleFraction = 0.02
 
 // A bucket holds tokens that come at a rate, up to a most.
 type bucket struct {
@@ -47,12 +47,12 @@
 	at    time.Time
 }
 
-func (b *bucket) fill(rate, most float64, now time.Time) {
+func (b *bucket) fill(rate, capacity float64, now time.Time) {
 	if elapsed := now.Sub(b.at); elapsed > 0 {
 		b.level += rate * elapsed.Seconds()
 		b.at = now
 	}
-	b.level = min(b.level, most)
+	b.level = min(b.level, capacity)
 }
 
 // fits reports whether a request may be admitted. One that is larger than the burst is
--- a/internal/account/limiter/spender.go
+++ b/internal/account/limiter/spender.go
@@ -6,18 +6,18 @@
 )
 
 const (
-	// trust is how long a balance holds. Spenders settle several times in it.
-	trust = 700 * time.Millisecond
-	// even is the part of a limit that is split evenly, so that an instance that has
+	// balanceTTL is how long a balance holds. Spenders settle several times in it.
+	balanceTTL = 700 * time.Millisecond
+	// evenShare is the part of a limit that is split evenly, so that an instance that has
 	// spent nothing lately has a share too. In a cut both sides have this part, so it is
 	// half of what a quota may be exceeded by.
-	even = 0.05
-	// aloneFor is how long an instance that reaches no Ledger goes on with its share, and
+	evenShare = 0.05
+	// disconnectedLimit is how long an instance that reaches no Ledger goes on with its share, and
 	// a Ledger keeps that back. It outlasts a cut; what is gone for good costs no longer.
-	aloneFor = 30 * time.Second
-	// reportedFor is how long an account is settled after its last use: its share is
+	disconnectedLimit = 30 * time.Second
+	// idleAfter is how long an account is settled after its last use: its share is
 	// nothing by then.
-	reportedFor = 6 * meterTime
+	idleAfter = 6 * meterTimeConstant
 	// unknownWait is when a caller may come back who was refused as nothing is known: a
 	// Ledger that is gone has a successor soon.
 	unknownWait = 500 * time.Millisecond
@@ -29,26 +29,26 @@
 	Instances func() int // how many there are
 
 	mu       sync.Mutex
-	accounts map[string]*spending
+	accounts map[string]*accountState
 }
 
 // A spending is what one instance has spent of an account's quota.
-type spending struct {
+type accountState struct {
 	spent   int64 // tokens, less those that were given back
 	pending int64 // tokens of requests for which a Ledger is asked
 	seq     int64 // of the last update
-	used    time.Time
-	use     meter
-	line    line
+	lastUsed    time.Time
+	usage     meter
+	queue    retryQueue
 
 	balance Balance   // the last one
-	at      time.Time // when it came; zero for never
-	asked   time.Time // when it was asked for
-	others  float64   // tokens a second that others spent then
+	balanceAt      time.Time // when it came; zero for never
+	requestedAt   time.Time // when it was asked for
+	othersRate  float64   // tokens a second that others spent then
 	share   float64   // of the limit, as of then
 
-	alone   bucket // what is left while no Ledger is reached
-	isAlone bool
+	disconnected   bucket // what is left while no Ledger is reached
+	isDisconnected bool
 }
 
 // A Decision says whether a request is admitted.
@@ -95,43 +95,43 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(r.Account)
-	a.used = now
-	if a.at.IsZero() || now.Sub(a.at) > trust {
+	a.lastUsed = now
+	if a.balanceAt.IsZero() || now.Sub(a.balanceAt) > balanceTTL {
 		return Ask{}
 	}
 	left := a.left(r.Limit, now)
 	if !fits(r.Tokens, left, r.Limit) {
-		return a.over(r, left, s.least(), now)
+		return a.refuse(r, left, s.minShare(), now)
 	}
-	if float64(r.Tokens) > a.part(r.Limit, now) {
+	if float64(r.Tokens) > a.allowance(r.Limit, now) {
 		return Ask{}
 	}
-	a.take(r.Tokens, now)
+	a.record(r.Tokens, now)
 	return Admitted{}
 }
 
 // Settled takes in a balance that was asked for at a time.
-func (s *Spender) Settled(b Balance, limit Limit, asked, now time.Time) {
+func (s *Spender) Settled(b Balance, limit Limit, requestedAt, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.account(b.Account).settle(b, limit, asked, now, s.least())
+	s.account(b.Account).applyBalance(b, limit, requestedAt, now, s.minShare())
 }
 
 // Answered takes in the balance by which a Ledger answers a request that asked for it, and
 // decides on that.
-func (s *Spender) Answered(r Request, b Balance, asked, now time.Time) Decision {
+func (s *Spender) Answered(r Request, b Balance, requestedAt, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(r.Account)
 	a.pending -= r.Tokens
 	if b.Granted {
-		a.take(r.Tokens, now)
+		a.record(r.Tokens, now)
 	}
-	a.settle(b, r.Limit, asked, now, s.least())
+	a.applyBalance(b, r.Limit, requestedAt, now, s.minShare())
 	if b.Granted {
 		return Admitted{}
 	}
-	return a.over(r, float64(b.Left), s.least(), now)
+	return a.refuse(r, float64(b.Left), s.minShare(), now)
 }
 
 // Unanswered takes in that a Ledger which was asked for a request has not answered.
@@ -146,19 +146,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(r.Account)
-	if a.at.IsZero() || now.Sub(a.at) > aloneFor {
+	if a.balanceAt.IsZero() || now.Sub(a.balanceAt) > disconnectedLimit {
 		return Unknown{Wait: unknownWait}
 	}
-	if !a.isAlone {
-		a.beginAlone()
+	if !a.isDisconnected {
+		a.disconnect()
 	}
 	// It may save up for a request that is larger than its share of the burst.
-	a.alone.fill(a.share*r.Limit.Rate, max(a.share*r.Limit.Burst, float64(r.Tokens)), now)
-	if a.alone.level < float64(r.Tokens) {
-		return a.over(r, a.alone.level, s.least(), now)
+	a.disconnected.fill(a.share*r.Limit.Rate, max(a.share*r.Limit.Burst, float64(r.Tokens)), now)
+	if a.disconnected.level < float64(r.Tokens) {
+		return a.refuse(r, a.disconnected.level, s.minShare(), now)
 	}
-	a.alone.level -= float64(r.Tokens)
-	a.take(r.Tokens, now)
+	a.disconnected.level -= float64(r.Tokens)
+	a.record(r.Tokens, now)
 	return Admitted{}
 }
 
@@ -167,9 +167,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(account)
-	a.take(-tokens, now)
-	if a.isAlone {
-		a.alone.level += float64(tokens)
+	a.record(-tokens, now)
+	if a.isDisconnected {
+		a.disconnected.level += float64(tokens)
 	}
 }
 
@@ -179,7 +179,7 @@
 	defer s.mu.Unlock()
 	var report []Spent
 	for name, a := range s.accounts {
-		if now.Sub(a.used) <= reportedFor {
+		if now.Sub(a.lastUsed) <= idleAfter {
 			report = append(report, a.update(name))
 		}
 	}
@@ -199,62 +199,62 @@
 	return want
 }
 
-func (s *Spender) account(name string) *spending {
+func (s *Spender) account(name string) *accountState {
 	a, ok := s.accounts[name]
 	if !ok {
 		if s.accounts == nil {
-			s.accounts = make(map[string]*spending)
+			s.accounts = make(map[string]*accountState)
 		}
-		a = &spending{}
+		a = &accountState{}
 		s.accounts[name] = a
 	}
 	return a
 }
 
-// least returns the share that any instance has.
-func (s *Spender) least() float64 { return even / float64(max(1, s.Instances())) }
+// minShare returns the share that any instance has.
+func (s *Spender) minShare() float64 { return evenShare / float64(max(1, s.Instances())) }
 
-func (a *spending) take(tokens int64, now time.Time) {
+func (a *accountState) record(tokens int64, now time.Time) {
 	a.spent += tokens
-	a.use.add(float64(tokens), now)
-	a.used = now
+	a.usage.add(float64(tokens), now)
+	a.lastUsed = now
 }
 
-// settle takes in a balance. One that was asked for earlier than the last one is older.
-func (a *spending) settle(b Balance, l Limit, asked, now time.Time, least float64) {
-	if asked.Before(a.asked) {
+// applyBalance takes in a balance. One that was asked for earlier than the last one is older.
+func (a *accountState) applyBalance(b Balance, l Limit, requestedAt, now time.Time, minShare float64) {
+	if requestedAt.Before(a.requestedAt) {
 		return
 	}
-	use := a.use.value(now)
-	a.balance, a.at, a.asked, a.isAlone = b, now, asked, false
-	a.others = max(0, float64(b.Use)-use)
-	a.share = least + shareOf(use, float64(b.Use), l)
+	usage := a.usage.value(now)
+	a.balance, a.balanceAt, a.requestedAt, a.isDisconnected = b, now, requestedAt, false
+	a.othersRate = max(0, float64(b.Use)-usage)
+	a.share = minShare + shareOf(usage, float64(b.Use), l)
 }
 
 // update returns what is to be settled of the account.
-func (a *spending) update(account string) Spent {
+func (a *accountState) update(account string) Spent {
 	a.seq++
 	return Spent{Account: account, Counter: a.spent + a.pending, Recent: int64(a.unsettled()), Seq: a.seq}
 }
 
 // unsettled returns what was spent, or may be, that the last balance does not count.
-func (a *spending) unsettled() float64 { return float64(a.spent + a.pending - a.balance.Counted) }
+func (a *accountState) unsettled() float64 { return float64(a.spent + a.pending - a.balance.Counted) }
 
 // left returns what is left of the quota. Others go on to spend as they did.
-func (a *spending) left(l Limit, now time.Time) float64 {
-	age := now.Sub(a.at).Seconds()
-	return min(l.Burst, float64(a.balance.Left)+(l.Rate-a.others)*age) - a.unsettled()
+func (a *accountState) left(l Limit, now time.Time) float64 {
+	age := now.Sub(a.balanceAt).Seconds()
+	return min(l.Burst, float64(a.balance.Left)+(l.Rate-a.othersRate)*age) - a.unsettled()
 }
 
-// part returns what this instance may spend of it without asking. The parts of all
+// allowance returns what this instance may spend of it without asking. The parts of all
 // instances add up to what is left, so callers may turn to any of them at once.
-func (a *spending) part(l Limit, now time.Time) float64 {
-	age := now.Sub(a.at).Seconds()
+func (a *accountState) allowance(l Limit, now time.Time) float64 {
+	age := now.Sub(a.balanceAt).Seconds()
 	return a.share*min(l.Burst, max(0, float64(a.balance.Left))+l.Rate*age) - a.unsettled()
 }
 
-// beginAlone leaves the instance its share of what was left when it reached a Ledger last.
-func (a *spending) beginAlone() {
-	a.isAlone = true
-	a.alone = bucket{level: a.share*max(0, float64(a.balance.Left)) - a.unsettled(), at: a.at}
+// disconnect leaves the instance its share of what was left when it reached a Ledger last.
+func (a *accountState) disconnect() {
+	a.isDisconnected = true
+	a.disconnected = bucket{level: a.share*max(0, float64(a.balance.Left)) - a.unsettled(), at: a.balanceAt}
 }
