--- a/internal/account/limiter/ledger.go
+++ b/internal/account/limiter/ledger.go
@@ -17,13 +17,13 @@
 	Limits func(account string) (Limit, bool)
 	Window time.Duration // over which quotas are judged: what was spent too much is forgotten after it
 
-	mu       sync.Mutex
+	mu           sync.Mutex
 	startedAt    time.Time // when it began; zero: it settles nothing
-	adopted  bool      // it knows what was spent before it began
-	accounts map[string]*tally
-	reporters  map[string]*reporter // by instance
-	leaders  []string          // instances that keep other Ledgers
-	unresponsive   []*reporter
+	adopted      bool      // it knows what was spent before it began
+	accounts     map[string]*tally
+	reporters    map[string]*reporter // by instance
+	leaders      []string             // instances that keep other Ledgers
+	unresponsive []*reporter
 	lastSweep    time.Time
 }
 
@@ -35,25 +35,25 @@
 
 // A tally is what was spent of one account's quota.
 type tally struct {
-	bucket             // what is left
-	domainSpent      float64   // tokens that parties spent which settle with no other Ledger
+	bucket                 // what is left
+	domainSpent  float64   // tokens that parties spent which settle with no other Ledger
 	lastReported int64     // those of them in the last report
-	seq      int64     // of the last report
-	refundDue     float64   // tokens to be given back with the next update of another Ledger
+	seq          int64     // of the last report
+	refundDue    float64   // tokens to be given back with the next update of another Ledger
 	lastSettled  time.Time // last
-	usage      meter
-	entries  map[string]*entry // by instance
+	usage        meter
+	entries      map[string]*entry // by instance
 }
 
 // An entry is what one party has spent of it.
 type entry struct {
-	counted int64
-	seq     int64 // of the latest update
+	counted   int64
+	seq       int64 // of the latest update
 	usage     meter
-	share   float64   // of the limit and of what is left, which it goes on to spend if it is silent
-	remaining    float64   // tokens that were left at its last update
-	reserved    float64   // tokens that are kept back for it since then
-	asOf   time.Time // up to when
+	share     float64   // of the limit and of what is left, which it goes on to spend if it is silent
+	remaining float64   // tokens that were left at its last update
+	reserved  float64   // tokens that are kept back for it since then
+	asOf      time.Time // up to when
 }
 
 // sweepInterval is how often it is looked who is silent.
--- a/internal/account/limiter/ledger_test.go
+++ b/internal/account/limiter/ledger_test.go
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestNothingIsSettled(t *testing.T) {
+func TestSettleWithoutQuotaOrLedger(t *testing.T) {
 	l := newLedger(thousand)
 	if balances, ok := l.Settle(one, []limiter.Spent{{Account: "unknown"}}, start); !ok || len(balances) > 0 {
 		t.Errorf("an account without a quota: %v, %t", balances, ok)
@@ -76,7 +76,7 @@
 	}
 }
 
-func TestLedgerAdoptsWhatAnOlderOneKnows(t *testing.T) {
+func TestLedgerAdoptsBalancesOfOlderLedger(t *testing.T) {
 	older, l := newLedger(thousand), newLedger(thousand)
 	settle(t, older, one, spent(0, 300), start)
 	l.Begin(start)
@@ -89,7 +89,7 @@
 }
 
 // Guards against both sides of a cut spending the whole quota.
-func TestShareOfASilentPartyIsKeptBack(t *testing.T) {
+func TestShareOfUnresponsiveReporterIsReserved(t *testing.T) {
 	l := newLedger(thousand)
 	two := limiter.Party{Instance: "two", Born: 1}
 	for n := range 100 {
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestWhoPartsKeepsNothingBack(t *testing.T) {
+func TestNothingIsReservedForRemovedReporter(t *testing.T) {
 	l := newLedger(thousand)
 	two := limiter.Party{Instance: "two", Born: 1}
 	settle(t, l, two, spent(0, 500), start)
@@ -120,7 +120,7 @@
 }
 
 // Guards against a debt that outlasts the window over which quotas are judged.
-func TestDebtsAreForgotten(t *testing.T) {
+func TestOverspendingIsForgotten(t *testing.T) {
 	l := newLedger(thousand)
 	settle(t, l, one, spent(0, 0), start)
 	settle(t, l, one, spent(1_000_000, 0), start)
@@ -158,7 +158,7 @@
 
 // Guards against an account that has nothing for seconds after a cut, as what was kept for a
 // leader that was silent and what its successor tells were both taken for spent.
-func TestSuccessorOfASilentLedgerIsNotCountedTwice(t *testing.T) {
+func TestSuccessorOfUnresponsiveLedgerIsNotCountedTwice(t *testing.T) {
 	l := newLedger(thousand)
 	former := limiter.Party{Instance: "former", Born: 1, Domain: "d"}
 	for n := range 50 {
@@ -178,7 +178,7 @@
 
 // Guards against requests that ask at the same time and are all granted the same tokens: the
 // counter of the later one did not yet contain what the earlier one was granted.
-func TestAsksUnderWayAtTheSameTimeAreCounted(t *testing.T) {
+func TestConcurrentAsksAreCounted(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		order []int // in which the ledger gets the asks
--- /dev/null
+++ b/internal/account/limiter/simulation_test.go
@@ -0,0 +1,369 @@
+package limiter_test
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"time"
+
+	"github.com/sardinetiller/sardinetiller/internal/account/limiter"
+)
+
+// A lab is a deployment in virtual time whose instances admit the requests of one account.
+type simulation struct {
+	rng         *rand.Rand
+	limit       limiter.Limit
+	now         time.Time
+	startedAt   time.Time
+	newStrategy func(l *simulation) strategy
+	strategy    strategy
+	instances   []*instance
+
+	admitted       []admission
+	available      float64 // what one bucket that knows all has left
+	availableAt    time.Time
+	requested      int64 // tokens
+	wronglyRefused int64 // tokens that were refused although the quota had them
+	idealAdmitted  int64 // tokens that one bucket would have admitted
+	ideal          float64
+	messages       int
+}
+
+type admission struct {
+	at     time.Time
+	tokens int64
+}
+
+// A way keeps a quota over instances.
+type strategy interface {
+	admit(i *instance, tokens int64) bool
+	tick() // once a labStep
+	restart(i *instance)
+}
+
+// An instance is one of a lab.
+type instance struct {
+	id               string
+	number           int
+	failureDomain    int
+	partitionedUntil time.Time // until when it reaches nobody
+}
+
+const (
+	simulationStep = 10 * time.Millisecond
+	domains        = 4
+	window         = 8 * time.Second
+	excessFraction = 0.1   // by which a quota may be exceeded
+	excessTokens   = 17000 // tokens beyond that
+)
+
+func newSimulation(seed uint64, instances int, limit limiter.Limit, newStrategy func(l *simulation) strategy) *simulation {
+	startedAt := time.Unix(1000, 0)
+	l := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), limit: limit, now: startedAt, startedAt: startedAt, available: limit.Burst, availableAt: startedAt, ideal: limit.Burst}
+	l.newStrategy = newStrategy
+	if instances > 0 {
+		l.startInstances(instances)
+	}
+	return l
+}
+
+// startInstances starts the instances.
+func (l *simulation) startInstances(instances int) {
+	for n := range instances {
+		l.instances = append(l.instances, &instance{id: fmt.Sprint("i-", n), number: n, failureDomain: n % domains})
+	}
+	l.strategy = l.newStrategy(l)
+}
+
+// A load is what callers of the account send.
+type workload struct {
+	rate      float64 // tokens a second, as a multiple of the limit
+	targets   []int   // instances to which they turn
+	mean      float64 // tokens of a request
+	fixedSize bool    // all are of the same size
+}
+
+// run has callers send for a time.
+func (l *simulation) run(span time.Duration, d workload) {
+	for end := l.now.Add(span); l.now.Before(end); l.now = l.now.Add(simulationStep) {
+		l.strategy.tick()
+		expected := d.rate * l.limit.Rate * simulationStep.Seconds() / d.mean
+		for n := l.poisson(expected); n > 0; n-- {
+			l.send(l.instances[d.targets[l.rng.IntN(len(d.targets))]], l.size(d))
+		}
+	}
+}
+
+func (l *simulation) size(d workload) int64 {
+	if d.fixedSize {
+		return int64(d.mean)
+	}
+	return max(1, int64(d.mean*l.rng.ExpFloat64()))
+}
+
+func (l *simulation) poisson(mean float64) int {
+	n := 0
+	for p := l.rng.ExpFloat64(); p < mean; p += l.rng.ExpFloat64() {
+		n++
+	}
+	return n
+}
+
+func (l *simulation) send(i *instance, tokens int64) {
+	l.requested += tokens
+	l.available = min(l.limit.Burst, l.available+l.limit.Rate*l.now.Sub(l.availableAt).Seconds())
+	l.ideal = min(l.limit.Burst, l.ideal+l.limit.Rate*l.now.Sub(l.availableAt).Seconds())
+	l.availableAt = l.now
+	if float64(tokens) <= l.ideal {
+		l.ideal -= float64(tokens)
+		l.idealAdmitted += tokens
+	}
+	if l.strategy.admit(i, tokens) {
+		l.admitted = append(l.admitted, admission{l.now, tokens})
+		l.available = max(l.available-float64(tokens), -l.limit.Burst)
+		return
+	}
+	if float64(tokens) <= l.available {
+		l.wronglyRefused += tokens
+	}
+}
+
+// served returns the tokens that were admitted, as a part of those that one bucket would
+// have admitted.
+func (l *simulation) served() float64 {
+	sum := int64(0)
+	for _, a := range l.admitted {
+		sum += a.tokens
+	}
+	return float64(sum) / float64(l.idealAdmitted)
+}
+
+// excess returns by how many tokens most was exceeded in any window.
+func (l *simulation) excess() float64 {
+	allowed := (l.limit.Rate*window.Seconds()+l.limit.Burst)*(1+excessFraction) + excessTokens
+	sum, first, most := 0.0, 0, math.Inf(-1)
+	for _, a := range l.admitted {
+		sum += float64(a.tokens)
+		for a.at.Sub(l.admitted[first].at) > window {
+			sum -= float64(l.admitted[first].tokens)
+			first++
+		}
+		most = max(most, sum)
+	}
+	return max(0, most-allowed)
+}
+
+func (l *simulation) partition(span time.Duration, which func(i *instance) bool) {
+	for _, i := range l.instances {
+		if which(i) {
+			i.partitionedUntil = l.now.Add(span)
+		}
+	}
+}
+
+func (l *simulation) reaches(a, b *instance) bool {
+	return a == b || !l.now.Before(a.partitionedUntil) && !l.now.Before(b.partitionedUntil)
+}
+
+// A bySum is the way of this package. A domain's first instance leads there.
+type ledgerStrategy struct {
+	l         *simulation
+	spenders  []*limiter.Spender
+	ledgers   []*limiter.Ledger // of the leaders
+	reporters []limiter.Party
+	startedAt []time.Time
+	leaders   []*instance
+	connected func(a, b *instance) bool // reaches, in a cut between domains too
+}
+
+func newLedgerStrategy(l *simulation) strategy {
+	w := &ledgerStrategy{l: l, connected: l.reaches}
+	for _, i := range l.instances {
+		w.spenders = append(w.spenders, &limiter.Spender{})
+		w.reporters = append(w.reporters, limiter.Party{Instance: i.id})
+		w.startedAt = append(w.startedAt, l.now)
+	}
+	for d := range domains {
+		w.leaders = append(w.leaders, l.instances[d])
+		ledger := &limiter.Ledger{Limits: func(string) (limiter.Limit, bool) { return l.limit, true }, Window: window, First: func(l limiter.Limit) float64 {
+			return (excessFraction*(l.Rate*window.Seconds()+l.Burst) + excessTokens) * 0.7 / domains
+		}}
+		ledger.Begin(l.now)
+		w.ledgers = append(w.ledgers, ledger)
+	}
+	for _, i := range l.instances {
+		w.restart(i)
+	}
+	return w
+}
+
+func (w *ledgerStrategy) restart(i *instance) {
+	w.spenders[i.number] = &limiter.Spender{Instances: func() int { return len(w.l.instances) }}
+	w.reporters[i.number].Born = w.l.now.UnixNano()
+	w.startedAt[i.number] = w.l.now
+	for d, leader := range w.leaders {
+		if leader == i {
+			w.ledgers[d].Begin(w.l.now)
+		}
+	}
+}
+
+func (w *ledgerStrategy) admit(i *instance, tokens int64) bool {
+	s, now := w.spenders[i.number], w.l.now
+	r := limiter.Request{Account: "a", Limit: w.l.limit, Tokens: tokens}
+	decision := s.Spend(r, now)
+	if _, asks := decision.(limiter.Ask); asks {
+		decision = w.ask(i, r)
+	}
+	_, admitted := decision.(limiter.Admitted)
+	return admitted
+}
+
+func (w *ledgerStrategy) ask(i *instance, r limiter.Request) limiter.Decision {
+	s, now := w.spenders[i.number], w.l.now
+	if w.connected(i, w.leaders[i.failureDomain]) {
+		w.l.messages++
+		balances, ok := w.ledgers[i.failureDomain].Settle(w.reporters[i.number], []limiter.Spent{s.Want(r)}, now)
+		if ok && len(balances) == 1 {
+			return s.Answered(r, balances[0], now, now)
+		}
+	}
+	return s.SpendAlone(r, now)
+}
+
+func (w *ledgerStrategy) tick() {
+	now := w.l.now
+	step := int(now.Sub(w.l.startedAt) / simulationStep)
+	for _, i := range w.l.instances {
+		if (step+i.number)%15 != 0 || !w.connected(i, w.leaders[i.failureDomain]) {
+			continue
+		}
+		s := w.spenders[i.number]
+		report := s.Report(now)
+		if len(report) == 0 {
+			continue
+		}
+		w.l.messages++
+		balances, ok := w.ledgers[i.failureDomain].Settle(w.reporters[i.number], report, now)
+		for _, b := range balances {
+			if ok {
+				s.Settled(b, w.l.limit, now, now)
+			}
+		}
+	}
+	if step%25 == 0 {
+		w.exchangeReports()
+	}
+}
+
+// exchangeReports has the leaders tell each other what their domains have spent.
+func (w *ledgerStrategy) exchangeReports() {
+	now := w.l.now
+	for d, from := range w.leaders {
+		report := w.ledgers[d].Report(now)
+		since, _ := w.ledgers[d].Began()
+		p := limiter.Party{Instance: from.id, Born: since.UnixNano(), Domain: fmt.Sprint("d", d), Age: now.Sub(since)}
+		for e, to := range w.leaders {
+			if e != d && w.connected(from, to) {
+				w.l.messages++
+				balances, _ := w.ledgers[e].Settle(p, report, now)
+				startedAt, _ := w.ledgers[e].Began()
+				w.ledgers[d].Adopt(balances, now.Sub(startedAt), now)
+			}
+		}
+	}
+}
+
+// An evenly is the way that gives each instance the same part.
+type evenSplit struct {
+	l     *simulation
+	level []float64
+}
+
+func newEvenSplit(l *simulation) strategy {
+	w := &evenSplit{l: l, level: make([]float64, len(l.instances))}
+	for n := range w.level {
+		w.level[n] = l.limit.Burst / float64(len(w.level))
+	}
+	return w
+}
+
+func (w *evenSplit) restart(i *instance) { w.level[i.number] = 0 }
+
+func (w *evenSplit) tick() {
+	n := float64(len(w.level))
+	for i := range w.level {
+		w.level[i] = min(w.l.limit.Burst/n, w.level[i]+w.l.limit.Rate/n*simulationStep.Seconds())
+	}
+}
+
+func (w *evenSplit) admit(i *instance, tokens int64) bool {
+	return withdraw(&w.level[i.number], tokens)
+}
+
+func withdraw(level *float64, tokens int64) bool {
+	if *level < float64(tokens) {
+		return false
+	}
+	*level -= float64(tokens)
+	return true
+}
+
+// A byDemand is the way that gives instances parts by what they were asked for lately.
+type demandSplit struct {
+	evenSplit
+
+	demand []float64
+	share  []float64
+}
+
+func newDemandSplit(l *simulation) strategy {
+	n := len(l.instances)
+	w := &demandSplit{evenSplit: *newEvenSplit(l).(*evenSplit), demand: make([]float64, n), share: make([]float64, n)}
+	for i := range w.share {
+		w.share[i] = 1 / float64(n)
+	}
+	return w
+}
+
+func (w *demandSplit) admit(i *instance, tokens int64) bool {
+	w.demand[i.number] += float64(tokens)
+	return withdraw(&w.level[i.number], tokens)
+}
+
+func (w *demandSplit) tick() {
+	decay := math.Exp(-simulationStep.Seconds() / 2)
+	for i := range w.demand {
+		w.demand[i] *= decay
+	}
+	if step := int(w.l.now.Sub(w.l.startedAt) / simulationStep); step%30 == 0 {
+		w.redistribute()
+	}
+	for i := range w.level {
+		w.level[i] = min(w.share[i]*w.l.limit.Burst, w.level[i]+w.share[i]*w.l.limit.Rate*simulationStep.Seconds())
+	}
+}
+
+// redistribute gives parts anew; who is cut off keeps its own, which the others leave to it.
+func (w *demandSplit) redistribute() {
+	all, free, n := 0.0, 1.0, 0.0
+	for _, i := range w.l.instances {
+		if w.l.now.Before(i.partitionedUntil) {
+			free -= w.share[i.number]
+			continue
+		}
+		all += w.demand[i.number]
+		n++
+	}
+	for _, i := range w.l.instances {
+		if w.l.now.Before(i.partitionedUntil) {
+			continue
+		}
+		share := 1 / n
+		if all > 0 {
+			share = 0.95*w.demand[i.number]/all + 0.05/n
+		}
+		w.share[i.number] = free * share
+		w.l.messages += 2
+	}
+}
--- a/internal/account/limiter/spender.go
+++ b/internal/account/limiter/spender.go
@@ -34,18 +34,18 @@
 
 // A spending is what one instance has spent of an account's quota.
 type accountState struct {
-	spent   int64 // tokens, less those that were given back
-	pending int64 // tokens of requests for which a Ledger is asked
-	seq     int64 // of the last update
-	lastUsed    time.Time
-	usage     meter
+	spent    int64 // tokens, less those that were given back
+	pending  int64 // tokens of requests for which a Ledger is asked
+	seq      int64 // of the last update
+	lastUsed time.Time
+	usage    meter
 	queue    retryQueue
 
-	balance Balance   // the last one
-	balanceAt      time.Time // when it came; zero for never
-	requestedAt   time.Time // when it was asked for
+	balance     Balance   // the last one
+	balanceAt   time.Time // when it came; zero for never
+	requestedAt time.Time // when it was asked for
 	othersRate  float64   // tokens a second that others spent then
-	share   float64   // of the limit, as of then
+	share       float64   // of the limit, as of then
 
 	disconnected   bucket // what is left while no Ledger is reached
 	isDisconnected bool
--- a/internal/account/limiter/spender_test.go
+++ b/internal/account/limiter/spender_test.go
@@ -71,14 +71,14 @@
 }
 
 // Guards against an instance that begins with a quota of its own after a restart.
-func TestSpenderThatWasNeverToldAdmitsNothing(t *testing.T) {
+func TestSpenderWithoutBalanceAdmitsNothing(t *testing.T) {
 	s := limiter.Spender{Instances: func() int { return 1 }}
 	if _, unknown := s.SpendAlone(request(1), start).(limiter.Unknown); !unknown {
 		t.Error("it admits a request")
 	}
 }
 
-func TestSpenderAloneHasItsShare(t *testing.T) {
+func TestDisconnectedSpenderHasItsShare(t *testing.T) {
 	s := newSpender(1000)
 	for range 40 { // all that is spent is spent here
 		s.Want(request(20))
@@ -100,7 +100,7 @@
 }
 
 // Guards against a refused request that costs its account tokens.
-func TestTokensThatAreGivenBackMayBeSpent(t *testing.T) {
+func TestReturnedTokensMayBeSpent(t *testing.T) {
 	s := newSpender(1000)
 	for range 1000 {
 		if _, ok := s.Spend(request(40), start).(limiter.Admitted); !ok {
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestAnswersThatOvertakeEachOther(t *testing.T) {
+func TestOutdatedBalanceIsIgnored(t *testing.T) {
 	s := newSpender(1000)
 	s.Settled(limiter.Balance{Account: "a", Left: 0}, request(0).Limit, at(20*time.Millisecond), at(30*time.Millisecond))
 	s.Settled(limiter.Balance{Account: "a", Left: 1000}, request(0).Limit, at(10*time.Millisecond), at(40*time.Millisecond))
@@ -123,7 +123,7 @@
 }
 
 // Guards against refused callers that come back all at once.
-func TestRefusedCallersComeBackOneAfterTheOther(t *testing.T) {
+func TestRefusedCallersGetStaggeredWaits(t *testing.T) {
 	s := newSpender(0)
 	var waits []time.Duration
 	for range 3 {
--- a/internal/account/limiter/wait.go
+++ b/internal/account/limiter/wait.go
@@ -8,7 +8,7 @@
 	// minWait and longestWait bound when a refused caller is told to come back. The
 	// shortest is more than a balance is old.
 	minWait = 200 * time.Millisecond
-	maxWait  = 10 * time.Second
+	maxWait = 10 * time.Second
 )
 
 // A line is the tokens for which refused callers were told to come back, by urgency.
--- a/internal/request/answerer/parse_test.go
+++ b/internal/request/answerer/parse_test.go
@@ -67,7 +67,7 @@
 }
 
 // The account's key and what belongs to one connection stay here.
-func TestPlainCallHidesTheKey(t *testing.T) {
+func TestPlainCallStripsKeyAndHopHeaders(t *testing.T) {
 	var c fasthttp.RequestCtx
 	c.Request.Header.Set("Authorization", "Bearer secret")
 	c.Request.Header.Set("Connection", "close")
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -141,7 +141,7 @@
 
 // A table that does not look at the conditions takes the safeguard out: the
 // check above must find requests that ran twice.
-func TestOnceCheckSeesMissingSafeguard(t *testing.T) {
+func TestAtMostOnceCheckDetectsIgnoredConditions(t *testing.T) {
 	found := 0
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -196,7 +196,7 @@
 // Two requests with one key meet in one group of claims, because another claim
 // went just before them. Joined into one transaction both would pass the same
 // check.
-func TestSameKeyInOneGroup(t *testing.T) {
+func TestSameKeyInOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t, 1, 1)
 		if err := b.claimers[0].Gather(t.Context(), tabler.Txn{Puts: []tabler.Put{{Key: "other"}}}); err != nil {
@@ -265,7 +265,7 @@
 	}
 }
 
-func TestKeyKeepsAccountsApart(t *testing.T) {
+func TestKeyDiffersByAccount(t *testing.T) {
 	if claimer.Key("a", "bc") == claimer.Key("ab", "c") {
 		t.Error("keys of two accounts meet in one row")
 	}
--- a/internal/request/claimer/gatherer_test.go
+++ b/internal/request/claimer/gatherer_test.go
@@ -27,7 +27,7 @@
 
 // However many claims come, the one who gathers for a failure domain writes 25
 // groups a second; one that comes alone does not wait.
-func TestGatherBoundsTheWrites(t *testing.T) {
+func TestBatchRateIsBounded(t *testing.T) {
 	for _, tc := range []struct{ claims, most int }{{1, 1}, {1000, 27}} {
 		t.Run(fmt.Sprint(tc.claims), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/request/quarantiner/digest_test.go
+++ b/internal/request/quarantiner/digest_test.go
@@ -14,7 +14,7 @@
 
 // Two callers' requests that differ in one part, or only in where a part ends, must not
 // pass for each other: one that crashes runners would get the other one rejected.
-func TestRequestsThatDifferHaveDigestsThatDiffer(t *testing.T) {
+func TestDifferentRequestsHaveDifferentDigests(t *testing.T) {
 	seen := make(map[quarantiner.Digest]string)
 	for _, parts := range [][4]string{
 		{"a", "POST", "/x", "body"},
--- a/internal/request/quarantiner/ledger.go
+++ b/internal/request/quarantiner/ledger.go
@@ -11,26 +11,26 @@
 type Ledger struct {
 	Limit int // crashes that are kept; 0 is defaultLimit
 
-	mu       sync.Mutex
-	suspects map[Digest]*suspect
-	held     map[Digest]time.Time // requests in quarantine, and until when
-	crashes  int                  // in all suspects
-	number   int                  // of the last change
+	mu          sync.Mutex
+	suspects    map[Digest]*suspect
+	quarantined map[Digest]time.Time // requests in quarantine, and until when
+	crashes     int                  // in all suspects
+	seq         int                  // of the last change
 
-	known atomic.Int64 // suspects, readable without the lock: none on most days
+	suspectCount atomic.Int64 // suspects, readable without the lock: none on most days
 }
 
 const (
-	// enough is how many runners crash under a request before it is not run any more. A
+	// crashThreshold is how many runners crash under a request before it is not run any more. A
 	// request that lies on two runners which crash by chance is not rare on a bad day.
-	enough = 3
+	crashThreshold = 3
 	// Memory is how long after its last crash a request is remembered.
 	Memory = 24 * time.Hour
-	// firstHold is how long a request is held after its third crash. Then it is tried
+	// firstQuarantine is how long a request is held after its third crash. Then it is tried
 	// again, as it may have been suspected wrongly; each further crash doubles the time,
 	// and after trials of them it is not tried any more for as long as it is remembered.
-	firstHold = 10 * time.Minute
-	trials    = 3
+	firstQuarantine = 10 * time.Minute
+	maxTrials       = 3
 	// defaultLimit bounds the memory of a ledger to about a megabyte.
 	defaultLimit = 4096
 )
@@ -43,16 +43,16 @@
 // An entry is one crash.
 type entry struct {
 	at      time.Time
-	ran     time.Duration
+	runTime time.Duration
 	cleared bool
-	number  int // of its last change
+	seq     int // of its last change
 }
 
-// open returns how many crashes are not cleared, apart from those of some runners, and
+// uncleared returns how many crashes are not cleared, apart from those of some runners, and
 // when the last of them was.
-func (s *suspect) open(apart map[string]bool) (crashes int, last time.Time) {
+func (s *suspect) uncleared(except map[string]bool) (crashes int, last time.Time) {
 	for runner, e := range s.crashes {
-		if e.cleared || apart[runner] {
+		if e.cleared || except[runner] {
 			continue
 		}
 		crashes++
@@ -63,19 +63,19 @@
 	return crashes, last
 }
 
-// ran returns how long the request had run at the crashes that are not cleared, in all.
-func (s *suspect) ran() time.Duration {
-	var ran time.Duration
+// runTime returns how long the request had run at the crashes that are not cleared, in all.
+func (s *suspect) runTime() time.Duration {
+	var total time.Duration
 	for _, e := range s.crashes {
 		if !e.cleared {
-			ran += e.ran
+			total += e.runTime
 		}
 	}
-	return ran
+	return total
 }
 
-// last returns when the request was suspected last.
-func (s *suspect) last() time.Time {
+// lastCrash returns when the request was suspected last.
+func (s *suspect) lastCrash() time.Time {
 	var last time.Time
 	for _, e := range s.crashes {
 		if e.at.After(last) {
@@ -86,23 +86,23 @@
 }
 
 // Take takes in words and returns those that were news.
-func (l *Ledger) Take(words []Word, now time.Time) (news []Word) {
+func (l *Ledger) Take(reports []Word, now time.Time) (changed []Word) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, w := range words {
-		if w.Age < Memory && l.take(w, now) {
-			news = append(news, w)
+	for _, w := range reports {
+		if w.Age < Memory && l.apply(w, now) {
+			changed = append(changed, w)
 		}
 	}
-	if len(news) > 0 {
-		l.shrink()
-		l.judge()
+	if len(changed) > 0 {
+		l.enforceLimit()
+		l.evaluate()
 	}
-	return news
+	return changed
 }
 
-// take takes in a word and reports whether it was news.
-func (l *Ledger) take(w Word, now time.Time) bool {
+// apply takes in a word and reports whether it was news.
+func (l *Ledger) apply(w Word, now time.Time) bool {
 	if l.suspects == nil {
 		l.suspects = make(map[Digest]*suspect)
 	}
@@ -112,35 +112,35 @@
 		l.suspects[w.Digest] = s
 	}
 	e, ok := s.crashes[w.Runner]
-	if ok && (e.cleared || !w.Cleared && w.Ran >= e.ran) {
+	if ok && (e.cleared || !w.Cleared && w.Ran >= e.runTime) {
 		return false
 	}
 	if !ok {
-		e = &entry{at: now.Add(-max(0, w.Age)), ran: w.Ran}
+		e = &entry{at: now.Add(-max(0, w.Age)), runTime: w.Ran}
 		s.crashes[w.Runner] = e
 		l.crashes++
 	}
-	l.number++
-	e.cleared, e.ran, e.number = w.Cleared, min(e.ran, w.Ran), l.number
+	l.seq++
+	e.cleared, e.runTime, e.seq = w.Cleared, min(e.runTime, w.Ran), l.seq
 	return true
 }
 
 // Clear clears a request that has run whole of all its crashes so far, and returns the
 // words that tell of it.
 func (l *Ledger) Clear(d Digest, now time.Time) []Word {
-	words := l.Open(d, now)
-	if len(words) == 0 {
+	reports := l.Open(d, now)
+	if len(reports) == 0 {
 		return nil
 	}
-	for i := range words {
-		words[i].Cleared = true
+	for i := range reports {
+		reports[i].Cleared = true
 	}
-	return l.Take(words, now)
+	return l.Take(reports, now)
 }
 
 // Open returns the crashes of a request that are not cleared.
 func (l *Ledger) Open(d Digest, now time.Time) []Word {
-	if l.known.Load() == 0 {
+	if l.suspectCount.Load() == 0 {
 		return nil
 	}
 	l.mu.Lock()
@@ -149,13 +149,13 @@
 	if !ok {
 		return nil
 	}
-	var words []Word
+	var reports []Word
 	for runner, e := range s.crashes {
 		if !e.cleared {
-			words = append(words, e.word(d, runner, now))
+			reports = append(reports, e.report(d, runner, now))
 		}
 	}
-	return words
+	return reports
 }
 
 // Word returns what is known of a crash; ok is false if nothing is.
@@ -170,55 +170,55 @@
 	if !ok {
 		return Word{}, false
 	}
-	return e.word(c.Digest, c.Runner, now), true
+	return e.report(c.Digest, c.Runner, now), true
 }
 
-func (e *entry) word(d Digest, runner string, now time.Time) Word {
-	return Word{Digest: d, Runner: runner, Age: now.Sub(e.at).Round(time.Millisecond), Ran: e.ran, Cleared: e.cleared}
+func (e *entry) report(d Digest, runner string, now time.Time) Word {
+	return Word{Digest: d, Runner: runner, Age: now.Sub(e.at).Round(time.Millisecond), Ran: e.runTime, Cleared: e.cleared}
 }
 
 // Held reports whether a request is in quarantine, and for how long yet.
 func (l *Ledger) Held(d Digest, now time.Time) (left time.Duration, held bool) {
-	if l.known.Load() == 0 {
+	if l.suspectCount.Load() == 0 {
 		return 0, false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	until, held := l.held[d]
+	until, held := l.quarantined[d]
 	return until.Sub(now), held && now.Before(until)
 }
 
 // Empty reports whether nothing is suspected.
-func (l *Ledger) Empty() bool { return l.known.Load() == 0 }
+func (l *Ledger) Empty() bool { return l.suspectCount.Load() == 0 }
 
 // Since returns what has changed since a number, and the number to go on from. Nothing
 // has a number below 1.
-func (l *Ledger) Since(number int, now time.Time) (words []Word, next int) {
+func (l *Ledger) Since(after int, now time.Time) (reports []Word, next int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if number == l.number {
-		return nil, number
+	if after == l.seq {
+		return nil, after
 	}
 	for d, s := range l.suspects {
 		for runner, e := range s.crashes {
-			if e.number > number {
-				words = append(words, e.word(d, runner, now))
+			if e.seq > after {
+				reports = append(reports, e.report(d, runner, now))
 			}
 		}
 	}
-	return words, l.number
+	return reports, l.seq
 }
 
 // Expire forgets what is too old, and returns it.
 func (l *Ledger) Expire(now time.Time) []Crash {
-	if l.known.Load() == 0 {
+	if l.suspectCount.Load() == 0 {
 		return nil
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var old []Crash
 	for d, s := range l.suspects {
-		if now.Sub(s.last()) < Memory {
+		if now.Sub(s.lastCrash()) < Memory {
 			continue
 		}
 		for runner := range s.crashes {
@@ -227,7 +227,7 @@
 		l.drop(d)
 	}
 	if len(old) > 0 {
-		l.judge()
+		l.evaluate()
 	}
 	return old
 }
@@ -250,8 +250,8 @@
 	defer l.mu.Unlock()
 	var cases []Case
 	for d, s := range l.suspects {
-		if crashes, _ := s.open(nil); crashes > 0 {
-			cases = append(cases, Case{Digest: d, Crashes: crashes, Until: l.held[d]})
+		if crashes, _ := s.uncleared(nil); crashes > 0 {
+			cases = append(cases, Case{Digest: d, Crashes: crashes, Until: l.quarantined[d]})
 		}
 	}
 	return cases
--- a/internal/request/quarantiner/ledger_test.go
+++ b/internal/request/quarantiner/ledger_test.go
@@ -31,56 +31,56 @@
 	// whole false
 }
 
-// crashes returns words of a request that was on some runners as they crashed.
-func crashes(d quarantiner.Digest, runners ...string) []quarantiner.Word {
-	var words []quarantiner.Word
+// crashReports returns words of a request that was on some runners as they crashed.
+func crashReports(d quarantiner.Digest, runners ...string) []quarantiner.Word {
+	var reports []quarantiner.Word
 	for _, r := range runners {
-		words = append(words, quarantiner.Word{Digest: d, Runner: r})
+		reports = append(reports, quarantiner.Word{Digest: d, Runner: r})
 	}
-	return words
+	return reports
 }
 
-func ran(words []quarantiner.Word, d time.Duration) []quarantiner.Word {
-	for i := range words {
-		words[i].Ran = d
+func withRunTime(reports []quarantiner.Word, d time.Duration) []quarantiner.Word {
+	for i := range reports {
+		reports[i].Ran = d
 	}
-	return words
+	return reports
 }
 
 // A caller's request ran on runners that crashed under somebody else's, or by chance. It
 // must be served; and the one that crashed them must not, however its crashes became
 // known.
-func TestWhoIsHeld(t *testing.T) {
+func TestQuarantinedRequests(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		words [][]quarantiner.Word
-		clear map[int]quarantiner.Digest // before the words of that number
-		want  []quarantiner.Digest
+		name    string
+		reports [][]quarantiner.Word
+		clear   map[int]quarantiner.Digest // before the words of that number
+		want    []quarantiner.Digest
 	}{
-		{"two crashes", [][]quarantiner.Word{crashes("p", "a", "b")}, nil, nil},
-		{"three", [][]quarantiner.Word{crashes("p", "a"), crashes("p", "b"), crashes("p", "c")}, nil, []quarantiner.Digest{"p"}},
-		{"one crash that is told three times", [][]quarantiner.Word{crashes("p", "a"), crashes("p", "a"), crashes("p", "a")}, nil, nil},
-		{"beside the culprit on two runners", [][]quarantiner.Word{crashes("p", "a", "b", "c"), crashes("i", "a", "b")}, nil, []quarantiner.Digest{"p"}},
-		{"beside the culprit on three of four", [][]quarantiner.Word{crashes("p", "a", "b", "c", "d"), crashes("i", "a", "b", "c")}, nil, []quarantiner.Digest{"p"}},
-		{"the same, told the other way round", [][]quarantiner.Word{crashes("i", "a", "b", "c"), crashes("p", "d", "c", "b", "a")}, nil, []quarantiner.Digest{"p"}},
-		{"on three runners alike, and had run for longer", [][]quarantiner.Word{ran(crashes("i", "a", "b", "c"), time.Second), ran(crashes("p", "a", "b", "c"), time.Millisecond)}, nil, []quarantiner.Digest{"p"}},
-		{"on three runners alike, and had run for a shorter time", [][]quarantiner.Word{ran(crashes("i", "a", "b", "c"), time.Millisecond), ran(crashes("p", "a", "b", "c"), time.Second)}, nil, []quarantiner.Digest{"i"}},
-		{"the same, and one crash later", [][]quarantiner.Word{ran(crashes("i", "a", "b", "c"), time.Millisecond), ran(crashes("p", "a", "b", "c", "d"), time.Second)}, nil, []quarantiner.Digest{"p"}},
-		{"two culprits on the same three runners, and later on others", [][]quarantiner.Word{crashes("p", "a", "b", "c", "d", "e", "f"), crashes("q", "a", "b", "c", "g", "h", "i")}, nil, []quarantiner.Digest{"p", "q"}},
-		{"two culprits that share a runner", [][]quarantiner.Word{crashes("p", "a", "b", "c", "d"), crashes("q", "d", "e", "f", "g")}, nil, []quarantiner.Digest{"p", "q"}},
-		{"whole after two crashes, then one", [][]quarantiner.Word{crashes("i", "a", "b"), crashes("i", "c")}, map[int]quarantiner.Digest{1: "i"}, nil},
-		{"whole after two crashes, then three", [][]quarantiner.Word{crashes("i", "a", "b"), crashes("i", "c", "d", "e")}, map[int]quarantiner.Digest{1: "i"}, []quarantiner.Digest{"i"}},
-		{"whole, and the crashes are told again", [][]quarantiner.Word{crashes("i", "a", "b", "c"), crashes("i", "a", "b", "c")}, map[int]quarantiner.Digest{1: "i"}, nil},
+		{"two crashes", [][]quarantiner.Word{crashReports("p", "a", "b")}, nil, nil},
+		{"three", [][]quarantiner.Word{crashReports("p", "a"), crashReports("p", "b"), crashReports("p", "c")}, nil, []quarantiner.Digest{"p"}},
+		{"one crash that is told three times", [][]quarantiner.Word{crashReports("p", "a"), crashReports("p", "a"), crashReports("p", "a")}, nil, nil},
+		{"beside the culprit on two runners", [][]quarantiner.Word{crashReports("p", "a", "b", "c"), crashReports("i", "a", "b")}, nil, []quarantiner.Digest{"p"}},
+		{"beside the culprit on three of four", [][]quarantiner.Word{crashReports("p", "a", "b", "c", "d"), crashReports("i", "a", "b", "c")}, nil, []quarantiner.Digest{"p"}},
+		{"the same, told the other way round", [][]quarantiner.Word{crashReports("i", "a", "b", "c"), crashReports("p", "d", "c", "b", "a")}, nil, []quarantiner.Digest{"p"}},
+		{"on three runners alike, and had run for longer", [][]quarantiner.Word{withRunTime(crashReports("i", "a", "b", "c"), time.Second), withRunTime(crashReports("p", "a", "b", "c"), time.Millisecond)}, nil, []quarantiner.Digest{"p"}},
+		{"on three runners alike, and had run for a shorter time", [][]quarantiner.Word{withRunTime(crashReports("i", "a", "b", "c"), time.Millisecond), withRunTime(crashReports("p", "a", "b", "c"), time.Second)}, nil, []quarantiner.Digest{"i"}},
+		{"the same, and one crash later", [][]quarantiner.Word{withRunTime(crashReports("i", "a", "b", "c"), time.Millisecond), withRunTime(crashReports("p", "a", "b", "c", "d"), time.Second)}, nil, []quarantiner.Digest{"p"}},
+		{"two culprits on the same three runners, and later on others", [][]quarantiner.Word{crashReports("p", "a", "b", "c", "d", "e", "f"), crashReports("q", "a", "b", "c", "g", "h", "i")}, nil, []quarantiner.Digest{"p", "q"}},
+		{"two culprits that share a runner", [][]quarantiner.Word{crashReports("p", "a", "b", "c", "d"), crashReports("q", "d", "e", "f", "g")}, nil, []quarantiner.Digest{"p", "q"}},
+		{"whole after two crashes, then one", [][]quarantiner.Word{crashReports("i", "a", "b"), crashReports("i", "c")}, map[int]quarantiner.Digest{1: "i"}, nil},
+		{"whole after two crashes, then three", [][]quarantiner.Word{crashReports("i", "a", "b"), crashReports("i", "c", "d", "e")}, map[int]quarantiner.Digest{1: "i"}, []quarantiner.Digest{"i"}},
+		{"whole, and the crashes are told again", [][]quarantiner.Word{crashReports("i", "a", "b", "c"), crashReports("i", "a", "b", "c")}, map[int]quarantiner.Digest{1: "i"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var l quarantiner.Ledger
-			for n, words := range tc.words {
+			for n, reports := range tc.reports {
 				if d, ok := tc.clear[n]; ok {
 					l.Clear(d, start)
 				}
-				l.Take(words, start)
+				l.Take(reports, start)
 			}
-			if diff := cmp.Diff(tc.want, heldBy(&l, start), sorted); diff != "" {
+			if diff := cmp.Diff(tc.want, quarantinedBy(&l, start), sorted); diff != "" {
 				t.Error(diff)
 			}
 		})
@@ -89,7 +89,7 @@
 
 var sorted = cmpopts.SortSlices(func(a, b quarantiner.Digest) bool { return a < b })
 
-func heldBy(l *quarantiner.Ledger, now time.Time) []quarantiner.Digest {
+func quarantinedBy(l *quarantiner.Ledger, now time.Time) []quarantiner.Digest {
 	var held []quarantiner.Digest
 	for _, c := range l.Cases() {
 		if _, is := l.Held(c.Digest, now); is {
@@ -102,27 +102,27 @@
 // Instances hear of the same crashes in different orders, some of them twice. They must
 // come to the same verdicts, or callers would be refused at one and crash runners at
 // another.
-func TestVerdictsDoNotDependOnTheOrder(t *testing.T) {
+func TestQuarantineDoesNotDependOnReportOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var words []quarantiner.Word
+		var reports []quarantiner.Word
 		for range 5 + rng.IntN(60) {
-			words = append(words, quarantiner.Word{
+			reports = append(reports, quarantiner.Word{
 				Digest: quarantiner.Digest(fmt.Sprint("d", rng.IntN(6))), Runner: fmt.Sprint("r", rng.IntN(8)), Ran: time.Duration(rng.IntN(3)) * time.Second, Cleared: rng.IntN(6) == 0,
 			})
 		}
 		var verdicts [2][]quarantiner.Digest
 		for i := range verdicts {
 			var l quarantiner.Ledger
-			rng.Shuffle(len(words), func(a, b int) { words[a], words[b] = words[b], words[a] })
-			for _, w := range words {
+			rng.Shuffle(len(reports), func(a, b int) { reports[a], reports[b] = reports[b], reports[a] })
+			for _, w := range reports {
 				l.Take([]quarantiner.Word{w}, start)
 				if rng.IntN(4) == 0 {
-					l.Take([]quarantiner.Word{words[rng.IntN(len(words))]}, start)
+					l.Take([]quarantiner.Word{reports[rng.IntN(len(reports))]}, start)
 				}
 			}
-			l.Take(words, start)
-			verdicts[i] = heldBy(&l, start)
+			l.Take(reports, start)
+			verdicts[i] = quarantinedBy(&l, start)
 		}
 		if diff := cmp.Diff(verdicts[0], verdicts[1], sorted, cmpopts.EquateEmpty()); diff != "" {
 			t.Errorf("seed %d: %s", seed, diff)
@@ -132,10 +132,10 @@
 
 // A request is rejected that may have been suspected wrongly. Its caller must be able to
 // come back, and one that does crash runners must not cost more than three runners more.
-func TestHeldRequestIsTriedAgainThreeTimes(t *testing.T) {
+func TestQuarantinedRequestIsRetriedThreeTimes(t *testing.T) {
 	var l quarantiner.Ledger
 	now := start
-	l.Take(crashes("p", "a", "b", "c"), now)
+	l.Take(crashReports("p", "a", "b", "c"), now)
 	var waits []time.Duration
 	for n := range 4 {
 		left, held := l.Held("p", now)
@@ -147,7 +147,7 @@
 		if _, held := l.Held("p", now); held {
 			t.Fatalf("held for longer than was said")
 		}
-		l.Take(crashes("p", fmt.Sprint("t", n)), now)
+		l.Take(crashReports("p", fmt.Sprint("t", n)), now)
 	}
 	want := []time.Duration{10 * time.Minute, 20 * time.Minute, 40 * time.Minute, 24 * time.Hour}
 	if diff := cmp.Diff(want, waits); diff != "" {
@@ -157,36 +157,36 @@
 
 // A caller sends many different requests that crash runners. It must not be able to
 // push out what is held, nor to take memory without a bound.
-func TestManyDifferentSuspectsPushOutNobodyWhoIsHeld(t *testing.T) {
+func TestManySuspectsDoNotEvictQuarantinedRequest(t *testing.T) {
 	l := quarantiner.Ledger{Limit: 100}
-	l.Take(crashes("p", "a", "b", "c"), start)
+	l.Take(crashReports("p", "a", "b", "c"), start)
 	for n := range 1000 {
-		l.Take(crashes(quarantiner.Digest(fmt.Sprint("s", n)), fmt.Sprint("r", n), fmt.Sprint("t", n)), start.Add(time.Duration(n)*time.Second))
+		l.Take(crashReports(quarantiner.Digest(fmt.Sprint("s", n)), fmt.Sprint("r", n), fmt.Sprint("t", n)), start.Add(time.Duration(n)*time.Second))
 	}
 	if _, held := l.Held("p", start.Add(time.Second)); !held {
 		t.Error("pushed out")
 	}
-	if words, _ := l.Since(0, start); len(words) > 100 {
-		t.Errorf("%d crashes are kept, the limit is 100", len(words))
+	if reports, _ := l.Since(0, start); len(reports) > 100 {
+		t.Errorf("%d crashes are kept, the limit is 100", len(reports))
 	}
 }
 
 // An instance tells another one what it knows. What has changed must be told once,
 // and what is told must be enough.
-func TestWhatHasChangedIsTold(t *testing.T) {
+func TestSinceReturnsEachChangeOnce(t *testing.T) {
 	var from, to quarantiner.Ledger
-	number := 0
-	tell := func() int {
-		var words []quarantiner.Word
-		words, number = from.Since(number, start)
-		to.Take(words, start)
-		return len(words)
-	}
-	from.Take(crashes("p", "a", "b", "c"), start)
-	from.Take(crashes("i", "a"), start)
-	counts := []int{tell(), tell()}
+	seq := 0
+	publish := func() int {
+		var reports []quarantiner.Word
+		reports, seq = from.Since(seq, start)
+		to.Take(reports, start)
+		return len(reports)
+	}
+	from.Take(crashReports("p", "a", "b", "c"), start)
+	from.Take(crashReports("i", "a"), start)
+	counts := []int{publish(), publish()}
 	from.Clear("i", start)
-	counts = append(counts, tell(), tell())
+	counts = append(counts, publish(), publish())
 	if diff := cmp.Diff([]int{4, 0, 1, 0}, counts); diff != "" {
 		t.Error(diff)
 	}
@@ -198,7 +198,7 @@
 // A crash of long ago is forgotten, and what is told late of it changes nothing.
 func TestOldCrashesAreForgotten(t *testing.T) {
 	var l quarantiner.Ledger
-	l.Take(crashes("p", "a", "b", "c"), start)
+	l.Take(crashReports("p", "a", "b", "c"), start)
 	later := start.Add(25 * time.Hour)
 	if got := len(l.Expire(later)); got != 3 || !l.Empty() {
 		t.Errorf("%d of 3 crashes forgotten", got)
@@ -215,18 +215,18 @@
 	full := func() *quarantiner.Ledger {
 		var l quarantiner.Ledger
 		for n := range 4096 {
-			l.Take(crashes(quarantiner.Digest(fmt.Sprint("d", n)), "r"), start)
+			l.Take(crashReports(quarantiner.Digest(fmt.Sprint("d", n)), "r"), start)
 		}
 		return &l
 	}
 	b.Run("take", func(b *testing.B) {
 		l := full()
 		for n := 0; b.Loop(); n++ {
-			var words []quarantiner.Word
+			var reports []quarantiner.Word
 			for i := range 64 {
-				words = append(words, quarantiner.Word{Digest: quarantiner.Digest(fmt.Sprint("s", n, i)), Runner: "r"})
+				reports = append(reports, quarantiner.Word{Digest: quarantiner.Digest(fmt.Sprint("s", n, i)), Runner: "r"})
 			}
-			l.Take(words, start)
+			l.Take(reports, start)
 		}
 	})
 	b.Run("held", func(b *testing.B) {
