--- a/internal/request/answerer/answerer.go
+++ b/internal/request/answerer/answerer.go
@@ -87,33 +87,33 @@
 }
 
 func (a *Answerer) models(c *fasthttp.RequestCtx) {
-	force, who, err := a.caller(c)
+	force, caller, err := a.authenticate(c)
 	if err != nil {
 		a.refuse(c, err)
 		return
 	}
-	writeModels(c, force, who.Account)
+	writeModels(c, force, caller.Account)
 }
 
 func (a *Answerer) plain(c *fasthttp.RequestCtx) {
 	a.serve(c, parsePlain)
 }
 
-// caller finds out whose request it is.
-func (a *Answerer) caller(c *fasthttp.RequestCtx) (*resolver.Resolver, resolver.Caller, *judge.Error) {
+// authenticate finds out whose request it is.
+func (a *Answerer) authenticate(c *fasthttp.RequestCtx) (*resolver.Resolver, resolver.Caller, *judge.Error) {
 	force := a.Force()
 	if force == nil {
 		return nil, resolver.Caller{}, judge.Refuse(judge.ReasonStarting, "no settings are in force here yet").After(time.Second)
 	}
-	who, ok := force.Caller(bearer(c))
+	caller, ok := force.Caller(bearer(c))
 	if !ok {
 		return nil, resolver.Caller{}, judge.Refuse(judge.ReasonAuth, "the key in the Authorization header belongs to no account")
 	}
-	return force, who, nil
+	return force, caller, nil
 }
 
-// enter counts a request in, or refuses it.
-func (a *Answerer) enter(account string, limit int) *judge.Error {
+// acquire counts a request in, or refuses it.
+func (a *Answerer) acquire(account string, limit int) *judge.Error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.Stopping() {
@@ -129,7 +129,7 @@
 	return nil
 }
 
-func (a *Answerer) leave(account string) {
+func (a *Answerer) release(account string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.open[account]--
@@ -140,18 +140,18 @@
 
 // serve takes one request from its bytes to its answer.
 func (a *Answerer) serve(c *fasthttp.RequestCtx, parse parseFunc) {
-	force, who, refusal := a.caller(c)
+	force, caller, refusal := a.authenticate(c)
 	if refusal != nil {
 		a.refuse(c, refusal)
 		return
 	}
-	call, values, refusal := a.read(c, force, who, parse)
+	call, values, refusal := a.read(c, force, caller, parse)
 	if refusal != nil {
 		a.refuse(c, refusal)
 		return
 	}
 	c.Response.Header.Set(HeaderRequest, call.ID)
-	if refusal := a.enter(call.Account, values.Streams); refusal != nil {
+	if refusal := a.acquire(call.Account, values.Streams); refusal != nil {
 		a.refuse(c, refusal)
 		return
 	}
@@ -161,8 +161,8 @@
 	p.write(c)
 }
 
-func (a *Answerer) read(c *fasthttp.RequestCtx, force *resolver.Resolver, who resolver.Caller, parse parseFunc) (*streamer.Call, resolver.Effective, *judge.Error) {
-	call := &streamer.Call{ID: a.Token(), Account: who.Account, Desk: who.Desk}
+func (a *Answerer) read(c *fasthttp.RequestCtx, force *resolver.Resolver, caller resolver.Caller, parse parseFunc) (*streamer.Call, resolver.Effective, *judge.Error) {
+	call := &streamer.Call{ID: a.Token(), Account: caller.Account, Desk: caller.Desk}
 	if refusal := parse(c, force, call); refusal != nil {
 		return nil, resolver.Effective{}, refusal
 	}
@@ -186,13 +186,13 @@
 	a.Metrics.GetOrCreateCounter(`sardinetiller_refusals_total{reason="` + string(err.Reason) + `",verdict="` + string(err.Verdict) + `"}`).Inc()
 }
 
-func (a *Answerer) logged(call *streamer.Call, err error, began time.Time) {
+func (a *Answerer) logAnswered(call *streamer.Call, err error, startedAt time.Time) {
 	logger := level.Debug(a.Logger)
 	if err != nil {
 		logger = level.Info(a.Logger)
 	}
 	_ = logger.Log("msg", "answered", "request", call.ID, "account", call.Account, "adapter", call.Adapter,
-		"service", call.Service, "took", time.Since(began), "err", err)
+		"service", call.Service, "took", time.Since(startedAt), "err", err)
 }
 
 func writeModels(c *fasthttp.RequestCtx, force *resolver.Resolver, account string) {
--- a/internal/request/answerer/parse.go
+++ b/internal/request/answerer/parse.go
@@ -20,13 +20,13 @@
 
 // The bounds of what a header may say.
 const (
-	keyLimit      = 255
-	priorityLimit = 10
+	maxKeyLength = 255
+	maxPriority  = 10
 )
 
-// hidden are the headers of a plain call that end here: the account's key must
+// strippedHeaders are the headers of a plain call that end here: the account's key must
 // not reach a service, and the others belong to one connection.
-var hidden = map[string]bool{
+var strippedHeaders = map[string]bool{
 	"authorization": true, "connection": true, "content-length": true, "host": true,
 	"keep-alive": true, "te": true, "trailer": true, "transfer-encoding": true, "upgrade": true,
 }
@@ -72,7 +72,7 @@
 	call.Body = bytes.Clone(c.PostBody())
 	call.Header = make(map[string]string)
 	for key, value := range c.Request.Header.All() {
-		if !hidden[strings.ToLower(string(key))] {
+		if !strippedHeaders[strings.ToLower(string(key))] {
 			call.Header[string(key)] = string(value)
 		}
 	}
@@ -88,8 +88,8 @@
 	call.Left = left
 	call.Deadline = time.Now().Add(left)
 	call.Key = string(c.Request.Header.Peek(HeaderKey))
-	if len(call.Key) > keyLimit {
-		return judge.Refuse(judge.ReasonHeader, "%s has %d bytes, at most %d are allowed", HeaderKey, len(call.Key), keyLimit)
+	if len(call.Key) > maxKeyLength {
+		return judge.Refuse(judge.ReasonHeader, "%s has %d bytes, at most %d are allowed", HeaderKey, len(call.Key), maxKeyLength)
 	}
 	if call.Once, refusal = parseOnce(c); refusal != nil {
 		return refusal
@@ -98,9 +98,9 @@
 }
 
 // parseDeadline reads a duration such as 2.5s or a number of seconds.
-func parseDeadline(text string, otherwise time.Duration) (time.Duration, *judge.Error) {
+func parseDeadline(text string, fallback time.Duration) (time.Duration, *judge.Error) {
 	if text == "" {
-		return otherwise, nil
+		return fallback, nil
 	}
 	if _, err := strconv.ParseFloat(text, 64); err == nil {
 		text += "s"
@@ -134,8 +134,8 @@
 		return nil
 	}
 	priority, err := strconv.Atoi(text)
-	if err != nil || priority < -priorityLimit || priority > priorityLimit {
-		return judge.Refuse(judge.ReasonHeader, "%s is %q; write a number from -%d to %d", HeaderPriority, text, priorityLimit, priorityLimit)
+	if err != nil || priority < -maxPriority || priority > maxPriority {
+		return judge.Refuse(judge.ReasonHeader, "%s is %q; write a number from -%d to %d", HeaderPriority, text, maxPriority, maxPriority)
 	}
 	call.Priority = priority
 	return nil
--- a/internal/request/answerer/pipe.go
+++ b/internal/request/answerer/pipe.go
@@ -18,38 +18,38 @@
 // dispatch puts parts in; the writer takes them out at its caller's pace, and
 // its end ends the dispatch.
 type pipe struct {
-	answerer *Answerer
-	call     *streamer.Call
-	cancel   context.CancelFunc
-	ctx      context.Context
-	keep     time.Duration
-
-	began time.Time
-	head  chan streamer.Head
-	parts chan []byte
-	over  chan struct{} // closed when the dispatch has ended; then err is set
-	err   *judge.Error
-	kept  []byte // copy of the body for the record of a claimed request
-	first streamer.Head
+	answerer  *Answerer
+	call      *streamer.Call
+	cancel    context.CancelFunc
+	ctx       context.Context
+	retention time.Duration
+
+	startedAt time.Time
+	head      chan streamer.Head
+	parts     chan []byte
+	done      chan struct{} // closed when the dispatch has ended; then err is set
+	err       *judge.Error
+	recorded  []byte // copy of the body for the record of a claimed request
+	sentHead  streamer.Head
 }
 
-// pipeParts is how many parts may wait for a slow caller.
-const pipeParts = 64
+// maxBufferedParts is how many parts may wait for a slow caller.
+const maxBufferedParts = 64
 
-// slowWrite is how long a caller may take nothing before it counts as gone.
-const slowWrite = 30 * time.Second
+// writeTimeout is how long a caller may take nothing before it counts as gone.
+const writeTimeout = 30 * time.Second
 
-func newPipe(ctx context.Context, cancel context.CancelFunc, a *Answerer, call *streamer.Call, keep time.Duration) *pipe {
+func newPipe(ctx context.Context, cancel context.CancelFunc, a *Answerer, call *streamer.Call, retention time.Duration) *pipe {
 	return &pipe{
-		answerer: a, call: call, cancel: cancel, ctx: ctx, keep: keep, began: time.Now(),
-		head: make(chan streamer.Head, 1), parts: make(chan []byte, pipeParts), over: make(chan struct{}),
+		answerer: a, call: call, cancel: cancel, ctx: ctx, retention: retention, startedAt: time.Now(),
+		head: make(chan streamer.Head, 1), parts: make(chan []byte, maxBufferedParts), done: make(chan struct{}),
 	}
 }
 
 // Data implements streamer.Sink.
 func (p *pipe) Data(data []byte) error {
-	if p.claimed() && len(p.kept) <= keptLimit {
-		p.kept = append(p.kept, p.event(data)...)
+	if p.needsClaim() && len(p.recorded) <= maxRecordedBody {
+		p.recorded = append(p.recorded, p.event(data)...)
 	}
 	select {
 	case p.parts <- data:
@@ -61,17 +61,17 @@
 
 // Head implements streamer.Sink.
 func (p *pipe) Head(head streamer.Head) error {
-	p.first = head
+	p.sentHead = head
 	p.head <- head
 	return nil
 }
 
-// keptLimit bounds the copy of a body; a longer one is not kept at all.
-const keptLimit = 256 << 10
+// maxRecordedBody bounds the copy of a body; a longer one is not kept at all.
+const maxRecordedBody = 256 << 10
 
-// claimed reports whether the request must not run twice and can be known
+// needsClaim reports whether the request must not run twice and can be known
 // again.
-func (p *pipe) claimed() bool { return p.call.Once && p.call.Key != "" }
+func (p *pipe) needsClaim() bool { return p.call.Once && p.call.Key != "" }
 
 // event returns a part as it is written to the caller.
 func (p *pipe) event(data []byte) []byte {
@@ -84,11 +84,11 @@
 // run dispatches the request.
 func (p *pipe) run() {
 	err := p.dispatch()
-	p.answerer.logged(p.call, err, p.began)
+	p.answerer.logAnswered(p.call, err, p.startedAt)
 	if err != nil {
 		p.err = judge.As(err)
 	}
-	close(p.over)
+	close(p.done)
 }
 
 // finish ends the dispatch, if it still runs, and counts the request out. It is
@@ -96,15 +96,15 @@
 // that, not only for the upstream.
 func (p *pipe) finish() {
 	p.cancel()
-	p.answerer.leave(p.call.Account)
+	p.answerer.release(p.call.Account)
 }
 
 func (p *pipe) dispatch() error {
-	if !p.claimed() {
+	if !p.needsClaim() {
 		return p.answerer.Dispatcher.Dispatch(p.ctx, p.call, p)
 	}
 	digest := claimer.Digest([]byte(p.call.Service), []byte(p.call.Adapter), []byte(p.call.Method), []byte(p.call.Path), p.call.Body)
-	ticket, outcome, err := p.answerer.Claimer.Begin(p.ctx, p.call.Account, p.call.Key, digest, p.keep)
+	ticket, outcome, err := p.answerer.Claimer.Begin(p.ctx, p.call.Account, p.call.Key, digest, p.retention)
 	if err != nil {
 		return err
 	}
@@ -125,9 +125,9 @@
 		return
 	}
 	if p.call.Stream {
-		p.kept = append(p.kept, doneEvent...)
+		p.recorded = append(p.recorded, doneEvent...)
 	}
-	p.answerer.Claimer.End(ctx, ticket, &claimer.Outcome{Status: p.first.Status, Type: p.first.Type, Body: p.kept}, nil)
+	p.answerer.Claimer.End(ctx, ticket, &claimer.Outcome{Status: p.sentHead.Status, Type: p.sentHead.Type, Body: p.recorded}, nil)
 }
 
 // replay gives the caller the outcome of the first request with its key. The
@@ -147,7 +147,7 @@
 	select {
 	case head := <-p.head:
 		p.writeHead(c, head)
-	case <-p.over:
+	case <-p.done:
 		select {
 		case head := <-p.head: // it came at the same time
 			p.writeHead(c, head)
@@ -165,18 +165,18 @@
 	c.Response.Header.Set(HeaderStall, head.Stall.String())
 	if p.call.Stream {
 		conn := c.Conn()
-		c.SetBodyStreamWriter(func(w *bufio.Writer) { p.stream(w, conn) })
+		c.SetBodyStreamWriter(func(w *bufio.Writer) { p.writeStream(w, conn) })
 		return
 	}
-	p.whole(c)
+	p.writeBody(c)
 }
 
-// stream writes the parts as events. A caller that takes nothing for a while,
+// writeStream writes the parts as events. A caller that takes nothing for a while,
 // or goes away, ends the dispatch and with it the work upstream.
-func (p *pipe) stream(w *bufio.Writer, conn net.Conn) {
+func (p *pipe) writeStream(w *bufio.Writer, conn net.Conn) {
 	defer p.finish()
 	send := func(event []byte) bool {
-		_ = conn.SetWriteDeadline(time.Now().Add(slowWrite)) // fails only on a closed connection
+		_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection
 		_, err := w.Write(event)
 		return err == nil && w.Flush() == nil
 	}
@@ -187,7 +187,7 @@
 				return
 			}
 			continue
-		case <-p.over:
+		case <-p.done:
 		}
 		break
 	}
@@ -204,16 +204,16 @@
 	send([]byte(doneEvent))
 }
 
-// whole writes a body that is not a stream, once it is known to be whole.
-func (p *pipe) whole(c *fasthttp.RequestCtx) {
+// writeBody writes a body that is not a stream, once it is known to be whole.
+func (p *pipe) writeBody(c *fasthttp.RequestCtx) {
 	defer p.finish()
 	var body bytes.Buffer
-	for over := false; !over; {
+	for done := false; !done; {
 		select {
 		case part := <-p.parts:
 			body.Write(part)
-		case <-p.over:
-			over = true
+		case <-p.done:
+			done = true
 		}
 	}
 	for len(p.parts) > 0 {
--- a/internal/request/claimer/gatherer.go
+++ b/internal/request/claimer/batcher.go
@@ -12,10 +12,10 @@
 //
 // A group is carried out whole or not at all. The one that fails a check is
 // told so and the rest goes on without it.
-type gatherer struct {
-	table tabler.Table
-	every time.Duration // between groups
-	most  int           // transactions in a group
+type batcher struct {
+	table    tabler.Table
+	interval time.Duration // between groups
+	maxSize  int           // transactions in a group
 
 	queue chan *pending
 }
@@ -27,7 +27,7 @@
 }
 
 // commit hands a transaction in and returns its own outcome.
-func (g *gatherer) commit(ctx context.Context, txn tabler.Txn) error {
+func (g *batcher) commit(ctx context.Context, txn tabler.Txn) error {
 	p := &pending{txn: txn, done: make(chan error, 1)}
 	select {
 	case g.queue <- p:
@@ -44,81 +44,81 @@
 
 // run commits groups until ctx ends. A group that comes after a pause goes at
 // once; under load what arrives between two groups goes together.
-func (g *gatherer) run(ctx context.Context) {
+func (g *batcher) run(ctx context.Context) {
 	var last time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case first := <-g.queue:
-			group := g.collect(ctx, first, time.Until(last.Add(g.every)))
+			batch := g.collect(ctx, first, time.Until(last.Add(g.interval)))
 			last = time.Now()
-			go g.settle(ctx, group)
+			go g.commitBatch(ctx, batch)
 		}
 	}
 }
 
 // collect gathers what arrives within the wait, and what is there already.
-func (g *gatherer) collect(ctx context.Context, first *pending, wait time.Duration) []*pending {
-	group := []*pending{first}
+func (g *batcher) collect(ctx context.Context, first *pending, wait time.Duration) []*pending {
+	batch := []*pending{first}
 	timer := time.NewTimer(max(0, wait))
 	defer timer.Stop()
-	for len(group) < g.most {
+	for len(batch) < g.maxSize {
 		select {
 		case p := <-g.queue:
-			group = append(group, p)
+			batch = append(batch, p)
 		case <-timer.C:
-			return g.waiting(group)
+			return g.addQueued(batch)
 		case <-ctx.Done():
-			return group
+			return batch
 		}
 	}
-	return group
+	return batch
 }
 
-// waiting adds what is in the queue already.
-func (g *gatherer) waiting(group []*pending) []*pending {
-	for len(group) < g.most {
+// addQueued adds what is in the queue already.
+func (g *batcher) addQueued(batch []*pending) []*pending {
+	for len(batch) < g.maxSize {
 		select {
 		case p := <-g.queue:
-			group = append(group, p)
+			batch = append(batch, p)
 		default:
-			return group
+			return batch
 		}
 	}
-	return group
+	return batch
 }
 
-// settle commits a group, without those that conflict.
-func (g *gatherer) settle(ctx context.Context, group []*pending) {
-	for len(group) > 0 {
-		now, later := distinct(group)
-		group = append(g.attempt(ctx, now), later...)
+// commitBatch commits a group, without those that conflict.
+func (g *batcher) commitBatch(ctx context.Context, batch []*pending) {
+	for len(batch) > 0 {
+		now, later := splitDistinct(batch)
+		batch = append(g.tryCommit(ctx, now), later...)
 	}
 }
 
-// attempt commits transactions on distinct rows. It returns those that must be
+// tryCommit commits transactions on distinct rows. It returns those that must be
 // tried again because another one of them failed a check.
-func (g *gatherer) attempt(ctx context.Context, group []*pending) []*pending {
-	err := g.table.Commit(ctx, merge(group))
+func (g *batcher) tryCommit(ctx context.Context, batch []*pending) []*pending {
+	err := g.table.Commit(ctx, merge(batch))
 	var conflict *tabler.ConflictError
 	if errors.As(err, &conflict) {
-		if rest := without(group, conflict); len(rest) < len(group) {
+		if rest := failConflicting(batch, conflict); len(rest) < len(batch) {
 			return rest
 		}
 	}
-	for _, p := range group {
+	for _, p := range batch {
 		p.done <- err
 	}
 	return nil
 }
 
-// distinct splits off the transactions that write a row which an earlier one in
+// splitDistinct splits off the transactions that write a row which an earlier one in
 // the group writes. Joined into one transaction, two claims on one key would
 // both see their check hold, and the request would run twice.
-func distinct(group []*pending) (now, later []*pending) {
+func splitDistinct(batch []*pending) (now, later []*pending) {
 	seen := make(map[string]bool)
-	for _, p := range group {
+	for _, p := range batch {
 		clash := false
 		for _, put := range p.txn.Puts {
 			clash = clash || seen[put.Key]
@@ -134,9 +134,9 @@
 }
 
 // merge joins transactions into one.
-func merge(group []*pending) tabler.Txn {
+func merge(batch []*pending) tabler.Txn {
 	var txn tabler.Txn
-	for _, p := range group {
+	for _, p := range batch {
 		txn.Checks = append(txn.Checks, p.txn.Checks...)
 		txn.Puts = append(txn.Puts, p.txn.Puts...)
 		txn.Deletes = append(txn.Deletes, p.txn.Deletes...)
@@ -144,10 +144,10 @@
 	return txn
 }
 
-// without tells those that check the conflicting row and returns the others.
-func without(group []*pending, conflict *tabler.ConflictError) []*pending {
+// failConflicting tells those that check the conflicting row and returns the others.
+func failConflicting(batch []*pending, conflict *tabler.ConflictError) []*pending {
 	var rest []*pending
-	for _, p := range group {
+	for _, p := range batch {
 		if checks(p.txn, conflict.Key) {
 			p.done <- conflict
 			continue
--- a/internal/request/claimer/gatherer_test.go
+++ b/internal/request/claimer/batcher_test.go
@@ -36,7 +36,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				go c.Run(ctx)
 				synctest.Wait()
-				began := time.Now()
+				startedAt := time.Now()
 				var all sync.WaitGroup
 				for i := range tc.claims {
 					all.Go(func() {
@@ -50,9 +50,9 @@
 				}
 				all.Wait()
 				if n := table.commits.Load(); n > int64(tc.most) {
-					t.Errorf("%d transactions for %d claims in %s, want at most %d", n, tc.claims, time.Since(began), tc.most)
+					t.Errorf("%d transactions for %d claims in %s, want at most %d", n, tc.claims, time.Since(startedAt), tc.most)
 				}
-				if took := time.Since(began); tc.claims == 1 && took > 6*time.Millisecond {
+				if took := time.Since(startedAt); tc.claims == 1 && took > 6*time.Millisecond {
 					t.Errorf("a single claim took %s", took)
 				}
 				cancel()
--- a/internal/request/claimer/claim.go
+++ b/internal/request/claimer/claim.go
@@ -23,11 +23,11 @@
 //sumtype:decl
 type Decision interface{ decision() }
 
-// Differ means that the same key came with another request.
-type Differ struct{}
+// Mismatch means that the same key came with another request.
+type Mismatch struct{}
 
-// Doubt means that the first request may have run and nobody will tell.
-type Doubt struct{}
+// Indeterminate means that the first request may have run and nobody will tell.
+type Indeterminate struct{}
 
 // Expired means that the claim counts no more and may be replaced.
 type Expired struct{}
@@ -35,14 +35,14 @@
 // Replay means that the first request's outcome is there.
 type Replay struct{ Claim Claim }
 
-// Wait means that the first request runs.
-type Wait struct{}
+// InProgress means that the first request runs.
+type InProgress struct{}
 
-func (Differ) decision()  {}
-func (Doubt) decision()   {}
-func (Expired) decision() {}
-func (Replay) decision()  {}
-func (Wait) decision()    {}
+func (Mismatch) decision()      {}
+func (Indeterminate) decision() {}
+func (Expired) decision()       {}
+func (Replay) decision()        {}
+func (InProgress) decision()    {}
 
 // Decide returns what a claim means for a newcomer with the same key.
 func Decide(c Claim, request string, now time.Time, gone func(claimant string) bool) Decision {
@@ -50,13 +50,13 @@
 	case now.After(c.Until):
 		return Expired{}
 	case c.Request != request:
-		return Differ{}
+		return Mismatch{}
 	case c.Ended && c.Object != "":
 		return Replay{Claim: c}
 	case c.Ended, gone(c.Claimant):
-		return Doubt{}
+		return Indeterminate{}
 	default:
-		return Wait{}
+		return InProgress{}
 	}
 }
 
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -22,24 +22,24 @@
 	Table tabler.Table
 	Token func() string
 
-	gather   *gatherer
-	mu       sync.Mutex
-	active   map[string]bool  // tokens of requests that run here, or ran and are on no other record
-	ends     map[string]Claim // by row, ended claims that could not be written yet
-	owed     map[string]debt  // by row
-	started  sync.Once
-	expiring map[string]time.Time // own rows to delete
+	batcher       *batcher
+	mu            sync.Mutex
+	active        map[string]bool       // tokens of requests that run here, or ran and are on no other record
+	unwrittenEnds map[string]Claim      // by row, ended claims that could not be written yet
+	withdrawals   map[string]withdrawal // by row
+	started       sync.Once
+	expiring      map[string]time.Time // own rows to delete
 }
 
 const (
-	gatherEvery = 40 * time.Millisecond // so that a domain writes 25 groups a second at most
-	gatherMost  = 256
-	claimTime   = 3 * time.Second // for writing one claim
-	pollFirst   = 50 * time.Millisecond
-	pollLast    = time.Second
-	tidyEvery   = time.Second
-	lateWrite   = 30 * time.Second // after which a write whose answer was lost is not expected any more
-	outcomeSize = 256 << 10        // largest body that is kept, in bytes
+	batchInterval    = 40 * time.Millisecond // so that a domain writes 25 groups a second at most
+	maxBatch         = 256
+	claimTimeout     = 3 * time.Second // for writing one claim
+	minPoll          = 50 * time.Millisecond
+	maxPoll          = time.Second
+	cleanUpInterval  = time.Second
+	lateWriteTimeout = 30 * time.Second // after which a write whose answer was lost is not expected any more
+	maxOutcomeSize   = 256 << 10        // largest body that is kept, in bytes
 )
 
 // A Ticket is a claim that this instance holds for one request.
@@ -61,20 +61,20 @@
 	t := &Ticket{row: Key(account, key), claim: Claim{
 		Token: c.Token(), Claimant: c.Self, Request: request, Until: time.Now().Add(keep),
 	}}
-	wait := pollFirst
+	wait := minPoll
 	for {
 		err := c.claim(ctx, t)
 		var conflict *tabler.ConflictError
 		if !errors.As(err, &conflict) {
 			if err != nil {
-				c.forget(t)
+				c.deactivate(t)
 				return nil, nil, err
 			}
 			return t, nil, nil
 		}
-		outcome, again, err := c.existing(ctx, t)
+		outcome, again, err := c.resolveExisting(ctx, t)
 		if err != nil || outcome != nil {
-			c.forget(t)
+			c.deactivate(t)
 			return nil, outcome, err
 		}
 		if again {
@@ -82,11 +82,11 @@
 		}
 		select {
 		case <-ctx.Done():
-			c.forget(t)
+			c.deactivate(t)
 			return nil, nil, duplicate("the first request with this key still runs")
 		case <-time.After(wait):
 		}
-		wait = min(2*wait, pollLast)
+		wait = min(2*wait, maxPoll)
 	}
 }
 
@@ -95,23 +95,23 @@
 // record as such.
 func (c *Claimer) End(ctx context.Context, t *Ticket, outcome *Outcome, failure *judge.Error) {
 	if failure != nil && failure.Verdict == judge.NotRun {
-		c.forget(t)
-		c.owe(t)
+		c.deactivate(t)
+		c.scheduleWithdrawal(t)
 		return
 	}
 	claim := t.claim
 	claim.Ended = true
-	if outcome != nil && len(outcome.Body) <= outcomeSize {
+	if outcome != nil && len(outcome.Body) <= maxOutcomeSize {
 		claim.Status = outcome.Status
 		claim.Type = outcome.Type
-		claim.Object = c.keep(ctx, t, outcome)
+		claim.Object = c.storeBody(ctx, t, outcome)
 	}
 	err := c.put(ctx, t.row, claim, nil)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.expiring[t.row] = claim.Until
 	if err != nil {
-		c.ends[t.row] = claim
+		c.unwrittenEnds[t.row] = claim
 		return
 	}
 	delete(c.active, claim.Token)
@@ -122,22 +122,22 @@
 // lease: the table's checks decide, whoever writes.
 func (c *Claimer) Gather(ctx context.Context, txn tabler.Txn) error {
 	c.init()
-	return c.gather.commit(ctx, txn)
+	return c.batcher.commit(ctx, txn)
 }
 
 // Run commits groups and settles what is owed until ctx ends.
 func (c *Claimer) Run(ctx context.Context) {
 	c.init()
-	go c.gather.run(ctx)
-	repeater.Every(ctx, tidyEvery, nil, func() { c.tidy(ctx, time.Now()) })
+	go c.batcher.run(ctx)
+	repeater.Every(ctx, cleanUpInterval, nil, func() { c.cleanUp(ctx, time.Now()) })
 }
 
 func (c *Claimer) init() {
 	c.started.Do(func() {
-		c.gather = &gatherer{table: c.Table, every: gatherEvery, most: gatherMost, queue: make(chan *pending, gatherMost)}
+		c.batcher = &batcher{table: c.Table, interval: batchInterval, maxSize: maxBatch, queue: make(chan *pending, maxBatch)}
 		c.active = make(map[string]bool)
-		c.ends = make(map[string]Claim)
-		c.owed = make(map[string]debt)
+		c.unwrittenEnds = make(map[string]Claim)
+		c.withdrawals = make(map[string]withdrawal)
 		c.expiring = make(map[string]time.Time)
 	})
 }
@@ -149,7 +149,7 @@
 	c.mu.Lock()
 	c.active[t.claim.Token] = true
 	c.mu.Unlock()
-	bounded, cancel := context.WithTimeout(ctx, claimTime)
+	bounded, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
 	err := c.put(bounded, t.row, t.claim, &tabler.Check{Key: t.row})
 	var conflict *tabler.ConflictError
@@ -160,15 +160,15 @@
 	case errors.As(err, &conflict):
 		return err
 	case errors.As(err, &unknown):
-		return c.settle(ctx, t)
+		return c.confirm(ctx, t)
 	default:
 		return judge.Refuse(judge.ReasonClaim, "the claim could not be written: %v", err).After(time.Second)
 	}
 }
 
-// existing decides on a claim that is already there. It returns the outcome to
+// resolveExisting decides on a claim that is already there. It returns the outcome to
 // replay, or whether to claim again at once.
-func (c *Claimer) existing(ctx context.Context, t *Ticket) (*Outcome, bool, error) {
+func (c *Claimer) resolveExisting(ctx context.Context, t *Ticket) (*Outcome, bool, error) {
 	claim, version, err := c.read(ctx, t.row)
 	if err != nil {
 		return nil, false, judge.Refuse(judge.ReasonClaim, "the claim could not be read: %v", err).After(time.Second)
@@ -177,20 +177,20 @@
 		return nil, true, nil // withdrawn meanwhile
 	}
 	if claim.Claimant == c.Self && !claim.Ended && !c.running(claim.Token) {
-		c.withdraw(ctx, t.row, debt{token: claim.Token}) // left by a write that was given up on
+		c.withdraw(ctx, t.row, withdrawal{token: claim.Token}) // left by a write that was given up on
 		return nil, true, nil
 	}
 	switch decision := Decide(claim, t.claim.Request, time.Now(), c.Gone).(type) {
-	case Differ:
+	case Mismatch:
 		return nil, false, judge.Refuse(judge.ReasonDuplicate, "the key was used for another request; use a new key")
-	case Doubt:
+	case Indeterminate:
 		return nil, false, duplicate("an earlier request with this key may have run and its outcome is not known")
 	case Expired:
-		c.withdraw(ctx, t.row, debt{token: claim.Token})
+		c.withdraw(ctx, t.row, withdrawal{token: claim.Token})
 		return nil, true, nil
 	case Replay:
 		return c.replay(ctx, decision.Claim)
-	case Wait:
+	case InProgress:
 		return nil, false, nil
 	default:
 		panic("claimer: unknown decision")
@@ -205,15 +205,15 @@
 	return &Outcome{Status: claim.Status, Type: claim.Type, Body: body}, false, nil
 }
 
-// forget notes that a request does not run here any more.
-func (c *Claimer) forget(t *Ticket) {
+// deactivate notes that a request does not run here any more.
+func (c *Claimer) deactivate(t *Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.active, t.claim.Token)
 }
 
-// keep stores the body of an outcome and returns its key, empty on failure.
-func (c *Claimer) keep(ctx context.Context, t *Ticket, outcome *Outcome) string {
+// storeBody stores the body of an outcome and returns its key, empty on failure.
+func (c *Claimer) storeBody(ctx context.Context, t *Ticket, outcome *Outcome) string {
 	key := "outcome/" + t.claim.Token
 	if err := c.Store.Put(ctx, key, outcome.Body); err != nil {
 		return ""
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -19,10 +19,10 @@
 
 // A badTable fails as a platform does: it is down for a while, loses answers
 // after the write, and lets some writes take effect late.
-type badTable struct {
+type faultyTable struct {
 	tabler.Memory
-	blind bool // does not look at the conditions
-	down  atomic.Bool
+	ignoresChecks bool // does not look at the conditions
+	down          atomic.Bool
 
 	mu     sync.Mutex
 	late   float64
@@ -30,26 +30,26 @@
 	random *rand.Rand
 }
 
-// draw decides the fate of one write.
-func (b *badTable) draw() (late, lost bool) {
+// drawFault decides the fate of one write.
+func (b *faultyTable) drawFault() (late, lost bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.random.Float64() < b.late, b.random.Float64() < b.lose
 }
 
-func (b *badTable) set(late, lose float64) {
+func (b *faultyTable) setFaults(late, lose float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.late = late
 	b.lose = lose
 }
 
-func (b *badTable) Commit(ctx context.Context, txn tabler.Txn) error {
+func (b *faultyTable) Commit(ctx context.Context, txn tabler.Txn) error {
 	time.Sleep(2 * time.Millisecond)
-	if b.blind {
+	if b.ignoresChecks {
 		txn.Checks = nil
 	}
-	late, lose := b.draw()
+	late, lose := b.drawFault()
 	lost := &tabler.UnknownError{Err: errors.New("answer lost")}
 	switch {
 	case b.down.Load():
@@ -65,7 +65,7 @@
 	return err
 }
 
-func (b *badTable) Get(ctx context.Context, key string) (tabler.Row, error) {
+func (b *faultyTable) Get(ctx context.Context, key string) (tabler.Row, error) {
 	time.Sleep(2 * time.Millisecond)
 	if b.down.Load() {
 		return tabler.Row{}, &tabler.UnavailableError{Err: errors.New("down")}
@@ -74,22 +74,22 @@
 }
 
 // A bench is several instances before one table, and a count of what ran.
-type bench struct {
+type cluster struct {
 	claimers []*claimer.Claimer
 	gone     sync.Map // incarnation
 	runs     atomic.Int64
 	store    storer.Memory
-	table    *badTable
+	table    *faultyTable
 	token    atomic.Int64
 }
 
-func newBench(t *testing.T, n int, seed uint64) *bench {
+func newCluster(t *testing.T, n int, seed uint64) *cluster {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		cancel()
 		time.Sleep(10 * time.Second) // what is under way ends by itself
 	})
-	b := &bench{table: &badTable{random: rand.New(rand.NewPCG(seed, 1))}}
+	b := &cluster{table: &faultyTable{random: rand.New(rand.NewPCG(seed, 1))}}
 	for i := range n {
 		c := &claimer.Claimer{
 			Self: fmt.Sprint("i", i), Store: &b.store, Table: b.table,
@@ -105,8 +105,8 @@
 
 // request runs a keyed request to its end and returns the verdict that its
 // caller sees. With crash it dies after it ran and before it could record it.
-func (b *bench) request(c *claimer.Claimer, patience time.Duration, crash bool) (judge.Verdict, string) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (b *cluster) request(c *claimer.Claimer, timeout time.Duration, crash bool) (judge.Verdict, string) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	ticket, outcome, err := c.Begin(ctx, "account", "key", "request", time.Hour)
 	if err != nil {
@@ -157,11 +157,11 @@
 
 // runScenario returns an error if the request ran more than once or callers saw
 // different outcomes.
-func runScenario(t *testing.T, seed uint64, blind bool) error {
+func runScenario(t *testing.T, seed uint64, ignoreChecks bool) error {
 	random := rand.New(rand.NewPCG(seed, 2))
-	b := newBench(t, 3, seed)
-	b.table.blind = blind
-	b.table.set(random.Float64()/4, random.Float64()/2)
+	b := newCluster(t, 3, seed)
+	b.table.ignoresChecks = ignoreChecks
+	b.table.setFaults(random.Float64()/4, random.Float64()/2)
 	crash := random.IntN(3) == 0
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -198,7 +198,7 @@
 // check.
 func TestSameKeyInOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1, 1)
+		b := newCluster(t, 1, 1)
 		if err := b.claimers[0].Gather(t.Context(), tabler.Txn{Puts: []tabler.Put{{Key: "other"}}}); err != nil {
 			t.Fatal(err)
 		}
@@ -219,15 +219,15 @@
 // may_have_run.
 func TestRefusedClaimIsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 2, 1)
-		b.table.set(0, 1)
+		b := newCluster(t, 2, 1)
+		b.table.setFaults(0, 1)
 		time.AfterFunc(3*time.Millisecond, func() { b.table.down.Store(true) })
 		verdict, _ := b.request(b.claimers[0], time.Second, false)
 		if verdict != judge.NotRun || b.runs.Load() != 0 {
 			t.Fatalf("first attempt: %s after %d runs", verdict, b.runs.Load())
 		}
 		b.table.down.Store(false)
-		b.table.set(0, 0)
+		b.table.setFaults(0, 0)
 		time.Sleep(3 * time.Second)
 		if verdict, _ := b.request(b.claimers[1], time.Second, false); verdict != judge.Ran {
 			t.Errorf("second attempt: %s, want ran", verdict)
@@ -249,11 +249,11 @@
 		gone  bool
 		want  claimer.Decision
 	}{
-		{"runs", claim, "r", false, claimer.Wait{}},
-		{"claimant gone", claim, "r", true, claimer.Doubt{}},
+		{"runs", claim, "r", false, claimer.InProgress{}},
+		{"claimant gone", claim, "r", true, claimer.Indeterminate{}},
 		{"ended", ended, "r", true, claimer.Replay{Claim: ended}},
-		{"ended without outcome", lost, "r", false, claimer.Doubt{}},
-		{"other request", ended, "x", false, claimer.Differ{}},
+		{"ended without outcome", lost, "r", false, claimer.Indeterminate{}},
+		{"other request", ended, "x", false, claimer.Mismatch{}},
 		{"expired", old, "r", false, claimer.Expired{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/request/dispatcher/dispatcher.go
+++ b/internal/request/dispatcher/dispatcher.go
@@ -56,9 +56,9 @@
 	Quarantine Quarantine
 	Self       string // incarnation
 
-	budget  retrier.Budget
-	journal journal
-	turn    atomic.Uint64 // for plain upstreams
+	budget    retrier.Budget
+	journal   journal
+	nextPlain atomic.Uint64 // for plain upstreams
 }
 
 // Dispatch answers a request. It returns nil after a whole answer, else a
@@ -69,7 +69,7 @@
 		return judge.Refuse(judge.ReasonStarting, "no settings are in force here yet").After(time.Second)
 	}
 	a := &attempts{
-		began:      time.Now(),
+		startedAt:  time.Now(),
 		dispatcher: d, call: call, values: force.Values(call.Account, call.Service, d.Domain, call.Desk),
 		force: force, sink: &watchedSink{sink: sink},
 	}
@@ -91,7 +91,7 @@
 		call: &streamer.Call{Adapter: adapter.Name, Service: adapter.Service}, dispatcher: d,
 		values: force.Values(adapter.Account, adapter.Service, d.Domain, ""),
 	}
-	terms := a.choose(candidates)
+	terms := a.rank(candidates)
 	return Step{Runner: terms[0].Runner, Owner: d.Fleet.Owner(terms[0].Runner), Terms: terms}, true
 }
 
@@ -100,10 +100,10 @@
 
 // attempts is the dispatch of one request.
 type attempts struct {
-	began      time.Time
+	startedAt  time.Time
 	call       *streamer.Call
 	dispatcher *Dispatcher
-	doubt      *judge.Error // an attempt that may have run
+	mayHaveRun *judge.Error // an attempt that may have run
 	force      *resolver.Resolver
 	sink       *watchedSink
 	steps      []Step
@@ -113,9 +113,9 @@
 
 // run makes attempts until one succeeds or no further one is safe or allowed.
 func (a *attempts) run(ctx context.Context) error {
-	wait := retrier.Backoff()
+	backoff := retrier.Backoff()
 	for retries := 0; ; {
-		step, err := a.attempt(ctx)
+		step, err := a.try(ctx)
 		a.steps = append(a.steps, step)
 		if err == nil {
 			a.dispatcher.Quarantine.Whole(a.call)
@@ -124,32 +124,32 @@
 		judged := judge.As(err)
 		a.steps[len(a.steps)-1].Error = judged.Error()
 		if judged.Verdict != judge.NotRun {
-			a.doubt = judged
+			a.mayHaveRun = judged
 		}
 		a.dispatcher.count("sardinetiller_attempt_failures_total", judged)
 		if !a.redirected(judged) {
 			if retries >= a.values.Retries || !retrier.May(judged, a.call.Once, a.sink.answered) || !a.dispatcher.budget.Withdraw() {
-				return a.final(judged)
+				return a.finalError(judged)
 			}
 			retries++
 		}
 		select {
 		case <-ctx.Done():
-			return a.final(judged)
-		case <-time.After(wait.NextBackOff()):
+			return a.finalError(judged)
+		case <-time.After(backoff.NextBackOff()):
 		}
 		a.dispatcher.count("sardinetiller_retries_total", judged)
 	}
 }
 
-// redirectTime bounds how long a request follows a runner from owner to owner.
-const redirectTime = 5 * time.Second
+// redirectTimeout bounds how long a request follows a runner from owner to owner.
+const redirectTimeout = 5 * time.Second
 
 // redirected reports whether the attempt only asked the wrong instance: the
 // runner has passed to another one, as it does in every rolling replacement.
 // Such an answer costs nobody anything, so it is not counted as a retry.
 func (a *attempts) redirected(err *judge.Error) bool {
-	if err.Reason != judge.ReasonOwner || err.Verdict != judge.NotRun || time.Since(a.began) > redirectTime {
+	if err.Reason != judge.ReasonOwner || err.Verdict != judge.NotRun || time.Since(a.startedAt) > redirectTimeout {
 		return false
 	}
 	step := &a.steps[len(a.steps)-1]
@@ -158,16 +158,16 @@
 	return true
 }
 
-// final returns what the caller is told: a promise only if it holds for every
+// finalError returns what the caller is told: a promise only if it holds for every
 // attempt.
-func (a *attempts) final(last *judge.Error) error {
-	if a.doubt != nil && last.Verdict == judge.NotRun {
-		return a.doubt
+func (a *attempts) finalError(last *judge.Error) error {
+	if a.mayHaveRun != nil && last.Verdict == judge.NotRun {
+		return a.mayHaveRun
 	}
 	return last
 }
 
-func (a *attempts) attempt(ctx context.Context) (Step, error) {
+func (a *attempts) try(ctx context.Context) (Step, error) {
 	if held := a.dispatcher.Quarantine.Held(a.call); held != nil {
 		return Step{}, held
 	}
@@ -176,22 +176,22 @@
 		return Step{}, judge.Refuse(judge.ReasonUpstream, "service %q is not declared", a.call.Service)
 	}
 	if service.Type == parser.TypePlain {
-		return a.plain(ctx, service)
+		return a.tryPlain(ctx, service)
 	}
-	return a.engine(ctx)
+	return a.tryEngine(ctx)
 }
 
-func (a *attempts) engine(ctx context.Context) (Step, error) {
+func (a *attempts) tryEngine(ctx context.Context) (Step, error) {
 	d := a.dispatcher
 	candidates := a.candidates(ctx)
 	if len(candidates) == 0 {
 		a.tried = nil // the next attempt may use any of them again
-		return a.elsewhere(ctx)
+		return a.tryOtherDomain(ctx)
 	}
-	terms := a.choose(candidates)
+	terms := a.rank(candidates)
 	best := terms[0]
-	step := Step{Runner: best.Runner, Terms: terms[:min(len(terms), shownTerms)]}
-	if err := a.inTime(best); err != nil {
+	step := Step{Runner: best.Runner, Terms: terms[:min(len(terms), maxShownTerms)]}
+	if err := a.checkDeadline(best); err != nil {
 		return step, err
 	}
 	a.tried = append(a.tried, best.Runner)
@@ -208,15 +208,15 @@
 // Bounds of the wait for a runner whose owner changes at this moment, as in a
 // rolling replacement. It is far shorter than any deadline.
 const (
-	handover     = 1500 * time.Millisecond
-	handoverPoll = 20 * time.Millisecond
+	handoverTimeout      = 1500 * time.Millisecond
+	handoverPollInterval = 20 * time.Millisecond
 )
 
 // candidates returns the runners that can be tried. If none has a live owner
 // just now but some will, it waits a moment for the hand-over.
 func (a *attempts) candidates(ctx context.Context) []router.Candidate {
 	d := a.dispatcher
-	for until := time.Now().Add(handover); ; {
+	for until := time.Now().Add(handoverTimeout); ; {
 		candidates := d.Fleet.Candidates(a.call.Service, a.call.Adapter, a.tried, d.Peers.Alive)
 		if len(candidates) > 0 || !d.Fleet.Pending(a.call.Service, a.tried) || time.Now().After(until) {
 			return candidates
@@ -224,21 +224,21 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-time.After(handoverPoll):
+		case <-time.After(handoverPollInterval):
 		}
 	}
 }
 
-func (a *attempts) choose(candidates []router.Candidate) []router.Terms {
+func (a *attempts) rank(candidates []router.Candidate) []router.Terms {
 	load, run := a.dispatcher.Local.Estimates()
 	r := router.Router{Policy: policy(a.values), Load: load, Service: run}
 	return r.Choose(router.Request{Adapter: a.call.Adapter, Left: a.left()}, candidates)
 }
 
-// inTime refuses a request at once whose adapter cannot be there before its
+// checkDeadline refuses a request at once whose adapter cannot be there before its
 // deadline, so that its caller can act on it. The queue is judged by the owner,
 // who knows whose requests wait in it.
-func (a *attempts) inTime(best router.Terms) error {
+func (a *attempts) checkDeadline(best router.Terms) error {
 	wait := time.Duration(best.Stall * float64(time.Second))
 	if left := a.left(); left > 0 && wait > left {
 		return judge.Refuse(judge.ReasonDeadline, "the adapter takes about %s to load and %s is left", wait.Round(time.Millisecond), left.Round(time.Millisecond)).After(wait - left)
@@ -254,9 +254,9 @@
 	return max(time.Millisecond, time.Until(a.call.Deadline))
 }
 
-// elsewhere passes a request to another failure domain. That is done once only,
+// tryOtherDomain passes a request to another failure domain. That is done once only,
 // so that a request cannot travel in circles.
-func (a *attempts) elsewhere(ctx context.Context) (Step, error) {
+func (a *attempts) tryOtherDomain(ctx context.Context) (Step, error) {
 	if a.call.Hops > 0 {
 		return Step{}, judge.Refuse(judge.ReasonUpstream, "no upstream of %s can serve in domain %s", a.call.Service, a.dispatcher.Domain).After(time.Second)
 	}
@@ -272,19 +272,19 @@
 	return Step{}, judge.Refuse(judge.ReasonUpstream, "no upstream of %s can serve", a.call.Service).After(time.Second)
 }
 
-// plain sends a call to a plain service of this domain, its upstreams in turn.
-func (a *attempts) plain(ctx context.Context, service *parser.Service) (Step, error) {
+// tryPlain sends a call to a plain service of this domain, its upstreams in turn.
+func (a *attempts) tryPlain(ctx context.Context, service *parser.Service) (Step, error) {
 	d := a.dispatcher
-	var near []parser.Upstream
+	var local []parser.Upstream
 	for _, u := range service.Upstreams {
 		if u.Domain == d.Domain && !d.Drained(u.Name) && !slices.Contains(a.tried, u.Name) {
-			near = append(near, u)
+			local = append(local, u)
 		}
 	}
-	if len(near) == 0 {
-		return a.elsewhere(ctx)
+	if len(local) == 0 {
+		return a.tryOtherDomain(ctx)
 	}
-	u := near[d.turn.Add(1)%uint64(len(near))]
+	u := local[d.nextPlain.Add(1)%uint64(len(local))]
 	a.tried = append(a.tried, u.Name)
 	call := *a.call
 	call.Runner = u.Name
--- a/internal/request/dispatcher/journal.go
+++ b/internal/request/dispatcher/journal.go
@@ -14,11 +14,11 @@
 	Error  string         `json:"error" yaml:"error"`
 }
 
-// shownTerms is how many candidates a step shows.
-const shownTerms = 5
+// maxShownTerms is how many candidates a step shows.
+const maxShownTerms = 5
 
-// kept is how many requests an instance can explain.
-const kept = 4096
+// journalSize is how many requests an instance can explain.
+const journalSize = 4096
 
 // A journal keeps the steps of the latest requests in a ring.
 type journal struct {
@@ -33,11 +33,11 @@
 	defer j.mu.Unlock()
 	if j.steps == nil {
 		j.steps = make(map[string][]Step)
-		j.ids = make([]string, kept)
+		j.ids = make([]string, journalSize)
 	}
 	delete(j.steps, j.ids[j.next])
 	j.ids[j.next] = id
-	j.next = (j.next + 1) % kept
+	j.next = (j.next + 1) % journalSize
 	j.steps[id] = steps
 }
 
