--- a/internal/account/identifier/directory.go
+++ b/internal/account/identifier/directory.go
@@ -14,26 +14,26 @@
 type Account struct {
 	Name     string
 	Limit    limiter.Limit
-	Priority *int // goes before that of a route; nil: it has none
+	Priority *int // overrides the priority of a route; nil: none is set
 }
 
-// A Directory finds accounts by key and by name. It does not change once it is filled,
-// and is then safe for concurrent use.
+// A Directory finds accounts by key and by name. It is safe for concurrent use once all
+// accounts have been added.
 type Directory struct {
 	byKey  map[digest]*Account
 	byName map[string]*Account
 }
 
-// A digest is the hash by which a key is found.
+// A digest is the hash of a key.
 type digest [sha256.Size]byte
 
-// Add adds an account with its keys. An account without a key is known by name only.
+// Add adds an account with its keys. An account without keys can be found by name only.
 func (d *Directory) Add(a Account, keys []string) error {
 	if a.Name == "" {
 		return errors.New("an account has no name")
 	}
 	if _, known := d.byName[a.Name]; known {
-		return errors.Errorf("account %s is there twice", a.Name)
+		return errors.Errorf("account %s is declared twice", a.Name)
 	}
 	if d.byName == nil {
 		d.byKey = make(map[digest]*Account)
@@ -42,7 +42,7 @@
 	d.byName[a.Name] = &a
 	for n, key := range keys {
 		if !wellFormed([]byte(key)) {
-			return errors.Errorf("key %d of account %s is malformed; a key has 1 to %d characters without spaces", n+1, a.Name, longestKey)
+			return errors.Errorf("key %d of account %s is malformed; a key has 1 to %d characters without spaces", n+1, a.Name, maxKeyLength)
 		}
 		hash := digest(sha256.Sum256([]byte(key)))
 		if other, taken := d.byKey[hash]; taken && other.Name != a.Name {
@@ -59,14 +59,14 @@
 	return a, ok
 }
 
-// All returns the accounts, in no order.
+// All returns the accounts in no particular order.
 func (d *Directory) All() iter.Seq[*Account] { return maps.Values(d.byName) }
 
-// Len returns how many accounts there are.
+// Len returns the number of accounts.
 func (d *Directory) Len() int { return len(d.byName) }
 
-// Identify returns the account of a caller that sent these values of its Authorization
-// header, one for each header line.
+// Identify returns the account of a caller by the values of its Authorization header, one
+// value for each header line.
 func (d *Directory) Identify(values [][]byte) (*Account, Outcome) {
 	if len(values) == 0 {
 		return nil, Absent
--- a/internal/account/identifier/directory_test.go
+++ b/internal/account/identifier/directory_test.go
@@ -46,7 +46,7 @@
 		{"spaces around", []string{"  Bearer   k1\t "}, "mill", identifier.Known},
 		{"none", nil, "", identifier.Absent},
 		{"unknown", []string{"Bearer k3"}, "", identifier.Unknown},
-		{"keys are told apart by case", []string{"Bearer K1"}, "", identifier.Unknown},
+		{"keys are case-sensitive", []string{"Bearer K1"}, "", identifier.Unknown},
 		{"a prefix of a key", []string{"Bearer k"}, "", identifier.Unknown},
 		{"empty", []string{""}, "", identifier.Malformed},
 		{"no key", []string{"Bearer"}, "", identifier.Malformed},
@@ -85,7 +85,7 @@
 		want    string
 	}{
 		{"a key that another account has", "new", []string{"p-1"}, "accounts port and new have the same key; give each its own"},
-		{"a name that is taken", "mill", nil, "account mill is there twice"},
+		{"a name that is taken", "mill", nil, "account mill is declared twice"},
 		{"no name", "", nil, "an account has no name"},
 		{"an empty key", "new", []string{"n1", ""}, "key 2 of account new is malformed; a key has 1 to 512 characters without spaces"},
 		{"a key with a space", "new", []string{"n 1"}, "key 1 of account new is malformed; a key has 1 to 512 characters without spaces"},
@@ -93,7 +93,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			err := newDirectory(t).Add(identifier.Account{Name: tc.account}, tc.keys)
 			if err == nil {
-				t.Fatal("it was taken")
+				t.Fatal("the account was accepted")
 			}
 			if diff := cmp.Diff(tc.want, err.Error()); diff != "" {
 				t.Error(diff)
@@ -102,7 +102,7 @@
 	}
 }
 
-// Guards against a configuration that is refused as an account lists a key twice.
+// Guards against a configuration that is refused because an account lists a key twice.
 func TestKeyMayBeListedTwice(t *testing.T) {
 	var d identifier.Directory
 	if err := d.Add(identifier.Account{Name: "mill"}, []string{"k1", "k1"}); err != nil {
@@ -110,7 +110,7 @@
 	}
 }
 
-// Guards against header values that end the process or pass for a key that nobody has.
+// Guards against header values that crash the process or are accepted without a valid key.
 func FuzzIdentify(f *testing.F) {
 	for _, seed := range []string{"Bearer k1", "bearer\tk1", "Bearer", "Basic k1", "\x00", "Bearer " + strings.Repeat("a", 600)} {
 		f.Add(seed)
@@ -125,7 +125,7 @@
 			t.Errorf("%q: account %v, outcome %s", value, account, outcome)
 		}
 		if account != nil && !strings.EqualFold(strings.Join(strings.Fields(value), " "), "bearer k1") {
-			t.Errorf("%q passes for k1", value)
+			t.Errorf("%q is accepted as k1", value)
 		}
 	})
 }
--- a/internal/account/identifier/doc.go
+++ b/internal/account/identifier/doc.go
@@ -1,5 +1,5 @@
-// Package identifier tells which client account a caller belongs to, by its key.
+// Package identifier identifies the client account of a caller by its API key.
 //
-// It keeps hashes of keys and no key, so that no log line and no dump of what is in
-// force can show one.
+// It stores hashes of keys only, so that neither log lines nor dumps of the configuration
+// can expose a key.
 package identifier
--- a/internal/account/identifier/key.go
+++ b/internal/account/identifier/key.go
@@ -2,22 +2,22 @@
 
 import "bytes"
 
-// An Outcome says what a caller's key showed.
+// An Outcome is the result of checking a caller's key.
 type Outcome string
 
 // The outcomes.
 const (
-	Absent    Outcome = "absent"    // there is no key
-	Known     Outcome = "known"     // it belongs to an account
-	Malformed Outcome = "malformed" // there is no single key to be read
-	Unknown   Outcome = "unknown"   // it belongs to no account
+	Absent    Outcome = "absent"    // no key was sent
+	Known     Outcome = "known"     // the key belongs to an account
+	Malformed Outcome = "malformed" // the header holds no single well-formed key
+	Unknown   Outcome = "unknown"   // the key belongs to no account
 )
 
-// scheme is the only one in which callers send keys. Its case does not matter.
+// scheme is the only supported authorization scheme. Its case does not matter.
 const scheme = "bearer"
 
-// longestKey bounds a key, in bytes.
-const longestKey = 512
+// maxKeyLength is the maximum length of a key in bytes.
+const maxKeyLength = 512
 
 // bearer returns the key in the value of an Authorization header.
 func bearer(value []byte) (key []byte, ok bool) {
@@ -27,14 +27,14 @@
 	}
 	key = bytes.TrimLeft(value[len(scheme):], " ")
 	if len(key) == len(value)-len(scheme) {
-		return nil, false // nothing parts the scheme from the key
+		return nil, false // no space between the scheme and the key
 	}
 	return key, wellFormed(key)
 }
 
 // wellFormed reports whether a key can be sent in a header.
 func wellFormed(key []byte) bool {
-	if len(key) == 0 || len(key) > longestKey {
+	if len(key) == 0 || len(key) > maxKeyLength {
 		return false
 	}
 	for _, c := range key {
--- a/internal/account/limiter/doc.go
+++ b/internal/account/limiter/doc.go
@@ -1,9 +1,10 @@
-// Package limiter keeps the quotas of client accounts over all instances.
+// Package limiter enforces the quotas of client accounts across all instances.
 //
-// Each instance has a Spender, which admits requests. Some instances keep a Ledger, to
-// which Spenders settle what they have spent and which answers how much is left. A Spender
-// admits by itself what is its share of that; beyond it asks. One that reaches no Ledger
-// goes on with the share that it had, which the Ledgers keep back for it.
+// Each instance has a Spender, which admits requests. Some instances also keep a Ledger.
+// Spenders report to a Ledger the tokens that they have spent, and it replies with the
+// tokens that are left. A Spender admits requests within its share of these locally and
+// asks the Ledger for more. A Spender that reaches no Ledger continues with its last share,
+// which the Ledgers reserve for it.
 //
-// It has no clock, goroutine or socket of its own.
+// The package has no clock, goroutines or sockets of its own.
 package limiter
--- a/internal/account/limiter/ledger.go
+++ b/internal/account/limiter/ledger.go
@@ -6,61 +6,62 @@
 	"time"
 )
 
-// unresponsiveAfter is the time after its last update from which on a party that still had a share
-// is taken to go on without a Ledger. It is longer than a Spender trusts a balance.
+// unresponsiveAfter is the time since its last update after which a reporter is assumed to
+// spend its share without a Ledger. It is longer than balanceTTL, for which a Spender relies
+// on a balance.
 const unresponsiveAfter = balanceTTL + 300*time.Millisecond
 
-// A Ledger sums up what all instances spend. Its fields are set before use; it is safe for
+// A Ledger sums up the tokens that all instances spend. Its fields are set before use; it is safe for
 // concurrent use.
 type Ledger struct {
-	First  func(l Limit) float64 // tokens that are left when it begins; nil for none
+	First  func(l Limit) float64 // tokens of an account that are left at Begin; nil for none
 	Limits func(account string) (Limit, bool)
-	Window time.Duration // over which quotas are judged: what was spent too much is forgotten after it
+	Window time.Duration // over which quotas are enforced; overspending is forgotten after it
 
 	mu           sync.Mutex
-	startedAt    time.Time // when it began; zero: it settles nothing
-	adopted      bool      // it knows what was spent before it began
+	startedAt    time.Time // zero: the ledger settles nothing
+	adopted      bool      // it has balances from before it began
 	accounts     map[string]*tally
 	reporters    map[string]*reporter // by instance
-	leaders      []string             // instances that keep other Ledgers
+	leaders      []string             // reporters that are Ledgers themselves
 	unresponsive []*reporter
 	lastSweep    time.Time
 }
 
-// A party is who settles here.
+// A reporter is an instance that reports to this Ledger.
 type reporter struct {
 	Party
 	lastSeen time.Time
 }
 
-// A tally is what was spent of one account's quota.
+// A tally is the state of one account's quota.
 type tally struct {
-	bucket                 // what is left
-	domainSpent  float64   // tokens that parties spent which settle with no other Ledger
-	lastReported int64     // those of them in the last report
-	seq          int64     // of the last report
-	refundDue    float64   // tokens to be given back with the next update of another Ledger
-	lastSettled  time.Time // last
+	bucket               // tokens left
+	domainSpent  float64 // tokens spent by reporters of this Ledger alone, that is, by Spenders
+	lastReported int64   // domainSpent as of the last report
+	seq          int64   // sequence number of the last report
+	refundDue    float64 // tokens to refund with the next update of another Ledger
+	lastSettled  time.Time
 	usage        meter
 	entries      map[string]*entry // by instance
 }
 
-// An entry is what one party has spent of it.
+// An entry is the state of one reporter of an account.
 type entry struct {
-	counted   int64
-	seq       int64 // of the latest update
+	counted   int64 // of the reporter's counter
+	seq       int64 // highest sequence number of its updates
 	usage     meter
-	share     float64   // of the limit and of what is left, which it goes on to spend if it is silent
-	remaining float64   // tokens that were left at its last update
-	reserved  float64   // tokens that are kept back for it since then
-	asOf      time.Time // up to when
+	share     float64   // fraction of the limit and of the tokens left that it spends while it is unresponsive
+	remaining float64   // tokens left to the account at its last update
+	reserved  float64   // tokens reserved for it since then
+	asOf      time.Time // time up to which tokens are reserved
 }
 
-// sweepInterval is how often it is looked who is silent.
+// sweepInterval is the minimum time between two checks for unresponsive reporters.
 const sweepInterval = 100 * time.Millisecond
 
-// Begin begins with nothing known. Next to nothing is left of any quota then: those who
-// settled with another Ledger before may have spent it.
+// Begin starts the Ledger without balances. Next to nothing is left of any quota then:
+// instances that settled with another Ledger before may have spent it.
 func (l *Ledger) Begin(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -70,7 +71,7 @@
 	l.leaders, l.unresponsive = nil, nil
 }
 
-// End forgets everything.
+// End stops the Ledger and drops its state.
 func (l *Ledger) End() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,16 +79,16 @@
 	l.accounts, l.reporters, l.leaders, l.unresponsive = nil, nil, nil, nil
 }
 
-// Began returns since when it settles; ok is false if it does not.
+// Began returns when the Ledger started; ok is false if it is not running.
 func (l *Ledger) Began() (since time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.startedAt, !l.startedAt.IsZero()
 }
 
-// Adopt takes in how accounts stand by a Ledger that is older by an age. What that one does
-// not know of was not spent. Without it accounts would have next to nothing right after a
-// change of leaders.
+// Adopt applies the balances of a Ledger that has run for age. Accounts without a balance
+// there have spent nothing. Without Adopt, accounts would have next to nothing left right
+// after a change of leader.
 func (l *Ledger) Adopt(balances []Balance, age time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,8 +103,9 @@
 	}
 }
 
-// Settle takes in what a party has spent, and returns how its accounts stand; ok is false
-// if nothing is settled here. A Ledger that has just begun gets all accounts.
+// Settle applies the report of an instance and returns the balances of the reported
+// accounts; ok is false if this Ledger is not running. A reporting Ledger that has just
+// begun gets the balances of all accounts.
 func (l *Ledger) Settle(from Party, spent []Spent, now time.Time) (balances []Balance, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +126,7 @@
 	return balances, true
 }
 
-// addOthers adds how the accounts stand that are not among the balances.
+// addOthers adds the balances of the accounts that are not listed yet.
 func (l *Ledger) addOthers(balances []Balance, now time.Time) []Balance {
 	listed := make(map[string]bool, len(balances))
 	for _, b := range balances {
@@ -152,7 +154,7 @@
 		e.seq = s.Seq
 		t.record(e, from, s.Counter-e.counted, now)
 	} else {
-		t.record(e, from, -s.Want, now) // the counter of the update that overtook it contains this request
+		t.record(e, from, -s.Want, now) // a later update arrived first, and its counter contains this request
 	}
 	t.level = max(t.level, -limit.Rate*l.Window.Seconds())
 	left := l.left(t, now)
@@ -166,8 +168,8 @@
 	return Balance{Account: s.Account, Counted: e.counted, Granted: granted, Left: int64(left), Use: int64(t.usage.value(now))}
 }
 
-// left returns what is left of a quota. Other Ledgers have gone on to admit as they did since
-// their last update: without that each of them admits what is left for all.
+// left returns the tokens left of a quota. It assumes that other Ledgers have admitted at the
+// same rate since their last update: otherwise each Ledger would admit all that is left.
 func (l *Ledger) left(t *tally, now time.Time) float64 {
 	left := t.level
 	for _, instance := range l.leaders {
@@ -178,15 +180,15 @@
 	return left
 }
 
-// Part forgets an instance that settles with another Ledger from now on.
+// Part removes an instance that reports to another Ledger from now on.
 func (l *Ledger) Part(instance string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drop(instance)
 }
 
-// Report returns what those have spent who settle with no other Ledger, to be settled with
-// the others.
+// Report returns the tokens spent by the Spenders that report to this Ledger alone, to be
+// settled with the other Ledgers.
 func (l *Ledger) Report(now time.Time) []Spent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -202,8 +204,8 @@
 	return report
 }
 
-// tally returns the sum of an account. What is left begins with what has come since the
-// Ledger began.
+// tally returns the state of an account. A new one starts with the initial level and the
+// tokens that have accrued since the Ledger began.
 func (l *Ledger) tally(account string, limit Limit, now time.Time) *tally {
 	t, ok := l.accounts[account]
 	if !ok {
@@ -214,7 +216,8 @@
 	return t
 }
 
-// emptyAt returns when next to nothing was left of a quota of which nothing was settled since.
+// emptyAt returns the time from which tokens accrue for an account that has no balance yet.
+// After Adopt such an account is full, as it has spent nothing for a window.
 func (l *Ledger) emptyAt() time.Time {
 	if l.adopted {
 		return l.startedAt.Add(-l.Window)
@@ -229,8 +232,9 @@
 	return l.First(limit)
 }
 
-// entry returns the entry of a party. Of one that is new here only what is recent is, or what
-// was spent since this Ledger began: the rest is in what is left.
+// entry returns the entry of a reporter. For a new reporter only its recent tokens are
+// counted, or all tokens of a Ledger that began after this one: earlier spending is already
+// part of the level.
 func (l *Ledger) entry(t *tally, from Party, s Spent, now time.Time) *entry {
 	e, ok := t.entries[from.Instance]
 	if !ok {
@@ -258,8 +262,8 @@
 	}
 }
 
-// release gives back what was kept for a party while it was silent; it says now what it
-// has spent.
+// release refunds the tokens that were reserved for a reporter while it was unresponsive: its
+// update states what it has spent.
 func (t *tally) release(e *entry, from Party) {
 	t.level += e.reserved
 	if !from.isLedger() {
@@ -272,8 +276,8 @@
 	}
 }
 
-// reserve keeps back what silent parties may spend, and returns the burst that the others
-// have. Without it both sides of a cut would spend the whole quota.
+// reserve reserves the tokens that unresponsive reporters may spend, and returns the burst
+// left to the others. Without it both sides of a partition would spend the full quota.
 func (l *Ledger) reserve(t *tally, limit Limit, now time.Time) (burst float64) {
 	rest := 1.0
 	for _, p := range l.unresponsive {
@@ -292,7 +296,7 @@
 	return burst
 }
 
-// observe takes in that a party lives.
+// observe records that a reporter is alive.
 func (l *Ledger) observe(from Party, now time.Time) {
 	before, ok := l.reporters[from.Instance]
 	if ok && (before.Born != from.Born || before.isLedger() != from.isLedger()) {
@@ -310,8 +314,8 @@
 	before.Party, before.lastSeen = from, now
 }
 
-// replaceLedger forgets the Ledger of a domain that another one follows. Its parties settle with
-// that one, which reports what they have spent since it began.
+// replaceLedger removes the previous Ledger of a failure domain. The reporters of that Ledger
+// settle with its successor, which reports what they have spent since it began.
 func (l *Ledger) replaceLedger(successor Party) {
 	if !successor.isLedger() {
 		return
@@ -324,8 +328,8 @@
 	}
 }
 
-// refund gives back, with the next update of a Ledger, what was kept for a silent one for a
-// time that the next one reports on. Both were taken for spent otherwise.
+// refund schedules a refund of the tokens that were reserved for an unresponsive Ledger during
+// the time that its successor reports on. Otherwise these tokens would count as spent twice.
 func (l *Ledger) refund(p *reporter, reported time.Duration) {
 	for name, t := range l.accounts {
 		e, ok := t.entries[p.Instance]
@@ -346,7 +350,8 @@
 	l.unresponsive = slices.DeleteFunc(l.unresponsive, func(p *reporter) bool { return p.Instance == instance })
 }
 
-// sweep looks who is silent, and forgets those that have been for too long.
+// sweep lists the unresponsive reporters and removes those that sent no update for longer
+// than disconnectedLimit.
 func (l *Ledger) sweep(now time.Time) {
 	if now.Sub(l.lastSweep) < sweepInterval {
 		return
--- a/internal/account/limiter/ledger_test.go
+++ b/internal/account/limiter/ledger_test.go
@@ -9,7 +9,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/account/limiter"
 )
 
-// newLedger returns one that has settled for a minute.
+// newLedger returns a ledger that has run for a minute.
 func newLedger(limit limiter.Limit) *limiter.Ledger {
 	l := &limiter.Ledger{Limits: func(account string) (limiter.Limit, bool) { return limit, account == "a" }, Window: window}
 	l.Begin(at(-time.Minute))
@@ -60,11 +60,11 @@
 	}
 	l.End()
 	if _, ok := l.Settle(one, nil, start); ok {
-		t.Error("a ledger that has ended settles")
+		t.Error("a stopped ledger settles")
 	}
 }
 
-// Guards against a quota that is whole again after a change of leaders.
+// Guards against a quota that is fully available again after a change of leader.
 func TestLedgerBeginsWithNothingLeft(t *testing.T) {
 	l := newLedger(thousand)
 	l.Begin(start)
@@ -88,7 +88,7 @@
 	}
 }
 
-// Guards against both sides of a cut spending the whole quota.
+// Guards against both sides of a partition spending the full quota.
 func TestShareOfUnresponsiveReporterIsReserved(t *testing.T) {
 	l := newLedger(thousand)
 	two := limiter.Party{Instance: "two", Born: 1}
@@ -104,7 +104,7 @@
 		}
 	}
 	if granted < 7000 || granted > 10000 {
-		t.Errorf("%d of 15000 tokens are left to one of two", granted)
+		t.Errorf("%d of 15000 tokens are granted to one of two reporters", granted)
 	}
 }
 
@@ -119,7 +119,7 @@
 	}
 }
 
-// Guards against a debt that outlasts the window over which quotas are judged.
+// Guards against overspending that counts beyond the window over which quotas are enforced.
 func TestOverspendingIsForgotten(t *testing.T) {
 	l := newLedger(thousand)
 	settle(t, l, one, spent(0, 0), start)
@@ -156,8 +156,9 @@
 	}
 }
 
-// Guards against an account that has nothing for seconds after a cut, as what was kept for a
-// leader that was silent and what its successor tells were both taken for spent.
+// Guards against an account that has nothing left for seconds after a partition, because the
+// tokens reserved for an unresponsive leader and those that its successor reports both
+// counted as spent.
 func TestSuccessorOfUnresponsiveLedgerIsNotCountedTwice(t *testing.T) {
 	l := newLedger(thousand)
 	former := limiter.Party{Instance: "former", Born: 1, Domain: "d"}
@@ -176,13 +177,13 @@
 	}
 }
 
-// Guards against requests that ask at the same time and are all granted the same tokens: the
-// counter of the later one did not yet contain what the earlier one was granted.
+// Guards against concurrent asks that are all granted the same tokens: the counter of a later
+// ask did not yet include the tokens granted to an earlier one.
 func TestConcurrentAsksAreCounted(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		order []int // in which the ledger gets the asks
-	}{{"in order", []int{0, 1, 2}}, {"overtaking", []int{2, 0, 1}}} {
+		order []int // in which the ledger receives the asks
+	}{{"in order", []int{0, 1, 2}}, {"reordered", []int{2, 0, 1}}} {
 		t.Run(tc.name, func(t *testing.T) {
 			l, s := newLedger(thousand), newSpender(1000)
 			settle(t, l, one, spent(0, 0), start)
@@ -197,7 +198,7 @@
 				}
 			}
 			if granted < 1 || granted > 2 {
-				t.Errorf("%d requests of 400 tokens are granted of 1000", granted)
+				t.Errorf("%d requests of 400 tokens each are granted of 1000 tokens", granted)
 			}
 			for _, b := range balances {
 				s.Answered(r, b, start, start)
--- a/internal/account/limiter/limit.go
+++ b/internal/account/limiter/limit.go
@@ -4,14 +4,14 @@
 type Limit struct {
 	Rate   float64 // tokens a second
 	Burst  float64 // tokens beyond that
-	Counts bool    // a request counts as one token, whatever its size
-	Plain  int64   // tokens that a request counts as which does not tell its size
+	Counts bool    // the quota counts requests: each costs one token, whatever its size
+	Plain  int64   // cost of a request that does not state its size, in tokens
 }
 
-// Bounds reports whether there is a limit at all.
+// Bounds reports whether the quota is limited.
 func (l Limit) Bounds() bool { return l.Rate > 0 }
 
-// Cost returns what a request counts as; size is 0 for one that does not tell it.
+// Cost returns the tokens that a request costs; size is 0 if the request does not state it.
 func (l Limit) Cost(size int64) int64 {
 	switch {
 	case l.Counts:
--- a/internal/account/limiter/message.go
+++ b/internal/account/limiter/message.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// A Party is an instance that settles what it has spent.
+// A Party identifies a reporter: an instance that settles what it has spent.
 type Party struct {
 	_        struct{} `cbor:",toarray"`
 	Instance string
 	Born     int64         // number of its incarnation; a later one has a larger number
-	Domain   string        // whose Ledger settles what its Spenders have spent; empty for a Spender
-	Age      time.Duration // since its counters were zero
+	Domain   string        // failure domain of a Ledger that reports for its Spenders; empty for a Spender
+	Age      time.Duration // time since its counters were zero
 }
 
-// isLedger reports whether the party is a Ledger.
+// isLedger reports whether the reporter is a Ledger.
 func (p Party) isLedger() bool { return p.Domain != "" }
 
-// A Spent is what a party has spent of one account's quota.
+// A Spent is the report of the tokens spent of one account's quota.
 type Spent struct {
 	_       struct{} `cbor:",toarray"`
 	Account string
-	Counter int64 // all tokens since its counters were zero, less those that were given back
-	Recent  int64 // those of them since its last update to anybody
-	Want    int64 // for a request that waits for the answer; 0 for none
-	Seq     int64 // number of the update; those that are overtaken by a later one say nothing of the counter
+	Counter int64 // all tokens since the counters were zero, less those returned
+	Recent  int64 // tokens since the last update to any Ledger
+	Want    int64 // tokens of a request that waits for the reply; 0 for none
+	Seq     int64 // sequence number of the update; the counter of an update that arrives after a later one is ignored
 }
 
-// A Balance is how one account stands over all instances, as far as a Ledger knows.
+// A Balance is the state of an account's quota across all instances, as known to a Ledger.
 type Balance struct {
 	_       struct{} `cbor:",toarray"`
 	Account string
-	Counted int64 // of the party's counter
-	Granted bool  // what it wanted is counted too, and may be spent
-	Left    int64 // tokens; negative if too many were spent
-	Use     int64 // tokens a second
+	Counted int64 // the reporter's counter as far as it is included here
+	Granted bool  // the wanted tokens are included and may be spent
+	Left    int64 // tokens left; negative if too many were spent
+	Use     int64 // mean use, in tokens a second
 }
--- a/internal/account/limiter/property_test.go
+++ b/internal/account/limiter/property_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-var limiterSeeds = flag.Uint64("limiter.seeds", 100, "how many seeds the random check of quotas plays")
+var limiterSeeds = flag.Uint64("limiter.seeds", 100, "number of seeds to run the random check of quotas with")
 
-// Guards against quotas that are exceeded, whichever instances fail and wherever callers go.
+// Guards against quotas that are exceeded when instances fail or callers move.
 func TestQuotasAreKept(t *testing.T) {
 	for seed := range *limiterSeeds {
 		runQuotaSimulation(t, seed)
@@ -31,7 +31,7 @@
 	})
 }
 
-// runWithFaults plays loads of all kinds while instances fail.
+// runWithFaults runs random workloads while instances restart and are partitioned.
 func (l *simulation) runWithFaults(span time.Duration) {
 	for end := l.now.Add(span); l.now.Before(end); {
 		d := calmWorkload(l)
@@ -51,7 +51,7 @@
 	}
 }
 
-// Guards against requests that are refused although their account keeps to its quota.
+// Guards against requests that are refused although their account is within its quota.
 func TestAccountWithinItsQuotaIsNotRefused(t *testing.T) {
 	for _, n := range []int{4, 9, 69, 300} {
 		for seed := range uint64(10) {
@@ -59,17 +59,17 @@
 			l.startInstances(n)
 			l.run(time.Second, workload{targets: []int{0}, mean: meanRequest}) // the ledgers begin with nothing left
 			for range 8 {
-				l.run(3*time.Second, calmWorkload(l)) // their callers move
+				l.run(3*time.Second, calmWorkload(l)) // callers move to other instances
 			}
 			if fraction := float64(l.wronglyRefused) / float64(l.requested); fraction > 0 {
-				t.Errorf("%d instances, seed %d: %.4f of what was asked for was refused", n, seed, fraction)
+				t.Errorf("%d instances, seed %d: %.4f of the requested tokens were wrongly refused", n, seed, fraction)
 			}
 		}
 	}
 }
 
-// Runs of the check of quotas that failed once: what silent instances had saved up was spent
-// twice, or several ledgers admitted the same tokens.
+// Seeds with which TestQuotasAreKept once failed: the tokens saved up by unresponsive instances
+// were spent twice, or several ledgers admitted the same tokens.
 func TestQuotasOfSeedsThatFailed(t *testing.T) {
 	for _, seed := range []uint64{58, 106, 176, 750, 818, 1514} {
 		runQuotaSimulation(t, seed)
--- a/internal/account/limiter/simulation_test.go
+++ b/internal/account/limiter/simulation_test.go
@@ -9,7 +9,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/account/limiter"
 )
 
-// A lab is a deployment in virtual time whose instances admit the requests of one account.
+// A simulation runs instances in virtual time that admit the requests of one account.
 type simulation struct {
 	rng         *rand.Rand
 	limit       limiter.Limit
@@ -20,12 +20,12 @@
 	instances   []*instance
 
 	admitted       []admission
-	available      float64 // what one bucket that knows all has left
+	available      float64 // level of one central bucket that counts all admitted tokens
 	availableAt    time.Time
-	requested      int64 // tokens
-	wronglyRefused int64 // tokens that were refused although the quota had them
-	idealAdmitted  int64 // tokens that one bucket would have admitted
-	ideal          float64
+	requested      int64   // tokens of all requests
+	wronglyRefused int64   // tokens refused although the quota had them left
+	idealAdmitted  int64   // tokens that one central bucket would have admitted
+	ideal          float64 // level of that bucket
 	messages       int
 }
 
@@ -34,27 +34,27 @@
 	tokens int64
 }
 
-// A way keeps a quota over instances.
+// A strategy enforces a quota across instances.
 type strategy interface {
 	admit(i *instance, tokens int64) bool
-	tick() // once a labStep
+	tick() // called once per simulationStep
 	restart(i *instance)
 }
 
-// An instance is one of a lab.
+// An instance is a simulated instance.
 type instance struct {
 	id               string
 	number           int
 	failureDomain    int
-	partitionedUntil time.Time // until when it reaches nobody
+	partitionedUntil time.Time // it reaches no other instance until then
 }
 
 const (
 	simulationStep = 10 * time.Millisecond
 	domains        = 4
 	window         = 8 * time.Second
-	excessFraction = 0.1   // by which a quota may be exceeded
-	excessTokens   = 17000 // tokens beyond that
+	excessFraction = 0.1   // fraction by which a quota may be exceeded
+	excessTokens   = 17000 // tokens by which it may be exceeded besides
 )
 
 func newSimulation(seed uint64, instances int, limit limiter.Limit, newStrategy func(l *simulation) strategy) *simulation {
@@ -67,7 +67,7 @@
 	return l
 }
 
-// startInstances starts the instances.
+// startInstances creates the instances and the strategy.
 func (l *simulation) startInstances(instances int) {
 	for n := range instances {
 		l.instances = append(l.instances, &instance{id: fmt.Sprint("i-", n), number: n, failureDomain: n % domains})
@@ -75,15 +75,15 @@
 	l.strategy = l.newStrategy(l)
 }
 
-// A load is what callers of the account send.
+// A workload describes the requests that callers of the account send.
 type workload struct {
 	rate      float64 // tokens a second, as a multiple of the limit
-	targets   []int   // instances to which they turn
-	mean      float64 // tokens of a request
-	fixedSize bool    // all are of the same size
+	targets   []int   // numbers of the instances that they are sent to
+	mean      float64 // tokens of a request, on average
+	fixedSize bool    // all requests have mean tokens
 }
 
-// run has callers send for a time.
+// run sends the requests of a workload for a time span.
 func (l *simulation) run(span time.Duration, d workload) {
 	for end := l.now.Add(span); l.now.Before(end); l.now = l.now.Add(simulationStep) {
 		l.strategy.tick()
@@ -128,8 +128,8 @@
 	}
 }
 
-// served returns the tokens that were admitted, as a part of those that one bucket would
-// have admitted.
+// served returns the tokens that were admitted, as a fraction of those that one central
+// bucket would have admitted.
 func (l *simulation) served() float64 {
 	sum := int64(0)
 	for _, a := range l.admitted {
@@ -138,19 +138,19 @@
 	return float64(sum) / float64(l.idealAdmitted)
 }
 
-// excess returns by how many tokens most was exceeded in any window.
+// excess returns by how many tokens the quota was exceeded at most, over all windows.
 func (l *simulation) excess() float64 {
 	allowed := (l.limit.Rate*window.Seconds()+l.limit.Burst)*(1+excessFraction) + excessTokens
-	sum, first, most := 0.0, 0, math.Inf(-1)
+	sum, first, highest := 0.0, 0, math.Inf(-1)
 	for _, a := range l.admitted {
 		sum += float64(a.tokens)
 		for a.at.Sub(l.admitted[first].at) > window {
 			sum -= float64(l.admitted[first].tokens)
 			first++
 		}
-		most = max(most, sum)
+		highest = max(highest, sum)
 	}
-	return max(0, most-allowed)
+	return max(0, highest-allowed)
 }
 
 func (l *simulation) partition(span time.Duration, which func(i *instance) bool) {
@@ -165,7 +165,8 @@
 	return a == b || !l.now.Before(a.partitionedUntil) && !l.now.Before(b.partitionedUntil)
 }
 
-// A bySum is the way of this package. A domain's first instance leads there.
+// A ledgerStrategy is the strategy of this package. The first instance of a failure domain
+// is its leader.
 type ledgerStrategy struct {
 	l         *simulation
 	spenders  []*limiter.Spender
@@ -173,7 +174,7 @@
 	reporters []limiter.Party
 	startedAt []time.Time
 	leaders   []*instance
-	connected func(a, b *instance) bool // reaches, in a cut between domains too
+	connected func(a, b *instance) bool // whether two instances reach each other
 }
 
 func newLedgerStrategy(l *simulation) strategy {
@@ -256,7 +257,7 @@
 	}
 }
 
-// exchangeReports has the leaders tell each other what their domains have spent.
+// exchangeReports settles the reports of all leaders with each other.
 func (w *ledgerStrategy) exchangeReports() {
 	now := w.l.now
 	for d, from := range w.leaders {
@@ -274,7 +275,7 @@
 	}
 }
 
-// An evenly is the way that gives each instance the same part.
+// An evenSplit gives each instance the same fraction of the quota.
 type evenSplit struct {
 	l     *simulation
 	level []float64
@@ -309,7 +310,7 @@
 	return true
 }
 
-// A byDemand is the way that gives instances parts by what they were asked for lately.
+// A demandSplit gives each instance a fraction of the quota by its recent demand.
 type demandSplit struct {
 	evenSplit
 
@@ -344,7 +345,8 @@
 	}
 }
 
-// redistribute gives parts anew; who is cut off keeps its own, which the others leave to it.
+// redistribute computes new shares. A partitioned instance keeps its share, and the others
+// divide the rest.
 func (w *demandSplit) redistribute() {
 	all, free, n := 0.0, 1.0, 0.0
 	for _, i := range w.l.instances {
--- a/internal/account/limiter/spender.go
+++ b/internal/account/limiter/spender.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// balanceTTL is how long a balance holds. Spenders settle several times in it.
+	// balanceTTL is how long a Spender relies on a balance. It settles several times in this time.
 	balanceTTL = 700 * time.Millisecond
-	// evenShare is the part of a limit that is split evenly, so that an instance that has
-	// spent nothing lately has a share too. In a cut both sides have this part, so it is
-	// half of what a quota may be exceeded by.
+	// evenShare is the fraction of a limit that is split evenly, so that an instance that has
+	// spent nothing lately has a share too. In a partition both sides have this fraction,
+	// so it is half of the fraction by which a quota may be exceeded.
 	evenShare = 0.05
-	// disconnectedLimit is how long an instance that reaches no Ledger goes on with its share, and
-	// a Ledger keeps that back. It outlasts a cut; what is gone for good costs no longer.
+	// disconnectedLimit is how long an instance that reaches no Ledger spends its share, and how
+	// long a Ledger reserves it. It is longer than a partition lasts; for an instance that
+	// is gone for good nothing is reserved after it.
 	disconnectedLimit = 30 * time.Second
-	// idleAfter is how long an account is settled after its last use: its share is
-	// nothing by then.
+	// idleAfter is how long an account is still reported after its last use: its share has
+	// decayed to nothing by then.
 	idleAfter = 6 * meterTimeConstant
-	// unknownWait is when a caller may come back who was refused as nothing is known: a
+	// unknownWait is the retry time of a caller that was refused because no balance is known: a
 	// Ledger that is gone has a successor soon.
 	unknownWait = 500 * time.Millisecond
 )
@@ -26,28 +27,28 @@
 // A Spender admits the requests of one instance. Its fields are set before use; it is safe
 // for concurrent use.
 type Spender struct {
-	Instances func() int // how many there are
+	Instances func() int // returns the number of instances
 
 	mu       sync.Mutex
 	accounts map[string]*accountState
 }
 
-// A spending is what one instance has spent of an account's quota.
+// An accountState is one instance's state of an account's quota.
 type accountState struct {
-	spent    int64 // tokens, less those that were given back
-	pending  int64 // tokens of requests for which a Ledger is asked
-	seq      int64 // of the last update
+	spent    int64 // tokens, less those returned
+	pending  int64 // tokens of requests for which a Ledger has been asked
+	seq      int64 // sequence number of the last update
 	lastUsed time.Time
 	usage    meter
 	queue    retryQueue
 
-	balance     Balance   // the last one
-	balanceAt   time.Time // when it came; zero for never
-	requestedAt time.Time // when it was asked for
-	othersRate  float64   // tokens a second that others spent then
-	share       float64   // of the limit, as of then
+	balance     Balance   // the latest
+	balanceAt   time.Time // when it arrived; zero: there is none
+	requestedAt time.Time // when it was requested
+	othersRate  float64   // use by all other instances at that time, in tokens a second
+	share       float64   // fraction of the limit, as of that time
 
-	disconnected   bucket // what is left while no Ledger is reached
+	disconnected   bucket // tokens left while no Ledger can be reached
 	isDisconnected bool
 }
 
@@ -57,23 +58,23 @@
 type Decision interface{ decision() }
 
 type (
-	// Admitted says that it is, and that its tokens are counted.
+	// Admitted means that the request is admitted and its tokens are counted.
 	Admitted struct{}
 
-	// Ask says that a Ledger is to be asked.
+	// Ask means that a Ledger must be asked.
 	Ask struct{}
 
-	// Unknown says that it is not, as nothing is known of the quota, or not any more.
+	// Unknown means that the request is refused because no current balance is known.
 	Unknown struct {
-		Wait time.Duration // until it may be tried again
+		Wait time.Duration // until the caller may retry
 	}
 
-	// Over says that it is not, as the quota is spent.
+	// Over means that the request is refused because the quota is spent.
 	Over struct {
-		Left int64         // tokens of the quota
-		Age  time.Duration // of that figure
-		Soon time.Duration // until its tokens have come
-		Wait time.Duration // until its caller may come back
+		Left int64         // tokens left of the quota
+		Age  time.Duration // of Left
+		Soon time.Duration // until its tokens are available
+		Wait time.Duration // until the caller should retry; Soon within bounds
 	}
 )
 
@@ -82,7 +83,7 @@
 func (Over) decision()     {}
 func (Unknown) decision()  {}
 
-// A Request is for tokens of an account's quota.
+// A Request asks for tokens of an account's quota.
 type Request struct {
 	Account string
 	Limit   Limit
@@ -90,7 +91,7 @@
 	Urgency int // 0 is the most urgent
 }
 
-// Spend admits a request by what this instance knows, or says that a Ledger is to be asked.
+// Spend decides on a request by the latest balance, or returns Ask if a Ledger must decide.
 func (s *Spender) Spend(r Request, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,15 +111,15 @@
 	return Admitted{}
 }
 
-// Settled takes in a balance that was asked for at a time.
+// Settled applies a balance that was requested at requestedAt.
 func (s *Spender) Settled(b Balance, limit Limit, requestedAt, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account(b.Account).applyBalance(b, limit, requestedAt, now, s.minShare())
 }
 
-// Answered takes in the balance by which a Ledger answers a request that asked for it, and
-// decides on that.
+// Answered applies the balance that a Ledger returned for a request and decides on the
+// request.
 func (s *Spender) Answered(r Request, b Balance, requestedAt, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,14 +135,14 @@
 	return a.refuse(r, float64(b.Left), s.minShare(), now)
 }
 
-// Unanswered takes in that a Ledger which was asked for a request has not answered.
+// Unanswered records that a Ledger did not reply about a request.
 func (s *Spender) Unanswered(r Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account(r.Account).pending -= r.Tokens
 }
 
-// SpendAlone decides on a request while no Ledger answers.
+// SpendAlone decides on a request while no Ledger can be reached.
 func (s *Spender) SpendAlone(r Request, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,7 +153,7 @@
 	if !a.isDisconnected {
 		a.disconnect()
 	}
-	// It may save up for a request that is larger than its share of the burst.
+	// The bucket may fill up to a request that is larger than the share of the burst.
 	a.disconnected.fill(a.share*r.Limit.Rate, max(a.share*r.Limit.Burst, float64(r.Tokens)), now)
 	if a.disconnected.level < float64(r.Tokens) {
 		return a.refuse(r, a.disconnected.level, s.minShare(), now)
@@ -162,7 +163,7 @@
 	return Admitted{}
 }
 
-// Return gives the tokens of a request back that has not run.
+// Return returns the tokens of a request that has not run.
 func (s *Spender) Return(account string, tokens int64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -173,7 +174,7 @@
 	}
 }
 
-// Report returns what is to be settled.
+// Report returns the accounts to settle.
 func (s *Spender) Report(now time.Time) []Spent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,9 +187,9 @@
 	return report
 }
 
-// Want returns what a Ledger is to be asked for a request. Until it has answered, or is known
-// not to, the request counts in what else is settled: asks at the same time would all be
-// granted the same tokens.
+// Want returns the report that asks a Ledger for the tokens of a request. Until Answered or
+// Unanswered is called, the request counts in other reports too: otherwise concurrent asks
+// would all be granted the same tokens.
 func (s *Spender) Want(r Request) Spent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,7 +212,7 @@
 	return a
 }
 
-// minShare returns the share that any instance has.
+// minShare returns the share that every instance has.
 func (s *Spender) minShare() float64 { return evenShare / float64(max(1, s.Instances())) }
 
 func (a *accountState) record(tokens int64, now time.Time) {
@@ -220,7 +221,7 @@
 	a.lastUsed = now
 }
 
-// applyBalance takes in a balance. One that was asked for earlier than the last one is older.
+// applyBalance applies a balance, unless it was requested before the latest one.
 func (a *accountState) applyBalance(b Balance, l Limit, requestedAt, now time.Time, minShare float64) {
 	if requestedAt.Before(a.requestedAt) {
 		return
@@ -231,29 +232,29 @@
 	a.share = minShare + shareOf(usage, float64(b.Use), l)
 }
 
-// update returns what is to be settled of the account.
+// update returns the report of the account.
 func (a *accountState) update(account string) Spent {
 	a.seq++
 	return Spent{Account: account, Counter: a.spent + a.pending, Recent: int64(a.unsettled()), Seq: a.seq}
 }
 
-// unsettled returns what was spent, or may be, that the last balance does not count.
+// unsettled returns the tokens, spent or pending, that the latest balance does not include.
 func (a *accountState) unsettled() float64 { return float64(a.spent + a.pending - a.balance.Counted) }
 
-// left returns what is left of the quota. Others go on to spend as they did.
+// left returns the tokens left of the quota, if the others spend at the same rate as before.
 func (a *accountState) left(l Limit, now time.Time) float64 {
 	age := now.Sub(a.balanceAt).Seconds()
 	return min(l.Burst, float64(a.balance.Left)+(l.Rate-a.othersRate)*age) - a.unsettled()
 }
 
-// allowance returns what this instance may spend of it without asking. The parts of all
-// instances add up to what is left, so callers may turn to any of them at once.
+// allowance returns the tokens that this instance may spend without asking. The allowances of
+// all instances add up to the tokens left, so callers may send to any of them at once.
 func (a *accountState) allowance(l Limit, now time.Time) float64 {
 	age := now.Sub(a.balanceAt).Seconds()
 	return a.share*min(l.Burst, max(0, float64(a.balance.Left))+l.Rate*age) - a.unsettled()
 }
 
-// disconnect leaves the instance its share of what was left when it reached a Ledger last.
+// disconnect leaves the instance its share of the tokens left at the latest balance.
 func (a *accountState) disconnect() {
 	a.isDisconnected = true
 	a.disconnected = bucket{level: a.share*max(0, float64(a.balance.Left)) - a.unsettled(), at: a.balanceAt}
--- a/internal/account/limiter/spender_test.go
+++ b/internal/account/limiter/spender_test.go
@@ -18,7 +18,7 @@
 	return limiter.Request{Account: "a", Limit: limiter.Limit{Rate: 1000, Burst: 1000}, Tokens: tokens}
 }
 
-// newSpender returns one that was told now that nothing of the quota is used.
+// newSpender returns a spender with a balance that is new at start.
 func newSpender(left int64) *limiter.Spender {
 	s := &limiter.Spender{Instances: func() int { return 1 }}
 	s.Settled(limiter.Balance{Account: "a", Left: left}, request(0).Limit, start, start)
@@ -53,13 +53,13 @@
 		after  time.Duration
 		want   limiter.Decision
 	}{
-		{"beyond its own part", 1000, 600, 0, limiter.Ask{}},
-		{"its own part", 1000, 10, 0, limiter.Admitted{}},
-		{"more than is left", 100, 200, 0, limiter.Over{Left: 100, Soon: 100 * time.Millisecond, Wait: 200 * time.Millisecond}},
-		{"what has come since", 100, 200, 200 * time.Millisecond, limiter.Ask{}},
-		{"larger than the burst, which is not used", 1000, 3000, 0, limiter.Ask{}},
-		{"larger than the burst, which is used", 500, 3000, 0, limiter.Over{Left: 500, Soon: 500 * time.Millisecond, Wait: 500 * time.Millisecond}},
-		{"a balance that is old", 1000, 10, time.Second, limiter.Ask{}},
+		{"beyond its allowance", 1000, 600, 0, limiter.Ask{}},
+		{"within its allowance", 1000, 10, 0, limiter.Admitted{}},
+		{"more than the tokens left", 100, 200, 0, limiter.Over{Left: 100, Soon: 100 * time.Millisecond, Wait: 200 * time.Millisecond}},
+		{"tokens available since the balance", 100, 200, 200 * time.Millisecond, limiter.Ask{}},
+		{"larger than the burst, which is full", 1000, 3000, 0, limiter.Ask{}},
+		{"larger than the burst, which is not full", 500, 3000, 0, limiter.Over{Left: 500, Soon: 500 * time.Millisecond, Wait: 500 * time.Millisecond}},
+		{"outdated balance", 1000, 10, time.Second, limiter.Ask{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := newSpender(tc.left).Spend(request(tc.tokens), at(tc.after))
@@ -70,17 +70,17 @@
 	}
 }
 
-// Guards against an instance that begins with a quota of its own after a restart.
+// Guards against an instance that has a quota of its own after a restart.
 func TestSpenderWithoutBalanceAdmitsNothing(t *testing.T) {
 	s := limiter.Spender{Instances: func() int { return 1 }}
 	if _, unknown := s.SpendAlone(request(1), start).(limiter.Unknown); !unknown {
-		t.Error("it admits a request")
+		t.Error("a spender without a balance admits a request")
 	}
 }
 
 func TestDisconnectedSpenderHasItsShare(t *testing.T) {
 	s := newSpender(1000)
-	for range 40 { // all that is spent is spent here
+	for range 40 { // this spender alone uses the account
 		s.Want(request(20))
 		s.Answered(request(20), limiter.Balance{Account: "a", Granted: true, Left: 1000}, start, start)
 	}
@@ -92,19 +92,19 @@
 		}
 	}
 	if admitted < 9000 || admitted > 11000 {
-		t.Errorf("%d tokens in 10 s, of 1000 a second and 1000 more", admitted)
+		t.Errorf("%d tokens admitted in 10 s, of 1000 a second and a burst of 1000", admitted)
 	}
 	if _, unknown := s.SpendAlone(request(1), at(time.Minute)).(limiter.Unknown); !unknown {
-		t.Error("it goes on for ever")
+		t.Error("a spender disconnected for a minute still decides by its share")
 	}
 }
 
-// Guards against a refused request that costs its account tokens.
+// Guards against a request that has not run but costs its account tokens.
 func TestReturnedTokensMayBeSpent(t *testing.T) {
 	s := newSpender(1000)
 	for range 1000 {
 		if _, ok := s.Spend(request(40), start).(limiter.Admitted); !ok {
-			t.Fatal("tokens were lost")
+			t.Fatal("returned tokens are not available")
 		}
 		s.Return("a", 40, start)
 	}
@@ -118,11 +118,11 @@
 	s.Settled(limiter.Balance{Account: "a", Left: 0}, request(0).Limit, at(20*time.Millisecond), at(30*time.Millisecond))
 	s.Settled(limiter.Balance{Account: "a", Left: 1000}, request(0).Limit, at(10*time.Millisecond), at(40*time.Millisecond))
 	if _, over := s.Spend(request(500), at(40*time.Millisecond)).(limiter.Over); !over {
-		t.Error("the older balance is in force")
+		t.Error("the outdated balance is applied")
 	}
 }
 
-// Guards against refused callers that come back all at once.
+// Guards against refused callers that all retry at the same time.
 func TestRefusedCallersGetStaggeredWaits(t *testing.T) {
 	s := newSpender(0)
 	var waits []time.Duration
@@ -135,11 +135,11 @@
 	waits = append(waits, s.Spend(less, start).(limiter.Over).Wait, s.Spend(urgent, start).(limiter.Over).Wait)
 	for n := 1; n < 4; n++ {
 		if waits[n] < waits[n-1] {
-			t.Errorf("wait %s after %s", waits[n], waits[n-1])
+			t.Errorf("wait of %s after a wait of %s", waits[n], waits[n-1])
 		}
 	}
 	if waits[4] > waits[3] {
-		t.Errorf("an urgent one waits for %s, a less urgent one for %s", waits[4], waits[3])
+		t.Errorf("an urgent request waits for %s, a less urgent one for %s", waits[4], waits[3])
 	}
 }
 
--- a/internal/account/limiter/strategies_test.go
+++ b/internal/account/limiter/strategies_test.go
@@ -7,7 +7,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/account/limiter"
 )
 
-// Limits of a small and of a large account: the smallest has two requests a second.
+// Limits of a small and of a large account. The smallest accounts send two requests a second.
 var (
 	smallLimit = limiter.Limit{Rate: 4200, Burst: 4200}
 	largeLimit = limiter.Limit{Rate: 300000, Burst: 300000}
@@ -15,10 +15,10 @@
 
 const meanRequest = 1700 // tokens
 
-// calmLoad is the load of a calm day, as a multiple of the limit.
+// calmLoad is the usual load, as a multiple of the limit.
 const calmLoad = 0.55
 
-// A scenario is a load with trouble.
+// A scenario is a sequence of workloads and faults.
 type scenario struct {
 	name string
 	run  func(l *simulation)
@@ -32,15 +32,15 @@
 	return workload{rate: calmLoad, targets: sample(l, max(3, len(l.instances)/4)), mean: meanRequest}
 }
 
-// peak returns the load of an account that sends eight times its usual.
+// peak returns the workload at eight times its rate.
 func (d workload) peak() workload {
 	d.rate *= 8
 	return d
 }
 
 var scenarios = []scenario{
-	{"calm", func(l *simulation) { l.run(30*time.Second, calmWorkload(l)) }},
-	{"eight times its usual", func(l *simulation) {
+	{"usual load", func(l *simulation) { l.run(30*time.Second, calmWorkload(l)) }},
+	{"eight times the usual load", func(l *simulation) {
 		d := calmWorkload(l)
 		l.run(10*time.Second, d)
 		l.run(10*time.Second, d.peak())
@@ -51,11 +51,11 @@
 			l.run(3*time.Second, calmWorkload(l))
 		}
 	}},
-	{"all at one instance", func(l *simulation) {
+	{"all requests at one instance", func(l *simulation) {
 		l.run(10*time.Second, calmWorkload(l))
 		l.run(10*time.Second, workload{rate: calmLoad, targets: sample(l, 1), mean: meanRequest})
 	}},
-	{"all restart at eight times its usual", func(l *simulation) {
+	{"all restart at eight times the usual load", func(l *simulation) {
 		d := calmWorkload(l)
 		l.run(10*time.Second, d)
 		l.run(4*time.Second, d.peak())
@@ -64,20 +64,20 @@
 		}
 		l.run(10*time.Second, d.peak())
 	}},
-	{"a third cut off at eight times its usual", func(l *simulation) {
+	{"a third partitioned at eight times the load", func(l *simulation) {
 		d := calmWorkload(l)
 		l.run(10*time.Second, d)
 		l.partition(8*time.Second, func(i *instance) bool { return i.number%3 == 1 })
 		l.run(10*time.Second, d.peak())
 		l.run(5*time.Second, d)
 	}},
-	{"a third cut off in calm", func(l *simulation) {
+	{"a third partitioned at the usual load", func(l *simulation) {
 		d := calmWorkload(l)
 		l.run(10*time.Second, d)
 		l.partition(8*time.Second, func(i *instance) bool { return i.number%3 == 1 })
 		l.run(15*time.Second, d)
 	}},
-	{"a leader cut off", func(l *simulation) {
+	{"a leader partitioned", func(l *simulation) {
 		d := calmWorkload(l)
 		l.run(10*time.Second, d)
 		l.partition(3*time.Second, func(i *instance) bool { return i.number == 1 })
@@ -85,7 +85,7 @@
 	}},
 }
 
-// Compares the ways to keep a quota; go test -v -run TestStrategies shows the table.
+// Compares the strategies to enforce a quota; go test -v -run TestStrategies shows the table.
 func TestStrategies(t *testing.T) {
 	for _, limit := range []limiter.Limit{smallLimit, largeLimit} {
 		for _, n := range []int{3, 9, 69, 300} {
@@ -93,10 +93,10 @@
 				for _, w := range []struct {
 					name        string
 					newStrategy func(l *simulation) strategy
-				}{{"evenly", newEvenSplit}, {"by demand", newDemandSplit}, {"by sum", newLedgerStrategy}} {
+				}{{"evenly", newEvenSplit}, {"by demand", newDemandSplit}, {"ledger", newLedgerStrategy}} {
 					l := newSimulation(1, max(n, domains), limit, w.newStrategy)
 					s.run(l)
-					t.Logf("%6.0f tokens/s, %3d instances, %-42s %-10s over %6.0f tokens, served %.3f, %5.2f %% refused below the limit, %6d messages",
+					t.Logf("%6.0f tokens/s, %3d instances, %-42s %-10s exceeded by %6.0f tokens, served %.3f, %5.2f %% wrongly refused, %6d messages",
 						limit.Rate, n, s.name, w.name, l.excess(), l.served(), 100*float64(l.wronglyRefused)/float64(l.requested), l.messages)
 				}
 			}
--- a/internal/account/limiter/wait.go
+++ b/internal/account/limiter/wait.go
@@ -3,21 +3,22 @@
 import "time"
 
 const (
-	// urgencyLevels is how many classes of urgency are told apart.
+	// urgencyLevels is the number of urgency classes.
 	urgencyLevels = 4
-	// minWait and longestWait bound when a refused caller is told to come back. The
-	// shortest is more than a balance is old.
+	// minWait and maxWait bound the retry time given to refused callers. The minimum is
+	// longer than the usual age of a balance.
 	minWait = 200 * time.Millisecond
 	maxWait = 10 * time.Second
 )
 
-// A line is the tokens for which refused callers were told to come back, by urgency.
+// A retryQueue counts the tokens of refused requests that are expected to be retried, by urgency.
 type retryQueue struct {
 	tokens [urgencyLevels]float64
 	at     time.Time
 }
 
-// drain takes out the tokens that have come since the last look, the most urgent first.
+// drain removes the tokens that have become available since the last call, the most urgent
+// first.
 func (l *retryQueue) drain(rate float64, now time.Time) {
 	available := rate * now.Sub(l.at).Seconds()
 	l.at = now
@@ -28,7 +29,7 @@
 	}
 }
 
-// add adds a request and returns the tokens that are before it.
+// add queues a request and returns the tokens ahead of it.
 func (l *retryQueue) add(tokens float64, urgency int) (ahead float64) {
 	urgency = min(max(0, urgency), urgencyLevels-1)
 	for n := range urgency + 1 {
@@ -38,10 +39,10 @@
 	return ahead
 }
 
-// refuse refuses a request. Callers that are refused one after the other are told to come
-// back one after the other, as their tokens come; more urgent ones go first.
+// refuse refuses a request. The waits of refused requests are staggered at the rate at which
+// tokens become available, the most urgent first, so that callers don't retry in a burst.
 func (a *accountState) refuse(r Request, left, minShare float64, now time.Time) Over {
-	// An instance that has just started has next to no share yet.
+	// An instance that has just started has hardly any share yet.
 	rate := max(a.share, minShare/evenShare) * r.Limit.Rate
 	a.queue.drain(rate, now)
 	ahead := a.queue.add(float64(r.Tokens), r.Urgency)
--- a/internal/request/claimer/batcher.go
+++ b/internal/request/claimer/batcher.go
@@ -14,19 +14,19 @@
 // told so and the rest goes on without it.
 type batcher struct {
 	table    tabler.Table
-	interval time.Duration // between groups
-	maxSize  int           // transactions in a group
+	interval time.Duration // minimum time between batches
+	maxSize  int           // transactions in a batch
 
 	queue chan *pending
 }
 
-// A pending transaction waits for its group.
+// A pending transaction waits for its batch.
 type pending struct {
 	txn  tabler.Txn
 	done chan error
 }
 
-// commit hands a transaction in and returns its own outcome.
+// commit queues a transaction and returns its result.
 func (g *batcher) commit(ctx context.Context, txn tabler.Txn) error {
 	p := &pending{txn: txn, done: make(chan error, 1)}
 	select {
@@ -42,8 +42,9 @@
 	}
 }
 
-// run commits groups until ctx ends. A group that comes after a pause goes at
-// once; under load what arrives between two groups goes together.
+// run commits batches until ctx ends. After a pause, a transaction is committed
+// at once; under load, those that arrive between two batches are committed
+// together.
 func (g *batcher) run(ctx context.Context) {
 	var last time.Time
 	for {
@@ -58,7 +59,7 @@
 	}
 }
 
-// collect gathers what arrives within the wait, and what is there already.
+// collect adds transactions that arrive within the wait or are already queued.
 func (g *batcher) collect(ctx context.Context, first *pending, wait time.Duration) []*pending {
 	batch := []*pending{first}
 	timer := time.NewTimer(max(0, wait))
@@ -76,7 +77,7 @@
 	return batch
 }
 
-// addQueued adds what is in the queue already.
+// addQueued adds transactions that are already queued.
 func (g *batcher) addQueued(batch []*pending) []*pending {
 	for len(batch) < g.maxSize {
 		select {
@@ -89,7 +90,7 @@
 	return batch
 }
 
-// commitBatch commits a group, without those that conflict.
+// commitBatch commits a batch without the transactions that conflict.
 func (g *batcher) commitBatch(ctx context.Context, batch []*pending) {
 	for len(batch) > 0 {
 		now, later := splitDistinct(batch)
@@ -97,8 +98,8 @@
 	}
 }
 
-// tryCommit commits transactions on distinct rows. It returns those that must be
-// tried again because another one of them failed a check.
+// tryCommit commits transactions on distinct rows. It returns those to retry because
+// another one failed a check.
 func (g *batcher) tryCommit(ctx context.Context, batch []*pending) []*pending {
 	err := g.table.Commit(ctx, merge(batch))
 	var conflict *tabler.ConflictError
@@ -113,9 +114,9 @@
 	return nil
 }
 
-// splitDistinct splits off the transactions that write a row which an earlier one in
-// the group writes. Joined into one transaction, two claims on one key would
-// both see their check hold, and the request would run twice.
+// splitDistinct splits off transactions that write a row which an earlier one in the
+// batch writes. In one transaction, the checks of two claims on one key would
+// both pass, and the request would run twice.
 func splitDistinct(batch []*pending) (now, later []*pending) {
 	seen := make(map[string]bool)
 	for _, p := range batch {
@@ -144,7 +145,7 @@
 	return txn
 }
 
-// failConflicting tells those that check the conflicting row and returns the others.
+// failConflicting fails the transactions that check the conflicting row and returns the others.
 func failConflicting(batch []*pending, conflict *tabler.ConflictError) []*pending {
 	var rest []*pending
 	for _, p := range batch {
--- a/internal/request/claimer/batcher_test.go
+++ b/internal/request/claimer/batcher_test.go
@@ -13,7 +13,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/claimer"
 )
 
-// A countingTable counts transactions and takes a while for each.
+// A countingTable counts transactions and takes 5 ms for each.
 type countingTable struct {
 	tabler.Memory
 	commits atomic.Int64
@@ -25,8 +25,8 @@
 	return c.Memory.Commit(ctx, txn)
 }
 
-// However many claims come, the one who gathers for a failure domain writes 25
-// groups a second; one that comes alone does not wait.
+// Guards against a batcher that writes more than 25 batches a second for its
+// failure domain under load, or delays a single claim.
 func TestBatchRateIsBounded(t *testing.T) {
 	for _, tc := range []struct{ claims, most int }{{1, 1}, {1000, 27}} {
 		t.Run(fmt.Sprint(tc.claims), func(t *testing.T) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkGather measures what a claim costs its gatherer beside the table.
+// BenchmarkGather measures the cost of a claim in the batcher, with a table in memory.
 func BenchmarkGather(b *testing.B) {
 	c := &claimer.Claimer{Self: "i", Table: &tabler.Memory{}, Gone: func(string) bool { return false }}
 	go c.Run(b.Context())
--- a/internal/request/claimer/claim.go
+++ b/internal/request/claimer/claim.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// A Claim is the row of one keyed request.
+// A Claim is the row of a request with an idempotency key.
 type Claim struct {
-	Token    string    `cbor:"1,keyasint"` // of the attempt
-	Claimant string    `cbor:"2,keyasint"` // incarnation
-	Request  string    `cbor:"3,keyasint"` // digest of what was asked
+	Token    string    `cbor:"1,keyasint"` // unique token of the attempt
+	Claimant string    `cbor:"2,keyasint"` // incarnation of the instance that runs the request
+	Request  string    `cbor:"3,keyasint"` // digest of the request
 	Ended    bool      `cbor:"4,keyasint"`
-	Status   int       `cbor:"5,keyasint"` // of the outcome
+	Status   int       `cbor:"5,keyasint"` // HTTP status of the outcome
 	Type     string    `cbor:"6,keyasint"` // content type of the outcome
-	Object   string    `cbor:"7,keyasint"` // key of the outcome's body; empty if it was not kept
-	Until    time.Time `cbor:"8,keyasint"` // when the claim may be forgotten
+	Object   string    `cbor:"7,keyasint"` // key of the stored body; empty if it was not stored
+	Until    time.Time `cbor:"8,keyasint"` // time at which the claim expires
 }
 
-// A Decision is what a claim that is already there means for a newcomer.
+// A Decision is what an existing claim means for a later request with its key.
 //
 //sumtype:decl
 type Decision interface{ decision() }
 
-// Mismatch means that the same key came with another request.
+// Mismatch means that the key was used for a different request.
 type Mismatch struct{}
 
-// Indeterminate means that the first request may have run and nobody will tell.
+// Indeterminate means that the first request may have run, but its outcome will not be known.
 type Indeterminate struct{}
 
-// Expired means that the claim counts no more and may be replaced.
+// Expired means that the claim has expired and may be replaced.
 type Expired struct{}
 
-// Replay means that the first request's outcome is there.
+// Replay means that the outcome of the first request is available.
 type Replay struct{ Claim Claim }
 
-// InProgress means that the first request runs.
+// InProgress means that the first request is still running.
 type InProgress struct{}
 
 func (Mismatch) decision()      {}
@@ -44,7 +44,7 @@
 func (Replay) decision()        {}
 func (InProgress) decision()    {}
 
-// Decide returns what a claim means for a newcomer with the same key.
+// Decide returns what a claim means for a later request with the same key.
 func Decide(c Claim, request string, now time.Time, gone func(claimant string) bool) Decision {
 	switch {
 	case now.After(c.Until):
@@ -60,14 +60,14 @@
 	}
 }
 
-// Key returns the row of an account's idempotency key. The account is part of
-// what is hashed, so that no key of one account leads to another's outcome.
+// Key returns the row key for an account's idempotency key. The account is part
+// of the hash, so that no key of one account leads to the outcome of another.
 func Key(account, key string) string {
 	sum := sha256.Sum256([]byte(account + "\x00" + key))
 	return "claim/" + hex.EncodeToString(sum[:])
 }
 
-// Digest names what was asked.
+// Digest returns the digest of a request by its parts.
 func Digest(parts ...[]byte) string {
 	h := sha256.New()
 	for _, p := range parts {
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -13,33 +13,33 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// A Claimer claims keyed requests. Its fields are set before Run.
+// A Claimer claims requests with an idempotency key. Its fields are set before Run.
 type Claimer struct {
-	Gone  func(incarnation string) bool                   // whether a process runs no more
-	Route func(ctx context.Context, txn tabler.Txn) error // commits through whoever gathers for the domain; nil for Gather
-	Self  string                                          // incarnation
+	Gone  func(incarnation string) bool                   // reports whether an instance has stopped for good
+	Route func(ctx context.Context, txn tabler.Txn) error // commits through the batcher of the failure domain; nil for Gather
+	Self  string                                          // own incarnation
 	Store storer.Store
 	Table tabler.Table
 	Token func() string
 
 	batcher       *batcher
 	mu            sync.Mutex
-	active        map[string]bool       // tokens of requests that run here, or ran and are on no other record
-	unwrittenEnds map[string]Claim      // by row, ended claims that could not be written yet
-	withdrawals   map[string]withdrawal // by row
+	active        map[string]bool       // tokens of requests that run here, or whose end is not written yet
+	unwrittenEnds map[string]Claim      // by row; ended claims that could not be written yet
+	withdrawals   map[string]withdrawal // by row; claims to withdraw
 	started       sync.Once
-	expiring      map[string]time.Time // own rows to delete
+	expiring      map[string]time.Time // by own row; when to delete it
 }
 
 const (
-	batchInterval    = 40 * time.Millisecond // so that a domain writes 25 groups a second at most
+	batchInterval    = 40 * time.Millisecond // at most 25 batches a second for a failure domain
 	maxBatch         = 256
-	claimTimeout     = 3 * time.Second // for writing one claim
+	claimTimeout     = 3 * time.Second // to write one claim
 	minPoll          = 50 * time.Millisecond
 	maxPoll          = time.Second
 	cleanUpInterval  = time.Second
-	lateWriteTimeout = 30 * time.Second // after which a write whose answer was lost is not expected any more
-	maxOutcomeSize   = 256 << 10        // largest body that is kept, in bytes
+	lateWriteTimeout = 30 * time.Second // after which a write with a lost response can no longer take effect
+	maxOutcomeSize   = 256 << 10        // largest body that is stored, in bytes
 )
 
 // A Ticket is a claim that this instance holds for one request.
@@ -55,8 +55,8 @@
 	Body   []byte
 }
 
-// Begin claims a key. It returns a Ticket if the request may be dispatched, an
-// Outcome if an earlier request with the key has ended, or a *judge.Error.
+// Begin claims a key. It returns a Ticket if the request may be dispatched, the
+// Outcome of an earlier request with the key, or a *judge.Error.
 func (c *Claimer) Begin(ctx context.Context, account, key, request string, keep time.Duration) (*Ticket, *Outcome, error) {
 	t := &Ticket{row: Key(account, key), claim: Claim{
 		Token: c.Token(), Claimant: c.Self, Request: request, Until: time.Now().Add(keep),
@@ -91,8 +91,8 @@
 }
 
 // End records how a claimed request ended. After NotRun the claim is withdrawn,
-// so that the key may be used again; a failure that may have run stays on
-// record as such.
+// so that the key may be used again; the claim of a request that may have run
+// stays, without an outcome.
 func (c *Claimer) End(ctx context.Context, t *Ticket, outcome *Outcome, failure *judge.Error) {
 	if failure != nil && failure.Verdict == judge.NotRun {
 		c.deactivate(t)
@@ -117,15 +117,15 @@
 	delete(c.active, claim.Token)
 }
 
-// Gather commits a transaction together with others that arrive at the same
-// time, of this instance and of the peers that route theirs here. It needs no
-// lease: the table's checks decide, whoever writes.
+// Gather commits a transaction in a batch with others that arrive at about the
+// same time from this instance and from peers that route theirs here. It needs
+// no lease: the checks of the table decide, whichever instance writes.
 func (c *Claimer) Gather(ctx context.Context, txn tabler.Txn) error {
 	c.init()
 	return c.batcher.commit(ctx, txn)
 }
 
-// Run commits groups and settles what is owed until ctx ends.
+// Run commits batches and withdraws and deletes claims until ctx ends.
 func (c *Claimer) Run(ctx context.Context) {
 	c.init()
 	go c.batcher.run(ctx)
@@ -142,8 +142,8 @@
 	})
 }
 
-// claim writes the claim on condition that there is none. A lost answer is
-// settled by reading back the token.
+// claim writes the claim on the condition that none exists. After a lost
+// response it is confirmed by reading back the token.
 func (c *Claimer) claim(ctx context.Context, t *Ticket) error {
 	c.init()
 	c.mu.Lock()
@@ -166,18 +166,18 @@
 	}
 }
 
-// resolveExisting decides on a claim that is already there. It returns the outcome to
-// replay, or whether to claim again at once.
+// resolveExisting decides on an existing claim. It returns the outcome to replay, or
+// whether to claim again at once.
 func (c *Claimer) resolveExisting(ctx context.Context, t *Ticket) (*Outcome, bool, error) {
 	claim, version, err := c.read(ctx, t.row)
 	if err != nil {
 		return nil, false, judge.Refuse(judge.ReasonClaim, "the claim could not be read: %v", err).After(time.Second)
 	}
 	if version == 0 {
-		return nil, true, nil // withdrawn meanwhile
+		return nil, true, nil // withdrawn in the meantime
 	}
 	if claim.Claimant == c.Self && !claim.Ended && !c.running(claim.Token) {
-		c.withdraw(ctx, t.row, withdrawal{token: claim.Token}) // left by a write that was given up on
+		c.withdraw(ctx, t.row, withdrawal{token: claim.Token}) // left by an abandoned write of this instance
 		return nil, true, nil
 	}
 	switch decision := Decide(claim, t.claim.Request, time.Now(), c.Gone).(type) {
@@ -205,14 +205,14 @@
 	return &Outcome{Status: claim.Status, Type: claim.Type, Body: body}, false, nil
 }
 
-// deactivate notes that a request does not run here any more.
+// deactivate records that a request no longer runs here.
 func (c *Claimer) deactivate(t *Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.active, t.claim.Token)
 }
 
-// storeBody stores the body of an outcome and returns its key, empty on failure.
+// storeBody stores the body of an outcome and returns its key; empty on failure.
 func (c *Claimer) storeBody(ctx context.Context, t *Ticket, outcome *Outcome) string {
 	key := "outcome/" + t.claim.Token
 	if err := c.Store.Put(ctx, key, outcome.Body); err != nil {
@@ -246,7 +246,8 @@
 	return claim, r.Version, err
 }
 
-// running reports whether the attempt with the token runs on this instance.
+// running reports whether the attempt with the token runs on this instance, or
+// its end is not written yet.
 func (c *Claimer) running(token string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -17,11 +17,11 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// A badTable fails as a platform does: it is down for a while, loses answers
-// after the write, and lets some writes take effect late.
+// A faultyTable injects the faults of a platform: downtime, lost responses after
+// the write, and writes that take effect late.
 type faultyTable struct {
 	tabler.Memory
-	ignoresChecks bool // does not look at the conditions
+	ignoresChecks bool // commits without the checks
 	down          atomic.Bool
 
 	mu     sync.Mutex
@@ -30,7 +30,7 @@
 	random *rand.Rand
 }
 
-// drawFault decides the fate of one write.
+// drawFault draws the faults of one write.
 func (b *faultyTable) drawFault() (late, lost bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,10 +73,10 @@
 	return b.Memory.Get(ctx, key)
 }
 
-// A bench is several instances before one table, and a count of what ran.
+// A bench is several instances with one table; it counts the runs of requests.
 type cluster struct {
 	claimers []*claimer.Claimer
-	gone     sync.Map // incarnation
+	gone     sync.Map // by incarnation
 	runs     atomic.Int64
 	store    storer.Memory
 	table    *faultyTable
@@ -87,7 +87,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		cancel()
-		time.Sleep(10 * time.Second) // what is under way ends by itself
+		time.Sleep(10 * time.Second) // for work in progress to end
 	})
 	b := &cluster{table: &faultyTable{random: rand.New(rand.NewPCG(seed, 1))}}
 	for i := range n {
@@ -103,8 +103,9 @@
 	return b
 }
 
-// request runs a keyed request to its end and returns the verdict that its
-// caller sees. With crash it dies after it ran and before it could record it.
+// request runs a request with a key and returns the verdict and body that its
+// caller gets. With crash, the claimant crashes after the run and before it records
+// the outcome.
 func (b *cluster) request(c *claimer.Claimer, timeout time.Duration, crash bool) (judge.Verdict, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -125,10 +126,10 @@
 	return judge.Ran, body
 }
 
-// The same key arrives through several instances at once, and again later,
-// while the table loses answers, takes writes late and is down for a while, and
-// one claimant may crash after it ran. The request may run once at most; every
-// caller who is told it ran sees the one outcome.
+// Guards against a request that runs twice, or whose callers get different
+// outcomes: requests with one key arrive through several instances, at once and
+// later, while the table loses responses, applies writes late and is down for a
+// while, and one claimant may crash after the run.
 func TestRunsAtMostOnce(t *testing.T) {
 	for seed := range uint64(150) {
 		synctest.Test(t, func(t *testing.T) {
@@ -139,8 +140,8 @@
 	}
 }
 
-// A table that does not look at the conditions takes the safeguard out: the
-// check above must find requests that ran twice.
+// Guards against a simulation that cannot detect requests that run twice: with a
+// table that ignores checks, it must find some.
 func TestAtMostOnceCheckDetectsIgnoredConditions(t *testing.T) {
 	found := 0
 	for seed := range uint64(20) {
@@ -151,7 +152,7 @@
 		})
 	}
 	if found == 0 {
-		t.Error("no request was found to have run twice")
+		t.Error("no request that ran twice was detected")
 	}
 }
 
@@ -193,9 +194,9 @@
 	return nil
 }
 
-// Two requests with one key meet in one group of claims, because another claim
-// went just before them. Joined into one transaction both would pass the same
-// check.
+// Guards against two claims on one key in one batch, which collects them because
+// another batch was committed just before: in one transaction both would pass the
+// same check.
 func TestSameKeyInOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCluster(t, 1, 1)
@@ -213,10 +214,10 @@
 	})
 }
 
-// The claim was written, its answer lost, and the store went down before it
-// could be read back. The caller is told not_run. When the store is back the
-// claim is withdrawn, and an honest second attempt runs instead of being told
-// may_have_run.
+// Guards against a claim that stays although its request was refused as not_run:
+// the response to the write was lost, and the store was down when the claim was
+// read back. Once the store is up, the claim must be withdrawn, so that a second
+// attempt runs instead of getting may_have_run.
 func TestRefusedClaimIsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newCluster(t, 2, 1)
@@ -267,6 +268,6 @@
 
 func TestKeyDiffersByAccount(t *testing.T) {
 	if claimer.Key("a", "bc") == claimer.Key("ab", "c") {
-		t.Error("keys of two accounts meet in one row")
+		t.Error("keys of two accounts have the same row key")
 	}
 }
--- a/internal/request/claimer/doc.go
+++ b/internal/request/claimer/doc.go
@@ -1,12 +1,13 @@
-// Package claimer keeps a request that must not run twice from running twice.
+// Package claimer runs requests with an idempotency key at most once.
 //
-// Such a request carries an idempotency key. Before it is dispatched, a claim
-// on (account, key) is written to the table service on condition that there is
-// none. Whoever comes second, through whatever instance or failure domain,
-// finds the claim: it is given the first one's outcome, waits for it, or is told
-// may_have_run when the claimant is gone. Claims are written in groups, many
-// in one transaction. A claim whose answer was lost is settled by reading back
-// its own token; one that was refused to its caller all the same is withdrawn
-// as soon as the store answers again, so that an honest later attempt is not
-// told may_have_run for it.
+// Before such a request is dispatched, a claim on (account, key) is written to
+// the table service on the condition that none exists. A later request with the
+// key, through any instance or failure domain, finds the claim: it gets the
+// outcome of the first request, waits for it, or gets may_have_run if the
+// claimant is gone. Claims are written in batches, many in one transaction.
+//
+// If the response to a claim is lost, the claim is confirmed by reading back its
+// token. If that fails too, the caller is refused, and the claim is withdrawn as
+// soon as the store responds again: otherwise a later attempt would get
+// may_have_run for a request that never ran.
 package claimer
--- a/internal/request/claimer/withdrawal.go
+++ b/internal/request/claimer/withdrawal.go
@@ -9,29 +9,29 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// A debt is a claim to withdraw.
+// A debt is a claim that is to be withdrawn.
 type withdrawal struct {
 	token       string
 	scheduledAt time.Time
 }
 
-// scheduleWithdrawal notes a claim to withdraw.
+// scheduleWithdrawal records a claim to withdraw.
 func (c *Claimer) scheduleWithdrawal(t *Ticket) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.withdrawals[t.row] = withdrawal{token: t.claim.Token, scheduledAt: time.Now()}
 }
 
-// Owed returns how many claims wait to be withdrawn.
+// Owed returns the number of claims that wait to be withdrawn.
 func (c *Claimer) Owed() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.withdrawals)
 }
 
-// confirm reads back whether the own claim was written. If the store does not
-// answer, the caller is promised that the request did not run, because it is
-// not dispatched; the claim is withdrawn later if it was written.
+// confirm reads back whether the claim was written. If the store does not respond,
+// the request is refused as not run, because it is not dispatched, and the claim
+// is withdrawn later if it was written.
 func (c *Claimer) confirm(ctx context.Context, t *Ticket) error {
 	claim, version, err := c.read(context.WithoutCancel(ctx), t.row)
 	switch {
@@ -43,13 +43,13 @@
 	case version != 0:
 		return &tabler.ConflictError{Key: t.row}
 	default:
-		// The write may still be under way; its token tells it from a later one.
+		// The write may still take effect; the token distinguishes it from a later claim.
 		c.scheduleWithdrawal(t)
 		return judge.Refuse(judge.ReasonClaim, "the claim was not written").After(time.Second)
 	}
 }
 
-// cleanUp withdraws what is owed and deletes the own claims that have expired.
+// cleanUp retries ended claims, withdraws claims, and deletes own claims that have expired.
 func (c *Claimer) cleanUp(ctx context.Context, now time.Time) {
 	c.mu.Lock()
 	withdrawals := maps.Clone(c.withdrawals)
@@ -75,13 +75,13 @@
 		}
 	}
 	if len(expired) > 0 {
-		_ = c.Table.Commit(ctx, tabler.Txn{Deletes: expired}) // a row that stays is replaced when its key is used again
+		_ = c.Table.Commit(ctx, tabler.Txn{Deletes: expired}) // a remaining row is replaced when its key is used again
 	}
 }
 
-// withdraw deletes a claim if it is still the one that is owed. It returns
-// whether that is settled: a row that is not there may yet appear if its write
-// is only late.
+// withdraw deletes a claim unless another one has replaced it. It reports whether
+// the withdrawal is complete: a missing row may still appear if its write is
+// late.
 func (c *Claimer) withdraw(ctx context.Context, row string, w withdrawal) bool {
 	claim, version, err := c.read(ctx, row)
 	if err != nil {
@@ -98,7 +98,7 @@
 }
 
 // retryEnd writes an ended claim whose first write failed. Until then a second
-// request through this instance waits, and through another one too.
+// request with the key waits, whichever instance receives it.
 func (c *Claimer) retryEnd(ctx context.Context, row string, claim Claim) {
 	if c.put(ctx, row, claim, nil) != nil {
 		return
--- a/internal/request/quarantiner/crash.go
+++ b/internal/request/quarantiner/crash.go
@@ -2,21 +2,22 @@
 
 import "time"
 
-// A Crash is an incarnation of a runner that crashed while it ran a request.
+// A Crash identifies a crash: the request, and the incarnation of the runner that crashed
+// while it ran the request.
 type Crash struct {
 	Digest Digest
 	Runner string
 }
 
-// A Word tells of a Crash.
+// A Word is a crash report.
 type Word struct {
 	_       struct{} `cbor:",toarray"`
 	Digest  Digest
 	Runner  string
 	Age     time.Duration // since the crash
-	Ran     time.Duration // that the request had run there; the shortest of several
-	Cleared bool          // the request has run whole since
+	Ran     time.Duration // how long the request had run there; the shortest time reported
+	Cleared bool          // the request has since run to completion
 }
 
-// Crash returns the crash that the word tells of.
+// Crash returns the crash that is reported.
 func (w Word) Crash() Crash { return Crash{w.Digest, w.Runner} }
--- a/internal/request/quarantiner/digest_test.go
+++ b/internal/request/quarantiner/digest_test.go
@@ -12,8 +12,8 @@
 	// Output: 3ec448017a487a4222edb28ce265cdf1
 }
 
-// Two callers' requests that differ in one part, or only in where a part ends, must not
-// pass for each other: one that crashes runners would get the other one rejected.
+// Guards against requests that share a digest although they differ in one part, or only in
+// where a part ends: if one crashes runners, the other would be rejected too.
 func TestDifferentRequestsHaveDifferentDigests(t *testing.T) {
 	seen := make(map[quarantiner.Digest]string)
 	for _, parts := range [][4]string{
--- a/internal/request/quarantiner/doc.go
+++ b/internal/request/quarantiner/doc.go
@@ -1,12 +1,11 @@
-// Package quarantiner decides which requests are not run because they crash the runners
-// that run them.
+// Package quarantiner quarantines requests that crash the runners that run them.
 //
-// Such a request is known as a query of death. One crash shows little: everything that
-// ran beside it is as suspect. So a Ledger counts, for each request, the runners that
-// crashed while they ran it, over all instances; three of them put it in quarantine. A
-// run that ends whole clears a request of what it was suspected of.
+// Such a request is known as a query of death. A single crash is weak evidence, as every
+// request that ran on the runner is equally suspect. So a Ledger counts, for each request,
+// the runners that crashed while they ran it, across all instances; three of them put the
+// request in quarantine. A completed run clears the request of its crashes so far.
 //
-// What a Ledger holds is a set that only grows, and a crash that was cleared stays so.
-// Instances that were told of the same crashes, in whatever order and however often,
-// come to the same verdicts; nobody has to be the one who counts.
+// The state of a Ledger is a grow-only set of crashes, and a cleared crash stays cleared.
+// Instances that receive the same crash reports, in any order and any number of times, come
+// to the same verdicts without a coordinator.
 package quarantiner
--- a/internal/request/quarantiner/evaluate.go
+++ b/internal/request/quarantiner/evaluate.go
@@ -6,29 +6,28 @@
 	"time"
 )
 
-// A charge is what there is against a request.
+// A candidate is a request with enough crashes to be quarantined.
 type candidate struct {
 	digest  Digest
-	crashes int           // that are not cleared
-	runTime time.Duration // that it had run at them, in all
+	crashes int           // crashes that are not cleared
+	runTime time.Duration // how long it had run at these crashes, in total
 }
 
-// evaluate decides anew which requests are held.
+// evaluate recomputes which requests are quarantined.
 //
-// Each crash is counted against one culprit only: requests are judged one after the
-// other, those with most crashes first, and a crash of one that is held does not count
-// against the next. Without this the requests that ran beside a culprit on three of its
-// runners were rejected with it; they are sent on to the next runner at once, so that is
-// no rare chance.
+// Each crash is attributed to one culprit only: requests are evaluated in turn, those with
+// the most crashes first, and the crashes of a quarantined request do not count against the
+// next ones. Otherwise requests that ran beside a culprit on three of its runners would be
+// rejected with it. That is not rare, as they are retried on the next runner at once.
 //
-// Of those with equally many crashes the one comes first that had run for the shortest
-// time: a culprit crashes whoever begins to run it, and what ran beside it had begun at
-// any time before. If that takes the wrong one, the culprit's next crash makes it the one
-// with most, and the other is held no more.
+// Among requests with equally many crashes the one that had run for the shortest time comes
+// first: a culprit crashes a runner as soon as it starts there, and the requests beside it
+// started at any earlier time. If this picks the wrong request, the next crash of the culprit
+// gives it the most crashes, and the other request is released.
 func (l *Ledger) evaluate() {
 	l.quarantined = make(map[Digest]time.Time)
 	l.suspectCount.Store(int64(len(l.suspects)))
-	explained := make(map[string]bool) // runners that crashed under a request that is held
+	explained := make(map[string]bool) // runners whose crash is attributed to a quarantined request
 	for _, c := range l.candidates() {
 		s := l.suspects[c.digest]
 		crashes, last := s.uncleared(explained)
@@ -42,8 +41,7 @@
 	}
 }
 
-// candidates returns what there is against each request with enough crashes, in the order
-// in which they are judged.
+// candidates returns the requests with enough crashes, in the order in which they are evaluated.
 func (l *Ledger) candidates() []candidate {
 	var candidates []candidate
 	for d, s := range l.suspects {
@@ -57,7 +55,7 @@
 	return candidates
 }
 
-// quarantineTime returns how long a request is held after the last of its crashes.
+// quarantineTime returns how long a request is quarantined after the last of its crashes.
 func quarantineTime(crashes int) time.Duration {
 	tried := crashes - crashThreshold
 	if tried >= maxTrials {
@@ -66,9 +64,10 @@
 	return firstQuarantine << tried
 }
 
-// enforceLimit drops requests until the ledger is within its limit: first those that are
-// cleared, then those with the fewest crashes, the oldest of them first. A caller whose
-// many different requests crash runners cannot push out one that is held: it has three.
+// enforceLimit evicts requests until the ledger is within its limit: first those that are
+// cleared, then those with the fewest crashes, the oldest of them first. A caller with many
+// different requests that crash runners cannot evict a quarantined request, which has three
+// crashes.
 func (l *Ledger) enforceLimit() {
 	limit := l.Limit
 	if limit == 0 {
--- a/internal/request/quarantiner/ledger.go
+++ b/internal/request/quarantiner/ledger.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-// A Ledger is what one instance knows of crashes. Its zero value is ready; it is safe
+// A Ledger holds the crash reports known to one instance. Its zero value is ready; it is safe
 // for concurrent use.
 type Ledger struct {
-	Limit int // crashes that are kept; 0 is defaultLimit
+	Limit int // maximum number of crashes; 0 means defaultLimit
 
 	mu          sync.Mutex
 	suspects    map[Digest]*suspect
-	quarantined map[Digest]time.Time // requests in quarantine, and until when
-	crashes     int                  // in all suspects
-	seq         int                  // of the last change
+	quarantined map[Digest]time.Time // requests in quarantine and the end of it
+	crashes     int                  // of all suspects
+	seq         int                  // sequence number of the last change
 
-	suspectCount atomic.Int64 // suspects, readable without the lock: none on most days
+	suspectCount atomic.Int64 // number of suspects, read without the lock; 0 most of the time
 }
 
 const (
-	// crashThreshold is how many runners crash under a request before it is not run any more. A
-	// request that lies on two runners which crash by chance is not rare on a bad day.
+	// crashThreshold is the number of runner crashes at which a request is quarantined. It is
+	// not two, as a request often runs on two runners that crash for other reasons.
 	crashThreshold = 3
-	// Memory is how long after its last crash a request is remembered.
+	// Memory is how long a request is remembered after its last crash.
 	Memory = 24 * time.Hour
-	// firstQuarantine is how long a request is held after its third crash. Then it is tried
-	// again, as it may have been suspected wrongly; each further crash doubles the time,
-	// and after trials of them it is not tried any more for as long as it is remembered.
+	// firstQuarantine is the quarantine time after the third crash. The request is then tried
+	// again, as it may have been suspected wrongly. Each further crash doubles the time,
+	// and after maxTrials of them the request is quarantined for as long as it is remembered.
 	firstQuarantine = 10 * time.Minute
 	maxTrials       = 3
-	// defaultLimit bounds the memory of a ledger to about a megabyte.
+	// defaultLimit bounds the size of a ledger to about a megabyte.
 	defaultLimit = 4096
 )
 
-// A suspect is a request under which runners crashed.
+// A suspect is a request that was running when runners crashed.
 type suspect struct {
 	crashes map[string]*entry // by runner
 }
@@ -45,11 +45,11 @@
 	at      time.Time
 	runTime time.Duration
 	cleared bool
-	seq     int // of its last change
+	seq     int // sequence number of its last change
 }
 
-// uncleared returns how many crashes are not cleared, apart from those of some runners, and
-// when the last of them was.
+// uncleared returns the number of crashes that are not cleared, except those of some runners,
+// and the time of the last of them.
 func (s *suspect) uncleared(except map[string]bool) (crashes int, last time.Time) {
 	for runner, e := range s.crashes {
 		if e.cleared || except[runner] {
@@ -63,7 +63,7 @@
 	return crashes, last
 }
 
-// runTime returns how long the request had run at the crashes that are not cleared, in all.
+// runTime returns how long the request had run at the crashes that are not cleared, in total.
 func (s *suspect) runTime() time.Duration {
 	var total time.Duration
 	for _, e := range s.crashes {
@@ -74,7 +74,7 @@
 	return total
 }
 
-// lastCrash returns when the request was suspected last.
+// lastCrash returns the time of the last crash, cleared or not.
 func (s *suspect) lastCrash() time.Time {
 	var last time.Time
 	for _, e := range s.crashes {
@@ -85,7 +85,7 @@
 	return last
 }
 
-// Take takes in words and returns those that were news.
+// Take applies crash reports and returns those that changed the ledger.
 func (l *Ledger) Take(reports []Word, now time.Time) (changed []Word) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +101,7 @@
 	return changed
 }
 
-// apply takes in a word and reports whether it was news.
+// apply applies a crash report and reports whether it changed the ledger.
 func (l *Ledger) apply(w Word, now time.Time) bool {
 	if l.suspects == nil {
 		l.suspects = make(map[Digest]*suspect)
@@ -125,8 +125,8 @@
 	return true
 }
 
-// Clear clears a request that has run whole of all its crashes so far, and returns the
-// words that tell of it.
+// Clear clears a request that has run to completion of all its crashes so far, and returns
+// the reports of the cleared crashes.
 func (l *Ledger) Clear(d Digest, now time.Time) []Word {
 	reports := l.Open(d, now)
 	if len(reports) == 0 {
@@ -138,7 +138,7 @@
 	return l.Take(reports, now)
 }
 
-// Open returns the crashes of a request that are not cleared.
+// Open returns reports of the crashes of a request that are not cleared.
 func (l *Ledger) Open(d Digest, now time.Time) []Word {
 	if l.suspectCount.Load() == 0 {
 		return nil
@@ -158,7 +158,7 @@
 	return reports
 }
 
-// Word returns what is known of a crash; ok is false if nothing is.
+// Word returns the report of a crash; ok is false if the crash is not known.
 func (l *Ledger) Word(c Crash, now time.Time) (w Word, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -177,7 +177,7 @@
 	return Word{Digest: d, Runner: runner, Age: now.Sub(e.at).Round(time.Millisecond), Ran: e.runTime, Cleared: e.cleared}
 }
 
-// Held reports whether a request is in quarantine, and for how long yet.
+// Held reports whether a request is in quarantine, and the time left.
 func (l *Ledger) Held(d Digest, now time.Time) (left time.Duration, held bool) {
 	if l.suspectCount.Load() == 0 {
 		return 0, false
@@ -188,11 +188,11 @@
 	return until.Sub(now), held && now.Before(until)
 }
 
-// Empty reports whether nothing is suspected.
+// Empty reports whether there are no suspects.
 func (l *Ledger) Empty() bool { return l.suspectCount.Load() == 0 }
 
-// Since returns what has changed since a number, and the number to go on from. Nothing
-// has a number below 1.
+// Since returns the reports that changed after a sequence number, and the number to pass to
+// the next call. Sequence numbers start at 1.
 func (l *Ledger) Since(after int, now time.Time) (reports []Word, next int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -209,7 +209,7 @@
 	return reports, l.seq
 }
 
-// Expire forgets what is too old, and returns it.
+// Expire drops requests whose last crash is too old, and returns their crashes.
 func (l *Ledger) Expire(now time.Time) []Crash {
 	if l.suspectCount.Load() == 0 {
 		return nil
@@ -237,14 +237,14 @@
 	delete(l.suspects, d)
 }
 
-// A Case is a request that is suspected.
+// A Case describes a suspected request.
 type Case struct {
 	Digest  Digest
-	Crashes int       // that are not cleared
-	Until   time.Time // it is held; zero if it is not
+	Crashes int       // crashes that are not cleared
+	Until   time.Time // end of its quarantine; zero if it is not in quarantine
 }
 
-// Cases returns all requests with a crash that is not cleared.
+// Cases returns all requests with crashes that are not cleared.
 func (l *Ledger) Cases() []Case {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/request/quarantiner/ledger_test.go
+++ b/internal/request/quarantiner/ledger_test.go
@@ -31,7 +31,7 @@
 	// whole false
 }
 
-// crashReports returns words of a request that was on some runners as they crashed.
+// crashReports returns reports of a request that ran on these runners when they crashed.
 func crashReports(d quarantiner.Digest, runners ...string) []quarantiner.Word {
 	var reports []quarantiner.Word
 	for _, r := range runners {
@@ -47,30 +47,30 @@
 	return reports
 }
 
-// A caller's request ran on runners that crashed under somebody else's, or by chance. It
-// must be served; and the one that crashed them must not, however its crashes became
-// known.
+// Guards against a request that is rejected because runners crashed by another request or by
+// chance while it ran, and against a culprit that is served because of the order in which its
+// crashes were reported.
 func TestQuarantinedRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		reports [][]quarantiner.Word
-		clear   map[int]quarantiner.Digest // before the words of that number
+		clear   map[int]quarantiner.Digest // applied before the reports with that index
 		want    []quarantiner.Digest
 	}{
 		{"two crashes", [][]quarantiner.Word{crashReports("p", "a", "b")}, nil, nil},
 		{"three", [][]quarantiner.Word{crashReports("p", "a"), crashReports("p", "b"), crashReports("p", "c")}, nil, []quarantiner.Digest{"p"}},
-		{"one crash that is told three times", [][]quarantiner.Word{crashReports("p", "a"), crashReports("p", "a"), crashReports("p", "a")}, nil, nil},
+		{"one crash reported three times", [][]quarantiner.Word{crashReports("p", "a"), crashReports("p", "a"), crashReports("p", "a")}, nil, nil},
 		{"beside the culprit on two runners", [][]quarantiner.Word{crashReports("p", "a", "b", "c"), crashReports("i", "a", "b")}, nil, []quarantiner.Digest{"p"}},
 		{"beside the culprit on three of four", [][]quarantiner.Word{crashReports("p", "a", "b", "c", "d"), crashReports("i", "a", "b", "c")}, nil, []quarantiner.Digest{"p"}},
-		{"the same, told the other way round", [][]quarantiner.Word{crashReports("i", "a", "b", "c"), crashReports("p", "d", "c", "b", "a")}, nil, []quarantiner.Digest{"p"}},
-		{"on three runners alike, and had run for longer", [][]quarantiner.Word{withRunTime(crashReports("i", "a", "b", "c"), time.Second), withRunTime(crashReports("p", "a", "b", "c"), time.Millisecond)}, nil, []quarantiner.Digest{"p"}},
-		{"on three runners alike, and had run for a shorter time", [][]quarantiner.Word{withRunTime(crashReports("i", "a", "b", "c"), time.Millisecond), withRunTime(crashReports("p", "a", "b", "c"), time.Second)}, nil, []quarantiner.Digest{"i"}},
+		{"the same, reported in the opposite order", [][]quarantiner.Word{crashReports("i", "a", "b", "c"), crashReports("p", "d", "c", "b", "a")}, nil, []quarantiner.Digest{"p"}},
+		{"on the same three runners, and had run for longer", [][]quarantiner.Word{withRunTime(crashReports("i", "a", "b", "c"), time.Second), withRunTime(crashReports("p", "a", "b", "c"), time.Millisecond)}, nil, []quarantiner.Digest{"p"}},
+		{"on the same three runners, and had run for a shorter time", [][]quarantiner.Word{withRunTime(crashReports("i", "a", "b", "c"), time.Millisecond), withRunTime(crashReports("p", "a", "b", "c"), time.Second)}, nil, []quarantiner.Digest{"i"}},
 		{"the same, and one crash later", [][]quarantiner.Word{withRunTime(crashReports("i", "a", "b", "c"), time.Millisecond), withRunTime(crashReports("p", "a", "b", "c", "d"), time.Second)}, nil, []quarantiner.Digest{"p"}},
 		{"two culprits on the same three runners, and later on others", [][]quarantiner.Word{crashReports("p", "a", "b", "c", "d", "e", "f"), crashReports("q", "a", "b", "c", "g", "h", "i")}, nil, []quarantiner.Digest{"p", "q"}},
 		{"two culprits that share a runner", [][]quarantiner.Word{crashReports("p", "a", "b", "c", "d"), crashReports("q", "d", "e", "f", "g")}, nil, []quarantiner.Digest{"p", "q"}},
-		{"whole after two crashes, then one", [][]quarantiner.Word{crashReports("i", "a", "b"), crashReports("i", "c")}, map[int]quarantiner.Digest{1: "i"}, nil},
-		{"whole after two crashes, then three", [][]quarantiner.Word{crashReports("i", "a", "b"), crashReports("i", "c", "d", "e")}, map[int]quarantiner.Digest{1: "i"}, []quarantiner.Digest{"i"}},
-		{"whole, and the crashes are told again", [][]quarantiner.Word{crashReports("i", "a", "b", "c"), crashReports("i", "a", "b", "c")}, map[int]quarantiner.Digest{1: "i"}, nil},
+		{"completed after two crashes, then one", [][]quarantiner.Word{crashReports("i", "a", "b"), crashReports("i", "c")}, map[int]quarantiner.Digest{1: "i"}, nil},
+		{"completed after two crashes, then three", [][]quarantiner.Word{crashReports("i", "a", "b"), crashReports("i", "c", "d", "e")}, map[int]quarantiner.Digest{1: "i"}, []quarantiner.Digest{"i"}},
+		{"completed, and the crashes are reported again", [][]quarantiner.Word{crashReports("i", "a", "b", "c"), crashReports("i", "a", "b", "c")}, map[int]quarantiner.Digest{1: "i"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var l quarantiner.Ledger
@@ -99,9 +99,9 @@
 	return held
 }
 
-// Instances hear of the same crashes in different orders, some of them twice. They must
-// come to the same verdicts, or callers would be refused at one and crash runners at
-// another.
+// Guards against instances that come to different verdicts because they received the same
+// crash reports in different orders or twice: a request would be refused at one instance and
+// crash runners at another.
 func TestQuarantineDoesNotDependOnReportOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -130,8 +130,8 @@
 	}
 }
 
-// A request is rejected that may have been suspected wrongly. Its caller must be able to
-// come back, and one that does crash runners must not cost more than three runners more.
+// Guards against a wrongly suspected request that stays rejected, and against a culprit that
+// costs more than three further runners.
 func TestQuarantinedRequestIsRetriedThreeTimes(t *testing.T) {
 	var l quarantiner.Ledger
 	now := start
@@ -140,12 +140,12 @@
 	for n := range 4 {
 		left, held := l.Held("p", now)
 		if !held {
-			t.Fatalf("not held after trial %d", n)
+			t.Fatalf("not in quarantine after trial %d", n)
 		}
 		waits = append(waits, left)
 		now = now.Add(left)
 		if _, held := l.Held("p", now); held {
-			t.Fatalf("held for longer than was said")
+			t.Fatalf("in quarantine for longer than reported")
 		}
 		l.Take(crashReports("p", fmt.Sprint("t", n)), now)
 	}
@@ -155,8 +155,8 @@
 	}
 }
 
-// A caller sends many different requests that crash runners. It must not be able to
-// push out what is held, nor to take memory without a bound.
+// Guards against a caller that sends many different requests that crash runners, and thereby
+// evicts a quarantined request or uses unbounded memory.
 func TestManySuspectsDoNotEvictQuarantinedRequest(t *testing.T) {
 	l := quarantiner.Ledger{Limit: 100}
 	l.Take(crashReports("p", "a", "b", "c"), start)
@@ -164,15 +164,15 @@
 		l.Take(crashReports(quarantiner.Digest(fmt.Sprint("s", n)), fmt.Sprint("r", n), fmt.Sprint("t", n)), start.Add(time.Duration(n)*time.Second))
 	}
 	if _, held := l.Held("p", start.Add(time.Second)); !held {
-		t.Error("pushed out")
+		t.Error("the quarantined request was evicted")
 	}
 	if reports, _ := l.Since(0, start); len(reports) > 100 {
 		t.Errorf("%d crashes are kept, the limit is 100", len(reports))
 	}
 }
 
-// An instance tells another one what it knows. What has changed must be told once,
-// and what is told must be enough.
+// Guards against changes that are published twice or not at all: a second ledger must come to
+// the same cases.
 func TestSinceReturnsEachChangeOnce(t *testing.T) {
 	var from, to quarantiner.Ledger
 	seq := 0
@@ -195,22 +195,22 @@
 	}
 }
 
-// A crash of long ago is forgotten, and what is told late of it changes nothing.
+// Guards against expired crashes that stay in the ledger or enter it again by a late report.
 func TestOldCrashesAreForgotten(t *testing.T) {
 	var l quarantiner.Ledger
 	l.Take(crashReports("p", "a", "b", "c"), start)
 	later := start.Add(25 * time.Hour)
 	if got := len(l.Expire(later)); got != 3 || !l.Empty() {
-		t.Errorf("%d of 3 crashes forgotten", got)
+		t.Errorf("%d of 3 crashes expired", got)
 	}
 	l.Take([]quarantiner.Word{{Digest: "p", Runner: "a", Age: 25 * time.Hour}}, later)
 	if !l.Empty() {
-		t.Error("a crash of long ago is known again")
+		t.Error("an expired crash is known again")
 	}
 }
 
-// A crash with 64 suspects is taken in by a ledger that is full, and a request is looked
-// up beside it.
+// BenchmarkLedger measures applying a crash with 64 suspects to a full ledger, looking up a
+// request in it, and computing a digest.
 func BenchmarkLedger(b *testing.B) {
 	full := func() *quarantiner.Ledger {
 		var l quarantiner.Ledger
