--- a/internal/account/limiter/property_test.go
+++ b/internal/account/limiter/property_test.go
@@ -22,32 +22,32 @@
 		if seed%2 == 0 {
 			limit = largeLimit
 		}
-		l := newSimulation(seed, 0, limit, newLedgerStrategy)
-		l.startInstances(4 + l.rng.IntN(120))
-		l.runWithFaults(40 * time.Second)
-		if excess := l.excess(); excess > 0 {
-			t.Errorf("%d instances: %.0f tokens too many in a window", len(l.instances), excess)
+		sim := newSimulation(seed, 0, limit, newLedgerStrategy)
+		sim.startInstances(4 + sim.rng.IntN(120))
+		sim.runWithFaults(40 * time.Second)
+		if excess := sim.excess(); excess > 0 {
+			t.Errorf("%d instances: %.0f tokens too many in a window", len(sim.instances), excess)
 		}
 	})
 }
 
 // runWithFaults runs random workloads while instances restart and are partitioned.
-func (l *simulation) runWithFaults(span time.Duration) {
-	for end := l.now.Add(span); l.now.Before(end); {
-		d := calmWorkload(l)
-		d.rate = calmLoad * []float64{0.2, 1, 1, 3, 8}[l.rng.IntN(5)]
-		switch l.rng.IntN(5) {
+func (sim *simulation) runWithFaults(span time.Duration) {
+	for end := sim.now.Add(span); sim.now.Before(end); {
+		d := calmWorkload(sim)
+		d.rate = calmLoad * []float64{0.2, 1, 1, 3, 8}[sim.rng.IntN(5)]
+		switch sim.rng.IntN(5) {
 		case 0:
-			l.strategy.restart(l.instances[l.rng.IntN(len(l.instances))])
+			sim.strategy.restart(sim.instances[sim.rng.IntN(len(sim.instances))])
 		case 1:
-			third := l.rng.IntN(3)
-			l.partition(time.Duration(l.rng.IntN(8000))*time.Millisecond, func(i *instance) bool { return i.number%3 == third })
+			third := sim.rng.IntN(3)
+			sim.partition(time.Duration(sim.rng.IntN(8000))*time.Millisecond, func(i *instance) bool { return i.number%3 == third })
 		case 2:
-			for _, i := range l.instances {
-				l.strategy.restart(i)
+			for _, i := range sim.instances {
+				sim.strategy.restart(i)
 			}
 		}
-		l.run(time.Duration(500+l.rng.IntN(5000))*time.Millisecond, d)
+		sim.run(time.Duration(500+sim.rng.IntN(5000))*time.Millisecond, d)
 	}
 }
 
@@ -55,13 +55,13 @@
 func TestAccountWithinItsQuotaIsNotRefused(t *testing.T) {
 	for _, n := range []int{4, 9, 69, 300} {
 		for seed := range uint64(10) {
-			l := newSimulation(seed, 0, largeLimit, newLedgerStrategy)
-			l.startInstances(n)
-			l.run(time.Second, workload{targets: []int{0}, mean: meanRequest}) // the ledgers begin with nothing left
+			sim := newSimulation(seed, 0, largeLimit, newLedgerStrategy)
+			sim.startInstances(n)
+			sim.run(time.Second, workload{targets: []int{0}, mean: meanRequest}) // the ledgers begin with nothing left
 			for range 8 {
-				l.run(3*time.Second, calmWorkload(l)) // callers move to other instances
+				sim.run(3*time.Second, calmWorkload(sim)) // callers move to other instances
 			}
-			if fraction := float64(l.wronglyRefused) / float64(l.requested); fraction > 0 {
+			if fraction := float64(sim.wronglyRefused) / float64(sim.requested); fraction > 0 {
 				t.Errorf("%d instances, seed %d: %.4f of the requested tokens were wrongly refused", n, seed, fraction)
 			}
 		}
--- a/internal/account/limiter/simulation_test.go
+++ b/internal/account/limiter/simulation_test.go
@@ -15,7 +15,7 @@
 	limit       limiter.Limit
 	now         time.Time
 	startedAt   time.Time
-	newStrategy func(l *simulation) strategy
+	newStrategy func(sim *simulation) strategy
 	strategy    strategy
 	instances   []*instance
 
@@ -57,22 +57,22 @@
 	excessTokens   = 17000 // tokens by which it may be exceeded besides
 )
 
-func newSimulation(seed uint64, instances int, limit limiter.Limit, newStrategy func(l *simulation) strategy) *simulation {
+func newSimulation(seed uint64, instances int, limit limiter.Limit, newStrategy func(sim *simulation) strategy) *simulation {
 	startedAt := time.Unix(1000, 0)
-	l := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), limit: limit, now: startedAt, startedAt: startedAt, available: limit.Burst, availableAt: startedAt, ideal: limit.Burst}
-	l.newStrategy = newStrategy
+	sim := &simulation{rng: rand.New(rand.NewPCG(seed, 1)), limit: limit, now: startedAt, startedAt: startedAt, available: limit.Burst, availableAt: startedAt, ideal: limit.Burst}
+	sim.newStrategy = newStrategy
 	if instances > 0 {
-		l.startInstances(instances)
+		sim.startInstances(instances)
 	}
-	return l
+	return sim
 }
 
 // startInstances creates the instances and the strategy.
-func (l *simulation) startInstances(instances int) {
+func (sim *simulation) startInstances(instances int) {
 	for n := range instances {
-		l.instances = append(l.instances, &instance{id: fmt.Sprint("i-", n), number: n, failureDomain: n % domains})
+		sim.instances = append(sim.instances, &instance{id: fmt.Sprint("i-", n), number: n, failureDomain: n % domains})
 	}
-	l.strategy = l.newStrategy(l)
+	sim.strategy = sim.newStrategy(sim)
 }
 
 // A workload describes the requests that callers of the account send.
@@ -84,68 +84,68 @@
 }
 
 // run sends the requests of a workload for a time span.
-func (l *simulation) run(span time.Duration, d workload) {
-	for end := l.now.Add(span); l.now.Before(end); l.now = l.now.Add(simulationStep) {
-		l.strategy.tick()
-		expected := d.rate * l.limit.Rate * simulationStep.Seconds() / d.mean
-		for n := l.poisson(expected); n > 0; n-- {
-			l.send(l.instances[d.targets[l.rng.IntN(len(d.targets))]], l.size(d))
+func (sim *simulation) run(span time.Duration, d workload) {
+	for end := sim.now.Add(span); sim.now.Before(end); sim.now = sim.now.Add(simulationStep) {
+		sim.strategy.tick()
+		expected := d.rate * sim.limit.Rate * simulationStep.Seconds() / d.mean
+		for n := sim.poisson(expected); n > 0; n-- {
+			sim.send(sim.instances[d.targets[sim.rng.IntN(len(d.targets))]], sim.size(d))
 		}
 	}
 }
 
-func (l *simulation) size(d workload) int64 {
+func (sim *simulation) size(d workload) int64 {
 	if d.fixedSize {
 		return int64(d.mean)
 	}
-	return max(1, int64(d.mean*l.rng.ExpFloat64()))
+	return max(1, int64(d.mean*sim.rng.ExpFloat64()))
 }
 
-func (l *simulation) poisson(mean float64) int {
+func (sim *simulation) poisson(mean float64) int {
 	n := 0
-	for p := l.rng.ExpFloat64(); p < mean; p += l.rng.ExpFloat64() {
+	for p := sim.rng.ExpFloat64(); p < mean; p += sim.rng.ExpFloat64() {
 		n++
 	}
 	return n
 }
 
-func (l *simulation) send(i *instance, tokens int64) {
-	l.requested += tokens
-	l.available = min(l.limit.Burst, l.available+l.limit.Rate*l.now.Sub(l.availableAt).Seconds())
-	l.ideal = min(l.limit.Burst, l.ideal+l.limit.Rate*l.now.Sub(l.availableAt).Seconds())
-	l.availableAt = l.now
-	if float64(tokens) <= l.ideal {
-		l.ideal -= float64(tokens)
-		l.idealAdmitted += tokens
+func (sim *simulation) send(i *instance, tokens int64) {
+	sim.requested += tokens
+	sim.available = min(sim.limit.Burst, sim.available+sim.limit.Rate*sim.now.Sub(sim.availableAt).Seconds())
+	sim.ideal = min(sim.limit.Burst, sim.ideal+sim.limit.Rate*sim.now.Sub(sim.availableAt).Seconds())
+	sim.availableAt = sim.now
+	if float64(tokens) <= sim.ideal {
+		sim.ideal -= float64(tokens)
+		sim.idealAdmitted += tokens
 	}
-	if l.strategy.admit(i, tokens) {
-		l.admitted = append(l.admitted, admission{l.now, tokens})
-		l.available = max(l.available-float64(tokens), -l.limit.Burst)
+	if sim.strategy.admit(i, tokens) {
+		sim.admitted = append(sim.admitted, admission{sim.now, tokens})
+		sim.available = max(sim.available-float64(tokens), -sim.limit.Burst)
 		return
 	}
-	if float64(tokens) <= l.available {
-		l.wronglyRefused += tokens
+	if float64(tokens) <= sim.available {
+		sim.wronglyRefused += tokens
 	}
 }
 
 // served returns the tokens that were admitted, as a fraction of those that one central
 // bucket would have admitted.
-func (l *simulation) served() float64 {
+func (sim *simulation) served() float64 {
 	sum := int64(0)
-	for _, a := range l.admitted {
+	for _, a := range sim.admitted {
 		sum += a.tokens
 	}
-	return float64(sum) / float64(l.idealAdmitted)
+	return float64(sum) / float64(sim.idealAdmitted)
 }
 
 // excess returns by how many tokens the quota was exceeded at most, over all windows.
-func (l *simulation) excess() float64 {
-	allowed := (l.limit.Rate*window.Seconds()+l.limit.Burst)*(1+excessFraction) + excessTokens
+func (sim *simulation) excess() float64 {
+	allowed := (sim.limit.Rate*window.Seconds()+sim.limit.Burst)*(1+excessFraction) + excessTokens
 	sum, first, highest := 0.0, 0, math.Inf(-1)
-	for _, a := range l.admitted {
+	for _, a := range sim.admitted {
 		sum += float64(a.tokens)
-		for a.at.Sub(l.admitted[first].at) > window {
-			sum -= float64(l.admitted[first].tokens)
+		for a.at.Sub(sim.admitted[first].at) > window {
+			sum -= float64(sim.admitted[first].tokens)
 			first++
 		}
 		highest = max(highest, sum)
@@ -153,16 +153,16 @@
 	return max(0, highest-allowed)
 }
 
-func (l *simulation) partition(span time.Duration, which func(i *instance) bool) {
-	for _, i := range l.instances {
+func (sim *simulation) partition(span time.Duration, which func(i *instance) bool) {
+	for _, i := range sim.instances {
 		if which(i) {
-			i.partitionedUntil = l.now.Add(span)
+			i.partitionedUntil = sim.now.Add(span)
 		}
 	}
 }
 
-func (l *simulation) reaches(a, b *instance) bool {
-	return a == b || !l.now.Before(a.partitionedUntil) && !l.now.Before(b.partitionedUntil)
+func (sim *simulation) reaches(a, b *instance) bool {
+	return a == b || !sim.now.Before(a.partitionedUntil) && !sim.now.Before(b.partitionedUntil)
 }
 
 // A ledgerStrategy is the strategy of this package. The first instance of a failure domain
@@ -177,22 +177,22 @@
 	connected func(a, b *instance) bool // whether two instances reach each other
 }
 
-func newLedgerStrategy(l *simulation) strategy {
-	w := &ledgerStrategy{l: l, connected: l.reaches}
-	for _, i := range l.instances {
+func newLedgerStrategy(sim *simulation) strategy {
+	w := &ledgerStrategy{l: sim, connected: sim.reaches}
+	for _, i := range sim.instances {
 		w.spenders = append(w.spenders, &limiter.Spender{})
 		w.reporters = append(w.reporters, limiter.Party{Instance: i.id})
-		w.startedAt = append(w.startedAt, l.now)
+		w.startedAt = append(w.startedAt, sim.now)
 	}
 	for d := range domains {
-		w.leaders = append(w.leaders, l.instances[d])
-		ledger := &limiter.Ledger{Limits: func(string) (limiter.Limit, bool) { return l.limit, true }, Window: window, First: func(l limiter.Limit) float64 {
+		w.leaders = append(w.leaders, sim.instances[d])
+		ledger := &limiter.Ledger{Limits: func(string) (limiter.Limit, bool) { return sim.limit, true }, Window: window, First: func(l limiter.Limit) float64 {
 			return (excessFraction*(l.Rate*window.Seconds()+l.Burst) + excessTokens) * 0.7 / domains
 		}}
-		ledger.Begin(l.now)
+		ledger.Begin(sim.now)
 		w.ledgers = append(w.ledgers, ledger)
 	}
-	for _, i := range l.instances {
+	for _, i := range sim.instances {
 		w.restart(i)
 	}
 	return w
@@ -281,10 +281,10 @@
 	level []float64
 }
 
-func newEvenSplit(l *simulation) strategy {
-	w := &evenSplit{l: l, level: make([]float64, len(l.instances))}
+func newEvenSplit(sim *simulation) strategy {
+	w := &evenSplit{l: sim, level: make([]float64, len(sim.instances))}
 	for n := range w.level {
-		w.level[n] = l.limit.Burst / float64(len(w.level))
+		w.level[n] = sim.limit.Burst / float64(len(w.level))
 	}
 	return w
 }
@@ -318,9 +318,9 @@
 	share  []float64
 }
 
-func newDemandSplit(l *simulation) strategy {
-	n := len(l.instances)
-	w := &demandSplit{evenSplit: *newEvenSplit(l).(*evenSplit), demand: make([]float64, n), share: make([]float64, n)}
+func newDemandSplit(sim *simulation) strategy {
+	n := len(sim.instances)
+	w := &demandSplit{evenSplit: *newEvenSplit(sim).(*evenSplit), demand: make([]float64, n), share: make([]float64, n)}
 	for i := range w.share {
 		w.share[i] = 1 / float64(n)
 	}
--- a/internal/account/limiter/strategies_test.go
+++ b/internal/account/limiter/strategies_test.go
@@ -21,15 +21,15 @@
 // A scenario is a sequence of workloads and faults.
 type scenario struct {
 	name string
-	run  func(l *simulation)
+	run  func(sim *simulation)
 }
 
-func sample(l *simulation, n int) []int {
-	return l.rng.Perm(len(l.instances))[:min(n, len(l.instances))]
+func sample(sim *simulation, n int) []int {
+	return sim.rng.Perm(len(sim.instances))[:min(n, len(sim.instances))]
 }
 
-func calmWorkload(l *simulation) workload {
-	return workload{rate: calmLoad, targets: sample(l, max(3, len(l.instances)/4)), mean: meanRequest}
+func calmWorkload(sim *simulation) workload {
+	return workload{rate: calmLoad, targets: sample(sim, max(3, len(sim.instances)/4)), mean: meanRequest}
 }
 
 // peak returns the workload at eight times its rate.
@@ -39,49 +39,49 @@
 }
 
 var scenarios = []scenario{
-	{"usual load", func(l *simulation) { l.run(30*time.Second, calmWorkload(l)) }},
-	{"eight times the usual load", func(l *simulation) {
-		d := calmWorkload(l)
-		l.run(10*time.Second, d)
-		l.run(10*time.Second, d.peak())
-		l.run(10*time.Second, d)
+	{"usual load", func(sim *simulation) { sim.run(30*time.Second, calmWorkload(sim)) }},
+	{"eight times the usual load", func(sim *simulation) {
+		d := calmWorkload(sim)
+		sim.run(10*time.Second, d)
+		sim.run(10*time.Second, d.peak())
+		sim.run(10*time.Second, d)
 	}},
-	{"callers move", func(l *simulation) {
+	{"callers move", func(sim *simulation) {
 		for range 10 {
-			l.run(3*time.Second, calmWorkload(l))
+			sim.run(3*time.Second, calmWorkload(sim))
 		}
 	}},
-	{"all requests at one instance", func(l *simulation) {
-		l.run(10*time.Second, calmWorkload(l))
-		l.run(10*time.Second, workload{rate: calmLoad, targets: sample(l, 1), mean: meanRequest})
+	{"all requests at one instance", func(sim *simulation) {
+		sim.run(10*time.Second, calmWorkload(sim))
+		sim.run(10*time.Second, workload{rate: calmLoad, targets: sample(sim, 1), mean: meanRequest})
 	}},
-	{"all restart at eight times the usual load", func(l *simulation) {
-		d := calmWorkload(l)
-		l.run(10*time.Second, d)
-		l.run(4*time.Second, d.peak())
-		for _, i := range l.instances {
-			l.strategy.restart(i)
+	{"all restart at eight times the usual load", func(sim *simulation) {
+		d := calmWorkload(sim)
+		sim.run(10*time.Second, d)
+		sim.run(4*time.Second, d.peak())
+		for _, i := range sim.instances {
+			sim.strategy.restart(i)
 		}
-		l.run(10*time.Second, d.peak())
+		sim.run(10*time.Second, d.peak())
 	}},
-	{"a third partitioned at eight times the load", func(l *simulation) {
-		d := calmWorkload(l)
-		l.run(10*time.Second, d)
-		l.partition(8*time.Second, func(i *instance) bool { return i.number%3 == 1 })
-		l.run(10*time.Second, d.peak())
-		l.run(5*time.Second, d)
+	{"a third partitioned at eight times the load", func(sim *simulation) {
+		d := calmWorkload(sim)
+		sim.run(10*time.Second, d)
+		sim.partition(8*time.Second, func(i *instance) bool { return i.number%3 == 1 })
+		sim.run(10*time.Second, d.peak())
+		sim.run(5*time.Second, d)
 	}},
-	{"a third partitioned at the usual load", func(l *simulation) {
-		d := calmWorkload(l)
-		l.run(10*time.Second, d)
-		l.partition(8*time.Second, func(i *instance) bool { return i.number%3 == 1 })
-		l.run(15*time.Second, d)
+	{"a third partitioned at the usual load", func(sim *simulation) {
+		d := calmWorkload(sim)
+		sim.run(10*time.Second, d)
+		sim.partition(8*time.Second, func(i *instance) bool { return i.number%3 == 1 })
+		sim.run(15*time.Second, d)
 	}},
-	{"a leader partitioned", func(l *simulation) {
-		d := calmWorkload(l)
-		l.run(10*time.Second, d)
-		l.partition(3*time.Second, func(i *instance) bool { return i.number == 1 })
-		l.run(15*time.Second, d)
+	{"a leader partitioned", func(sim *simulation) {
+		d := calmWorkload(sim)
+		sim.run(10*time.Second, d)
+		sim.partition(3*time.Second, func(i *instance) bool { return i.number == 1 })
+		sim.run(15*time.Second, d)
 	}},
 }
 
@@ -92,12 +92,12 @@
 			for _, s := range scenarios {
 				for _, w := range []struct {
 					name        string
-					newStrategy func(l *simulation) strategy
+					newStrategy func(sim *simulation) strategy
 				}{{"evenly", newEvenSplit}, {"by demand", newDemandSplit}, {"ledger", newLedgerStrategy}} {
-					l := newSimulation(1, max(n, domains), limit, w.newStrategy)
-					s.run(l)
+					sim := newSimulation(1, max(n, domains), limit, w.newStrategy)
+					s.run(sim)
 					t.Logf("%6.0f tokens/s, %3d instances, %-42s %-10s exceeded by %6.0f tokens, served %.3f, %5.2f %% wrongly refused, %6d messages",
-						limit.Rate, n, s.name, w.name, l.excess(), l.served(), 100*float64(l.wronglyRefused)/float64(l.requested), l.messages)
+						limit.Rate, n, s.name, w.name, sim.excess(), sim.served(), 100*float64(sim.wronglyRefused)/float64(sim.requested), sim.messages)
 				}
 			}
 		}
--- a/internal/request/claimer/batcher.go
+++ b/internal/request/claimer/batcher.go
@@ -8,10 +8,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/platform/tabler"
 )
 
-// A gatherer commits many small transactions as few large ones.
+// A batcher commits many small transactions as few large ones.
 //
-// A group is carried out whole or not at all. The one that fails a check is
-// told so and the rest goes on without it.
+// A batch is atomic. If a transaction in it fails a check, that transaction gets
+// a conflict error and the rest is committed without it.
 type batcher struct {
 	table    tabler.Table
 	interval time.Duration // minimum time between batches
@@ -27,10 +27,10 @@
 }
 
 // commit queues a transaction and returns its result.
-func (g *batcher) commit(ctx context.Context, txn tabler.Txn) error {
+func (b *batcher) commit(ctx context.Context, txn tabler.Txn) error {
 	p := &pending{txn: txn, done: make(chan error, 1)}
 	select {
-	case g.queue <- p:
+	case b.queue <- p:
 	case <-ctx.Done():
 		return &tabler.UnavailableError{Err: ctx.Err()}
 	}
@@ -45,31 +45,31 @@
 // run commits batches until ctx ends. After a pause, a transaction is committed
 // at once; under load, those that arrive between two batches are committed
 // together.
-func (g *batcher) run(ctx context.Context) {
+func (b *batcher) run(ctx context.Context) {
 	var last time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-g.queue:
-			batch := g.collect(ctx, first, time.Until(last.Add(g.interval)))
+		case first := <-b.queue:
+			batch := b.collect(ctx, first, time.Until(last.Add(b.interval)))
 			last = time.Now()
-			go g.commitBatch(ctx, batch)
+			go b.commitBatch(ctx, batch)
 		}
 	}
 }
 
 // collect adds transactions that arrive within the wait or are already queued.
-func (g *batcher) collect(ctx context.Context, first *pending, wait time.Duration) []*pending {
+func (b *batcher) collect(ctx context.Context, first *pending, wait time.Duration) []*pending {
 	batch := []*pending{first}
 	timer := time.NewTimer(max(0, wait))
 	defer timer.Stop()
-	for len(batch) < g.maxSize {
+	for len(batch) < b.maxSize {
 		select {
-		case p := <-g.queue:
+		case p := <-b.queue:
 			batch = append(batch, p)
 		case <-timer.C:
-			return g.addQueued(batch)
+			return b.addQueued(batch)
 		case <-ctx.Done():
 			return batch
 		}
@@ -78,10 +78,10 @@
 }
 
 // addQueued adds transactions that are already queued.
-func (g *batcher) addQueued(batch []*pending) []*pending {
-	for len(batch) < g.maxSize {
+func (b *batcher) addQueued(batch []*pending) []*pending {
+	for len(batch) < b.maxSize {
 		select {
-		case p := <-g.queue:
+		case p := <-b.queue:
 			batch = append(batch, p)
 		default:
 			return batch
@@ -91,17 +91,17 @@
 }
 
 // commitBatch commits a batch without the transactions that conflict.
-func (g *batcher) commitBatch(ctx context.Context, batch []*pending) {
+func (b *batcher) commitBatch(ctx context.Context, batch []*pending) {
 	for len(batch) > 0 {
 		now, later := splitDistinct(batch)
-		batch = append(g.tryCommit(ctx, now), later...)
+		batch = append(b.tryCommit(ctx, now), later...)
 	}
 }
 
 // tryCommit commits transactions on distinct rows. It returns those to retry because
 // another one failed a check.
-func (g *batcher) tryCommit(ctx context.Context, batch []*pending) []*pending {
-	err := g.table.Commit(ctx, merge(batch))
+func (b *batcher) tryCommit(ctx context.Context, batch []*pending) []*pending {
+	err := b.table.Commit(ctx, merge(batch))
 	var conflict *tabler.ConflictError
 	if errors.As(err, &conflict) {
 		if rest := failConflicting(batch, conflict); len(rest) < len(batch) {
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -31,49 +31,49 @@
 }
 
 // drawFault draws the faults of one write.
-func (b *faultyTable) drawFault() (late, lost bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.random.Float64() < b.late, b.random.Float64() < b.lose
+func (f *faultyTable) drawFault() (late, lost bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.random.Float64() < f.late, f.random.Float64() < f.lose
 }
 
-func (b *faultyTable) setFaults(late, lose float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.late = late
-	b.lose = lose
+func (f *faultyTable) setFaults(late, lose float64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.late = late
+	f.lose = lose
 }
 
-func (b *faultyTable) Commit(ctx context.Context, txn tabler.Txn) error {
+func (f *faultyTable) Commit(ctx context.Context, txn tabler.Txn) error {
 	time.Sleep(2 * time.Millisecond)
-	if b.ignoresChecks {
+	if f.ignoresChecks {
 		txn.Checks = nil
 	}
-	late, lose := b.drawFault()
+	late, lose := f.drawFault()
 	lost := &tabler.UnknownError{Err: errors.New("answer lost")}
 	switch {
-	case b.down.Load():
+	case f.down.Load():
 		return &tabler.UnavailableError{Err: errors.New("down")}
 	case late:
-		time.AfterFunc(2*time.Second, func() { _ = b.Memory.Commit(context.Background(), txn) })
+		time.AfterFunc(2*time.Second, func() { _ = f.Memory.Commit(context.Background(), txn) })
 		return lost
 	}
-	err := b.Memory.Commit(ctx, txn)
+	err := f.Memory.Commit(ctx, txn)
 	if err == nil && lose {
 		return lost
 	}
 	return err
 }
 
-func (b *faultyTable) Get(ctx context.Context, key string) (tabler.Row, error) {
+func (f *faultyTable) Get(ctx context.Context, key string) (tabler.Row, error) {
 	time.Sleep(2 * time.Millisecond)
-	if b.down.Load() {
+	if f.down.Load() {
 		return tabler.Row{}, &tabler.UnavailableError{Err: errors.New("down")}
 	}
-	return b.Memory.Get(ctx, key)
+	return f.Memory.Get(ctx, key)
 }
 
-// A bench is several instances with one table; it counts the runs of requests.
+// A cluster is several instances with one table; it counts the runs of requests.
 type cluster struct {
 	claimers []*claimer.Claimer
 	gone     sync.Map // by incarnation
@@ -89,24 +89,24 @@
 		cancel()
 		time.Sleep(10 * time.Second) // for work in progress to end
 	})
-	b := &cluster{table: &faultyTable{random: rand.New(rand.NewPCG(seed, 1))}}
+	cl := &cluster{table: &faultyTable{random: rand.New(rand.NewPCG(seed, 1))}}
 	for i := range n {
 		c := &claimer.Claimer{
-			Self: fmt.Sprint("i", i), Store: &b.store, Table: b.table,
-			Gone:  func(inc string) bool { _, gone := b.gone.Load(inc); return gone },
-			Token: func() string { return fmt.Sprint("t", b.token.Add(1)) },
+			Self: fmt.Sprint("i", i), Store: &cl.store, Table: cl.table,
+			Gone:  func(inc string) bool { _, gone := cl.gone.Load(inc); return gone },
+			Token: func() string { return fmt.Sprint("t", cl.token.Add(1)) },
 		}
-		b.claimers = append(b.claimers, c)
+		cl.claimers = append(cl.claimers, c)
 		go c.Run(ctx)
 	}
 	synctest.Wait()
-	return b
+	return cl
 }
 
 // request runs a request with a key and returns the verdict and body that its
 // caller gets. With crash, the claimant crashes after the run and before it records
 // the outcome.
-func (b *cluster) request(c *claimer.Claimer, timeout time.Duration, crash bool) (judge.Verdict, string) {
+func (cl *cluster) request(c *claimer.Claimer, timeout time.Duration, crash bool) (judge.Verdict, string) {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	ticket, outcome, err := c.Begin(ctx, "account", "key", "request", time.Hour)
@@ -116,7 +116,7 @@
 	if outcome != nil {
 		return judge.Ran, string(outcome.Body)
 	}
-	n := b.runs.Add(1)
+	n := cl.runs.Add(1)
 	time.Sleep(20 * time.Millisecond)
 	if crash {
 		return judge.MayHaveRun, ""
@@ -160,21 +160,21 @@
 // different outcomes.
 func runScenario(t *testing.T, seed uint64, ignoreChecks bool) error {
 	random := rand.New(rand.NewPCG(seed, 2))
-	b := newCluster(t, 3, seed)
-	b.table.ignoresChecks = ignoreChecks
-	b.table.setFaults(random.Float64()/4, random.Float64()/2)
+	cl := newCluster(t, 3, seed)
+	cl.table.ignoresChecks = ignoreChecks
+	cl.table.setFaults(random.Float64()/4, random.Float64()/2)
 	crash := random.IntN(3) == 0
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	bodies := make(map[string]bool)
 	for i := range 6 {
-		c := b.claimers[random.IntN(len(b.claimers))]
+		c := cl.claimers[random.IntN(len(cl.claimers))]
 		delay := time.Duration(random.IntN(3000)) * time.Millisecond
 		wg.Go(func() {
 			time.Sleep(delay)
-			verdict, body := b.request(c, 5*time.Second, crash && i == 0)
+			verdict, body := cl.request(c, 5*time.Second, crash && i == 0)
 			if crash && i == 0 {
-				b.gone.Store(c.Self, true)
+				cl.gone.Store(c.Self, true)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -184,11 +184,11 @@
 		})
 	}
 	time.Sleep(time.Second)
-	b.table.down.Store(random.IntN(2) == 0)
+	cl.table.down.Store(random.IntN(2) == 0)
 	time.Sleep(time.Second)
-	b.table.down.Store(false)
+	cl.table.down.Store(false)
 	wg.Wait()
-	if runs := b.runs.Load(); runs > 1 || len(bodies) > 1 {
+	if runs := cl.runs.Load(); runs > 1 || len(bodies) > 1 {
 		return fmt.Errorf("seed %d: ran %d times, callers saw %v", seed, runs, bodies)
 	}
 	return nil
@@ -199,16 +199,16 @@
 // same check.
 func TestSameKeyInOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newCluster(t, 1, 1)
-		if err := b.claimers[0].Gather(t.Context(), tabler.Txn{Puts: []tabler.Put{{Key: "other"}}}); err != nil {
+		cl := newCluster(t, 1, 1)
+		if err := cl.claimers[0].Gather(t.Context(), tabler.Txn{Puts: []tabler.Put{{Key: "other"}}}); err != nil {
 			t.Fatal(err)
 		}
 		var wg sync.WaitGroup
 		for range 2 {
-			wg.Go(func() { b.request(b.claimers[0], time.Second, false) })
+			wg.Go(func() { cl.request(cl.claimers[0], time.Second, false) })
 		}
 		wg.Wait()
-		if runs := b.runs.Load(); runs != 1 {
+		if runs := cl.runs.Load(); runs != 1 {
 			t.Errorf("ran %d times, want 1", runs)
 		}
 	})
@@ -220,17 +220,17 @@
 // attempt runs instead of getting may_have_run.
 func TestRefusedClaimIsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newCluster(t, 2, 1)
-		b.table.setFaults(0, 1)
-		time.AfterFunc(3*time.Millisecond, func() { b.table.down.Store(true) })
-		verdict, _ := b.request(b.claimers[0], time.Second, false)
-		if verdict != judge.NotRun || b.runs.Load() != 0 {
-			t.Fatalf("first attempt: %s after %d runs", verdict, b.runs.Load())
+		cl := newCluster(t, 2, 1)
+		cl.table.setFaults(0, 1)
+		time.AfterFunc(3*time.Millisecond, func() { cl.table.down.Store(true) })
+		verdict, _ := cl.request(cl.claimers[0], time.Second, false)
+		if verdict != judge.NotRun || cl.runs.Load() != 0 {
+			t.Fatalf("first attempt: %s after %d runs", verdict, cl.runs.Load())
 		}
-		b.table.down.Store(false)
-		b.table.setFaults(0, 0)
+		cl.table.down.Store(false)
+		cl.table.setFaults(0, 0)
 		time.Sleep(3 * time.Second)
-		if verdict, _ := b.request(b.claimers[1], time.Second, false); verdict != judge.Ran {
+		if verdict, _ := cl.request(cl.claimers[1], time.Second, false); verdict != judge.Ran {
 			t.Errorf("second attempt: %s, want ran", verdict)
 		}
 	})
--- a/internal/request/claimer/withdrawal.go
+++ b/internal/request/claimer/withdrawal.go
@@ -9,7 +9,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// A debt is a claim that is to be withdrawn.
+// A withdrawal is a claim that is to be withdrawn.
 type withdrawal struct {
 	token       string
 	scheduledAt time.Time
