--- a/internal/account/limiter/simulation_test.go
+++ b/internal/account/limiter/simulation_test.go
@@ -168,7 +168,7 @@
 // A ledgerStrategy is the strategy of this package. The first instance of a failure domain
 // is its leader.
 type ledgerStrategy struct {
-	l         *simulation
+	sim       *simulation
 	spenders  []*limiter.Spender
 	ledgers   []*limiter.Ledger // of the leaders
 	reporters []limiter.Party
@@ -178,7 +178,7 @@
 }
 
 func newLedgerStrategy(sim *simulation) strategy {
-	w := &ledgerStrategy{l: sim, connected: sim.reaches}
+	w := &ledgerStrategy{sim: sim, connected: sim.reaches}
 	for _, i := range sim.instances {
 		w.spenders = append(w.spenders, &limiter.Spender{})
 		w.reporters = append(w.reporters, limiter.Party{Instance: i.id})
@@ -199,19 +199,19 @@
 }
 
 func (w *ledgerStrategy) restart(i *instance) {
-	w.spenders[i.number] = &limiter.Spender{Instances: func() int { return len(w.l.instances) }}
-	w.reporters[i.number].Born = w.l.now.UnixNano()
-	w.startedAt[i.number] = w.l.now
+	w.spenders[i.number] = &limiter.Spender{Instances: func() int { return len(w.sim.instances) }}
+	w.reporters[i.number].Born = w.sim.now.UnixNano()
+	w.startedAt[i.number] = w.sim.now
 	for d, leader := range w.leaders {
 		if leader == i {
-			w.ledgers[d].Begin(w.l.now)
+			w.ledgers[d].Begin(w.sim.now)
 		}
 	}
 }
 
 func (w *ledgerStrategy) admit(i *instance, tokens int64) bool {
-	s, now := w.spenders[i.number], w.l.now
-	r := limiter.Request{Account: "a", Limit: w.l.limit, Tokens: tokens}
+	s, now := w.spenders[i.number], w.sim.now
+	r := limiter.Request{Account: "a", Limit: w.sim.limit, Tokens: tokens}
 	decision := s.Spend(r, now)
 	if _, asks := decision.(limiter.Ask); asks {
 		decision = w.ask(i, r)
@@ -221,9 +221,9 @@
 }
 
 func (w *ledgerStrategy) ask(i *instance, r limiter.Request) limiter.Decision {
-	s, now := w.spenders[i.number], w.l.now
+	s, now := w.spenders[i.number], w.sim.now
 	if w.connected(i, w.leaders[i.failureDomain]) {
-		w.l.messages++
+		w.sim.messages++
 		balances, ok := w.ledgers[i.failureDomain].Settle(w.reporters[i.number], []limiter.Spent{s.Want(r)}, now)
 		if ok && len(balances) == 1 {
 			return s.Answered(r, balances[0], now, now)
@@ -233,9 +233,9 @@
 }
 
 func (w *ledgerStrategy) tick() {
-	now := w.l.now
-	step := int(now.Sub(w.l.startedAt) / simulationStep)
-	for _, i := range w.l.instances {
+	now := w.sim.now
+	step := int(now.Sub(w.sim.startedAt) / simulationStep)
+	for _, i := range w.sim.instances {
 		if (step+i.number)%15 != 0 || !w.connected(i, w.leaders[i.failureDomain]) {
 			continue
 		}
@@ -244,11 +244,11 @@
 		if len(report) == 0 {
 			continue
 		}
-		w.l.messages++
+		w.sim.messages++
 		balances, ok := w.ledgers[i.failureDomain].Settle(w.reporters[i.number], report, now)
 		for _, b := range balances {
 			if ok {
-				s.Settled(b, w.l.limit, now, now)
+				s.Settled(b, w.sim.limit, now, now)
 			}
 		}
 	}
@@ -259,14 +259,14 @@
 
 // exchangeReports settles the reports of all leaders with each other.
 func (w *ledgerStrategy) exchangeReports() {
-	now := w.l.now
+	now := w.sim.now
 	for d, from := range w.leaders {
 		report := w.ledgers[d].Report(now)
 		since, _ := w.ledgers[d].Began()
 		p := limiter.Party{Instance: from.id, Born: since.UnixNano(), Domain: fmt.Sprint("d", d), Age: now.Sub(since)}
 		for e, to := range w.leaders {
 			if e != d && w.connected(from, to) {
-				w.l.messages++
+				w.sim.messages++
 				balances, _ := w.ledgers[e].Settle(p, report, now)
 				startedAt, _ := w.ledgers[e].Began()
 				w.ledgers[d].Adopt(balances, now.Sub(startedAt), now)
@@ -277,12 +277,12 @@
 
 // An evenSplit gives each instance the same fraction of the quota.
 type evenSplit struct {
-	l     *simulation
+	sim   *simulation
 	level []float64
 }
 
 func newEvenSplit(sim *simulation) strategy {
-	w := &evenSplit{l: sim, level: make([]float64, len(sim.instances))}
+	w := &evenSplit{sim: sim, level: make([]float64, len(sim.instances))}
 	for n := range w.level {
 		w.level[n] = sim.limit.Burst / float64(len(w.level))
 	}
@@ -294,7 +294,7 @@
 func (w *evenSplit) tick() {
 	n := float64(len(w.level))
 	for i := range w.level {
-		w.level[i] = min(w.l.limit.Burst/n, w.level[i]+w.l.limit.Rate/n*simulationStep.Seconds())
+		w.level[i] = min(w.sim.limit.Burst/n, w.level[i]+w.sim.limit.Rate/n*simulationStep.Seconds())
 	}
 }
 
@@ -337,11 +337,11 @@
 	for i := range w.demand {
 		w.demand[i] *= decay
 	}
-	if step := int(w.l.now.Sub(w.l.startedAt) / simulationStep); step%30 == 0 {
+	if step := int(w.sim.now.Sub(w.sim.startedAt) / simulationStep); step%30 == 0 {
 		w.redistribute()
 	}
 	for i := range w.level {
-		w.level[i] = min(w.share[i]*w.l.limit.Burst, w.level[i]+w.share[i]*w.l.limit.Rate*simulationStep.Seconds())
+		w.level[i] = min(w.share[i]*w.sim.limit.Burst, w.level[i]+w.share[i]*w.sim.limit.Rate*simulationStep.Seconds())
 	}
 }
 
@@ -349,16 +349,16 @@
 // divide the rest.
 func (w *demandSplit) redistribute() {
 	all, free, n := 0.0, 1.0, 0.0
-	for _, i := range w.l.instances {
-		if w.l.now.Before(i.partitionedUntil) {
+	for _, i := range w.sim.instances {
+		if w.sim.now.Before(i.partitionedUntil) {
 			free -= w.share[i.number]
 			continue
 		}
 		all += w.demand[i.number]
 		n++
 	}
-	for _, i := range w.l.instances {
-		if w.l.now.Before(i.partitionedUntil) {
+	for _, i := range w.sim.instances {
+		if w.sim.now.Before(i.partitionedUntil) {
 			continue
 		}
 		share := 1 / n
@@ -366,6 +366,6 @@
 			share = 0.95*w.demand[i.number]/all + 0.05/n
 		}
 		w.share[i.number] = free * share
-		w.l.messages += 2
+		w.sim.messages += 2
 	}
 }
--- a/internal/request/answerer/answerer.go
+++ b/internal/request/answerer/answerer.go
@@ -18,27 +18,27 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A Dispatcher answers calls.
+// A Dispatcher dispatches calls.
 type Dispatcher interface {
 	Dispatch(ctx context.Context, call *streamer.Call, sink streamer.Sink) error
 }
 
-// An Answerer is the API for callers. Its fields are set before use.
+// An Answerer serves the HTTP API for callers. Its fields are set before use.
 type Answerer struct {
 	Claimer    *claimer.Claimer
 	Dispatcher Dispatcher
 	Domain     string
-	Force      func() *resolver.Resolver // settings in force; nil if there are none
+	Force      func() *resolver.Resolver // current settings; nil if there are none yet
 	Logger     log.Logger
 	Metrics    *metrics.Set
-	Stopping   func() bool   // whether new requests are refused
-	Token      func() string // a fresh name for each request
+	Stopping   func() bool   // reports whether new requests are refused
+	Token      func() string // returns a unique request ID
 
 	mu   sync.Mutex
-	open map[string]int // requests by account
+	open map[string]int // number of open requests by account
 }
 
-// The headers of callers, as docs/CALLERS.md describes them.
+// Headers of requests and responses; see docs/CALLERS.md.
 const (
 	HeaderDeadline = "X-Deadline"
 	HeaderKey      = "Idempotency-Key"
@@ -49,7 +49,7 @@
 	HeaderStall    = "X-Stall"
 )
 
-// The paths of callers.
+// Paths of the API.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
@@ -57,7 +57,7 @@
 	PathServices    = "/services/"
 )
 
-// Handler returns the API.
+// Handler returns the handler of the API.
 func (a *Answerer) Handler() fasthttp.RequestHandler {
 	r := router.New()
 	r.POST(PathChat, a.completion)
@@ -77,7 +77,8 @@
 	return len(a.open) == 0
 }
 
-// Unreadable answers a request that could not be read: too large or malformed.
+// Unreadable responds to a request that could not be read because it is too large
+// or malformed.
 func (a *Answerer) Unreadable(c *fasthttp.RequestCtx, err error) {
 	a.refuse(c, judge.Refuse(judge.ReasonBody, "the request could not be read: %v", err))
 }
@@ -99,7 +100,7 @@
 	a.serve(c, parsePlain)
 }
 
-// authenticate finds out whose request it is.
+// authenticate identifies the account of a request.
 func (a *Answerer) authenticate(c *fasthttp.RequestCtx) (*resolver.Resolver, resolver.Caller, *judge.Error) {
 	force := a.Force()
 	if force == nil {
@@ -112,7 +113,7 @@
 	return force, caller, nil
 }
 
-// acquire counts a request in, or refuses it.
+// acquire counts a request of an account as open, or refuses it.
 func (a *Answerer) acquire(account string, limit int) *judge.Error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -138,7 +139,7 @@
 	}
 }
 
-// serve takes one request from its bytes to its answer.
+// serve parses, dispatches and answers one request.
 func (a *Answerer) serve(c *fasthttp.RequestCtx, parse parseFunc) {
 	force, caller, refusal := a.authenticate(c)
 	if refusal != nil {
@@ -176,7 +177,7 @@
 	return call, values, nil
 }
 
-// refuse answers with an error and counts it.
+// refuse responds with an error and counts it.
 func (a *Answerer) refuse(c *fasthttp.RequestCtx, err *judge.Error) {
 	a.count(err)
 	writeError(c, err)
--- a/internal/request/answerer/doc.go
+++ b/internal/request/answerer/doc.go
@@ -1,8 +1,8 @@
-// Package answerer is the callers' door: an OpenAI-compatible HTTP API for
+// Package answerer is the HTTP API for callers: an OpenAI-compatible API for
 // model engines and a path for plain services.
 //
-// It reads a request, refuses what is malformed with one clear error, claims
-// the key of a request that must not run twice, has it dispatched, and writes
-// the answer: whole, or as server-sent events that end in [DONE] only if the
-// answer is whole and in an error event otherwise.
+// It parses a request, refuses malformed ones, claims the key of a request that
+// must not run twice, dispatches the request, and writes the response: as one
+// body, or as server-sent events that end with [DONE] if the response is
+// complete and with an error event otherwise.
 package answerer
--- a/internal/request/answerer/failure.go
+++ b/internal/request/answerer/failure.go
@@ -11,11 +11,11 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// doneEvent ends a stream that is whole.
+// doneEvent ends a complete stream.
 const doneEvent = "data: [DONE]\n\n"
 
-// A Failure is an error as callers get it: OpenAI's shape with the verdict and
-// the reason.
+// A Failure is the error body for callers: the format of OpenAI with the verdict
+// and the reason added.
 type Failure struct {
 	Error Detail `json:"error"`
 }
@@ -30,7 +30,7 @@
 	Reason  judge.Reason  `json:"reason"`
 }
 
-// statuses are the HTTP statuses of the reasons that have one of their own.
+// statuses maps reasons to HTTP statuses; other reasons get one by the verdict.
 var statuses = map[judge.Reason]int{
 	judge.ReasonAdapter:   fasthttp.StatusNotFound,
 	judge.ReasonAuth:      fasthttp.StatusUnauthorized,
@@ -46,8 +46,8 @@
 	judge.ReasonUpstream:  fasthttp.StatusServiceUnavailable,
 }
 
-// status returns the HTTP status of a failure. What may have run is a bad
-// gateway; what did not run is a service that is not available now.
+// status returns the HTTP status of a failure. Without a status for the reason, it
+// is 503 if the request did not run and 502 if it ran or may have run.
 func status(err *judge.Error) int {
 	if s, ok := statuses[err.Reason]; ok {
 		return s
@@ -68,9 +68,9 @@
 	}}
 }
 
-// errorEvent is the last event of a stream that was cut.
+// errorEvent returns the last event of an incomplete stream.
 func errorEvent(err *judge.Error) []byte {
-	data, _ := json.Marshal(failure(err)) // strings always encode
+	data, _ := json.Marshal(failure(err)) // strings always marshal
 	return append(append([]byte("data: "), data...), "\n\n"...)
 }
 
--- a/internal/request/answerer/parse.go
+++ b/internal/request/answerer/parse.go
@@ -15,17 +15,17 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/resolver"
 )
 
-// A parseFunc reads what a request asks for.
+// A parseFunc parses a request into a call.
 type parseFunc func(c *fasthttp.RequestCtx, force *resolver.Resolver, call *streamer.Call) *judge.Error
 
-// The bounds of what a header may say.
+// Bounds of header values.
 const (
 	maxKeyLength = 255
 	maxPriority  = 10
 )
 
-// strippedHeaders are the headers of a plain call that end here: the account's key must
-// not reach a service, and the others belong to one connection.
+// strippedHeaders are the headers that are not forwarded to a plain service: the key
+// of the account must not reach it, and the others belong to one connection.
 var strippedHeaders = map[string]bool{
 	"authorization": true, "connection": true, "content-length": true, "host": true,
 	"keep-alive": true, "te": true, "trailer": true, "transfer-encoding": true, "upgrade": true,
@@ -79,7 +79,7 @@
 	return nil
 }
 
-// parseHeaders reads the headers that say how a request is to be treated.
+// parseHeaders parses the headers that control how a request is handled.
 func parseHeaders(c *fasthttp.RequestCtx, call *streamer.Call, values resolver.Effective) *judge.Error {
 	left, refusal := parseDeadline(string(c.Request.Header.Peek(HeaderDeadline)), values.Deadline)
 	if refusal != nil {
@@ -97,7 +97,7 @@
 	return parsePriority(string(c.Request.Header.Peek(HeaderPriority)), call)
 }
 
-// parseDeadline reads a duration such as 2.5s or a number of seconds.
+// parseDeadline parses a duration such as 2.5s or a number of seconds.
 func parseDeadline(text string, fallback time.Duration) (time.Duration, *judge.Error) {
 	if text == "" {
 		return fallback, nil
@@ -112,8 +112,9 @@
 	return left, nil
 }
 
-// parseOnce reads the mark of a request that must not run twice. A call of a
-// plain service with a method that is not idempotent has it by itself.
+// parseOnce parses the header that marks a request that must not run twice. It
+// defaults to true for a call of a plain service with a method that is not
+// idempotent.
 func parseOnce(c *fasthttp.RequestCtx) (bool, *judge.Error) {
 	switch text := string(c.Request.Header.Peek(HeaderOnce)); text {
 	case "true":
--- a/internal/request/answerer/parse_test.go
+++ b/internal/request/answerer/parse_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// A POST to a plain service may file a record, so it is not repeated unless its
-// caller says that it may be.
+// Guards against a POST to a plain service that is retried although its caller did
+// not allow it: it may create a record.
 func TestPlainPostIsNotIdempotent(t *testing.T) {
 	for method, want := range map[string]bool{"POST": true, "PATCH": true, "GET": false, "PUT": false, "DELETE": false} {
 		var c fasthttp.RequestCtx
@@ -66,7 +66,7 @@
 	}
 }
 
-// The account's key and what belongs to one connection stay here.
+// Guards against forwarding the key of the account or headers of one connection.
 func TestPlainCallStripsKeyAndHopHeaders(t *testing.T) {
 	var c fasthttp.RequestCtx
 	c.Request.Header.Set("Authorization", "Bearer secret")
--- a/internal/request/answerer/pipe.go
+++ b/internal/request/answerer/pipe.go
@@ -14,9 +14,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/streamer"
 )
 
-// A pipe joins the dispatch of one request with the writing of its answer. The
-// dispatch puts parts in; the writer takes them out at its caller's pace, and
-// its end ends the dispatch.
+// A pipe connects the dispatch of one request with the writing of its response.
+// The dispatch produces parts; the writer sends them at the pace of the caller,
+// and cancels the dispatch when it ends.
 type pipe struct {
 	answerer  *Answerer
 	call      *streamer.Call
@@ -27,16 +27,17 @@
 	startedAt time.Time
 	head      chan streamer.Head
 	parts     chan []byte
-	done      chan struct{} // closed when the dispatch has ended; then err is set
+	done      chan struct{} // closed when the dispatch has ended and err is set
 	err       *judge.Error
-	recorded  []byte // copy of the body for the record of a claimed request
+	recorded  []byte // copy of the body for the claim
 	sentHead  streamer.Head
 }
 
-// maxBufferedParts is how many parts may wait for a slow caller.
+// maxBufferedParts is the number of parts buffered for a slow caller.
 const maxBufferedParts = 64
 
-// writeTimeout is how long a caller may take nothing before it counts as gone.
+// writeTimeout is how long a write to a stalled caller may block before the caller
+// counts as disconnected.
 const writeTimeout = 30 * time.Second
 
 func newPipe(ctx context.Context, cancel context.CancelFunc, a *Answerer, call *streamer.Call, retention time.Duration) *pipe {
@@ -66,11 +67,11 @@
 	return nil
 }
 
-// maxRecordedBody bounds the copy of a body; a longer one is not kept at all.
+// maxRecordedBody bounds the copy of a body; a longer body is not stored at all.
 const maxRecordedBody = 256 << 10
 
-// needsClaim reports whether the request must not run twice and can be known
-// again.
+// needsClaim reports whether the request must not run twice and has a key by
+// which a repetition is recognized.
 func (p *pipe) needsClaim() bool { return p.call.Once && p.call.Key != "" }
 
 // event returns a part as it is written to the caller.
@@ -91,8 +92,8 @@
 	close(p.done)
 }
 
-// finish ends the dispatch, if it still runs, and counts the request out. It is
-// called when the answer has been written: an instance that leaves waits for
+// finish cancels the dispatch if it still runs, and counts the request as closed.
+// It is called when the response has been written: a draining instance waits for
 // that, not only for the upstream.
 func (p *pipe) finish() {
 	p.cancel()
@@ -116,7 +117,7 @@
 	return err
 }
 
-// record ends the claim with what the caller was given.
+// record ends the claim with the response to the caller.
 func (p *pipe) record(ticket *claimer.Ticket, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -130,26 +131,26 @@
 	p.answerer.Claimer.End(ctx, ticket, &claimer.Outcome{Status: p.sentHead.Status, Type: p.sentHead.Type, Body: p.recorded}, nil)
 }
 
-// replay gives the caller the outcome of the first request with its key. The
-// record holds the bytes as they were written.
+// replay sends the outcome of the first request with the key. It holds the bytes
+// as they were written, including the framing of events.
 func (p *pipe) replay(outcome *claimer.Outcome) error {
 	p.call.Stream = false
-	p.call.Key = "" // the record is there already
+	p.call.Key = "" // the outcome is already recorded
 	if err := p.Head(streamer.Head{Status: outcome.Status, Type: outcome.Type}); err != nil {
 		return err
 	}
 	return p.Data(outcome.Body)
 }
 
-// write answers the caller. It returns at once for a stream, whose body is
-// written after it.
+// write writes the response. For a stream it returns before the body, which is
+// written by a body stream writer.
 func (p *pipe) write(c *fasthttp.RequestCtx) {
 	select {
 	case head := <-p.head:
 		p.writeHead(c, head)
 	case <-p.done:
 		select {
-		case head := <-p.head: // it came at the same time
+		case head := <-p.head: // the head arrived at the same time
 			p.writeHead(c, head)
 		default:
 			defer p.finish()
@@ -171,8 +172,8 @@
 	p.writeBody(c)
 }
 
-// writeStream writes the parts as events. A caller that takes nothing for a while,
-// or goes away, ends the dispatch and with it the work upstream.
+// writeStream writes the parts as events. If the caller stalls or disconnects, the
+// dispatch is cancelled, and with it the work upstream.
 func (p *pipe) writeStream(w *bufio.Writer, conn net.Conn) {
 	defer p.finish()
 	send := func(event []byte) bool {
@@ -204,7 +205,7 @@
 	send([]byte(doneEvent))
 }
 
-// writeBody writes a body that is not a stream, once it is known to be whole.
+// writeBody writes a body that is not a stream, once it is complete.
 func (p *pipe) writeBody(c *fasthttp.RequestCtx) {
 	defer p.finish()
 	var body bytes.Buffer
--- a/internal/request/dispatcher/dispatcher.go
+++ b/internal/request/dispatcher/dispatcher.go
@@ -24,22 +24,22 @@
 	Serve(ctx context.Context, call *streamer.Call, sink streamer.Sink) error
 }
 
-// Peers passes requests on to other instances.
+// Peers forwards requests to other instances.
 type Peers interface {
-	// Alive reports whether an instance takes new work.
+	// Alive reports whether an instance accepts new requests.
 	Alive(incarnation string) bool
-	// Ask passes a call to an instance and its answer to the sink.
+	// Ask forwards a call to an instance and writes the response to the sink.
 	Ask(ctx context.Context, incarnation string, call *streamer.Call, sink streamer.Sink) error
 	// Elsewhere returns live instances of other failure domains, one for each
-	// domain, in the order in which they are to be tried.
+	// domain, in the order in which to try them.
 	Elsewhere() []string
 }
 
-// A Quarantine knows which requests crash the engines that run them.
+// A Quarantine refuses requests that crash the engines that run them.
 type Quarantine interface {
-	// Held refuses a request that is not to be run; nil if it may run.
+	// Held returns the refusal of a quarantined request; nil if it may run.
 	Held(call *streamer.Call) *judge.Error
-	// Whole tells that a request ran to its end.
+	// Whole records that a request ran to completion.
 	Whole(call *streamer.Call)
 }
 
@@ -49,20 +49,20 @@
 	Domain     string
 	Drained    func(upstream string) bool
 	Fleet      *monitor.Fleet
-	Force      func() *resolver.Resolver // settings in force; nil if there are none
+	Force      func() *resolver.Resolver // current settings; nil if there are none yet
 	Local      Server
 	Metrics    *metrics.Set
 	Peers      Peers
 	Quarantine Quarantine
-	Self       string // incarnation
+	Self       string // own incarnation
 
 	budget    retrier.Budget
 	journal   journal
-	nextPlain atomic.Uint64 // for plain upstreams
+	nextPlain atomic.Uint64 // round-robin counter for upstreams of plain services
 }
 
-// Dispatch answers a request. It returns nil after a whole answer, else a
-// *judge.Error that is right about everything that was tried.
+// Dispatch serves a request. It returns nil after a complete response, else a
+// *judge.Error whose verdict holds for all attempts.
 func (d *Dispatcher) Dispatch(ctx context.Context, call *streamer.Call, sink streamer.Sink) error {
 	force := d.Force()
 	if force == nil {
@@ -79,8 +79,8 @@
 	return err
 }
 
-// Choose returns the runner that a request for the adapter would go to now, and
-// its owner.
+// Choose returns the runner that a request for the adapter would be sent to now,
+// and the owner of the runner.
 func (d *Dispatcher) Choose(adapter resolver.Adapter) (Step, bool) {
 	force := d.Force()
 	candidates := d.Fleet.Candidates(adapter.Service, adapter.Name, nil, d.Peers.Alive)
@@ -95,15 +95,15 @@
 	return Step{Runner: terms[0].Runner, Owner: d.Fleet.Owner(terms[0].Runner), Terms: terms}, true
 }
 
-// Explain returns the steps of a request that this instance dispatched lately.
+// Explain returns the steps of a request that this instance dispatched recently.
 func (d *Dispatcher) Explain(id string) ([]Step, bool) { return d.journal.find(id) }
 
-// attempts is the dispatch of one request.
+// attempts is the state of the dispatch of one request.
 type attempts struct {
 	startedAt  time.Time
 	call       *streamer.Call
 	dispatcher *Dispatcher
-	mayHaveRun *judge.Error // an attempt that may have run
+	mayHaveRun *judge.Error // error of an attempt that may have run
 	force      *resolver.Resolver
 	sink       *watchedSink
 	steps      []Step
@@ -111,7 +111,7 @@
 	values     resolver.Effective
 }
 
-// run makes attempts until one succeeds or no further one is safe or allowed.
+// run makes attempts until one succeeds or no further attempt is safe or allowed.
 func (a *attempts) run(ctx context.Context) error {
 	backoff := retrier.Backoff()
 	for retries := 0; ; {
@@ -142,12 +142,12 @@
 	}
 }
 
-// redirectTimeout bounds how long a request follows a runner from owner to owner.
+// redirectTimeout bounds how long a request follows a runner to new owners.
 const redirectTimeout = 5 * time.Second
 
-// redirected reports whether the attempt only asked the wrong instance: the
-// runner has passed to another one, as it does in every rolling replacement.
-// Such an answer costs nobody anything, so it is not counted as a retry.
+// redirected reports whether the attempt was only sent to the wrong instance: the
+// runner has a new owner, as it gets in every rolling replacement. Such a response
+// costs no work upstream, so it does not count as a retry.
 func (a *attempts) redirected(err *judge.Error) bool {
 	if err.Reason != judge.ReasonOwner || err.Verdict != judge.NotRun || time.Since(a.startedAt) > redirectTimeout {
 		return false
@@ -158,7 +158,7 @@
 	return true
 }
 
-// finalError returns what the caller is told: a promise only if it holds for every
+// finalError returns the error for the caller: not run only if that holds for every
 // attempt.
 func (a *attempts) finalError(last *judge.Error) error {
 	if a.mayHaveRun != nil && last.Verdict == judge.NotRun {
@@ -185,7 +185,7 @@
 	d := a.dispatcher
 	candidates := a.candidates(ctx)
 	if len(candidates) == 0 {
-		a.tried = nil // the next attempt may use any of them again
+		a.tried = nil // the next attempt may use any runner again
 		return a.tryOtherDomain(ctx)
 	}
 	terms := a.rank(candidates)
@@ -205,15 +205,15 @@
 	return step, d.Peers.Ask(ctx, step.Owner, &call, a.sink)
 }
 
-// Bounds of the wait for a runner whose owner changes at this moment, as in a
-// rolling replacement. It is far shorter than any deadline.
+// Bounds of the wait for a runner whose owner is changing, as in a rolling
+// replacement. The wait is far shorter than any deadline.
 const (
 	handoverTimeout      = 1500 * time.Millisecond
 	handoverPollInterval = 20 * time.Millisecond
 )
 
-// candidates returns the runners that can be tried. If none has a live owner
-// just now but some will, it waits a moment for the hand-over.
+// candidates returns the runners to choose from. If none has a live owner but
+// some are about to get one, it waits briefly for the handover.
 func (a *attempts) candidates(ctx context.Context) []router.Candidate {
 	d := a.dispatcher
 	for until := time.Now().Add(handoverTimeout); ; {
@@ -235,9 +235,9 @@
 	return r.Choose(router.Request{Adapter: a.call.Adapter, Left: a.left()}, candidates)
 }
 
-// checkDeadline refuses a request at once whose adapter cannot be there before its
-// deadline, so that its caller can act on it. The queue is judged by the owner,
-// who knows whose requests wait in it.
+// checkDeadline refuses a request whose adapter cannot be loaded before its
+// deadline, at once, so that the caller can react. The wait in the queue is
+// checked by the owner, which knows the requests in it.
 func (a *attempts) checkDeadline(best router.Terms) error {
 	wait := time.Duration(best.Stall * float64(time.Second))
 	if left := a.left(); left > 0 && wait > left {
@@ -246,7 +246,7 @@
 	return nil
 }
 
-// left returns the time until the deadline, 0 if there is none.
+// left returns the time until the deadline; 0 if there is none.
 func (a *attempts) left() time.Duration {
 	if a.call.Deadline.IsZero() {
 		return 0
@@ -254,8 +254,8 @@
 	return max(time.Millisecond, time.Until(a.call.Deadline))
 }
 
-// tryOtherDomain passes a request to another failure domain. That is done once only,
-// so that a request cannot travel in circles.
+// tryOtherDomain forwards a request to another failure domain. A request is forwarded
+// only once, so that it cannot loop between domains.
 func (a *attempts) tryOtherDomain(ctx context.Context) (Step, error) {
 	if a.call.Hops > 0 {
 		return Step{}, judge.Refuse(judge.ReasonUpstream, "no upstream of %s can serve in domain %s", a.call.Service, a.dispatcher.Domain).After(time.Second)
@@ -272,7 +272,8 @@
 	return Step{}, judge.Refuse(judge.ReasonUpstream, "no upstream of %s can serve", a.call.Service).After(time.Second)
 }
 
-// tryPlain sends a call to a plain service of this domain, its upstreams in turn.
+// tryPlain sends a call to an upstream of a plain service in this failure domain,
+// chosen by round robin.
 func (a *attempts) tryPlain(ctx context.Context, service *parser.Service) (Step, error) {
 	d := a.dispatcher
 	var local []parser.Upstream
@@ -306,7 +307,7 @@
 	}
 }
 
-// A watchedSink remembers whether anything reached the caller.
+// A watchedSink records whether a response to the caller has started.
 type watchedSink struct {
 	sink     streamer.Sink
 	answered bool
--- a/internal/request/dispatcher/doc.go
+++ b/internal/request/dispatcher/doc.go
@@ -1,4 +1,4 @@
-// Package dispatcher takes a request from its arrival at an instance to the
-// upstream that answers it: it chooses the runner, passes the request to the
-// runner's owner, and decides after a failure whether another attempt is safe.
+// Package dispatcher dispatches requests to upstreams: it selects a runner,
+// forwards the request to the owner of that runner, and decides after a failure
+// whether a retry is safe.
 package dispatcher
--- a/internal/request/dispatcher/journal.go
+++ b/internal/request/dispatcher/journal.go
@@ -6,21 +6,21 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/router"
 )
 
-// A Step is one attempt at a request, as explain shows it.
+// A Step is one attempt of a request, as shown by explain.
 type Step struct {
 	Runner string         `json:"runner" yaml:"runner"`
-	Owner  string         `json:"owner" yaml:"owner"` // incarnation asked; empty for this one
-	Terms  []router.Terms `json:"terms" yaml:"terms"` // of the best candidates
+	Owner  string         `json:"owner" yaml:"owner"` // incarnation of the instance asked; empty if none was
+	Terms  []router.Terms `json:"terms" yaml:"terms"` // terms of the best candidates
 	Error  string         `json:"error" yaml:"error"`
 }
 
-// maxShownTerms is how many candidates a step shows.
+// maxShownTerms is the maximum number of candidates in a step.
 const maxShownTerms = 5
 
-// journalSize is how many requests an instance can explain.
+// journalSize is the number of requests that an instance can explain.
 const journalSize = 4096
 
-// A journal keeps the steps of the latest requests in a ring.
+// A journal keeps the steps of the latest requests in a ring buffer.
 type journal struct {
 	mu    sync.Mutex
 	ids   []string
