--- a/internal/account/limiter/ledger.go
+++ b/internal/account/limiter/ledger.go
@@ -11,8 +11,8 @@
 // on a balance.
 const unresponsiveAfter = balanceTTL + 300*time.Millisecond
 
-// A Ledger sums up the tokens that all instances spend. Its fields are set before use; it is safe for
-// concurrent use.
+// A Ledger sums up the tokens that all instances spend. Its fields are set before use; it is
+// safe for concurrent use.
 type Ledger struct {
 	First  func(l Limit) float64 // tokens of an account that are left at Begin; nil for none
 	Limits func(account string) (Limit, bool)
@@ -51,7 +51,7 @@
 	counted   int64 // of the reporter's counter
 	seq       int64 // highest sequence number of its updates
 	usage     meter
-	share     float64   // fraction of the limit and of the tokens left that it spends while it is unresponsive
+	share     float64   // fraction of the quota that it may spend while it is unresponsive
 	remaining float64   // tokens left to the account at its last update
 	reserved  float64   // tokens reserved for it since then
 	asOf      time.Time // time up to which tokens are reserved
@@ -351,7 +351,7 @@
 }
 
 // sweep lists the unresponsive reporters and removes those that sent no update for longer
-// than disconnectedLimit.
+// than maxDisconnected.
 func (l *Ledger) sweep(now time.Time) {
 	if now.Sub(l.lastSweep) < sweepInterval {
 		return
@@ -360,7 +360,7 @@
 	l.unresponsive = l.unresponsive[:0]
 	for instance, p := range l.reporters {
 		switch sinceUpdate := now.Sub(p.lastSeen); {
-		case sinceUpdate > disconnectedLimit:
+		case sinceUpdate > maxDisconnected:
 			l.drop(instance)
 		case sinceUpdate > unresponsiveAfter:
 			l.unresponsive = append(l.unresponsive, p)
--- a/internal/account/limiter/message.go
+++ b/internal/account/limiter/message.go
@@ -21,7 +21,7 @@
 	Counter int64 // all tokens since the counters were zero, less those returned
 	Recent  int64 // tokens since the last update to any Ledger
 	Want    int64 // tokens of a request that waits for the reply; 0 for none
-	Seq     int64 // sequence number of the update; the counter of an update that arrives after a later one is ignored
+	Seq     int64 // sequence number; the counter of an update that arrives after a later one is ignored
 }
 
 // A Balance is the state of an account's quota across all instances, as known to a Ledger.
--- a/internal/account/limiter/property_test.go
+++ b/internal/account/limiter/property_test.go
@@ -57,7 +57,7 @@
 		for seed := range uint64(10) {
 			sim := newSimulation(seed, 0, largeLimit, newLedgerStrategy)
 			sim.startInstances(n)
-			sim.run(time.Second, workload{targets: []int{0}, mean: meanRequest}) // the ledgers begin with nothing left
+			sim.run(time.Second, workload{targets: []int{0}, mean: meanRequest}) // the ledgers begin empty
 			for range 8 {
 				sim.run(3*time.Second, calmWorkload(sim)) // callers move to other instances
 			}
--- a/internal/account/limiter/spender.go
+++ b/internal/account/limiter/spender.go
@@ -12,10 +12,10 @@
 	// spent nothing lately has a share too. In a partition both sides have this fraction,
 	// so it is half of the fraction by which a quota may be exceeded.
 	evenShare = 0.05
-	// disconnectedLimit is how long an instance that reaches no Ledger spends its share, and how
-	// long a Ledger reserves it. It is longer than a partition lasts; for an instance that
-	// is gone for good nothing is reserved after it.
-	disconnectedLimit = 30 * time.Second
+	// maxDisconnected is how long an instance that reaches no Ledger spends its share, and how
+	// long a Ledger reserves it. It outlasts a partition; for an instance that is gone for
+	// good nothing is reserved after it.
+	maxDisconnected = 30 * time.Second
 	// idleAfter is how long an account is still reported after its last use: its share has
 	// decayed to nothing by then.
 	idleAfter = 6 * meterTimeConstant
@@ -147,7 +147,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(r.Account)
-	if a.balanceAt.IsZero() || now.Sub(a.balanceAt) > disconnectedLimit {
+	if a.balanceAt.IsZero() || now.Sub(a.balanceAt) > maxDisconnected {
 		return Unknown{Wait: unknownWait}
 	}
 	if !a.isDisconnected {
--- a/internal/account/limiter/wait.go
+++ b/internal/account/limiter/wait.go
@@ -19,23 +19,23 @@
 
 // drain removes the tokens that have become available since the last call, the most urgent
 // first.
-func (l *retryQueue) drain(rate float64, now time.Time) {
-	available := rate * now.Sub(l.at).Seconds()
-	l.at = now
-	for n := range l.tokens {
-		taken := min(available, l.tokens[n])
-		l.tokens[n] -= taken
+func (q *retryQueue) drain(rate float64, now time.Time) {
+	available := rate * now.Sub(q.at).Seconds()
+	q.at = now
+	for n := range q.tokens {
+		taken := min(available, q.tokens[n])
+		q.tokens[n] -= taken
 		available -= taken
 	}
 }
 
 // add queues a request and returns the tokens ahead of it.
-func (l *retryQueue) add(tokens float64, urgency int) (ahead float64) {
+func (q *retryQueue) add(tokens float64, urgency int) (ahead float64) {
 	urgency = min(max(0, urgency), urgencyLevels-1)
 	for n := range urgency + 1 {
-		ahead += l.tokens[n]
+		ahead += q.tokens[n]
 	}
-	l.tokens[urgency] += tokens
+	q.tokens[urgency] += tokens
 	return ahead
 }
 
--- a/internal/request/answerer/answerer.go
+++ b/internal/request/answerer/answerer.go
@@ -88,12 +88,12 @@
 }
 
 func (a *Answerer) models(c *fasthttp.RequestCtx) {
-	force, caller, err := a.authenticate(c)
+	settings, caller, err := a.authenticate(c)
 	if err != nil {
 		a.refuse(c, err)
 		return
 	}
-	writeModels(c, force, caller.Account)
+	writeModels(c, settings, caller.Account)
 }
 
 func (a *Answerer) plain(c *fasthttp.RequestCtx) {
@@ -102,15 +102,15 @@
 
 // authenticate identifies the account of a request.
 func (a *Answerer) authenticate(c *fasthttp.RequestCtx) (*resolver.Resolver, resolver.Caller, *judge.Error) {
-	force := a.Force()
-	if force == nil {
+	settings := a.Force()
+	if settings == nil {
 		return nil, resolver.Caller{}, judge.Refuse(judge.ReasonStarting, "no settings are in force here yet").After(time.Second)
 	}
-	caller, ok := force.Caller(bearer(c))
+	caller, ok := settings.Caller(bearer(c))
 	if !ok {
 		return nil, resolver.Caller{}, judge.Refuse(judge.ReasonAuth, "the key in the Authorization header belongs to no account")
 	}
-	return force, caller, nil
+	return settings, caller, nil
 }
 
 // acquire counts a request of an account as open, or refuses it.
@@ -141,12 +141,12 @@
 
 // serve parses, dispatches and answers one request.
 func (a *Answerer) serve(c *fasthttp.RequestCtx, parse parseFunc) {
-	force, caller, refusal := a.authenticate(c)
+	settings, caller, refusal := a.authenticate(c)
 	if refusal != nil {
 		a.refuse(c, refusal)
 		return
 	}
-	call, values, refusal := a.read(c, force, caller, parse)
+	call, values, refusal := a.read(c, settings, caller, parse)
 	if refusal != nil {
 		a.refuse(c, refusal)
 		return
@@ -162,12 +162,12 @@
 	p.write(c)
 }
 
-func (a *Answerer) read(c *fasthttp.RequestCtx, force *resolver.Resolver, caller resolver.Caller, parse parseFunc) (*streamer.Call, resolver.Effective, *judge.Error) {
+func (a *Answerer) read(c *fasthttp.RequestCtx, settings *resolver.Resolver, caller resolver.Caller, parse parseFunc) (*streamer.Call, resolver.Effective, *judge.Error) {
 	call := &streamer.Call{ID: a.Token(), Account: caller.Account, Desk: caller.Desk}
-	if refusal := parse(c, force, call); refusal != nil {
+	if refusal := parse(c, settings, call); refusal != nil {
 		return nil, resolver.Effective{}, refusal
 	}
-	values := force.Values(call.Account, call.Service, a.Domain, call.Desk)
+	values := settings.Values(call.Account, call.Service, a.Domain, call.Desk)
 	if len(call.Body) > values.Body {
 		return nil, values, judge.Refuse(judge.ReasonBody, "the body has %d bytes, at most %d are allowed", len(call.Body), values.Body)
 	}
@@ -196,7 +196,7 @@
 		"service", call.Service, "took", time.Since(startedAt), "err", err)
 }
 
-func writeModels(c *fasthttp.RequestCtx, force *resolver.Resolver, account string) {
+func writeModels(c *fasthttp.RequestCtx, settings *resolver.Resolver, account string) {
 	type model struct {
 		ID      string `json:"id"`
 		Object  string `json:"object"`
@@ -204,7 +204,7 @@
 		Owner   string `json:"owned_by"`
 	}
 	models := []model{}
-	force.Adapters(account, func(name string) bool {
+	settings.Adapters(account, func(name string) bool {
 		models = append(models, model{ID: name, Object: "model", Owner: account})
 		return true
 	})
--- a/internal/request/answerer/parse.go
+++ b/internal/request/answerer/parse.go
@@ -16,7 +16,7 @@
 )
 
 // A parseFunc parses a request into a call.
-type parseFunc func(c *fasthttp.RequestCtx, force *resolver.Resolver, call *streamer.Call) *judge.Error
+type parseFunc func(c *fasthttp.RequestCtx, settings *resolver.Resolver, call *streamer.Call) *judge.Error
 
 // Bounds of header values.
 const (
@@ -39,7 +39,7 @@
 	return key
 }
 
-func parseCompletion(c *fasthttp.RequestCtx, force *resolver.Resolver, call *streamer.Call) *judge.Error {
+func parseCompletion(c *fasthttp.RequestCtx, settings *resolver.Resolver, call *streamer.Call) *judge.Error {
 	var body struct {
 		Model  string `json:"model"`
 		Stream bool   `json:"stream"`
@@ -47,7 +47,7 @@
 	if err := json.Unmarshal(c.PostBody(), &body); err != nil {
 		return judge.Refuse(judge.ReasonBody, "the body is not the JSON of a completion: %v", err)
 	}
-	adapter, ok := force.Adapter(body.Model)
+	adapter, ok := settings.Adapter(body.Model)
 	if !ok || adapter.Account != call.Account {
 		return judge.Refuse(judge.ReasonAdapter, "model %q is no adapter of this account; write name@version as %s lists them", body.Model, PathModels)
 	}
@@ -60,9 +60,9 @@
 	return nil
 }
 
-func parsePlain(c *fasthttp.RequestCtx, force *resolver.Resolver, call *streamer.Call) *judge.Error {
+func parsePlain(c *fasthttp.RequestCtx, settings *resolver.Resolver, call *streamer.Call) *judge.Error {
 	name, _ := c.UserValue("service").(string)
-	service, ok := force.Service(name)
+	service, ok := settings.Service(name)
 	if !ok || service.Type != parser.TypePlain {
 		return judge.Refuse(judge.ReasonUpstream, "%q is no plain service", name)
 	}
--- a/internal/request/claimer/batcher_test.go
+++ b/internal/request/claimer/batcher_test.go
@@ -28,7 +28,7 @@
 // Guards against a batcher that writes more than 25 batches a second for its
 // failure domain under load, or delays a single claim.
 func TestBatchRateIsBounded(t *testing.T) {
-	for _, tc := range []struct{ claims, most int }{{1, 1}, {1000, 27}} {
+	for _, tc := range []struct{ claims, maxCommits int }{{1, 1}, {1000, 27}} {
 		t.Run(fmt.Sprint(tc.claims), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				table := &countingTable{}
@@ -49,8 +49,8 @@
 					})
 				}
 				all.Wait()
-				if n := table.commits.Load(); n > int64(tc.most) {
-					t.Errorf("%d transactions for %d claims in %s, want at most %d", n, tc.claims, time.Since(startedAt), tc.most)
+				if n := table.commits.Load(); n > int64(tc.maxCommits) {
+					t.Errorf("%d transactions for %d claims in %s, want at most %d", n, tc.claims, time.Since(startedAt), tc.maxCommits)
 				}
 				if took := time.Since(startedAt); tc.claims == 1 && took > 6*time.Millisecond {
 					t.Errorf("a single claim took %s", took)
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -16,7 +16,7 @@
 // A Claimer claims requests with an idempotency key. Its fields are set before Run.
 type Claimer struct {
 	Gone  func(incarnation string) bool                   // reports whether an instance has stopped for good
-	Route func(ctx context.Context, txn tabler.Txn) error // commits through the batcher of the failure domain; nil for Gather
+	Route func(ctx context.Context, txn tabler.Txn) error // commits through the batcher of the domain; nil for Gather
 	Self  string                                          // own incarnation
 	Store storer.Store
 	Table tabler.Table
@@ -57,9 +57,9 @@
 
 // Begin claims a key. It returns a Ticket if the request may be dispatched, the
 // Outcome of an earlier request with the key, or a *judge.Error.
-func (c *Claimer) Begin(ctx context.Context, account, key, request string, keep time.Duration) (*Ticket, *Outcome, error) {
+func (c *Claimer) Begin(ctx context.Context, account, key, request string, retention time.Duration) (*Ticket, *Outcome, error) {
 	t := &Ticket{row: Key(account, key), claim: Claim{
-		Token: c.Token(), Claimant: c.Self, Request: request, Until: time.Now().Add(keep),
+		Token: c.Token(), Claimant: c.Self, Request: request, Until: time.Now().Add(retention),
 	}}
 	wait := minPoll
 	for {
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -24,24 +24,24 @@
 	ignoresChecks bool // commits without the checks
 	down          atomic.Bool
 
-	mu     sync.Mutex
-	late   float64
-	lose   float64
-	random *rand.Rand
+	mu       sync.Mutex
+	lateRate float64
+	lossRate float64
+	random   *rand.Rand
 }
 
 // drawFault draws the faults of one write.
 func (f *faultyTable) drawFault() (late, lost bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.random.Float64() < f.late, f.random.Float64() < f.lose
+	return f.random.Float64() < f.lateRate, f.random.Float64() < f.lossRate
 }
 
-func (f *faultyTable) setFaults(late, lose float64) {
+func (f *faultyTable) setFaults(lateRate, lossRate float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.late = late
-	f.lose = lose
+	f.lateRate = lateRate
+	f.lossRate = lossRate
 }
 
 func (f *faultyTable) Commit(ctx context.Context, txn tabler.Txn) error {
--- a/internal/request/claimer/withdrawal.go
+++ b/internal/request/claimer/withdrawal.go
@@ -75,7 +75,7 @@
 		}
 	}
 	if len(expired) > 0 {
-		_ = c.Table.Commit(ctx, tabler.Txn{Deletes: expired}) // a remaining row is replaced when its key is used again
+		_ = c.Table.Commit(ctx, tabler.Txn{Deletes: expired}) // a remaining row is replaced on next use
 	}
 }
 
--- a/internal/request/dispatcher/dispatcher.go
+++ b/internal/request/dispatcher/dispatcher.go
@@ -64,14 +64,14 @@
 // Dispatch serves a request. It returns nil after a complete response, else a
 // *judge.Error whose verdict holds for all attempts.
 func (d *Dispatcher) Dispatch(ctx context.Context, call *streamer.Call, sink streamer.Sink) error {
-	force := d.Force()
-	if force == nil {
+	settings := d.Force()
+	if settings == nil {
 		return judge.Refuse(judge.ReasonStarting, "no settings are in force here yet").After(time.Second)
 	}
 	a := &attempts{
 		startedAt:  time.Now(),
-		dispatcher: d, call: call, values: force.Values(call.Account, call.Service, d.Domain, call.Desk),
-		force: force, sink: &watchedSink{sink: sink},
+		dispatcher: d, call: call, values: settings.Values(call.Account, call.Service, d.Domain, call.Desk),
+		settings: settings, sink: &watchedSink{sink: sink},
 	}
 	d.budget.Deposit()
 	err := a.run(ctx)
@@ -82,14 +82,14 @@
 // Choose returns the runner that a request for the adapter would be sent to now,
 // and the owner of the runner.
 func (d *Dispatcher) Choose(adapter resolver.Adapter) (Step, bool) {
-	force := d.Force()
+	settings := d.Force()
 	candidates := d.Fleet.Candidates(adapter.Service, adapter.Name, nil, d.Peers.Alive)
-	if force == nil || len(candidates) == 0 {
+	if settings == nil || len(candidates) == 0 {
 		return Step{}, false
 	}
 	a := &attempts{
 		call: &streamer.Call{Adapter: adapter.Name, Service: adapter.Service}, dispatcher: d,
-		values: force.Values(adapter.Account, adapter.Service, d.Domain, ""),
+		values: settings.Values(adapter.Account, adapter.Service, d.Domain, ""),
 	}
 	terms := a.rank(candidates)
 	return Step{Runner: terms[0].Runner, Owner: d.Fleet.Owner(terms[0].Runner), Terms: terms}, true
@@ -104,7 +104,7 @@
 	call       *streamer.Call
 	dispatcher *Dispatcher
 	mayHaveRun *judge.Error // error of an attempt that may have run
-	force      *resolver.Resolver
+	settings   *resolver.Resolver
 	sink       *watchedSink
 	steps      []Step
 	tried      []string
@@ -168,10 +168,10 @@
 }
 
 func (a *attempts) try(ctx context.Context) (Step, error) {
-	if held := a.dispatcher.Quarantine.Held(a.call); held != nil {
-		return Step{}, held
+	if refusal := a.dispatcher.Quarantine.Held(a.call); refusal != nil {
+		return Step{}, refusal
 	}
-	service, ok := a.force.Service(a.call.Service)
+	service, ok := a.settings.Service(a.call.Service)
 	if !ok {
 		return Step{}, judge.Refuse(judge.ReasonUpstream, "service %q is not declared", a.call.Service)
 	}
--- a/internal/request/quarantiner/ledger.go
+++ b/internal/request/quarantiner/ledger.go
@@ -178,14 +178,14 @@
 }
 
 // Held reports whether a request is in quarantine, and the time left.
-func (l *Ledger) Held(d Digest, now time.Time) (left time.Duration, held bool) {
+func (l *Ledger) Held(d Digest, now time.Time) (left time.Duration, quarantined bool) {
 	if l.suspectCount.Load() == 0 {
 		return 0, false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	until, held := l.quarantined[d]
-	return until.Sub(now), held && now.Before(until)
+	end, quarantined := l.quarantined[d]
+	return end.Sub(now), quarantined && now.Before(end)
 }
 
 // Empty reports whether there are no suspects.
--- a/internal/request/quarantiner/ledger_test.go
+++ b/internal/request/quarantiner/ledger_test.go
@@ -18,12 +18,12 @@
 	var l quarantiner.Ledger
 	for _, runner := range []string{"engine-1", "engine-2", "engine-3"} {
 		l.Take([]quarantiner.Word{{Digest: "d", Runner: runner}}, start)
-		_, held := l.Held("d", start)
-		fmt.Println(runner, held)
+		_, quarantined := l.Held("d", start)
+		fmt.Println(runner, quarantined)
 	}
 	l.Clear("d", start)
-	_, held := l.Held("d", start)
-	fmt.Println("whole", held)
+	_, quarantined := l.Held("d", start)
+	fmt.Println("whole", quarantined)
 	// Output:
 	// engine-1 false
 	// engine-2 false
@@ -90,13 +90,13 @@
 var sorted = cmpopts.SortSlices(func(a, b quarantiner.Digest) bool { return a < b })
 
 func quarantinedBy(l *quarantiner.Ledger, now time.Time) []quarantiner.Digest {
-	var held []quarantiner.Digest
+	var quarantined []quarantiner.Digest
 	for _, c := range l.Cases() {
 		if _, is := l.Held(c.Digest, now); is {
-			held = append(held, c.Digest)
+			quarantined = append(quarantined, c.Digest)
 		}
 	}
-	return held
+	return quarantined
 }
 
 // Guards against instances that come to different verdicts because they received the same
@@ -138,13 +138,13 @@
 	l.Take(crashReports("p", "a", "b", "c"), now)
 	var waits []time.Duration
 	for n := range 4 {
-		left, held := l.Held("p", now)
-		if !held {
+		left, quarantined := l.Held("p", now)
+		if !quarantined {
 			t.Fatalf("not in quarantine after trial %d", n)
 		}
 		waits = append(waits, left)
 		now = now.Add(left)
-		if _, held := l.Held("p", now); held {
+		if _, quarantined := l.Held("p", now); quarantined {
 			t.Fatalf("in quarantine for longer than reported")
 		}
 		l.Take(crashReports("p", fmt.Sprint("t", n)), now)
@@ -163,7 +163,7 @@
 	for n := range 1000 {
 		l.Take(crashReports(quarantiner.Digest(fmt.Sprint("s", n)), fmt.Sprint("r", n), fmt.Sprint("t", n)), start.Add(time.Duration(n)*time.Second))
 	}
-	if _, held := l.Held("p", start.Add(time.Second)); !held {
+	if _, quarantined := l.Held("p", start.Add(time.Second)); !quarantined {
 		t.Error("the quarantined request was evicted")
 	}
 	if reports, _ := l.Since(0, start); len(reports) > 100 {
