--- a/internal/account/limiter/spender.go
+++ b/internal/account/limiter/spender.go
@@ -74,7 +74,7 @@
 		Left int64         // tokens left of the quota
 		Age  time.Duration // of Left
 		Soon time.Duration // until its tokens are available
-		Wait time.Duration // until the caller should retry; Soon within bounds
+		Wait time.Duration // until the caller should retry; bounded
 	}
 )
 
@@ -91,7 +91,7 @@
 	Urgency int // 0 is the most urgent
 }
 
-// Spend decides on a request by the latest balance, or returns Ask if a Ledger must decide.
+// Spend decides on a request by the latest balance, unless a Ledger must decide.
 func (s *Spender) Spend(r Request, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/request/answerer/pipe.go
+++ b/internal/request/answerer/pipe.go
@@ -131,8 +131,8 @@
 	p.answerer.Claimer.End(ctx, ticket, &claimer.Outcome{Status: p.sentHead.Status, Type: p.sentHead.Type, Body: p.recorded}, nil)
 }
 
-// replay sends the outcome of the first request with the key. It holds the bytes
-// as they were written, including the framing of events.
+// replay sends the outcome of the first request with the key. The stored body
+// holds the bytes as they were written, including the framing of events.
 func (p *pipe) replay(outcome *claimer.Outcome) error {
 	p.call.Stream = false
 	p.call.Key = "" // the outcome is already recorded
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -38,7 +38,7 @@
 	minPoll          = 50 * time.Millisecond
 	maxPoll          = time.Second
 	cleanUpInterval  = time.Second
-	lateWriteTimeout = 30 * time.Second // after which a write with a lost response can no longer take effect
+	lateWriteTimeout = 30 * time.Second // after which a write with a lost response is not expected any more
 	maxOutcomeSize   = 256 << 10        // largest body that is stored, in bytes
 )
 
