--- a/internal/account/limiter/ledger.go
+++ b/internal/account/limiter/ledger.go
@@ -6,92 +6,93 @@
 	"time"
 )
 
-// silentAfter is the time after its last update from which on a party that still had a share
-// is taken to go on without a Ledger. It is longer than a Spender trusts a balance.
-const silentAfter = trust + 300*time.Millisecond
+// unresponsiveAfter is the time since its last update after which a reporter is assumed to
+// spend its share without a Ledger. It is longer than balanceTTL, for which a Spender relies
+// on a balance.
+const unresponsiveAfter = balanceTTL + 300*time.Millisecond
 
-// A Ledger sums up what all instances spend. Its fields are set before use; it is safe for
-// concurrent use.
+// A Ledger sums up the tokens that all instances spend. Its fields are set before use; it is
+// safe for concurrent use.
 type Ledger struct {
-	First  func(l Limit) float64 // tokens that are left when it begins; nil for none
+	First  func(l Limit) float64 // tokens of an account that are left at Begin; nil for none
 	Limits func(account string) (Limit, bool)
-	Window time.Duration // over which quotas are judged: what was spent too much is forgotten after it
+	Window time.Duration // over which quotas are enforced; overspending is forgotten after it
 
-	mu       sync.Mutex
-	since    time.Time // when it began; zero: it settles nothing
-	adopted  bool      // it knows what was spent before it began
-	accounts map[string]*tally
-	parties  map[string]*party // by instance
-	leaders  []string          // instances that keep other Ledgers
-	silent   []*party
-	swept    time.Time
+	mu           sync.Mutex
+	startedAt    time.Time // zero: the ledger settles nothing
+	adopted      bool      // it has balances from before it began
+	accounts     map[string]*tally
+	reporters    map[string]*reporter // by instance
+	leaders      []string             // reporters that are Ledgers themselves
+	unresponsive []*reporter
+	lastSweep    time.Time
 }
 
-// A party is who settles here.
-type party struct {
+// A reporter is an instance that reports to this Ledger.
+type reporter struct {
 	Party
-	seen time.Time
+	lastSeen time.Time
 }
 
-// A tally is what was spent of one account's quota.
+// A tally is the state of one account's quota.
 type tally struct {
-	bucket             // what is left
-	own      float64   // tokens that parties spent which settle with no other Ledger
-	reported int64     // those of them in the last report
-	seq      int64     // of the last report
-	back     float64   // tokens to be given back with the next update of another Ledger
-	settled  time.Time // last
-	use      meter
-	entries  map[string]*entry // by instance
+	bucket               // tokens left
+	domainSpent  float64 // tokens spent by reporters of this Ledger alone, that is, by Spenders
+	lastReported int64   // domainSpent as of the last report
+	seq          int64   // sequence number of the last report
+	refundDue    float64 // tokens to refund with the next update of another Ledger
+	lastSettled  time.Time
+	usage        meter
+	entries      map[string]*entry // by instance
 }
 
-// An entry is what one party has spent of it.
+// An entry is the state of one reporter of an account.
 type entry struct {
-	counted int64
-	seq     int64 // of the latest update
-	use     meter
-	share   float64   // of the limit and of what is left, which it goes on to spend if it is silent
-	left    float64   // tokens that were left at its last update
-	kept    float64   // tokens that are kept back for it since then
-	until   time.Time // up to when
+	counted   int64 // of the reporter's counter
+	seq       int64 // highest sequence number of its updates
+	usage     meter
+	share     float64   // fraction of the quota that it may spend while it is unresponsive
+	remaining float64   // tokens left to the account at its last update
+	reserved  float64   // tokens reserved for it since then
+	asOf      time.Time // time up to which tokens are reserved
 }
 
-// sweepEvery is how often it is looked who is silent.
-const sweepEvery = 100 * time.Millisecond
+// sweepInterval is the minimum time between two checks for unresponsive reporters.
+const sweepInterval = 100 * time.Millisecond
 
-// Begin begins with nothing known. Next to nothing is left of any quota then: those who
-// settled with another Ledger before may have spent it.
+// Begin starts the Ledger without balances. Next to nothing is left of any quota then:
+// instances that settled with another Ledger before may have spent it.
 func (l *Ledger) Begin(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since, l.adopted = now, false
+	l.startedAt, l.adopted = now, false
 	l.accounts = make(map[string]*tally)
-	l.parties = make(map[string]*party)
-	l.leaders, l.silent = nil, nil
+	l.reporters = make(map[string]*reporter)
+	l.leaders, l.unresponsive = nil, nil
 }
 
-// End forgets everything.
+// End stops the Ledger and drops its state.
 func (l *Ledger) End() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since = time.Time{}
-	l.accounts, l.parties, l.leaders, l.silent = nil, nil, nil, nil
+	l.startedAt = time.Time{}
+	l.accounts, l.reporters, l.leaders, l.unresponsive = nil, nil, nil, nil
 }
 
-// Began returns since when it settles; ok is false if it does not.
+// Began returns when the Ledger started; ok is false if it is not running.
 func (l *Ledger) Began() (since time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.since, !l.since.IsZero()
+	return l.startedAt, !l.startedAt.IsZero()
 }
 
-// Adopt takes in how accounts stand by a Ledger that is older by an age. What that one does
-// not know of was not spent. Without it accounts would have next to nothing right after a
-// change of leaders.
+// Adopt applies the balances of a Ledger that has run for age. Accounts without a balance
+// there have spent nothing. Without Adopt, accounts would have next to nothing left right
+// after a change of leader.
 func (l *Ledger) Adopt(balances []Balance, age time.Duration, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.since.IsZero() || l.adopted || age < l.Window || now.Sub(l.since) > l.Window {
+	if l.startedAt.IsZero() || l.adopted || age < l.Window || now.Sub(l.startedAt) > l.Window {
 		return
 	}
 	l.adopted = true
@@ -102,12 +103,13 @@
 	}
 }
 
-// Settle takes in what a party has spent, and returns how its accounts stand; ok is false
-// if nothing is settled here. A Ledger that has just begun gets all accounts.
+// Settle applies the report of an instance and returns the balances of the reported
+// accounts; ok is false if this Ledger is not running. A reporting Ledger that has just
+// begun gets the balances of all accounts.
 func (l *Ledger) Settle(from Party, spent []Spent, now time.Time) (balances []Balance, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.since.IsZero() {
+	if l.startedAt.IsZero() {
 		return nil, false
 	}
 	l.observe(from, now)
@@ -118,13 +120,13 @@
 			balances = append(balances, l.settle(from, s, limit, now))
 		}
 	}
-	if from.leads() && from.Age < l.Window {
+	if from.isLedger() && from.Age < l.Window {
 		balances = l.addOthers(balances, now)
 	}
 	return balances, true
 }
 
-// addOthers adds how the accounts stand that are not among the balances.
+// addOthers adds the balances of the accounts that are not listed yet.
 func (l *Ledger) addOthers(balances []Balance, now time.Time) []Balance {
 	listed := make(map[string]bool, len(balances))
 	for _, b := range balances {
@@ -136,155 +138,157 @@
 			continue
 		}
 		t := l.tally(name, limit, now)
-		l.advance(t, limit, now)
-		balances = append(balances, Balance{Account: name, Left: int64(l.left(t, now)), Use: int64(t.use.value(now))})
+		l.reserve(t, limit, now)
+		balances = append(balances, Balance{Account: name, Left: int64(l.left(t, now)), Use: int64(t.usage.value(now))})
 	}
 	return balances
 }
 
 func (l *Ledger) settle(from Party, s Spent, limit Limit, now time.Time) Balance {
 	t := l.tally(s.Account, limit, now)
-	t.settled = now
-	limit.Burst = l.advance(t, limit, now)
+	t.lastSettled = now
+	limit.Burst = l.reserve(t, limit, now)
 	e := l.entry(t, from, s, now)
 	t.release(e, from)
 	if s.Seq >= e.seq {
 		e.seq = s.Seq
-		t.take(e, from, s.Counter-e.counted, now)
+		t.record(e, from, s.Counter-e.counted, now)
 	} else {
-		t.take(e, from, -s.Want, now) // the counter of the update that overtook it contains this request
+		t.record(e, from, -s.Want, now) // a later update arrived first, and its counter contains this request
 	}
 	t.level = max(t.level, -limit.Rate*l.Window.Seconds())
 	left := l.left(t, now)
 	granted := s.Want > 0 && fits(s.Want, left, limit)
 	if granted {
-		t.take(e, from, s.Want, now)
+		t.record(e, from, s.Want, now)
 		left -= float64(s.Want)
 	}
-	e.share = shareOf(e.use.value(now), t.use.value(now), limit)
-	e.left = max(0, left)
-	return Balance{Account: s.Account, Counted: e.counted, Granted: granted, Left: int64(left), Use: int64(t.use.value(now))}
+	e.share = shareOf(e.usage.value(now), t.usage.value(now), limit)
+	e.remaining = max(0, left)
+	return Balance{Account: s.Account, Counted: e.counted, Granted: granted, Left: int64(left), Use: int64(t.usage.value(now))}
 }
 
-// left returns what is left of a quota. Other Ledgers have gone on to admit as they did since
-// their last update: without that each of them admits what is left for all.
+// left returns the tokens left of a quota. It assumes that other Ledgers have admitted at the
+// same rate since their last update: otherwise each Ledger would admit all that is left.
 func (l *Ledger) left(t *tally, now time.Time) float64 {
 	left := t.level
 	for _, instance := range l.leaders {
 		if e, ok := t.entries[instance]; ok {
-			left -= e.use.value(now) * now.Sub(e.until).Seconds()
+			left -= e.usage.value(now) * now.Sub(e.asOf).Seconds()
 		}
 	}
 	return left
 }
 
-// Part forgets an instance that settles with another Ledger from now on.
+// Part removes an instance that reports to another Ledger from now on.
 func (l *Ledger) Part(instance string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drop(instance)
 }
 
-// Report returns what those have spent who settle with no other Ledger, to be settled with
-// the others.
+// Report returns the tokens spent by the Spenders that report to this Ledger alone, to be
+// settled with the other Ledgers.
 func (l *Ledger) Report(now time.Time) []Spent {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var report []Spent
 	for name, t := range l.accounts {
-		if now.Sub(t.settled) <= reportedFor {
-			counter := int64(t.own)
+		if now.Sub(t.lastSettled) <= idleAfter {
+			counter := int64(t.domainSpent)
 			t.seq++
-			report = append(report, Spent{Account: name, Counter: counter, Recent: counter - t.reported, Seq: t.seq})
-			t.reported = counter
+			report = append(report, Spent{Account: name, Counter: counter, Recent: counter - t.lastReported, Seq: t.seq})
+			t.lastReported = counter
 		}
 	}
 	return report
 }
 
-// tally returns the sum of an account. What is left begins with what has come since the
-// Ledger began.
+// tally returns the state of an account. A new one starts with the initial level and the
+// tokens that have accrued since the Ledger began.
 func (l *Ledger) tally(account string, limit Limit, now time.Time) *tally {
 	t, ok := l.accounts[account]
 	if !ok {
-		t = &tally{settled: now, bucket: bucket{level: l.first(limit), at: l.emptyAt()}, entries: make(map[string]*entry)}
+		t = &tally{lastSettled: now, bucket: bucket{level: l.initialLevel(limit), at: l.emptyAt()}, entries: make(map[string]*entry)}
 		l.accounts[account] = t
 	}
 	t.fill(limit.Rate, limit.Burst, now)
 	return t
 }
 
-// emptyAt returns when next to nothing was left of a quota of which nothing was settled since.
+// emptyAt returns the time from which tokens accrue for an account that has no balance yet.
+// After Adopt such an account is full, as it has spent nothing for a window.
 func (l *Ledger) emptyAt() time.Time {
 	if l.adopted {
-		return l.since.Add(-l.Window)
+		return l.startedAt.Add(-l.Window)
 	}
-	return l.since
+	return l.startedAt
 }
 
-func (l *Ledger) first(limit Limit) float64 {
+func (l *Ledger) initialLevel(limit Limit) float64 {
 	if l.First == nil {
 		return 0
 	}
 	return l.First(limit)
 }
 
-// entry returns the entry of a party. Of one that is new here only what is recent is, or what
-// was spent since this Ledger began: the rest is in what is left.
+// entry returns the entry of a reporter. For a new reporter only its recent tokens are
+// counted, or all tokens of a Ledger that began after this one: earlier spending is already
+// part of the level.
 func (l *Ledger) entry(t *tally, from Party, s Spent, now time.Time) *entry {
 	e, ok := t.entries[from.Instance]
 	if !ok {
 		e = &entry{counted: s.Counter - s.Recent}
-		if from.leads() && from.Age <= now.Sub(l.since) {
+		if from.isLedger() && from.Age <= now.Sub(l.startedAt) {
 			e.counted = 0
 		}
 		t.entries[from.Instance] = e
 	}
-	e.until = now
+	e.asOf = now
 	return e
 }
 
-func (t *tally) take(e *entry, from Party, tokens int64, now time.Time) {
+func (t *tally) record(e *entry, from Party, tokens int64, now time.Time) {
 	e.counted += tokens
-	e.use.add(float64(tokens), now)
-	t.spend(from, float64(tokens), now)
+	e.usage.add(float64(tokens), now)
+	t.deduct(from, float64(tokens), now)
 }
 
-func (t *tally) spend(by Party, tokens float64, now time.Time) {
+func (t *tally) deduct(by Party, tokens float64, now time.Time) {
 	t.level -= tokens
-	t.use.add(tokens, now)
-	if !by.leads() {
-		t.own += tokens
+	t.usage.add(tokens, now)
+	if !by.isLedger() {
+		t.domainSpent += tokens
 	}
 }
 
-// release gives back what was kept for a party while it was silent; it says now what it
-// has spent.
+// release refunds the tokens that were reserved for a reporter while it was unresponsive: its
+// update states what it has spent.
 func (t *tally) release(e *entry, from Party) {
-	t.level += e.kept
-	if !from.leads() {
-		t.own -= e.kept
+	t.level += e.reserved
+	if !from.isLedger() {
+		t.domainSpent -= e.reserved
 	}
-	e.kept = 0
-	if from.leads() {
-		t.level += t.back
-		t.back = 0
+	e.reserved = 0
+	if from.isLedger() {
+		t.level += t.refundDue
+		t.refundDue = 0
 	}
 }
 
-// advance keeps back what silent parties may spend, and returns the burst that the others
-// have. Without it both sides of a cut would spend the whole quota.
-func (l *Ledger) advance(t *tally, limit Limit, now time.Time) (burst float64) {
+// reserve reserves the tokens that unresponsive reporters may spend, and returns the burst
+// left to the others. Without it both sides of a partition would spend the full quota.
+func (l *Ledger) reserve(t *tally, limit Limit, now time.Time) (burst float64) {
 	rest := 1.0
-	for _, p := range l.silent {
+	for _, p := range l.unresponsive {
 		e, ok := t.entries[p.Instance]
 		if !ok {
 			continue
 		}
-		tokens := e.share * (e.left + limit.Rate*now.Sub(e.until).Seconds())
-		e.left, e.until = 0, now
-		e.kept += tokens
-		t.spend(p.Party, tokens, now)
+		tokens := e.share * (e.remaining + limit.Rate*now.Sub(e.asOf).Seconds())
+		e.remaining, e.asOf = 0, now
+		e.reserved += tokens
+		t.deduct(p.Party, tokens, now)
 		rest -= e.share
 	}
 	burst = max(0, rest) * limit.Burst
@@ -292,73 +296,74 @@
 	return burst
 }
 
-// observe takes in that a party lives.
+// observe records that a reporter is alive.
 func (l *Ledger) observe(from Party, now time.Time) {
-	before, ok := l.parties[from.Instance]
-	if ok && (before.Born != from.Born || before.leads() != from.leads()) {
+	before, ok := l.reporters[from.Instance]
+	if ok && (before.Born != from.Born || before.isLedger() != from.isLedger()) {
 		l.drop(from.Instance)
 		ok = false
 	}
 	if !ok {
-		l.replace(from)
-		before = &party{}
-		l.parties[from.Instance] = before
-		if from.leads() {
+		l.replaceLedger(from)
+		before = &reporter{}
+		l.reporters[from.Instance] = before
+		if from.isLedger() {
 			l.leaders = append(l.leaders, from.Instance)
 		}
 	}
-	before.Party, before.seen = from, now
+	before.Party, before.lastSeen = from, now
 }
 
-// replace forgets the Ledger of a domain that another one follows. Its parties settle with
-// that one, which reports what they have spent since it began.
-func (l *Ledger) replace(by Party) {
-	if !by.leads() {
+// replaceLedger removes the previous Ledger of a failure domain. The reporters of that Ledger
+// settle with its successor, which reports what they have spent since it began.
+func (l *Ledger) replaceLedger(successor Party) {
+	if !successor.isLedger() {
 		return
 	}
-	for instance, p := range l.parties {
-		if p.Domain == by.Domain {
-			l.giveBack(p, by.Age)
+	for instance, p := range l.reporters {
+		if p.Domain == successor.Domain {
+			l.refund(p, successor.Age)
 			l.drop(instance)
 		}
 	}
 }
 
-// giveBack gives back, with the next update of a Ledger, what was kept for a silent one for a
-// time that the next one reports on. Both were taken for spent otherwise.
-func (l *Ledger) giveBack(p *party, reported time.Duration) {
+// refund schedules a refund of the tokens that were reserved for an unresponsive Ledger during
+// the time that its successor reports on. Otherwise these tokens would count as spent twice.
+func (l *Ledger) refund(p *reporter, reported time.Duration) {
 	for name, t := range l.accounts {
 		e, ok := t.entries[p.Instance]
 		limit, bounds := l.Limits(name)
 		if !ok || !bounds {
 			continue
 		}
-		t.back += min(e.kept, e.share*limit.Rate*reported.Seconds())
+		t.refundDue += min(e.reserved, e.share*limit.Rate*reported.Seconds())
 	}
 }
 
 func (l *Ledger) drop(instance string) {
-	delete(l.parties, instance)
+	delete(l.reporters, instance)
 	for _, t := range l.accounts {
 		delete(t.entries, instance)
 	}
 	l.leaders = slices.DeleteFunc(l.leaders, func(other string) bool { return other == instance })
-	l.silent = slices.DeleteFunc(l.silent, func(p *party) bool { return p.Instance == instance })
+	l.unresponsive = slices.DeleteFunc(l.unresponsive, func(p *reporter) bool { return p.Instance == instance })
 }
 
-// sweep looks who is silent, and forgets those that have been for too long.
+// sweep lists the unresponsive reporters and removes those that sent no update for longer
+// than maxDisconnected.
 func (l *Ledger) sweep(now time.Time) {
-	if now.Sub(l.swept) < sweepEvery {
+	if now.Sub(l.lastSweep) < sweepInterval {
 		return
 	}
-	l.swept = now
-	l.silent = l.silent[:0]
-	for instance, p := range l.parties {
-		switch silence := now.Sub(p.seen); {
-		case silence > aloneFor:
+	l.lastSweep = now
+	l.unresponsive = l.unresponsive[:0]
+	for instance, p := range l.reporters {
+		switch sinceUpdate := now.Sub(p.lastSeen); {
+		case sinceUpdate > maxDisconnected:
 			l.drop(instance)
-		case silence > silentAfter:
-			l.silent = append(l.silent, p)
+		case sinceUpdate > unresponsiveAfter:
+			l.unresponsive = append(l.unresponsive, p)
 		}
 	}
 }
--- a/internal/account/limiter/property_test.go
+++ b/internal/account/limiter/property_test.go
@@ -7,71 +7,71 @@
 	"time"
 )
 
-var limiterSeeds = flag.Uint64("limiter.seeds", 100, "how many seeds the random check of quotas plays")
+var limiterSeeds = flag.Uint64("limiter.seeds", 100, "number of seeds to run the random check of quotas with")
 
-// Guards against quotas that are exceeded, whichever instances fail and wherever callers go.
+// Guards against quotas that are exceeded when instances fail or callers move.
 func TestQuotasAreKept(t *testing.T) {
 	for seed := range *limiterSeeds {
-		playQuotas(t, seed)
+		runQuotaSimulation(t, seed)
 	}
 }
 
-func playQuotas(t *testing.T, seed uint64) {
+func runQuotaSimulation(t *testing.T, seed uint64) {
 	t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 		limit := smallLimit
 		if seed%2 == 0 {
 			limit = largeLimit
 		}
-		l := newLab(seed, 0, limit, newBySum)
-		l.grow(4 + l.rng.IntN(120))
-		l.trouble(40 * time.Second)
-		if over := l.over(); over > 0 {
-			t.Errorf("%d instances: %.0f tokens too many in a window", len(l.instances), over)
+		sim := newSimulation(seed, 0, limit, newLedgerStrategy)
+		sim.startInstances(4 + sim.rng.IntN(120))
+		sim.runWithFaults(40 * time.Second)
+		if excess := sim.excess(); excess > 0 {
+			t.Errorf("%d instances: %.0f tokens too many in a window", len(sim.instances), excess)
 		}
 	})
 }
 
-// trouble plays loads of all kinds while instances fail.
-func (l *lab) trouble(span time.Duration) {
-	for end := l.now.Add(span); l.now.Before(end); {
-		d := callers(l)
-		d.rate = usual * []float64{0.2, 1, 1, 3, 8}[l.rng.IntN(5)]
-		switch l.rng.IntN(5) {
+// runWithFaults runs random workloads while instances restart and are partitioned.
+func (sim *simulation) runWithFaults(span time.Duration) {
+	for end := sim.now.Add(span); sim.now.Before(end); {
+		d := calmWorkload(sim)
+		d.rate = calmLoad * []float64{0.2, 1, 1, 3, 8}[sim.rng.IntN(5)]
+		switch sim.rng.IntN(5) {
 		case 0:
-			l.way.restart(l.instances[l.rng.IntN(len(l.instances))])
+			sim.strategy.restart(sim.instances[sim.rng.IntN(len(sim.instances))])
 		case 1:
-			third := l.rng.IntN(3)
-			l.cut(time.Duration(l.rng.IntN(8000))*time.Millisecond, func(i *instance) bool { return i.number%3 == third })
+			third := sim.rng.IntN(3)
+			sim.partition(time.Duration(sim.rng.IntN(8000))*time.Millisecond, func(i *instance) bool { return i.number%3 == third })
 		case 2:
-			for _, i := range l.instances {
-				l.way.restart(i)
+			for _, i := range sim.instances {
+				sim.strategy.restart(i)
 			}
 		}
-		l.play(time.Duration(500+l.rng.IntN(5000))*time.Millisecond, d)
+		sim.run(time.Duration(500+sim.rng.IntN(5000))*time.Millisecond, d)
 	}
 }
 
-// Guards against requests that are refused although their account keeps to its quota.
-func TestAccountThatKeepsToItsQuotaIsNotRefused(t *testing.T) {
+// Guards against requests that are refused although their account is within its quota.
+func TestAccountWithinItsQuotaIsNotRefused(t *testing.T) {
 	for _, n := range []int{4, 9, 69, 300} {
 		for seed := range uint64(10) {
-			l := newLab(seed, 0, largeLimit, newBySum)
-			l.grow(n)
-			l.play(time.Second, load{at: []int{0}, mean: meanRequest}) // the ledgers begin with nothing left
+			sim := newSimulation(seed, 0, largeLimit, newLedgerStrategy)
+			sim.startInstances(n)
+			sim.run(time.Second, workload{targets: []int{0}, mean: meanRequest}) // the ledgers begin empty
 			for range 8 {
-				l.play(3*time.Second, callers(l)) // their callers move
+				sim.run(3*time.Second, calmWorkload(sim)) // callers move to other instances
 			}
-			if part := float64(l.refused) / float64(l.asked); part > 0 {
-				t.Errorf("%d instances, seed %d: %.4f of what was asked for was refused", n, seed, part)
+			if fraction := float64(sim.wronglyRefused) / float64(sim.requested); fraction > 0 {
+				t.Errorf("%d instances, seed %d: %.4f of the requested tokens were wrongly refused", n, seed, fraction)
 			}
 		}
 	}
 }
 
-// Runs of the check of quotas that failed once: what silent instances had saved up was spent
-// twice, or several ledgers admitted the same tokens.
+// Seeds with which TestQuotasAreKept once failed: the tokens saved up by unresponsive instances
+// were spent twice, or several ledgers admitted the same tokens.
 func TestQuotasOfSeedsThatFailed(t *testing.T) {
 	for _, seed := range []uint64{58, 106, 176, 750, 818, 1514} {
-		playQuotas(t, seed)
+		runQuotaSimulation(t, seed)
 	}
 }
--- a/internal/account/limiter/spender.go
+++ b/internal/account/limiter/spender.go
@@ -6,19 +6,20 @@
 )
 
 const (
-	// trust is how long a balance holds. Spenders settle several times in it.
-	trust = 700 * time.Millisecond
-	// even is the part of a limit that is split evenly, so that an instance that has
-	// spent nothing lately has a share too. In a cut both sides have this part, so it is
-	// half of what a quota may be exceeded by.
-	even = 0.05
-	// aloneFor is how long an instance that reaches no Ledger goes on with its share, and
-	// a Ledger keeps that back. It outlasts a cut; what is gone for good costs no longer.
-	aloneFor = 30 * time.Second
-	// reportedFor is how long an account is settled after its last use: its share is
-	// nothing by then.
-	reportedFor = 6 * meterTime
-	// unknownWait is when a caller may come back who was refused as nothing is known: a
+	// balanceTTL is how long a Spender relies on a balance. It settles several times in this time.
+	balanceTTL = 700 * time.Millisecond
+	// evenShare is the fraction of a limit that is split evenly, so that an instance that has
+	// spent nothing lately has a share too. In a partition both sides have this fraction,
+	// so it is half of the fraction by which a quota may be exceeded.
+	evenShare = 0.05
+	// maxDisconnected is how long an instance that reaches no Ledger spends its share, and how
+	// long a Ledger reserves it. It outlasts a partition; for an instance that is gone for
+	// good nothing is reserved after it.
+	maxDisconnected = 30 * time.Second
+	// idleAfter is how long an account is still reported after its last use: its share has
+	// decayed to nothing by then.
+	idleAfter = 6 * meterTimeConstant
+	// unknownWait is the retry time of a caller that was refused because no balance is known: a
 	// Ledger that is gone has a successor soon.
 	unknownWait = 500 * time.Millisecond
 )
@@ -26,29 +27,29 @@
 // A Spender admits the requests of one instance. Its fields are set before use; it is safe
 // for concurrent use.
 type Spender struct {
-	Instances func() int // how many there are
+	Instances func() int // returns the number of instances
 
 	mu       sync.Mutex
-	accounts map[string]*spending
+	accounts map[string]*accountState
 }
 
-// A spending is what one instance has spent of an account's quota.
-type spending struct {
-	spent   int64 // tokens, less those that were given back
-	pending int64 // tokens of requests for which a Ledger is asked
-	seq     int64 // of the last update
-	used    time.Time
-	use     meter
-	line    line
+// An accountState is one instance's state of an account's quota.
+type accountState struct {
+	spent    int64 // tokens, less those returned
+	pending  int64 // tokens of requests for which a Ledger has been asked
+	seq      int64 // sequence number of the last update
+	lastUsed time.Time
+	usage    meter
+	queue    retryQueue
 
-	balance Balance   // the last one
-	at      time.Time // when it came; zero for never
-	asked   time.Time // when it was asked for
-	others  float64   // tokens a second that others spent then
-	share   float64   // of the limit, as of then
+	balance     Balance   // the latest
+	balanceAt   time.Time // when it arrived; zero: there is none
+	requestedAt time.Time // when it was requested
+	othersRate  float64   // use by all other instances at that time, in tokens a second
+	share       float64   // fraction of the limit, as of that time
 
-	alone   bucket // what is left while no Ledger is reached
-	isAlone bool
+	disconnected   bucket // tokens left while no Ledger can be reached
+	isDisconnected bool
 }
 
 // A Decision says whether a request is admitted.
@@ -57,23 +58,23 @@
 type Decision interface{ decision() }
 
 type (
-	// Admitted says that it is, and that its tokens are counted.
+	// Admitted means that the request is admitted and its tokens are counted.
 	Admitted struct{}
 
-	// Ask says that a Ledger is to be asked.
+	// Ask means that a Ledger must be asked.
 	Ask struct{}
 
-	// Unknown says that it is not, as nothing is known of the quota, or not any more.
+	// Unknown means that the request is refused because no current balance is known.
 	Unknown struct {
-		Wait time.Duration // until it may be tried again
+		Wait time.Duration // until the caller may retry
 	}
 
-	// Over says that it is not, as the quota is spent.
+	// Over means that the request is refused because the quota is spent.
 	Over struct {
-		Left int64         // tokens of the quota
-		Age  time.Duration // of that figure
-		Soon time.Duration // until its tokens have come
-		Wait time.Duration // until its caller may come back
+		Left int64         // tokens left of the quota
+		Age  time.Duration // of Left
+		Soon time.Duration // until its tokens are available
+		Wait time.Duration // until the caller should retry; bounded
 	}
 )
 
@@ -82,7 +83,7 @@
 func (Over) decision()     {}
 func (Unknown) decision()  {}
 
-// A Request is for tokens of an account's quota.
+// A Request asks for tokens of an account's quota.
 type Request struct {
 	Account string
 	Limit   Limit
@@ -90,105 +91,105 @@
 	Urgency int // 0 is the most urgent
 }
 
-// Spend admits a request by what this instance knows, or says that a Ledger is to be asked.
+// Spend decides on a request by the latest balance, unless a Ledger must decide.
 func (s *Spender) Spend(r Request, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(r.Account)
-	a.used = now
-	if a.at.IsZero() || now.Sub(a.at) > trust {
+	a.lastUsed = now
+	if a.balanceAt.IsZero() || now.Sub(a.balanceAt) > balanceTTL {
 		return Ask{}
 	}
 	left := a.left(r.Limit, now)
 	if !fits(r.Tokens, left, r.Limit) {
-		return a.over(r, left, s.least(), now)
+		return a.refuse(r, left, s.minShare(), now)
 	}
-	if float64(r.Tokens) > a.part(r.Limit, now) {
+	if float64(r.Tokens) > a.allowance(r.Limit, now) {
 		return Ask{}
 	}
-	a.take(r.Tokens, now)
+	a.record(r.Tokens, now)
 	return Admitted{}
 }
 
-// Settled takes in a balance that was asked for at a time.
-func (s *Spender) Settled(b Balance, limit Limit, asked, now time.Time) {
+// Settled applies a balance that was requested at requestedAt.
+func (s *Spender) Settled(b Balance, limit Limit, requestedAt, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.account(b.Account).settle(b, limit, asked, now, s.least())
+	s.account(b.Account).applyBalance(b, limit, requestedAt, now, s.minShare())
 }
 
-// Answered takes in the balance by which a Ledger answers a request that asked for it, and
-// decides on that.
-func (s *Spender) Answered(r Request, b Balance, asked, now time.Time) Decision {
+// Answered applies the balance that a Ledger returned for a request and decides on the
+// request.
+func (s *Spender) Answered(r Request, b Balance, requestedAt, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(r.Account)
 	a.pending -= r.Tokens
 	if b.Granted {
-		a.take(r.Tokens, now)
+		a.record(r.Tokens, now)
 	}
-	a.settle(b, r.Limit, asked, now, s.least())
+	a.applyBalance(b, r.Limit, requestedAt, now, s.minShare())
 	if b.Granted {
 		return Admitted{}
 	}
-	return a.over(r, float64(b.Left), s.least(), now)
+	return a.refuse(r, float64(b.Left), s.minShare(), now)
 }
 
-// Unanswered takes in that a Ledger which was asked for a request has not answered.
+// Unanswered records that a Ledger did not reply about a request.
 func (s *Spender) Unanswered(r Request) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account(r.Account).pending -= r.Tokens
 }
 
-// SpendAlone decides on a request while no Ledger answers.
+// SpendAlone decides on a request while no Ledger can be reached.
 func (s *Spender) SpendAlone(r Request, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(r.Account)
-	if a.at.IsZero() || now.Sub(a.at) > aloneFor {
+	if a.balanceAt.IsZero() || now.Sub(a.balanceAt) > maxDisconnected {
 		return Unknown{Wait: unknownWait}
 	}
-	if !a.isAlone {
-		a.beginAlone()
+	if !a.isDisconnected {
+		a.disconnect()
 	}
-	// It may save up for a request that is larger than its share of the burst.
-	a.alone.fill(a.share*r.Limit.Rate, max(a.share*r.Limit.Burst, float64(r.Tokens)), now)
-	if a.alone.level < float64(r.Tokens) {
-		return a.over(r, a.alone.level, s.least(), now)
+	// The bucket may fill up to a request that is larger than the share of the burst.
+	a.disconnected.fill(a.share*r.Limit.Rate, max(a.share*r.Limit.Burst, float64(r.Tokens)), now)
+	if a.disconnected.level < float64(r.Tokens) {
+		return a.refuse(r, a.disconnected.level, s.minShare(), now)
 	}
-	a.alone.level -= float64(r.Tokens)
-	a.take(r.Tokens, now)
+	a.disconnected.level -= float64(r.Tokens)
+	a.record(r.Tokens, now)
 	return Admitted{}
 }
 
-// Return gives the tokens of a request back that has not run.
+// Return returns the tokens of a request that has not run.
 func (s *Spender) Return(account string, tokens int64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(account)
-	a.take(-tokens, now)
-	if a.isAlone {
-		a.alone.level += float64(tokens)
+	a.record(-tokens, now)
+	if a.isDisconnected {
+		a.disconnected.level += float64(tokens)
 	}
 }
 
-// Report returns what is to be settled.
+// Report returns the accounts to settle.
 func (s *Spender) Report(now time.Time) []Spent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var report []Spent
 	for name, a := range s.accounts {
-		if now.Sub(a.used) <= reportedFor {
+		if now.Sub(a.lastUsed) <= idleAfter {
 			report = append(report, a.update(name))
 		}
 	}
 	return report
 }
 
-// Want returns what a Ledger is to be asked for a request. Until it has answered, or is known
-// not to, the request counts in what else is settled: asks at the same time would all be
-// granted the same tokens.
+// Want returns the report that asks a Ledger for the tokens of a request. Until Answered or
+// Unanswered is called, the request counts in other reports too: otherwise concurrent asks
+// would all be granted the same tokens.
 func (s *Spender) Want(r Request) Spent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -199,62 +200,62 @@
 	return want
 }
 
-func (s *Spender) account(name string) *spending {
+func (s *Spender) account(name string) *accountState {
 	a, ok := s.accounts[name]
 	if !ok {
 		if s.accounts == nil {
-			s.accounts = make(map[string]*spending)
+			s.accounts = make(map[string]*accountState)
 		}
-		a = &spending{}
+		a = &accountState{}
 		s.accounts[name] = a
 	}
 	return a
 }
 
-// least returns the share that any instance has.
-func (s *Spender) least() float64 { return even / float64(max(1, s.Instances())) }
+// minShare returns the share that every instance has.
+func (s *Spender) minShare() float64 { return evenShare / float64(max(1, s.Instances())) }
 
-func (a *spending) take(tokens int64, now time.Time) {
+func (a *accountState) record(tokens int64, now time.Time) {
 	a.spent += tokens
-	a.use.add(float64(tokens), now)
-	a.used = now
+	a.usage.add(float64(tokens), now)
+	a.lastUsed = now
 }
 
-// settle takes in a balance. One that was asked for earlier than the last one is older.
-func (a *spending) settle(b Balance, l Limit, asked, now time.Time, least float64) {
-	if asked.Before(a.asked) {
+// applyBalance applies a balance, unless it was requested before the latest one.
+func (a *accountState) applyBalance(b Balance, l Limit, requestedAt, now time.Time, minShare float64) {
+	if requestedAt.Before(a.requestedAt) {
 		return
 	}
-	use := a.use.value(now)
-	a.balance, a.at, a.asked, a.isAlone = b, now, asked, false
-	a.others = max(0, float64(b.Use)-use)
-	a.share = least + shareOf(use, float64(b.Use), l)
+	usage := a.usage.value(now)
+	a.balance, a.balanceAt, a.requestedAt, a.isDisconnected = b, now, requestedAt, false
+	a.othersRate = max(0, float64(b.Use)-usage)
+	a.share = minShare + shareOf(usage, float64(b.Use), l)
 }
 
-// update returns what is to be settled of the account.
-func (a *spending) update(account string) Spent {
+// update returns the report of the account.
+func (a *accountState) update(account string) Spent {
 	a.seq++
 	return Spent{Account: account, Counter: a.spent + a.pending, Recent: int64(a.unsettled()), Seq: a.seq}
 }
 
-// unsettled returns what was spent, or may be, that the last balance does not count.
-func (a *spending) unsettled() float64 { return float64(a.spent + a.pending - a.balance.Counted) }
+// unsettled returns the tokens, spent or pending, that the latest balance does not include.
+func (a *accountState) unsettled() float64 { return float64(a.spent + a.pending - a.balance.Counted) }
 
-// left returns what is left of the quota. Others go on to spend as they did.
-func (a *spending) left(l Limit, now time.Time) float64 {
-	age := now.Sub(a.at).Seconds()
-	return min(l.Burst, float64(a.balance.Left)+(l.Rate-a.others)*age) - a.unsettled()
+// left returns the tokens left of the quota, if the others spend at the same rate as before.
+func (a *accountState) left(l Limit, now time.Time) float64 {
+	age := now.Sub(a.balanceAt).Seconds()
+	return min(l.Burst, float64(a.balance.Left)+(l.Rate-a.othersRate)*age) - a.unsettled()
 }
 
-// part returns what this instance may spend of it without asking. The parts of all
-// instances add up to what is left, so callers may turn to any of them at once.
-func (a *spending) part(l Limit, now time.Time) float64 {
-	age := now.Sub(a.at).Seconds()
+// allowance returns the tokens that this instance may spend without asking. The allowances of
+// all instances add up to the tokens left, so callers may send to any of them at once.
+func (a *accountState) allowance(l Limit, now time.Time) float64 {
+	age := now.Sub(a.balanceAt).Seconds()
 	return a.share*min(l.Burst, max(0, float64(a.balance.Left))+l.Rate*age) - a.unsettled()
 }
 
-// beginAlone leaves the instance its share of what was left when it reached a Ledger last.
-func (a *spending) beginAlone() {
-	a.isAlone = true
-	a.alone = bucket{level: a.share*max(0, float64(a.balance.Left)) - a.unsettled(), at: a.at}
+// disconnect leaves the instance its share of the tokens left at the latest balance.
+func (a *accountState) disconnect() {
+	a.isDisconnected = true
+	a.disconnected = bucket{level: a.share*max(0, float64(a.balance.Left)) - a.unsettled(), at: a.balanceAt}
 }
--- a/internal/request/answerer/answerer.go
+++ b/internal/request/answerer/answerer.go
@@ -18,27 +18,27 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A Dispatcher answers calls.
+// A Dispatcher dispatches calls.
 type Dispatcher interface {
 	Dispatch(ctx context.Context, call *streamer.Call, sink streamer.Sink) error
 }
 
-// An Answerer is the API for callers. Its fields are set before use.
+// An Answerer serves the HTTP API for callers. Its fields are set before use.
 type Answerer struct {
 	Claimer    *claimer.Claimer
 	Dispatcher Dispatcher
 	Domain     string
-	Force      func() *resolver.Resolver // settings in force; nil if there are none
+	Force      func() *resolver.Resolver // current settings; nil if there are none yet
 	Logger     log.Logger
 	Metrics    *metrics.Set
-	Stopping   func() bool   // whether new requests are refused
-	Token      func() string // a fresh name for each request
+	Stopping   func() bool   // reports whether new requests are refused
+	Token      func() string // returns a unique request ID
 
 	mu   sync.Mutex
-	open map[string]int // requests by account
+	open map[string]int // number of open requests by account
 }
 
-// The headers of callers, as docs/CALLERS.md describes them.
+// Headers of requests and responses; see docs/CALLERS.md.
 const (
 	HeaderDeadline = "X-Deadline"
 	HeaderKey      = "Idempotency-Key"
@@ -49,7 +49,7 @@
 	HeaderStall    = "X-Stall"
 )
 
-// The paths of callers.
+// Paths of the API.
 const (
 	PathChat        = "/v1/chat/completions"
 	PathCompletions = "/v1/completions"
@@ -57,7 +57,7 @@
 	PathServices    = "/services/"
 )
 
-// Handler returns the API.
+// Handler returns the handler of the API.
 func (a *Answerer) Handler() fasthttp.RequestHandler {
 	r := router.New()
 	r.POST(PathChat, a.completion)
@@ -77,7 +77,8 @@
 	return len(a.open) == 0
 }
 
-// Unreadable answers a request that could not be read: too large or malformed.
+// Unreadable responds to a request that could not be read because it is too large
+// or malformed.
 func (a *Answerer) Unreadable(c *fasthttp.RequestCtx, err error) {
 	a.refuse(c, judge.Refuse(judge.ReasonBody, "the request could not be read: %v", err))
 }
@@ -87,33 +88,33 @@
 }
 
 func (a *Answerer) models(c *fasthttp.RequestCtx) {
-	force, who, err := a.caller(c)
+	settings, caller, err := a.authenticate(c)
 	if err != nil {
 		a.refuse(c, err)
 		return
 	}
-	writeModels(c, force, who.Account)
+	writeModels(c, settings, caller.Account)
 }
 
 func (a *Answerer) plain(c *fasthttp.RequestCtx) {
 	a.serve(c, parsePlain)
 }
 
-// caller finds out whose request it is.
-func (a *Answerer) caller(c *fasthttp.RequestCtx) (*resolver.Resolver, resolver.Caller, *judge.Error) {
-	force := a.Force()
-	if force == nil {
+// authenticate identifies the account of a request.
+func (a *Answerer) authenticate(c *fasthttp.RequestCtx) (*resolver.Resolver, resolver.Caller, *judge.Error) {
+	settings := a.Force()
+	if settings == nil {
 		return nil, resolver.Caller{}, judge.Refuse(judge.ReasonStarting, "no settings are in force here yet").After(time.Second)
 	}
-	who, ok := force.Caller(bearer(c))
+	caller, ok := settings.Caller(bearer(c))
 	if !ok {
 		return nil, resolver.Caller{}, judge.Refuse(judge.ReasonAuth, "the key in the Authorization header belongs to no account")
 	}
-	return force, who, nil
+	return settings, caller, nil
 }
 
-// enter counts a request in, or refuses it.
-func (a *Answerer) enter(account string, limit int) *judge.Error {
+// acquire counts a request of an account as open, or refuses it.
+func (a *Answerer) acquire(account string, limit int) *judge.Error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.Stopping() {
@@ -129,7 +130,7 @@
 	return nil
 }
 
-func (a *Answerer) leave(account string) {
+func (a *Answerer) release(account string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.open[account]--
@@ -138,20 +139,20 @@
 	}
 }
 
-// serve takes one request from its bytes to its answer.
+// serve parses, dispatches and answers one request.
 func (a *Answerer) serve(c *fasthttp.RequestCtx, parse parseFunc) {
-	force, who, refusal := a.caller(c)
+	settings, caller, refusal := a.authenticate(c)
 	if refusal != nil {
 		a.refuse(c, refusal)
 		return
 	}
-	call, values, refusal := a.read(c, force, who, parse)
+	call, values, refusal := a.read(c, settings, caller, parse)
 	if refusal != nil {
 		a.refuse(c, refusal)
 		return
 	}
 	c.Response.Header.Set(HeaderRequest, call.ID)
-	if refusal := a.enter(call.Account, values.Streams); refusal != nil {
+	if refusal := a.acquire(call.Account, values.Streams); refusal != nil {
 		a.refuse(c, refusal)
 		return
 	}
@@ -161,12 +162,12 @@
 	p.write(c)
 }
 
-func (a *Answerer) read(c *fasthttp.RequestCtx, force *resolver.Resolver, who resolver.Caller, parse parseFunc) (*streamer.Call, resolver.Effective, *judge.Error) {
-	call := &streamer.Call{ID: a.Token(), Account: who.Account, Desk: who.Desk}
-	if refusal := parse(c, force, call); refusal != nil {
+func (a *Answerer) read(c *fasthttp.RequestCtx, settings *resolver.Resolver, caller resolver.Caller, parse parseFunc) (*streamer.Call, resolver.Effective, *judge.Error) {
+	call := &streamer.Call{ID: a.Token(), Account: caller.Account, Desk: caller.Desk}
+	if refusal := parse(c, settings, call); refusal != nil {
 		return nil, resolver.Effective{}, refusal
 	}
-	values := force.Values(call.Account, call.Service, a.Domain, call.Desk)
+	values := settings.Values(call.Account, call.Service, a.Domain, call.Desk)
 	if len(call.Body) > values.Body {
 		return nil, values, judge.Refuse(judge.ReasonBody, "the body has %d bytes, at most %d are allowed", len(call.Body), values.Body)
 	}
@@ -176,7 +177,7 @@
 	return call, values, nil
 }
 
-// refuse answers with an error and counts it.
+// refuse responds with an error and counts it.
 func (a *Answerer) refuse(c *fasthttp.RequestCtx, err *judge.Error) {
 	a.count(err)
 	writeError(c, err)
@@ -186,16 +187,16 @@
 	a.Metrics.GetOrCreateCounter(`sardinetiller_refusals_total{reason="` + string(err.Reason) + `",verdict="` + string(err.Verdict) + `"}`).Inc()
 }
 
-func (a *Answerer) logged(call *streamer.Call, err error, began time.Time) {
+func (a *Answerer) logAnswered(call *streamer.Call, err error, startedAt time.Time) {
 	logger := level.Debug(a.Logger)
 	if err != nil {
 		logger = level.Info(a.Logger)
 	}
 	_ = logger.Log("msg", "answered", "request", call.ID, "account", call.Account, "adapter", call.Adapter,
-		"service", call.Service, "took", time.Since(began), "err", err)
+		"service", call.Service, "took", time.Since(startedAt), "err", err)
 }
 
-func writeModels(c *fasthttp.RequestCtx, force *resolver.Resolver, account string) {
+func writeModels(c *fasthttp.RequestCtx, settings *resolver.Resolver, account string) {
 	type model struct {
 		ID      string `json:"id"`
 		Object  string `json:"object"`
@@ -203,7 +204,7 @@
 		Owner   string `json:"owned_by"`
 	}
 	models := []model{}
-	force.Adapters(account, func(name string) bool {
+	settings.Adapters(account, func(name string) bool {
 		models = append(models, model{ID: name, Object: "model", Owner: account})
 		return true
 	})
--- a/internal/request/answerer/parse.go
+++ b/internal/request/answerer/parse.go
@@ -15,18 +15,18 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/resolver"
 )
 
-// A parseFunc reads what a request asks for.
-type parseFunc func(c *fasthttp.RequestCtx, force *resolver.Resolver, call *streamer.Call) *judge.Error
+// A parseFunc parses a request into a call.
+type parseFunc func(c *fasthttp.RequestCtx, settings *resolver.Resolver, call *streamer.Call) *judge.Error
 
-// The bounds of what a header may say.
+// Bounds of header values.
 const (
-	keyLimit      = 255
-	priorityLimit = 10
+	maxKeyLength = 255
+	maxPriority  = 10
 )
 
-// hidden are the headers of a plain call that end here: the account's key must
-// not reach a service, and the others belong to one connection.
-var hidden = map[string]bool{
+// strippedHeaders are the headers that are not forwarded to a plain service: the key
+// of the account must not reach it, and the others belong to one connection.
+var strippedHeaders = map[string]bool{
 	"authorization": true, "connection": true, "content-length": true, "host": true,
 	"keep-alive": true, "te": true, "trailer": true, "transfer-encoding": true, "upgrade": true,
 }
@@ -39,7 +39,7 @@
 	return key
 }
 
-func parseCompletion(c *fasthttp.RequestCtx, force *resolver.Resolver, call *streamer.Call) *judge.Error {
+func parseCompletion(c *fasthttp.RequestCtx, settings *resolver.Resolver, call *streamer.Call) *judge.Error {
 	var body struct {
 		Model  string `json:"model"`
 		Stream bool   `json:"stream"`
@@ -47,7 +47,7 @@
 	if err := json.Unmarshal(c.PostBody(), &body); err != nil {
 		return judge.Refuse(judge.ReasonBody, "the body is not the JSON of a completion: %v", err)
 	}
-	adapter, ok := force.Adapter(body.Model)
+	adapter, ok := settings.Adapter(body.Model)
 	if !ok || adapter.Account != call.Account {
 		return judge.Refuse(judge.ReasonAdapter, "model %q is no adapter of this account; write name@version as %s lists them", body.Model, PathModels)
 	}
@@ -60,9 +60,9 @@
 	return nil
 }
 
-func parsePlain(c *fasthttp.RequestCtx, force *resolver.Resolver, call *streamer.Call) *judge.Error {
+func parsePlain(c *fasthttp.RequestCtx, settings *resolver.Resolver, call *streamer.Call) *judge.Error {
 	name, _ := c.UserValue("service").(string)
-	service, ok := force.Service(name)
+	service, ok := settings.Service(name)
 	if !ok || service.Type != parser.TypePlain {
 		return judge.Refuse(judge.ReasonUpstream, "%q is no plain service", name)
 	}
@@ -72,14 +72,14 @@
 	call.Body = bytes.Clone(c.PostBody())
 	call.Header = make(map[string]string)
 	for key, value := range c.Request.Header.All() {
-		if !hidden[strings.ToLower(string(key))] {
+		if !strippedHeaders[strings.ToLower(string(key))] {
 			call.Header[string(key)] = string(value)
 		}
 	}
 	return nil
 }
 
-// parseHeaders reads the headers that say how a request is to be treated.
+// parseHeaders parses the headers that control how a request is handled.
 func parseHeaders(c *fasthttp.RequestCtx, call *streamer.Call, values resolver.Effective) *judge.Error {
 	left, refusal := parseDeadline(string(c.Request.Header.Peek(HeaderDeadline)), values.Deadline)
 	if refusal != nil {
@@ -88,8 +88,8 @@
 	call.Left = left
 	call.Deadline = time.Now().Add(left)
 	call.Key = string(c.Request.Header.Peek(HeaderKey))
-	if len(call.Key) > keyLimit {
-		return judge.Refuse(judge.ReasonHeader, "%s has %d bytes, at most %d are allowed", HeaderKey, len(call.Key), keyLimit)
+	if len(call.Key) > maxKeyLength {
+		return judge.Refuse(judge.ReasonHeader, "%s has %d bytes, at most %d are allowed", HeaderKey, len(call.Key), maxKeyLength)
 	}
 	if call.Once, refusal = parseOnce(c); refusal != nil {
 		return refusal
@@ -97,10 +97,10 @@
 	return parsePriority(string(c.Request.Header.Peek(HeaderPriority)), call)
 }
 
-// parseDeadline reads a duration such as 2.5s or a number of seconds.
-func parseDeadline(text string, otherwise time.Duration) (time.Duration, *judge.Error) {
+// parseDeadline parses a duration such as 2.5s or a number of seconds.
+func parseDeadline(text string, fallback time.Duration) (time.Duration, *judge.Error) {
 	if text == "" {
-		return otherwise, nil
+		return fallback, nil
 	}
 	if _, err := strconv.ParseFloat(text, 64); err == nil {
 		text += "s"
@@ -112,8 +112,9 @@
 	return left, nil
 }
 
-// parseOnce reads the mark of a request that must not run twice. A call of a
-// plain service with a method that is not idempotent has it by itself.
+// parseOnce parses the header that marks a request that must not run twice. It
+// defaults to true for a call of a plain service with a method that is not
+// idempotent.
 func parseOnce(c *fasthttp.RequestCtx) (bool, *judge.Error) {
 	switch text := string(c.Request.Header.Peek(HeaderOnce)); text {
 	case "true":
@@ -134,8 +135,8 @@
 		return nil
 	}
 	priority, err := strconv.Atoi(text)
-	if err != nil || priority < -priorityLimit || priority > priorityLimit {
-		return judge.Refuse(judge.ReasonHeader, "%s is %q; write a number from -%d to %d", HeaderPriority, text, priorityLimit, priorityLimit)
+	if err != nil || priority < -maxPriority || priority > maxPriority {
+		return judge.Refuse(judge.ReasonHeader, "%s is %q; write a number from -%d to %d", HeaderPriority, text, maxPriority, maxPriority)
 	}
 	call.Priority = priority
 	return nil
--- a/internal/request/answerer/pipe.go
+++ b/internal/request/answerer/pipe.go
@@ -14,42 +14,43 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/streamer"
 )
 
-// A pipe joins the dispatch of one request with the writing of its answer. The
-// dispatch puts parts in; the writer takes them out at its caller's pace, and
-// its end ends the dispatch.
+// A pipe connects the dispatch of one request with the writing of its response.
+// The dispatch produces parts; the writer sends them at the pace of the caller,
+// and cancels the dispatch when it ends.
 type pipe struct {
-	answerer *Answerer
-	call     *streamer.Call
-	cancel   context.CancelFunc
-	ctx      context.Context
-	keep     time.Duration
-
-	began time.Time
-	head  chan streamer.Head
-	parts chan []byte
-	over  chan struct{} // closed when the dispatch has ended; then err is set
-	err   *judge.Error
-	kept  []byte // copy of the body for the record of a claimed request
-	first streamer.Head
+	answerer  *Answerer
+	call      *streamer.Call
+	cancel    context.CancelFunc
+	ctx       context.Context
+	retention time.Duration
+
+	startedAt time.Time
+	head      chan streamer.Head
+	parts     chan []byte
+	done      chan struct{} // closed when the dispatch has ended and err is set
+	err       *judge.Error
+	recorded  []byte // copy of the body for the claim
+	sentHead  streamer.Head
 }
 
-// pipeParts is how many parts may wait for a slow caller.
-const pipeParts = 64
+// maxBufferedParts is the number of parts buffered for a slow caller.
+const maxBufferedParts = 64
 
-// slowWrite is how long a caller may take nothing before it counts as gone.
-const slowWrite = 30 * time.Second
+// writeTimeout is how long a write to a stalled caller may block before the caller
+// counts as disconnected.
+const writeTimeout = 30 * time.Second
 
-func newPipe(ctx context.Context, cancel context.CancelFunc, a *Answerer, call *streamer.Call, keep time.Duration) *pipe {
+func newPipe(ctx context.Context, cancel context.CancelFunc, a *Answerer, call *streamer.Call, retention time.Duration) *pipe {
 	return &pipe{
-		answerer: a, call: call, cancel: cancel, ctx: ctx, keep: keep, began: time.Now(),
-		head: make(chan streamer.Head, 1), parts: make(chan []byte, pipeParts), over: make(chan struct{}),
+		answerer: a, call: call, cancel: cancel, ctx: ctx, retention: retention, startedAt: time.Now(),
+		head: make(chan streamer.Head, 1), parts: make(chan []byte, maxBufferedParts), done: make(chan struct{}),
 	}
 }
 
 // Data implements streamer.Sink.
 func (p *pipe) Data(data []byte) error {
-	if p.claimed() && len(p.kept) <= keptLimit {
-		p.kept = append(p.kept, p.event(data)...)
+	if p.needsClaim() && len(p.recorded) <= maxRecordedBody {
+		p.recorded = append(p.recorded, p.event(data)...)
 	}
 	select {
 	case p.parts <- data:
@@ -61,17 +62,17 @@
 
 // Head implements streamer.Sink.
 func (p *pipe) Head(head streamer.Head) error {
-	p.first = head
+	p.sentHead = head
 	p.head <- head
 	return nil
 }
 
-// keptLimit bounds the copy of a body; a longer one is not kept at all.
-const keptLimit = 256 << 10
+// maxRecordedBody bounds the copy of a body; a longer body is not stored at all.
+const maxRecordedBody = 256 << 10
 
-// claimed reports whether the request must not run twice and can be known
-// again.
-func (p *pipe) claimed() bool { return p.call.Once && p.call.Key != "" }
+// needsClaim reports whether the request must not run twice and has a key by
+// which a repetition is recognized.
+func (p *pipe) needsClaim() bool { return p.call.Once && p.call.Key != "" }
 
 // event returns a part as it is written to the caller.
 func (p *pipe) event(data []byte) []byte {
@@ -84,27 +85,27 @@
 // run dispatches the request.
 func (p *pipe) run() {
 	err := p.dispatch()
-	p.answerer.logged(p.call, err, p.began)
+	p.answerer.logAnswered(p.call, err, p.startedAt)
 	if err != nil {
 		p.err = judge.As(err)
 	}
-	close(p.over)
+	close(p.done)
 }
 
-// finish ends the dispatch, if it still runs, and counts the request out. It is
-// called when the answer has been written: an instance that leaves waits for
+// finish cancels the dispatch if it still runs, and counts the request as closed.
+// It is called when the response has been written: a draining instance waits for
 // that, not only for the upstream.
 func (p *pipe) finish() {
 	p.cancel()
-	p.answerer.leave(p.call.Account)
+	p.answerer.release(p.call.Account)
 }
 
 func (p *pipe) dispatch() error {
-	if !p.claimed() {
+	if !p.needsClaim() {
 		return p.answerer.Dispatcher.Dispatch(p.ctx, p.call, p)
 	}
 	digest := claimer.Digest([]byte(p.call.Service), []byte(p.call.Adapter), []byte(p.call.Method), []byte(p.call.Path), p.call.Body)
-	ticket, outcome, err := p.answerer.Claimer.Begin(p.ctx, p.call.Account, p.call.Key, digest, p.keep)
+	ticket, outcome, err := p.answerer.Claimer.Begin(p.ctx, p.call.Account, p.call.Key, digest, p.retention)
 	if err != nil {
 		return err
 	}
@@ -116,7 +117,7 @@
 	return err
 }
 
-// record ends the claim with what the caller was given.
+// record ends the claim with the response to the caller.
 func (p *pipe) record(ticket *claimer.Ticket, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
@@ -125,31 +126,31 @@
 		return
 	}
 	if p.call.Stream {
-		p.kept = append(p.kept, doneEvent...)
+		p.recorded = append(p.recorded, doneEvent...)
 	}
-	p.answerer.Claimer.End(ctx, ticket, &claimer.Outcome{Status: p.first.Status, Type: p.first.Type, Body: p.kept}, nil)
+	p.answerer.Claimer.End(ctx, ticket, &claimer.Outcome{Status: p.sentHead.Status, Type: p.sentHead.Type, Body: p.recorded}, nil)
 }
 
-// replay gives the caller the outcome of the first request with its key. The
-// record holds the bytes as they were written.
+// replay sends the outcome of the first request with the key. The stored body
+// holds the bytes as they were written, including the framing of events.
 func (p *pipe) replay(outcome *claimer.Outcome) error {
 	p.call.Stream = false
-	p.call.Key = "" // the record is there already
+	p.call.Key = "" // the outcome is already recorded
 	if err := p.Head(streamer.Head{Status: outcome.Status, Type: outcome.Type}); err != nil {
 		return err
 	}
 	return p.Data(outcome.Body)
 }
 
-// write answers the caller. It returns at once for a stream, whose body is
-// written after it.
+// write writes the response. For a stream it returns before the body, which is
+// written by a body stream writer.
 func (p *pipe) write(c *fasthttp.RequestCtx) {
 	select {
 	case head := <-p.head:
 		p.writeHead(c, head)
-	case <-p.over:
+	case <-p.done:
 		select {
-		case head := <-p.head: // it came at the same time
+		case head := <-p.head: // the head arrived at the same time
 			p.writeHead(c, head)
 		default:
 			defer p.finish()
@@ -165,18 +166,18 @@
 	c.Response.Header.Set(HeaderStall, head.Stall.String())
 	if p.call.Stream {
 		conn := c.Conn()
-		c.SetBodyStreamWriter(func(w *bufio.Writer) { p.stream(w, conn) })
+		c.SetBodyStreamWriter(func(w *bufio.Writer) { p.writeStream(w, conn) })
 		return
 	}
-	p.whole(c)
+	p.writeBody(c)
 }
 
-// stream writes the parts as events. A caller that takes nothing for a while,
-// or goes away, ends the dispatch and with it the work upstream.
-func (p *pipe) stream(w *bufio.Writer, conn net.Conn) {
+// writeStream writes the parts as events. If the caller stalls or disconnects, the
+// dispatch is cancelled, and with it the work upstream.
+func (p *pipe) writeStream(w *bufio.Writer, conn net.Conn) {
 	defer p.finish()
 	send := func(event []byte) bool {
-		_ = conn.SetWriteDeadline(time.Now().Add(slowWrite)) // fails only on a closed connection
+		_ = conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection
 		_, err := w.Write(event)
 		return err == nil && w.Flush() == nil
 	}
@@ -187,7 +188,7 @@
 				return
 			}
 			continue
-		case <-p.over:
+		case <-p.done:
 		}
 		break
 	}
@@ -204,16 +205,16 @@
 	send([]byte(doneEvent))
 }
 
-// whole writes a body that is not a stream, once it is known to be whole.
-func (p *pipe) whole(c *fasthttp.RequestCtx) {
+// writeBody writes a body that is not a stream, once it is complete.
+func (p *pipe) writeBody(c *fasthttp.RequestCtx) {
 	defer p.finish()
 	var body bytes.Buffer
-	for over := false; !over; {
+	for done := false; !done; {
 		select {
 		case part := <-p.parts:
 			body.Write(part)
-		case <-p.over:
-			over = true
+		case <-p.done:
+			done = true
 		}
 	}
 	for len(p.parts) > 0 {
--- a/internal/request/claimer/gatherer_test.go
+++ b/internal/request/claimer/batcher_test.go
@@ -13,7 +13,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/claimer"
 )
 
-// A countingTable counts transactions and takes a while for each.
+// A countingTable counts transactions and takes 5 ms for each.
 type countingTable struct {
 	tabler.Memory
 	commits atomic.Int64
@@ -25,10 +25,10 @@
 	return c.Memory.Commit(ctx, txn)
 }
 
-// However many claims come, the one who gathers for a failure domain writes 25
-// groups a second; one that comes alone does not wait.
-func TestGatherBoundsTheWrites(t *testing.T) {
-	for _, tc := range []struct{ claims, most int }{{1, 1}, {1000, 27}} {
+// Guards against a batcher that writes more than 25 batches a second for its
+// failure domain under load, or delays a single claim.
+func TestBatchRateIsBounded(t *testing.T) {
+	for _, tc := range []struct{ claims, maxCommits int }{{1, 1}, {1000, 27}} {
 		t.Run(fmt.Sprint(tc.claims), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				table := &countingTable{}
@@ -36,7 +36,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				go c.Run(ctx)
 				synctest.Wait()
-				began := time.Now()
+				startedAt := time.Now()
 				var all sync.WaitGroup
 				for i := range tc.claims {
 					all.Go(func() {
@@ -49,10 +49,10 @@
 					})
 				}
 				all.Wait()
-				if n := table.commits.Load(); n > int64(tc.most) {
-					t.Errorf("%d transactions for %d claims in %s, want at most %d", n, tc.claims, time.Since(began), tc.most)
+				if n := table.commits.Load(); n > int64(tc.maxCommits) {
+					t.Errorf("%d transactions for %d claims in %s, want at most %d", n, tc.claims, time.Since(startedAt), tc.maxCommits)
 				}
-				if took := time.Since(began); tc.claims == 1 && took > 6*time.Millisecond {
+				if took := time.Since(startedAt); tc.claims == 1 && took > 6*time.Millisecond {
 					t.Errorf("a single claim took %s", took)
 				}
 				cancel()
@@ -62,7 +62,7 @@
 	}
 }
 
-// BenchmarkGather measures what a claim costs its gatherer beside the table.
+// BenchmarkGather measures the cost of a claim in the batcher, with a table in memory.
 func BenchmarkGather(b *testing.B) {
 	c := &claimer.Claimer{Self: "i", Table: &tabler.Memory{}, Gone: func(string) bool { return false }}
 	go c.Run(b.Context())
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -17,96 +17,97 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// A badTable fails as a platform does: it is down for a while, loses answers
-// after the write, and lets some writes take effect late.
-type badTable struct {
+// A faultyTable injects the faults of a platform: downtime, lost responses after
+// the write, and writes that take effect late.
+type faultyTable struct {
 	tabler.Memory
-	blind bool // does not look at the conditions
-	down  atomic.Bool
+	ignoresChecks bool // commits without the checks
+	down          atomic.Bool
 
-	mu     sync.Mutex
-	late   float64
-	lose   float64
-	random *rand.Rand
+	mu       sync.Mutex
+	lateRate float64
+	lossRate float64
+	random   *rand.Rand
 }
 
-// draw decides the fate of one write.
-func (b *badTable) draw() (late, lost bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.random.Float64() < b.late, b.random.Float64() < b.lose
+// drawFault draws the faults of one write.
+func (f *faultyTable) drawFault() (late, lost bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.random.Float64() < f.lateRate, f.random.Float64() < f.lossRate
 }
 
-func (b *badTable) set(late, lose float64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.late = late
-	b.lose = lose
+func (f *faultyTable) setFaults(lateRate, lossRate float64) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.lateRate = lateRate
+	f.lossRate = lossRate
 }
 
-func (b *badTable) Commit(ctx context.Context, txn tabler.Txn) error {
+func (f *faultyTable) Commit(ctx context.Context, txn tabler.Txn) error {
 	time.Sleep(2 * time.Millisecond)
-	if b.blind {
+	if f.ignoresChecks {
 		txn.Checks = nil
 	}
-	late, lose := b.draw()
+	late, lose := f.drawFault()
 	lost := &tabler.UnknownError{Err: errors.New("answer lost")}
 	switch {
-	case b.down.Load():
+	case f.down.Load():
 		return &tabler.UnavailableError{Err: errors.New("down")}
 	case late:
-		time.AfterFunc(2*time.Second, func() { _ = b.Memory.Commit(context.Background(), txn) })
+		time.AfterFunc(2*time.Second, func() { _ = f.Memory.Commit(context.Background(), txn) })
 		return lost
 	}
-	err := b.Memory.Commit(ctx, txn)
+	err := f.Memory.Commit(ctx, txn)
 	if err == nil && lose {
 		return lost
 	}
 	return err
 }
 
-func (b *badTable) Get(ctx context.Context, key string) (tabler.Row, error) {
+func (f *faultyTable) Get(ctx context.Context, key string) (tabler.Row, error) {
 	time.Sleep(2 * time.Millisecond)
-	if b.down.Load() {
+	if f.down.Load() {
 		return tabler.Row{}, &tabler.UnavailableError{Err: errors.New("down")}
 	}
-	return b.Memory.Get(ctx, key)
+	return f.Memory.Get(ctx, key)
 }
 
-// A bench is several instances before one table, and a count of what ran.
-type bench struct {
+// A cluster is several instances with one table; it counts the runs of requests.
+type cluster struct {
 	claimers []*claimer.Claimer
-	gone     sync.Map // incarnation
+	gone     sync.Map // by incarnation
 	runs     atomic.Int64
 	store    storer.Memory
-	table    *badTable
+	table    *faultyTable
 	token    atomic.Int64
 }
 
-func newBench(t *testing.T, n int, seed uint64) *bench {
+func newCluster(t *testing.T, n int, seed uint64) *cluster {
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		cancel()
-		time.Sleep(10 * time.Second) // what is under way ends by itself
+		time.Sleep(10 * time.Second) // for work in progress to end
 	})
-	b := &bench{table: &badTable{random: rand.New(rand.NewPCG(seed, 1))}}
+	cl := &cluster{table: &faultyTable{random: rand.New(rand.NewPCG(seed, 1))}}
 	for i := range n {
 		c := &claimer.Claimer{
-			Self: fmt.Sprint("i", i), Store: &b.store, Table: b.table,
-			Gone:  func(inc string) bool { _, gone := b.gone.Load(inc); return gone },
-			Token: func() string { return fmt.Sprint("t", b.token.Add(1)) },
+			Self: fmt.Sprint("i", i), Store: &cl.store, Table: cl.table,
+			Gone:  func(inc string) bool { _, gone := cl.gone.Load(inc); return gone },
+			Token: func() string { return fmt.Sprint("t", cl.token.Add(1)) },
 		}
-		b.claimers = append(b.claimers, c)
+		cl.claimers = append(cl.claimers, c)
 		go c.Run(ctx)
 	}
 	synctest.Wait()
-	return b
+	return cl
 }
 
-// request runs a keyed request to its end and returns the verdict that its
-// caller sees. With crash it dies after it ran and before it could record it.
-func (b *bench) request(c *claimer.Claimer, patience time.Duration, crash bool) (judge.Verdict, string) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// request runs a request with a key and returns the verdict and body that its
+// caller gets. With crash, the claimant crashes after the run and before it records
+// the outcome.
+func (cl *cluster) request(c *claimer.Claimer, timeout time.Duration, crash bool) (judge.Verdict, string) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	ticket, outcome, err := c.Begin(ctx, "account", "key", "request", time.Hour)
 	if err != nil {
@@ -115,7 +116,7 @@
 	if outcome != nil {
 		return judge.Ran, string(outcome.Body)
 	}
-	n := b.runs.Add(1)
+	n := cl.runs.Add(1)
 	time.Sleep(20 * time.Millisecond)
 	if crash {
 		return judge.MayHaveRun, ""
@@ -125,10 +126,10 @@
 	return judge.Ran, body
 }
 
-// The same key arrives through several instances at once, and again later,
-// while the table loses answers, takes writes late and is down for a while, and
-// one claimant may crash after it ran. The request may run once at most; every
-// caller who is told it ran sees the one outcome.
+// Guards against a request that runs twice, or whose callers get different
+// outcomes: requests with one key arrive through several instances, at once and
+// later, while the table loses responses, applies writes late and is down for a
+// while, and one claimant may crash after the run.
 func TestRunsAtMostOnce(t *testing.T) {
 	for seed := range uint64(150) {
 		synctest.Test(t, func(t *testing.T) {
@@ -139,9 +140,9 @@
 	}
 }
 
-// A table that does not look at the conditions takes the safeguard out: the
-// check above must find requests that ran twice.
-func TestOnceCheckSeesMissingSafeguard(t *testing.T) {
+// Guards against a simulation that cannot detect requests that run twice: with a
+// table that ignores checks, it must find some.
+func TestAtMostOnceCheckDetectsIgnoredConditions(t *testing.T) {
 	found := 0
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -151,29 +152,29 @@
 		})
 	}
 	if found == 0 {
-		t.Error("no request was found to have run twice")
+		t.Error("no request that ran twice was detected")
 	}
 }
 
 // runScenario returns an error if the request ran more than once or callers saw
 // different outcomes.
-func runScenario(t *testing.T, seed uint64, blind bool) error {
+func runScenario(t *testing.T, seed uint64, ignoreChecks bool) error {
 	random := rand.New(rand.NewPCG(seed, 2))
-	b := newBench(t, 3, seed)
-	b.table.blind = blind
-	b.table.set(random.Float64()/4, random.Float64()/2)
+	cl := newCluster(t, 3, seed)
+	cl.table.ignoresChecks = ignoreChecks
+	cl.table.setFaults(random.Float64()/4, random.Float64()/2)
 	crash := random.IntN(3) == 0
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	bodies := make(map[string]bool)
 	for i := range 6 {
-		c := b.claimers[random.IntN(len(b.claimers))]
+		c := cl.claimers[random.IntN(len(cl.claimers))]
 		delay := time.Duration(random.IntN(3000)) * time.Millisecond
 		wg.Go(func() {
 			time.Sleep(delay)
-			verdict, body := b.request(c, 5*time.Second, crash && i == 0)
+			verdict, body := cl.request(c, 5*time.Second, crash && i == 0)
 			if crash && i == 0 {
-				b.gone.Store(c.Self, true)
+				cl.gone.Store(c.Self, true)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -183,53 +184,53 @@
 		})
 	}
 	time.Sleep(time.Second)
-	b.table.down.Store(random.IntN(2) == 0)
+	cl.table.down.Store(random.IntN(2) == 0)
 	time.Sleep(time.Second)
-	b.table.down.Store(false)
+	cl.table.down.Store(false)
 	wg.Wait()
-	if runs := b.runs.Load(); runs > 1 || len(bodies) > 1 {
+	if runs := cl.runs.Load(); runs > 1 || len(bodies) > 1 {
 		return fmt.Errorf("seed %d: ran %d times, callers saw %v", seed, runs, bodies)
 	}
 	return nil
 }
 
-// Two requests with one key meet in one group of claims, because another claim
-// went just before them. Joined into one transaction both would pass the same
-// check.
-func TestSameKeyInOneGroup(t *testing.T) {
+// Guards against two claims on one key in one batch, which collects them because
+// another batch was committed just before: in one transaction both would pass the
+// same check.
+func TestSameKeyInOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 1, 1)
-		if err := b.claimers[0].Gather(t.Context(), tabler.Txn{Puts: []tabler.Put{{Key: "other"}}}); err != nil {
+		cl := newCluster(t, 1, 1)
+		if err := cl.claimers[0].Gather(t.Context(), tabler.Txn{Puts: []tabler.Put{{Key: "other"}}}); err != nil {
 			t.Fatal(err)
 		}
 		var wg sync.WaitGroup
 		for range 2 {
-			wg.Go(func() { b.request(b.claimers[0], time.Second, false) })
+			wg.Go(func() { cl.request(cl.claimers[0], time.Second, false) })
 		}
 		wg.Wait()
-		if runs := b.runs.Load(); runs != 1 {
+		if runs := cl.runs.Load(); runs != 1 {
 			t.Errorf("ran %d times, want 1", runs)
 		}
 	})
 }
 
-// The claim was written, its answer lost, and the store went down before it
-// could be read back. The caller is told not_run. When the store is back the
-// claim is withdrawn, and an honest second attempt runs instead of being told
-// may_have_run.
+// Guards against a claim that stays although its request was refused as not_run:
+// the response to the write was lost, and the store was down when the claim was
+// read back. Once the store is up, the claim must be withdrawn, so that a second
+// attempt runs instead of getting may_have_run.
 func TestRefusedClaimIsWithdrawn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t, 2, 1)
-		b.table.set(0, 1)
-		time.AfterFunc(3*time.Millisecond, func() { b.table.down.Store(true) })
-		verdict, _ := b.request(b.claimers[0], time.Second, false)
-		if verdict != judge.NotRun || b.runs.Load() != 0 {
-			t.Fatalf("first attempt: %s after %d runs", verdict, b.runs.Load())
+		cl := newCluster(t, 2, 1)
+		cl.table.setFaults(0, 1)
+		time.AfterFunc(3*time.Millisecond, func() { cl.table.down.Store(true) })
+		verdict, _ := cl.request(cl.claimers[0], time.Second, false)
+		if verdict != judge.NotRun || cl.runs.Load() != 0 {
+			t.Fatalf("first attempt: %s after %d runs", verdict, cl.runs.Load())
 		}
-		b.table.down.Store(false)
-		b.table.set(0, 0)
+		cl.table.down.Store(false)
+		cl.table.setFaults(0, 0)
 		time.Sleep(3 * time.Second)
-		if verdict, _ := b.request(b.claimers[1], time.Second, false); verdict != judge.Ran {
+		if verdict, _ := cl.request(cl.claimers[1], time.Second, false); verdict != judge.Ran {
 			t.Errorf("second attempt: %s, want ran", verdict)
 		}
 	})
@@ -249,11 +250,11 @@
 		gone  bool
 		want  claimer.Decision
 	}{
-		{"runs", claim, "r", false, claimer.Wait{}},
-		{"claimant gone", claim, "r", true, claimer.Doubt{}},
+		{"runs", claim, "r", false, claimer.InProgress{}},
+		{"claimant gone", claim, "r", true, claimer.Indeterminate{}},
 		{"ended", ended, "r", true, claimer.Replay{Claim: ended}},
-		{"ended without outcome", lost, "r", false, claimer.Doubt{}},
-		{"other request", ended, "x", false, claimer.Differ{}},
+		{"ended without outcome", lost, "r", false, claimer.Indeterminate{}},
+		{"other request", ended, "x", false, claimer.Mismatch{}},
 		{"expired", old, "r", false, claimer.Expired{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -265,8 +266,8 @@
 	}
 }
 
-func TestKeyKeepsAccountsApart(t *testing.T) {
+func TestKeyDiffersByAccount(t *testing.T) {
 	if claimer.Key("a", "bc") == claimer.Key("ab", "c") {
-		t.Error("keys of two accounts meet in one row")
+		t.Error("keys of two accounts have the same row key")
 	}
 }
