--- a/internal/member/elector/elector.go
+++ b/internal/member/elector/elector.go
@@ -1,84 +1,86 @@
-// Package elector decides which instance gives orders to the runners of a
-// failure domain.
+// Package elector elects the leader of a failure domain, the one instance that
+// sends orders to its runners.
 //
-// Runners may not check who orders them, so two instances that both believe to
-// be entitled would evict each other's adapters. One row in the table service
-// holds the tenure of a domain. Its holder renews it and trusts it for a lease
-// time, counted from before the renewal was sent, on a clock that runs on while
-// the process or its host stands still. Another instance takes the row over by
-// a conditional write when it has seen the same renewal for longer than that,
-// and then keeps still until the last order of the holder before must have
-// arrived.
+// Runners may not check the sender of an order, so two instances that both
+// consider themselves the leader would evict each other's adapters. One row in
+// the table service holds the lease of a domain. The leader renews the lease and
+// trusts each renewal for the lease duration, counted from before the renewal was
+// sent, on a clock that keeps running while the process or its host is paused.
+// Another instance that has observed no new renewal for longer than that takes
+// the lease over by a conditional write, and then sends no orders until the last
+// order of the previous leader must have arrived.
 package elector
 
 import "time"
 
-// A Tenure is the row of a failure domain.
+// A Tenure is the lease row of a failure domain.
 type Tenure struct {
-	Holder  string `cbor:"1,keyasint"` // ID of the instance
-	Address string `cbor:"2,keyasint"` // where peers reach it
-	Fence   uint64 `cbor:"3,keyasint"` // rises with each holder
-	Serial  uint64 `cbor:"4,keyasint"` // rises with each renewal
-	Settled bool   `cbor:"5,keyasint"` // the quiet time after the takeover had passed
+	Holder  string `cbor:"1,keyasint"` // ID of the leader; empty if the lease was released
+	Address string `cbor:"2,keyasint"` // of the leader, for its peers
+	Fence   uint64 `cbor:"3,keyasint"` // fencing token; increases with each takeover
+	Serial  uint64 `cbor:"4,keyasint"` // increases with each write
+	Settled bool   `cbor:"5,keyasint"` // the quiet period after the takeover had passed
 }
 
-// An Elector is one instance's view of one tenure. Its fields are set before
-// use; it is not safe for concurrent use. Times are readings of a clock that
-// counts suspends; only their differences matter.
+// An Elector is one instance's view of the lease of one failure domain. Its
+// exported fields are set before use; it is not safe for concurrent use. Times
+// are readings of a clock that includes the time while the host is suspended;
+// only their differences matter.
 type Elector struct {
 	Self    string
 	Address string
-	Lease   time.Duration // that a renewal is trusted for
-	Quiet   time.Duration // between the orders of two holders
-	Late    time.Duration // extra wait before a takeover, 0 for the instances of the domain itself
+	Lease   time.Duration // for which a renewal is trusted
+	Quiet   time.Duration // quiet period: minimum time between the orders of two leaders
+	Late    time.Duration // additional delay before a takeover; 0 for the instances of the domain itself
 
-	version uint64 // of the row as last read or written
+	version uint64 // of the row as last observed or written
 	row     Tenure
-	seen    time.Duration // when version was first seen
-	sent    time.Duration // when the renewal in force was sent; valid if held
-	held    bool
-	from    time.Duration // before which no order may be sent
-	known   bool
-	leaving bool
-	yielded time.Duration // when the tenure was given up to another instance
-	until   time.Duration // before which it is not taken again
-	ended   uint64        // fencing number of a tenure whose holder said that it has given it up
-	endedAt time.Duration // when it said so
-}
-
-// A Write is a conditional write of the row: Version is the one it must have.
+	seen    time.Duration // when version was first observed
+	sent    time.Duration // when the last successful renewal was sent; valid while leader
+	held    bool          // acquired the lease and has not lost or released it; it may have expired
+	from    time.Duration // before which no orders may be sent
+	known   bool // the row was observed, and no write failed and no Yield happened since
+	leaving bool // the instance is stopping
+	yielded time.Duration // when this instance stepped down in favor of another one
+	until   time.Duration // before which it does not take the lease over again
+	ended   uint64        // fencing token of a lease whose leader reported that it stepped down
+	endedAt time.Duration // when that report arrived
+}
+
+// A Write is a conditional write of the lease row: it takes effect only if the
+// row still has Version.
 type Write struct {
 	Version  uint64
 	Row      Tenure
 	Takeover bool
-	at       time.Duration
+	at       time.Duration // when the write was sent
 }
 
-// renewals is how many renewals fall into a lease, so that two that are lost in
-// a row do not end it.
+// renewals is how often the lease is renewed within its duration, so that two
+// lost renewals in a row do not end it.
 const renewals = 4
 
-// guard is the part of the lease by which an observer waits longer than the
-// holder trusts it. It covers clocks whose rates differ by a tenth, which is
-// far more than any real pair.
+// guard sets how much longer than the leader trusts its lease an observer waits:
+// the lease duration divided by guard. It allows for clocks whose rates differ by
+// a tenth, far more than real clocks do.
 const guard = 10
 
-// Acts reports whether orders may be sent at now, and the fencing number that
-// they carry.
+// Acts reports whether orders may be sent at now, and returns the fencing token
+// for them.
 func (e *Elector) Acts(now time.Duration) (uint64, bool) {
 	return e.row.Fence, e.Holds(now) && now >= e.from
 }
 
-// Holds reports whether the tenure can be trusted at now.
+// Holds reports whether this instance is the leader at now.
 func (e *Elector) Holds(now time.Duration) bool {
 	return e.held && now-e.sent < e.Lease
 }
 
-// Holder returns the row as last seen.
+// Holder returns the lease row as last observed.
 func (e *Elector) Holder() Tenure { return e.row }
 
-// Renewal returns the version that the renewal in force gave the row, and how
-// long ago it was sent; for a row of another instance, at the least.
+// Renewal returns the row version of the last renewal and the time since it was
+// sent; for the row of another leader, the minimum of that time.
 func (e *Elector) Renewal(now time.Duration) (version uint64, age time.Duration) {
 	if !e.held {
 		return e.version, now - e.seen
@@ -86,9 +88,10 @@
 	return e.version, now - e.sent
 }
 
-// Heard takes in the row as its holder told of it, with the version and the age
-// of its last renewal, so that others know without reading it when the tenure
-// ends. The way of the message makes it look younger than it is, never older.
+// Heard records the row that its leader published, with the version and the age
+// of its last renewal, so that other instances know when the lease expires without
+// reading the row. The network delay makes the renewal appear younger than it is,
+// never older.
 func (e *Elector) Heard(row Tenure, version uint64, age, now time.Duration) {
 	if e.held || version <= e.version {
 		return
@@ -99,17 +102,17 @@
 	e.seen = now - age
 }
 
-// Leave ends the tenure: no order is sent any more. If it was held, the write
-// that is returned frees the row, so that the next holder need not wait until
-// the renewal has run out, but for the quiet time only.
+// Leave steps down for good: no more orders are sent. If this instance was the
+// leader, the returned write releases the lease, so that the next leader waits
+// only for the quiet period and not for the lease to expire.
 func (e *Elector) Leave(now time.Duration) (w Write, held bool) {
 	e.leaving = true
 	return e.release(now)
 }
 
-// Yield gives the tenure up to another instance, and does not take it again for a
-// while: no order is sent any more. If it was held, the write that is returned frees
-// the row.
+// Yield steps down in favor of another instance: no more orders are sent, and the
+// lease is not taken over again before away has passed. If this instance was the
+// leader, the returned write releases the lease.
 func (e *Elector) Yield(now, away time.Duration) (w Write, held bool) {
 	e.yielded, e.until = now, now+away
 	w, held = e.release(now)
@@ -117,16 +120,16 @@
 	return w, held
 }
 
-// Ended takes in that the holder with a fencing number has given its tenure up: it
-// orders nothing more, whatever the row says. A holder that does not reach the table
-// service cannot free the row, but it may reach those who can take it.
+// Ended records that the leader with a fencing token has stepped down: it sends no
+// more orders, whatever the row says. A leader that cannot reach the table service
+// cannot release the lease, but it may reach instances that can take it over.
 func (e *Elector) Ended(fence uint64, now time.Duration) {
 	if !e.held && fence > e.ended {
 		e.ended, e.endedAt = fence, now
 	}
 }
 
-// over reports whether the tenure in the row is one that its holder has given up.
+// over reports whether the leader named in the row is known to have stepped down.
 func (e *Elector) over() bool { return e.ended > 0 && e.row.Fence == e.ended }
 
 func (e *Elector) release(now time.Duration) (w Write, held bool) {
@@ -138,13 +141,13 @@
 	return Write{Version: e.version, Row: row, at: now}, held
 }
 
-// Read takes in the row as read at now. A missing row has version 0.
+// Read records the row as read at now. A missing row has version 0.
 func (e *Elector) Read(row Tenure, version uint64, now time.Duration) {
 	if e.known && version == e.version {
 		return
 	}
 	if version < e.version {
-		return // an answer that was overtaken by a later one
+		return // a response that arrived after that of a later call
 	}
 	e.known = true
 	e.version = version
@@ -155,8 +158,8 @@
 	}
 }
 
-// Next returns the write that is due at now, if any: a renewal by the holder, a
-// takeover by another.
+// Next returns the write that is due at now, if any: a renewal if this instance is
+// the leader, else a takeover.
 func (e *Elector) Next(now time.Duration) (Write, bool) {
 	if e.leaving || !e.known || now < e.until {
 		return Write{}, false
@@ -173,9 +176,9 @@
 	return e.write(now, true), true
 }
 
-// free reports whether the tenure may be taken over. An instance that finds its
-// own name in the row has restarted: the process that wrote it is no more, and
-// the same host may go on at once.
+// free reports whether the lease may be taken over. An instance that finds its own
+// ID in the row has restarted: the process that wrote the row has terminated, so
+// the lease may be taken over at once.
 func (e *Elector) free(now time.Duration) bool {
 	if e.version == 0 || e.row.Holder == "" {
 		return now-e.seen >= e.Late
@@ -193,15 +196,14 @@
 	}
 	if takeover {
 		w.Row.Fence++
-		// Kept even if the answer is lost: the write may have taken effect.
+		// Set before the result is known: the write may take effect even if its response is lost.
 		e.from = max(e.from, e.start(w))
 	}
 	w.Row.Settled = now >= e.from
 	return w
 }
 
-// Written takes in a write that took effect, and the version that it gave the
-// row.
+// Written records that a write took effect, and the row version that it produced.
 func (e *Elector) Written(w Write, version uint64, now time.Duration) {
 	if version < e.version || e.leaving {
 		return
@@ -210,14 +212,14 @@
 	e.row = w.Row
 	e.seen = now
 	e.sent = w.at
-	e.held = w.at >= e.yielded // the answer to a renewal may come after the tenure was given up
+	e.held = w.at >= e.yielded // the response to a renewal may arrive after stepping down
 	e.known = true
 }
 
-// start returns from when on orders may be sent after a takeover: the holder
-// before may have sent its last order when the renewal that was seen ran out. A
-// process that restarted before the quiet time of its predecessor's takeover
-// had passed waits for it anew.
+// start returns when orders may first be sent after a takeover: the previous
+// leader may have sent its last order when the last observed renewal expired. A
+// process that restarted before the quiet period of its own earlier takeover had
+// passed waits for a full quiet period again.
 func (e *Elector) start(w Write) time.Duration {
 	switch {
 	case w.Version == 0, e.row.Holder == e.Self && e.row.Settled:
@@ -231,11 +233,11 @@
 	}
 }
 
-// Lost takes in a write whose condition did not hold, or whose answer was lost:
-// the row has to be read again.
+// Lost records that the condition of a write did not hold or that its response was
+// lost: the row has to be read again.
 func (e *Elector) Lost() {
 	e.known = false
 }
 
-// Stale reports whether the row has to be read before Next can say more.
+// Stale reports whether the row has to be read before Next returns a write.
 func (e *Elector) Stale() bool { return !e.known }
--- a/internal/member/elector/elector_test.go
+++ b/internal/member/elector/elector_test.go
@@ -30,7 +30,7 @@
 	// 1 false
 }
 
-func TestOwnNameInTheRowIsTakenAtOnceWithAHigherFence(t *testing.T) {
+func TestRestartedLeaderTakesOverAtOnceWithHigherFence(t *testing.T) {
 	e := newElector("a-1")
 	e.Read(elector.Tenure{Holder: "a-1", Fence: 7, Serial: 3, Settled: true}, 12, time.Second)
 	write, ok := e.Next(time.Second)
@@ -39,11 +39,11 @@
 	}
 	e.Written(write, 13, time.Second)
 	if fence, acts := e.Acts(time.Second); !acts || fence != 8 {
-		t.Errorf("acts = %v with %d, want at once with 8", acts, fence)
+		t.Errorf("Acts = %v with fence %d, want true with fence 8", acts, fence)
 	}
 }
 
-func TestNoTakeoverWhileTheRowIsRenewed(t *testing.T) {
+func TestNoTakeoverWhileLeaseIsRenewed(t *testing.T) {
 	e := newElector("a-2")
 	for i := range 20 {
 		now := time.Duration(i) * time.Second
@@ -54,60 +54,61 @@
 	}
 }
 
-func TestWhoLeavesWritesNothing(t *testing.T) {
+func TestNoWriteAfterLeave(t *testing.T) {
 	e := newElector("a-1")
 	e.Read(elector.Tenure{}, 0, 0)
 	write, _ := e.Next(0)
 	e.Written(write, 1, 0)
 	e.Leave(time.Second)
 	if _, acts := e.Acts(time.Second); acts {
-		t.Error("acts after leaving")
+		t.Error("may send orders after Leave")
 	}
 	if write, ok := e.Next(2 * time.Second); ok {
-		t.Errorf("wrote %+v after leaving", write)
+		t.Errorf("Next returned %+v after Leave", write)
 	}
 }
 
-// A holder gives its tenure up while the answer to a renewal is on its way. Taken for
-// a tenure that is held, it would order beside whoever takes the freed row.
-func TestWhoYieldsDoesNotHoldByALateAnswer(t *testing.T) {
+// A leader steps down while the response to a renewal is in flight. If that response
+// made it the leader again, it would send orders at the same time as the instance that
+// takes over the released lease.
+func TestLateRenewalResponseDoesNotUndoYield(t *testing.T) {
 	e := newElector("a-1")
 	e.Read(elector.Tenure{}, 0, 0)
 	w, _ := e.Next(0)
 	e.Written(w, 1, 0)
 	renewal, ok := e.Next(time.Second)
 	if !ok {
-		t.Fatal("no renewal; the test shows nothing")
+		t.Fatal("no renewal is due; the test needs one in flight")
 	}
 	if _, held := e.Yield(1100*time.Millisecond, 5*time.Second); !held {
-		t.Error("did not hold what it gave up")
+		t.Error("was not the leader before Yield")
 	}
 	e.Written(renewal, 2, 1200*time.Millisecond)
 	if _, acts := e.Acts(1300 * time.Millisecond); acts {
-		t.Error("orders after it has given up")
+		t.Error("may send orders after Yield")
 	}
 	e.Read(elector.Tenure{Fence: 1}, 3, 2*time.Second)
 	if _, ok := e.Next(3 * time.Second); ok {
-		t.Error("takes again at once what it gave up")
+		t.Error("takes the lease over again at once after Yield")
 	}
 	if _, ok := e.Next(7 * time.Second); !ok {
-		t.Error("never takes it again, though nobody else does")
+		t.Error("does not take the lease over again, though no other instance did")
 	}
 }
 
-// A holder that the table service turns away gives its tenure up and tells the others,
-// which reach the row. One of them takes it over at once, also where a renewal changed
-// the row since, and orders after the quiet time; else no adapter would be loaded until
-// the lease had run out.
-func TestTenureIsTakenOverOnceItsHolderSaysThatItHasEnded(t *testing.T) {
+// A leader that the table service rejects steps down and reports that to instances
+// that can reach the row. One of them takes over at once, also if a renewal has changed
+// the row since, and sends orders after the quiet period; otherwise no adapter would be
+// loaded until the lease had expired.
+func TestLeaseIsTakenOverOnceLeaderReportsItsEnd(t *testing.T) {
 	e := newElector("a-2")
 	e.Read(elector.Tenure{Holder: "a-1", Fence: 4}, 7, 0)
 	if _, ok := e.Next(time.Second); ok {
-		t.Fatal("takes over what is held")
+		t.Fatal("takes over a lease that is in force")
 	}
 	e.Ended(3, time.Second)
 	if _, ok := e.Next(time.Second); ok {
-		t.Error("takes an older tenure for the one in force")
+		t.Error("takes over the lease in force after the end of an older one")
 	}
 	e.Ended(4, time.Second)
 	e.Read(elector.Tenure{Holder: "a-1", Fence: 4, Serial: 1}, 8, time.Second)
@@ -117,28 +118,29 @@
 	}
 	e.Written(w, 9, time.Second)
 	if _, acts := e.Acts(time.Second + quiet - time.Millisecond); acts {
-		t.Error("orders within the quiet time")
+		t.Error("may send orders within the quiet period")
 	}
 	if _, acts := e.Acts(time.Second + quiet); !acts {
-		t.Error("does not order after the quiet time")
+		t.Error("may not send orders after the quiet period")
 	}
 }
 
-// Instances freeze, die, restart, lose answers, and read and write a row that
-// answers late. Two of them that order within the quiet time of each other
-// would evict each other's adapters: it must not happen, and somebody must hold
-// the tenure most of the time.
-func TestOrdersOfTwoHoldersNeverMeet(t *testing.T) {
+// Instances pause, crash, restart and lose responses, and the table service responds
+// late. Two instances that send orders within the quiet period of each other would
+// evict each other's adapters: that must not happen, and there must be a leader most
+// of the time.
+func TestOrdersOfTwoLeadersNeverOverlap(t *testing.T) {
 	playHolders(t, 0)
 }
 
-// The same, with holders that give their tenure up now and then, as they do when
-// they reach the store and not the runners.
-func TestOrdersOfTwoHoldersNeverMeetWhereSomeYield(t *testing.T) {
+// The same, with leaders that step down now and then, as they do when they reach the
+// store but not the runners.
+func TestOrdersOfTwoLeadersNeverOverlapAfterYield(t *testing.T) {
 	playHolders(t, 1000)
 }
 
-// playHolders plays holders that yield once in so many steps; never for 0.
+// playHolders simulates three instances. A leader steps down with a probability of 1 in
+// yields at each step; never if yields is 0.
 func playHolders(t *testing.T, yields int) {
 	for seed := range uint64(300) {
 		chance := rand.New(rand.NewPCG(seed, 3))
@@ -147,7 +149,7 @@
 		var version uint64
 		electors := []*elector.Elector{newElector("a"), newElector("b"), newElector("c")}
 		frozen := make([]time.Duration, len(electors))
-		cut := make([]time.Duration, len(electors)) // from the table service
+		cut := make([]time.Duration, len(electors)) // until when it is cut off from the table service
 		pending := make([]func(), len(electors))
 		last := -time.Hour
 		holder := ""
@@ -160,7 +162,7 @@
 				}
 				if rng.IntN(150) == 0 {
 					frozen[i] = now + time.Duration(rng.IntN(15))*time.Second
-					if rng.IntN(2) == 0 { // died: its memory is gone
+					if rng.IntN(2) == 0 { // crashed: its state is lost
 						electors[i] = newElector(e.Self)
 						pending[i] = nil
 					}
@@ -169,7 +171,7 @@
 				if rng.IntN(150) == 0 {
 					cut[i] = now + time.Duration(rng.IntN(15))*time.Second
 				}
-				if rng.IntN(200) == 0 { // a planned stop, and a start
+				if rng.IntN(200) == 0 { // planned restart
 					if w, held := e.Leave(now); held && w.Version == version {
 						version++
 						row = w.Row
@@ -189,16 +191,16 @@
 						other.Ended(given, now)
 					}
 				}
-				if answer := pending[i]; answer != nil { // arrives after the freeze
+				if answer := pending[i]; answer != nil { // arrives after the pause
 					pending[i] = nil
 					answer()
 				}
 				if f, acts := e.Acts(now); acts {
 					if holder != e.Self && now-last < quiet {
-						t.Fatalf("seed %d at %s: %s orders %s after %s", seed, now, e.Self, now-last, holder)
+						t.Fatalf("seed %d at %s: %s sends orders %s after %s", seed, now, e.Self, now-last, holder)
 					}
 					if f < fence || f == fence && holder != e.Self {
-						t.Fatalf("seed %d at %s: %s orders with fence %d after %d of %s", seed, now, e.Self, f, fence, holder)
+						t.Fatalf("seed %d at %s: %s sends orders with fence %d after fence %d of %s", seed, now, e.Self, f, fence, holder)
 					}
 					holder, last, fence = e.Self, now, f
 					orders++
@@ -229,7 +231,7 @@
 			}
 		}
 		if orders < 1000 {
-			t.Errorf("seed %d: only %d of 3000 steps had a holder that may order", seed, orders)
+			t.Errorf("seed %d: only %d of 3000 steps had a leader that may send orders", seed, orders)
 		}
 	}
 }
--- a/internal/member/gatherer/gatherer.go
+++ b/internal/member/gatherer/gatherer.go
@@ -1,10 +1,10 @@
-// Package gatherer sums up what the requests of many instances do at the runners
-// of a failure domain.
+// Package gatherer aggregates what the requests of many instances need and use at
+// the runners of a failure domain.
 //
-// Each instance tells it whole, again and again, so a word that is lost on the way
-// is made good by the next one, and an instance that falls silent is forgotten
-// after a while. The sums are kept and not counted anew: what an instance's word
-// costs does not depend on how many others there are.
+// Each instance repeatedly reports its complete state, so the next report makes up
+// for a lost one, and an instance that stops reporting is removed after a timeout.
+// The sums are updated incrementally: the cost of a report does not depend on the
+// number of instances.
 package gatherer
 
 import (
@@ -14,28 +14,28 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// A Gatherer holds the last word of each member. Its fields are set before use;
-// it is not safe for concurrent use.
+// A Gatherer holds the last report of each member and the sums over all of them.
+// Its exported fields are set before use; it is not safe for concurrent use.
 type Gatherer struct {
-	Freed  func(k Key)                     // is told when the last use of a copy has ended; may be nil
-	Silent time.Duration                   // after its last word a member counts no more
-	Waits  func(k Key, all placer.Waiting) // is told of all requests that wait for a copy, whenever a member tells of some; may be nil
+	Freed  func(k Key)                     // called when a report ends the last use of a copy; may be nil
+	Silent time.Duration                   // time since its last report after which a member is removed
+	Waits  func(k Key, all placer.Waiting) // called with the sum over all members whenever the waiting requests of one are set or removed; may be nil
 
-	instances int
+	instances int // sum over the members
 	loads     map[string]tracker.Load
 	members   map[string]*member
-	oldest    time.Time // no member was heard before
+	oldest    time.Time // no member's last report is older
 	uses      map[Key]int
 	waiting   map[Key]map[string]placer.Waiting // by member
 }
 
-// A member is who told a word.
+// A member is an instance that reports here, with its last report.
 type member struct {
 	heard time.Time
 	word  Word
 }
 
-// Tell takes in the word of a member, in place of its last one.
+// Tell replaces the last report of a member.
 func (g *Gatherer) Tell(from string, w Word, now time.Time) {
 	m := g.member(from, now)
 	m.heard = now
@@ -51,8 +51,8 @@
 	}
 }
 
-// Use counts a use that a member has begun. Its next word tells of all its uses,
-// this one included for as long as it lasts.
+// Use counts a use that a member has begun. The member's next report replaces the
+// count and includes this use for as long as it lasts.
 func (g *Gatherer) Use(by string, k Key, now time.Time) {
 	m := g.member(by, now)
 	if m.word.Uses == nil {
@@ -62,7 +62,7 @@
 	g.use(k, 1)
 }
 
-// Drop forgets a member.
+// Drop removes a member.
 func (g *Gatherer) Drop(id string) {
 	if m, ok := g.members[id]; ok {
 		g.replace(id, m, Word{})
@@ -70,15 +70,15 @@
 	}
 }
 
-// Clear forgets all members.
+// Clear removes all members.
 func (g *Gatherer) Clear() {
 	for id := range g.members {
 		g.Drop(id)
 	}
 }
 
-// Expire forgets the members that are silent. Without it the uses of an instance
-// that died would keep their places for good.
+// Expire removes the members that stopped reporting. Without it the uses of a
+// crashed instance would occupy their adapter slots for good.
 func (g *Gatherer) Expire(now time.Time) {
 	if now.Sub(g.oldest) <= g.Silent {
 		return
@@ -93,16 +93,16 @@
 	}
 }
 
-// Knows reports whether a member counts.
+// Knows reports whether id is a member.
 func (g *Gatherer) Knows(id string) bool {
 	_, ok := g.members[id]
 	return ok
 }
 
-// Instances returns how many instances the members speak for.
+// Instances returns the number of instances that the members report for.
 func (g *Gatherer) Instances() int { return g.instances }
 
-// Loads returns the work of all members but one.
+// Loads returns the load of each runner from all members but one.
 func (g *Gatherer) Loads(but string) map[string]tracker.Load {
 	var own map[string]tracker.Load
 	if m, ok := g.members[but]; ok {
@@ -117,10 +117,10 @@
 	return others
 }
 
-// Uses returns how many requests need a copy to stay.
+// Uses returns how many requests use a copy, which must not be evicted meanwhile.
 func (g *Gatherer) Uses(k Key) int { return g.uses[k] }
 
-// Word returns the sum of the words of all members.
+// Word returns the sum of the reports of all members.
 func (g *Gatherer) Word() Word {
 	w := Word{Instances: g.instances, Loads: g.Loads(""), Uses: make(map[Key]int, len(g.uses)), Waits: make(map[Key]placer.Waiting, len(g.waiting))}
 	for k, n := range g.uses {
@@ -145,7 +145,7 @@
 	return m
 }
 
-// replace puts a word in place of a member's last one.
+// replace replaces a member's last report and updates the sums.
 func (g *Gatherer) replace(id string, m *member, w Word) {
 	before := m.word
 	m.word = w
@@ -219,7 +219,7 @@
 	}
 }
 
-// all sums up the requests that wait for a copy, over the members that have some.
+// all returns the sum over all members of the requests that wait for a copy.
 func (g *Gatherer) all(k Key) placer.Waiting {
 	all := placer.Waiting{Priority: placer.Spare}
 	for _, waiting := range g.waiting[k] {
--- a/internal/member/gatherer/gatherer_test.go
+++ b/internal/member/gatherer/gatherer_test.go
@@ -28,9 +28,9 @@
 	g.Tell("front-1", gatherer.Word{Instances: 1, Uses: map[gatherer.Key]int{hot: 2}}, begun)
 	g.Tell("front-2", gatherer.Word{Instances: 1, Uses: map[gatherer.Key]int{hot: 1}}, begun)
 	fmt.Println(g.Uses(hot))
-	g.Tell("front-1", gatherer.Word{Instances: 1}, begun) // whole: its uses have ended
+	g.Tell("front-1", gatherer.Word{Instances: 1}, begun) // complete: its uses have ended
 	fmt.Println(g.Uses(hot))
-	g.Expire(begun.Add(silent + time.Second)) // nobody has said anything since
+	g.Expire(begun.Add(silent + time.Second)) // no reports since
 	fmt.Println(g.Uses(hot), g.Instances())
 	// Output:
 	// 3
@@ -38,10 +38,10 @@
 	// 0 0
 }
 
-// Callers wait for a copy at two instances. What the placer is told must be all of
-// them, whoever spoke last: told of one instance's only, it gave the place to a copy
-// for which fewer waited.
-func TestWaitsOfAllAreTold(t *testing.T) {
+// Requests wait for a copy at two instances. The placer must receive the sum of both,
+// whichever reported last: given the requests of one instance only, it gave the adapter
+// slot to a copy for which fewer requests waited.
+func TestWaitingRequestsOfAllMembersAreSummed(t *testing.T) {
 	told := make(map[gatherer.Key]placer.Waiting)
 	g := gatherer.Gatherer{Silent: silent, Waits: func(k gatherer.Key, all placer.Waiting) { told[k] = all }}
 	waits := func(priority, requests, inTime int) gatherer.Word {
@@ -50,22 +50,22 @@
 	g.Tell("front-1", waits(1, 2, 1), begun)
 	g.Tell("front-2", waits(0, 3, 2), begun)
 	if diff := cmp.Diff(placer.Waiting{Priority: 0, Requests: 5, InTime: 3}, told[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
-		t.Error("both wait:", diff)
+		t.Error("requests of both wait:", diff)
 	}
 	g.Tell("front-2", gatherer.Word{}, begun)
 	if diff := cmp.Diff(placer.Waiting{Priority: 1, Requests: 2, InTime: 1}, told[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
-		t.Error("the urgent ones have gone:", diff)
+		t.Error("after the urgent requests ended:", diff)
 	}
 	g.Drop("front-1")
 	if told[hot].Requests != 0 {
-		t.Errorf("%d wait after all have gone", told[hot].Requests)
+		t.Errorf("%d requests wait after all have ended", told[hot].Requests)
 	}
 }
 
-// Copies are in line at a runner and the last request that used another one there
-// has ended. Whoever passes words on has to hear of that end as such, or the place
-// stays taken until the next word.
-func TestTheLastEndOfAUseIsTold(t *testing.T) {
+// Copies are queued for a runner and the last request that used another copy there has
+// ended. An instance that relays reports must be notified of that, or the adapter slot
+// stays occupied until the next report.
+func TestFreedIsCalledWhenLastUseEnds(t *testing.T) {
 	var freed []gatherer.Key
 	g := gatherer.Gatherer{Silent: silent, Freed: func(k gatherer.Key) { freed = append(freed, k) }}
 	uses := func(n int) gatherer.Word { return gatherer.Word{Uses: map[gatherer.Key]int{hot: n, cold: 1}} }
@@ -74,7 +74,7 @@
 	g.Tell("front-1", uses(1), begun)
 	g.Tell("front-2", gatherer.Word{Uses: map[gatherer.Key]int{cold: 1}}, begun)
 	if len(freed) > 0 {
-		t.Errorf("told that %v are free, which are in use", freed)
+		t.Errorf("Freed was called for %v, which are in use", freed)
 	}
 	g.Tell("front-1", gatherer.Word{Uses: map[gatherer.Key]int{cold: 1}}, begun)
 	if diff := cmp.Diff([]gatherer.Key{hot}, freed); diff != "" {
@@ -82,10 +82,11 @@
 	}
 }
 
-// Instances speak, fall silent, come back and leave in any order. The sums that are
-// kept must be those that counting anew gives: a rest that stays would keep a place
-// for good, one that is missing would give up a copy in use.
-func TestSumsAreThoseOfTheLastWords(t *testing.T) {
+// Instances report, stop reporting, return and leave in any order. The incremental sums
+// must equal those computed from the last reports: with a sum that is too large an
+// adapter slot would stay occupied for good, with one that is too small a copy in use
+// would be evicted.
+func TestSumsMatchLastReports(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { playWords(t, rand.New(rand.NewPCG(seed, seed))) })
 	}
@@ -150,8 +151,7 @@
 	return w
 }
 
-// What one word costs, beside that of 30 to 1,000 members: it must not depend on how
-// many there are.
+// The cost of one report with 30 to 1,000 members; it must not depend on their number.
 func BenchmarkTell(b *testing.B) {
 	for _, members := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprint("members=", members), func(b *testing.B) {
--- a/internal/member/gatherer/word.go
+++ b/internal/member/gatherer/word.go
@@ -5,22 +5,23 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// A Key is a copy at a runner.
+// A Key identifies a copy at a runner.
 type Key struct {
 	Runner string
 	Copy   placer.Copy
 }
 
-// A Word is what the requests of one or several instances do at the runners of a
-// failure domain. It is whole: what it does not name is not so any more.
+// A Word is a report of what the requests of one or several instances need and use
+// at the runners of a failure domain. It is complete: an entry that it lacks has
+// ended.
 type Word struct {
-	Instances int                     // that it speaks for
-	Loads     map[string]tracker.Load // work by runner
-	Uses      map[Key]int             // requests that need a copy to stay
+	Instances int                     // that it covers
+	Loads     map[string]tracker.Load // by runner
+	Uses      map[Key]int             // number of requests that use a copy, which must not be evicted
 	Waits     map[Key]placer.Waiting  // requests that wait for a copy
 }
 
-// Add adds another word to this one.
+// Add adds another report to this one.
 func (w *Word) Add(other Word) {
 	w.Instances += other.Instances
 	if w.Loads == nil {
--- a/internal/member/heartbeater/doc.go
+++ b/internal/member/heartbeater/doc.go
@@ -1,11 +1,12 @@
-// Package heartbeater decides which instances are alive.
+// Package heartbeater tracks which instances are alive.
 //
-// The platform's list lags, heartbeats between the instances of a domain do
-// not. A Monitor joins the two: silence makes an instance suspect, which only
-// keeps new work from it; nothing is taken over on suspicion alone. An instance
-// is gone, meaning that its process runs no more, only when the list has been
-// without it for a while and it has been silent as long. Leaving sticks to the
-// incarnation that said it, however late the list is.
+// The platform's instance list lags behind, heartbeats between the instances of a
+// domain do not. A Monitor combines the two: missing heartbeats make an instance
+// suspect, which only keeps new work from it; nothing is taken over on suspicion
+// alone. An instance counts as gone, meaning that its process has terminated, only
+// when it has been missing from the list and sent no heartbeats for a time limit.
+// An incarnation that reported that it is leaving stays so, however far the list
+// lags behind.
 //
 // A Monitor is plain state and not safe for concurrent use.
 package heartbeater
--- a/internal/member/heartbeater/monitor.go
+++ b/internal/member/heartbeater/monitor.go
@@ -15,32 +15,32 @@
 	Leaving     bool   `cbor:"5,keyasint"`
 }
 
-// A Health is what is believed of an instance.
+// A Health is the state of an instance as far as heartbeats show.
 type Health string
 
-// The healths.
+// The values of Health.
 const (
 	Live    Health = "live"
-	Leaving Health = "leaving" // runs, takes no new work
-	Suspect Health = "suspect" // silent; takes no new work until heard again
-	Unknown Health = "unknown" // never heard
+	Leaving Health = "leaving" // running, accepts no new work
+	Suspect Health = "suspect" // heartbeats missing; gets no new work until the next one
+	Unknown Health = "unknown" // no heartbeat received yet
 )
 
-// A Monitor holds what is known of the other instances. Silence and Patience
-// are set before use.
+// A Monitor holds the state of the other instances. Silence and Patience are set
+// before use.
 type Monitor struct {
-	Silence  time.Duration // after which an instance is suspect
-	Patience time.Duration // for which list and instance must be silent before it is gone
+	Silence  time.Duration // time without a heartbeat after which an instance is suspect
+	Patience time.Duration // time without a heartbeat and off the list after which an instance is gone
 
-	listed map[string]bool // incarnations on the last list
+	listed map[string]bool // incarnations on the last list read
 	read   time.Time       // when the last list was read
 	peers  map[string]*peer
 }
 
 type peer struct {
 	instance Instance
-	absent   time.Time // first list read without it
-	heard    time.Time
+	absent   time.Time // since when it has been missing from the list; zero if it is not
+	heard    time.Time // last heartbeat
 }
 
 // Beat records a heartbeat.
@@ -50,8 +50,8 @@
 	p.absent = time.Time{}
 }
 
-// Gone reports whether the incarnation's process runs no more. An incarnation
-// that was never listed or heard counts from the first question on.
+// Gone reports whether the incarnation's process has terminated. The time limit of
+// an incarnation that was never listed nor sent a heartbeat starts at the first call.
 func (m *Monitor) Gone(incarnation string, now time.Time) bool {
 	p := m.peer(Instance{Incarnation: incarnation})
 	if m.read.IsZero() || m.listed[incarnation] {
@@ -63,7 +63,7 @@
 	return now.Sub(p.absent) >= m.Patience && now.Sub(p.heard) >= m.Patience
 }
 
-// Health returns what is believed of an incarnation.
+// Health returns the health of an incarnation.
 func (m *Monitor) Health(incarnation string, now time.Time) Health {
 	p, ok := m.peers[incarnation]
 	switch {
@@ -78,8 +78,8 @@
 	}
 }
 
-// Instance returns the instance with the incarnation if it is listed or was
-// heard lately.
+// Instance returns the instance with the incarnation if it is listed or sent a
+// heartbeat within Patience.
 func (m *Monitor) Instance(incarnation string, now time.Time) (Instance, bool) {
 	p, ok := m.peers[incarnation]
 	if !ok || p.instance.ID == "" {
@@ -89,8 +89,8 @@
 	return p.instance, known
 }
 
-// Instances returns every instance that is listed or was heard lately, sorted
-// by ID and incarnation.
+// Instances returns every instance that is listed or sent a heartbeat within
+// Patience, sorted by ID and incarnation.
 func (m *Monitor) Instances(now time.Time) []Instance {
 	var instances []Instance
 	for incarnation := range m.peers {
@@ -107,8 +107,8 @@
 	return instances
 }
 
-// List takes in the platform's list as read at now and forgets the peers that
-// are gone.
+// List records the platform's list as read at now and removes peers that have been
+// gone for long.
 func (m *Monitor) List(instances []Instance, now time.Time) {
 	m.listed = make(map[string]bool, len(instances))
 	m.read = now
@@ -121,8 +121,8 @@
 	}
 }
 
-// forgetAfter is how many times Patience a gone peer is remembered, so that a
-// late question about it is still answered.
+// forgetAfter is how many times Patience a gone peer is kept, so that late queries
+// about it still get the right result.
 const forgetAfter = 20
 
 func (m *Monitor) forget(incarnation string, now time.Time) {
@@ -134,9 +134,8 @@
 	}
 }
 
-// peer returns the record of an instance and merges what i adds. Leaving is
-// never taken back: a list that lags would bring new work to a leaving
-// instance.
+// peer returns the record of an instance, updated from i. Leaving is never reset:
+// a list that lags behind would send new work to a leaving instance.
 func (m *Monitor) peer(i Instance) *peer {
 	if m.peers == nil {
 		m.peers = make(map[string]*peer)
--- a/internal/member/heartbeater/monitor_test.go
+++ b/internal/member/heartbeater/monitor_test.go
@@ -27,10 +27,10 @@
 		after time.Duration
 		want  heartbeater.Health
 	}{
-		{"never heard", func(*heartbeater.Monitor) {}, 0, heartbeater.Unknown},
+		{"no heartbeat", func(*heartbeater.Monitor) {}, 0, heartbeater.Unknown},
 		{"listed only", func(m *heartbeater.Monitor) { m.List([]heartbeater.Instance{a}, start) }, 0, heartbeater.Unknown},
-		{"heard", func(m *heartbeater.Monitor) { m.Beat(a, start) }, time.Second, heartbeater.Live},
-		{"silent", func(m *heartbeater.Monitor) { m.Beat(a, start) }, 4 * time.Second, heartbeater.Suspect},
+		{"heartbeat", func(m *heartbeater.Monitor) { m.Beat(a, start) }, time.Second, heartbeater.Live},
+		{"heartbeats missing", func(m *heartbeater.Monitor) { m.Beat(a, start) }, 4 * time.Second, heartbeater.Suspect},
 		{"leaving", func(m *heartbeater.Monitor) { m.Beat(leaving, start) }, 0, heartbeater.Leaving},
 		{"list lags behind leaving", func(m *heartbeater.Monitor) {
 			m.Beat(leaving, start)
@@ -49,25 +49,25 @@
 	}
 }
 
-// A process that is cut off is silent to its peers, yet it may still send what
-// it had ready. Only the list without it, for long enough, says that it runs no
-// more; a list that never came says nothing.
-func TestGoneNeedsListAndSilence(t *testing.T) {
+// A partitioned process sends no heartbeats to its peers, yet it may still send
+// requests and orders. Only its absence from the list for long enough shows that it has
+// terminated; as long as no list was read, nothing shows it.
+func TestGoneNeedsListAndMissingHeartbeats(t *testing.T) {
 	m := newMonitor()
 	m.Beat(a, start)
 	if m.Gone("a-1", start.Add(time.Hour)) {
-		t.Error("gone without a list")
+		t.Error("gone before any list was read")
 	}
 	m.List(nil, start.Add(time.Hour))
 	if m.Gone("a-1", start.Add(time.Hour+time.Second)) {
-		t.Error("gone at the first list without it")
+		t.Error("gone as soon as the list lacks it")
 	}
 	m.List(nil, start.Add(time.Hour+11*time.Second))
 	if !m.Gone("a-1", start.Add(time.Hour+11*time.Second)) {
-		t.Error("not gone after list and silence")
+		t.Error("not gone though off the list and without heartbeats for the time limit")
 	}
 	m.Beat(a, start.Add(2*time.Hour))
 	if m.Gone("a-1", start.Add(2*time.Hour)) {
-		t.Error("gone although it was heard again")
+		t.Error("gone although it sent a heartbeat again")
 	}
 }
--- a/internal/member/leaser/holder.go
+++ b/internal/member/leaser/holder.go
@@ -29,28 +29,29 @@
 	eventRenewed = "renewed"
 )
 
-// renewals is how often a lease is renewed within its time, so that two lost
-// renewals in a row do not cost the lease.
+// renewals is how often a lease is renewed within its duration, so that two lost
+// renewals in a row do not end it.
 const renewals = 4
 
-// driftDivisor is the part of the lease time by which an observer waits longer
-// than a holder trusts its lease. It covers clocks that run at rates up to a
-// tenth apart, which is far more than any real pair.
+// driftDivisor sets how much longer than a holder trusts its lease an observer
+// waits: the lease duration divided by driftDivisor. It allows for clocks whose
+// rates differ by a tenth, far more than real clocks do.
 const driftDivisor = 10
 
-// epochShift is the place of the epoch in a fencing number. The low bits count
-// how often a rightful owner had to go past a number that the engine had seen.
+// epochShift is the position of the epoch in a fencing token. The lower bits count
+// how often the legitimate owner had to exceed a token that the engine had
+// already accepted.
 const epochShift = 16
 
 // A Holder is one instance's view of its failure domain's roster and of its own
-// lease. Self and Time are set before use.
+// lease in it. Self and Time are set before use.
 type Holder struct {
 	Self Member
-	Time time.Duration // lease time
+	Time time.Duration // lease duration
 
-	adopted  map[string]uint64 // incarnation to roster epoch
-	deadline time.Time         // until when the own lease is trusted
-	gained   map[string]uint64 // owned runner to epoch of the gain
+	adopted  map[string]uint64 // roster epoch by incarnation
+	deadline time.Time         // until which this instance's lease is trusted
+	gained   map[string]uint64 // epoch in which each owned runner was gained
 	machine  *interpreter.Machine
 	next     time.Time // when the next renewal is due
 	ranking  ranking
@@ -60,14 +61,14 @@
 	serial   uint64
 }
 
-// A sighting is the last change seen in another member's lease row.
+// A sighting is the last change observed in another member's lease row.
 type sighting struct {
 	serial uint64
-	first  time.Time // when the serial was first seen
+	first  time.Time // when the serial was first observed
 }
 
-// Acts reports whether this instance may order on the runner as its owner, and
-// the fencing number to order with.
+// Acts reports whether this instance may send orders to the runner as its owner,
+// and returns the fencing token for them.
 func (h *Holder) Acts(runner string, now time.Time) (uint64, bool) {
 	gain, owned := h.gained[runner]
 	if !owned || !h.Valid(now) || !h.settled(gain) {
@@ -76,7 +77,7 @@
 	return gain << epochShift, true
 }
 
-// Adopted records the roster epoch that another member says it has adopted.
+// Adopted records the roster epoch that a member reports to have adopted.
 func (h *Holder) Adopted(incarnation string, epoch uint64) {
 	h.init()
 	h.adopted[incarnation] = max(h.adopted[incarnation], epoch)
@@ -88,7 +89,7 @@
 // Leave makes the next Tick propose a roster without this instance.
 func (h *Holder) Leave() {
 	h.init()
-	_ = h.machine.Fire(eventLeave) // leaving twice changes nothing
+	_ = h.machine.Fire(eventLeave) // a second Leave has no effect
 }
 
 // Left reports whether this instance is off the roster for good.
@@ -97,7 +98,7 @@
 	return h.machine.State == stateLeft
 }
 
-// Observe takes in the domain's lease rows as read at now.
+// Observe records the domain's lease rows as read at now.
 func (h *Holder) Observe(leases []Lease, now time.Time) {
 	h.init()
 	for _, l := range leases {
@@ -109,8 +110,8 @@
 	}
 }
 
-// Owned returns the runners that the roster gives to this instance, sorted,
-// whether or not it may act on them yet.
+// Owned returns the runners that the roster assigns to this instance, sorted,
+// whether or not it may send orders to them yet.
 func (h *Holder) Owned() []string {
 	var owned []string
 	for _, r := range h.runners {
@@ -126,14 +127,14 @@
 	return h.ranking.owner(runner)
 }
 
-// Owns reports whether the roster gives the runner to this instance.
+// Owns reports whether the roster assigns the runner to this instance.
 func (h *Holder) Owns(runner string) bool {
 	_, ok := h.gained[runner]
 	return ok
 }
 
 // Parties returns the incarnations that may have used a runner before: every
-// other member and all that have departed without being cleared.
+// other member, and all departed ones not yet known to have terminated.
 func (h *Holder) Parties() []string {
 	var parties []string
 	for _, m := range h.roster.Members {
@@ -144,8 +145,8 @@
 	return append(parties, h.roster.Departed...)
 }
 
-// Removed records that a renewal was refused because the row is gone: another
-// member took this instance off the roster.
+// Removed records that a renewal failed because the lease row no longer exists:
+// another member removed this instance from the roster.
 func (h *Holder) Removed() {
 	h.init()
 	_ = h.machine.Fire(eventRemoved)
@@ -153,11 +154,11 @@
 	h.gained = make(map[string]uint64)
 }
 
-// Renewed records that the renewal that was sent at asked has taken effect.
-// The lease is trusted from the sending on, because the row may have been
-// written that early.
+// Renewed records that the renewal sent at asked has taken effect. The lease
+// duration is counted from the sending, because the row may have been written as
+// early as that.
 func (h *Holder) Renewed(asked time.Time) {
-	_ = h.machine.Fire(eventRenewed) // a late answer after removal changes nothing
+	_ = h.machine.Fire(eventRenewed) // a late response after removal has no effect
 	if h.machine.State == stateHeld || h.machine.State == stateLeaving {
 		h.deadline = asked.Add(h.Time)
 	}
@@ -166,8 +167,8 @@
 // Roster returns the adopted roster.
 func (h *Holder) Roster() Roster { return h.roster }
 
-// See takes in a roster that was read from the table service or told by a
-// peer. An older one changes nothing.
+// See adopts a roster that was read from the table service or received from a
+// peer. An older one has no effect.
 func (h *Holder) See(r Roster, now time.Time) {
 	h.init()
 	if r.Epoch <= h.roster.Epoch {
@@ -185,11 +186,11 @@
 	if h.machine.State == stateOutside {
 		_ = h.machine.Fire(eventJoined)
 	}
-	h.next = now // tells the others at once what was adopted
+	h.next = now // report the adopted epoch to the others at once
 	h.regain()
 }
 
-// SetRunners names the runners of the domain. They change with the settings.
+// SetRunners sets the runners of the domain. They change with the settings.
 func (h *Holder) SetRunners(runners []string) {
 	h.init()
 	h.runners = slices.Clone(runners)
@@ -197,8 +198,8 @@
 	h.regain()
 }
 
-// Tick returns what is due at now. The table service is the judge of all of
-// it; a proposal that lost a race changes nothing.
+// Tick returns the actions due at now. The conditions of their transactions decide
+// whether they take effect; a proposal that lost a race has none.
 func (h *Holder) Tick(now time.Time, gone func(incarnation string) bool) []Action {
 	h.init()
 	if h.machine.State == stateHeld && !now.Before(h.deadline) && !h.deadline.IsZero() {
@@ -222,14 +223,14 @@
 	return actions
 }
 
-// Valid reports whether the lease can be trusted at now.
+// Valid reports whether this instance's lease can be trusted at now.
 func (h *Holder) Valid(now time.Time) bool {
 	return h.machine != nil && h.machine.State == stateHeld && now.Before(h.deadline)
 }
 
-// cleanUp proposes a roster without the members that stopped renewing and
-// without the departed that no longer run. Only a member with a lease that it
-// can trust may propose: one that was paused itself has old sightings.
+// cleanUp proposes a roster without the members that stopped renewing and without
+// the departed incarnations that have terminated. Only a member whose own lease is
+// valid may propose: the observations of one that was paused are outdated.
 func (h *Holder) cleanUp(now time.Time, gone func(string) bool) (Propose, bool) {
 	if !h.Valid(now) {
 		return Propose{}, false
@@ -252,8 +253,8 @@
 	return Propose{Roster: next, Drop: drop}, true
 }
 
-// expired returns the members whose lease row has not changed for a lease time
-// and the drift allowance, by this instance's clock.
+// expired returns the members whose lease row has not changed for the lease
+// duration and the drift allowance, by this instance's clock.
 func (h *Holder) expired(now time.Time) []Member {
 	var expired []Member
 	for _, m := range h.roster.Members {
@@ -272,8 +273,8 @@
 	return expired
 }
 
-// first reports whether this instance is the first member that has not
-// expired. One proposer is enough for what is not urgent.
+// first reports whether this instance is the first member whose lease has not
+// expired. One proposer suffices for what is not urgent.
 func (h *Holder) first(expired []Member) bool {
 	for _, m := range h.roster.Members {
 		if !slices.Contains(expired, m) {
@@ -300,11 +301,10 @@
 	return Propose{Roster: next, Lease: lease}
 }
 
-// regain works out anew which runners are owned and since which epoch. A
-// runner that stays from one epoch to the next keeps the epoch of its gain.
-// Over a skipped epoch nothing is kept: the runner may have been another
-// member's in between, and adopting the later epoch told that member that it
-// may act.
+// regain recomputes which runners are owned and since which epoch. A runner that
+// is owned from one epoch to the next keeps the epoch of its gain. After a skipped
+// epoch none is kept: another member may have owned the runner in between, and this
+// instance's adoption of the later epoch allows that member to send orders.
 func (h *Holder) regain() {
 	gained := make(map[string]uint64, len(h.gained))
 	for _, runner := range h.runners {
@@ -326,8 +326,8 @@
 	return Renew{Lease: Lease{Incarnation: h.Self.Incarnation, Serial: h.serial, Epoch: h.roster.Epoch}}
 }
 
-// seeAbsent handles a roster that this instance is not on: before it has
-// joined, after it was removed, or after it has left.
+// seeAbsent handles a roster without this instance: before it has joined, after it
+// was removed, or after it has left.
 func (h *Holder) seeAbsent() {
 	if h.machine.State != stateOutside {
 		h.Removed()
@@ -335,7 +335,7 @@
 }
 
 // settled reports whether every other member has adopted the epoch, and so has
-// given up what it owned before.
+// released the runners that it owned before.
 func (h *Holder) settled(epoch uint64) bool {
 	for _, m := range h.roster.Members {
 		if m.Incarnation != h.Self.Incarnation && h.adopted[m.Incarnation] < epoch {
--- a/internal/member/leaser/holder_test.go
+++ b/internal/member/leaser/holder_test.go
@@ -14,13 +14,13 @@
 	"github.com/sardinetiller/sardinetiller/internal/member/leaser"
 )
 
-// faults are the safeguards that a test of the test takes out.
+// faults disables safeguards, for tests that the check for a single owner can fail.
 type faults struct{ lieAboutAdoption bool }
 
 const leaseTime = 10 * time.Second
 
-// A world is a table service and the holders of one failure domain on one
-// clock. Nothing is told to a holder except by the steps.
+// A world simulates a table service and the holders of one failure domain on one
+// clock. Holders receive information only through the steps.
 type world struct {
 	faults  faults
 	holders []*leaser.Holder
@@ -42,8 +42,8 @@
 	return w
 }
 
-// apply carries an action out in the table. The holder learns of it only if
-// answered is true, as when an answer is lost after the write.
+// apply executes an action in the table. The holder receives the response only if
+// answered is true; otherwise the response is lost after the write.
 func (w *world) apply(h *leaser.Holder, action leaser.Action, answered bool) {
 	switch a := action.(type) {
 	case leaser.Renew:
@@ -92,7 +92,7 @@
 	}
 }
 
-// read gives a holder what the table holds now.
+// read has a holder read the current contents of the table.
 func (w *world) read(h *leaser.Holder) {
 	h.See(w.roster, w.now)
 	var leases []leaser.Lease
@@ -105,7 +105,7 @@
 	h.Observe(leases, w.now)
 }
 
-// actors returns who would order on the runner at this moment.
+// actors returns the instances that may send orders to the runner now.
 func (w *world) actors(runner string) []string {
 	var actors []string
 	for _, h := range w.holders {
@@ -116,8 +116,8 @@
 	return actors
 }
 
-// step is one random event: time passes, one holder ticks and its transactions
-// are carried out, or lost before or after the write, or one holder reads.
+// step runs one random event: time passes, a holder reads, or a holder ticks and its
+// transactions are executed or lost before or after the write.
 func (w *world) step(t *rapid.T) {
 	h := rapid.SampledFrom(w.holders).Draw(t, "holder")
 	switch rapid.SampledFrom([]string{"pass", "tick", "read"}).Draw(t, "event") {
@@ -135,11 +135,11 @@
 	}
 }
 
-// sole is the promise: at no moment do two instances order on one runner.
+// sole checks the invariant that at most one instance may send orders to a runner.
 func (w *world) sole() error {
 	for _, runner := range w.runners {
 		if actors := w.actors(runner); len(actors) > 1 {
-			return fmt.Errorf("%s has the owners %v at epoch %d", runner, actors, w.roster.Epoch)
+			return fmt.Errorf("runner %s has the active owners %v at epoch %d", runner, actors, w.roster.Epoch)
 		}
 	}
 	return nil
@@ -147,11 +147,11 @@
 
 var steps = flag.Int("steps", 150, "steps of each random run")
 
-// Three instances join, renew, pause and are removed while answers of the
-// table service are lost. A paused instance may wake at any moment and believe
-// in what it knew. At no moment may two of them order on one runner, or one
-// could evict what the other serves.
-func TestOneWriterPerRunner(t *testing.T) {
+// Three instances join, renew, pause and are removed while responses of the table
+// service are lost. A paused instance may resume at any time with outdated state. No
+// two instances may send orders to one runner at the same time, or one could evict
+// adapters that the other serves.
+func TestAtMostOneActiveOwnerPerRunner(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(3, faults{})
 		for range *steps {
@@ -163,20 +163,21 @@
 	})
 }
 
-// Without the wait for the others' adoption the check above must fail: a
-// joining member and the old owner would both act.
-func TestOneWriterCheckSeesMissingSafeguard(t *testing.T) {
+// Without the wait until the other members have adopted the epoch the check above must
+// fail: a joining member and the previous owner would both send orders.
+func TestActiveOwnerCheckDetectsMissingSafeguard(t *testing.T) {
 	w := newWorld(2, faults{lieAboutAdoption: true})
 	settle(w, w.holders[0])
 	settle(w, w.holders[1])
 	if err := w.sole(); err == nil {
-		t.Error("two owners were not reported")
+		t.Error("two active owners of one runner were not reported")
 	}
 }
 
-// A member renewed unseen while an observer was paused. The observer wakes and
-// believes the row stood still; its proposal must fail on the row's condition.
-func TestUnseenRenewalIsNotDropped(t *testing.T) {
+// A member renews its lease while another one is paused. On resuming, the paused member
+// considers the lease expired and proposes to remove the member; the transaction must
+// fail because the row has changed.
+func TestMemberWithUnobservedRenewalIsNotRemoved(t *testing.T) {
 	w := newWorld(2, faults{})
 	for range 2 {
 		settle(w, w.holders[0])
@@ -193,11 +194,11 @@
 		w.apply(observer, action, true)
 	}
 	if _, on := w.roster.Member(renewed.Self.Incarnation); !on {
-		t.Error("a member that renewed was taken off the roster")
+		t.Error("a member that renewed its lease was removed from the roster")
 	}
 }
 
-// settle lets one holder tick and read until it holds its lease.
+// settle has one holder read and tick until it holds its lease.
 func settle(w *world, h *leaser.Holder) {
 	for range 3 {
 		w.read(h)
@@ -208,7 +209,7 @@
 	w.read(h)
 }
 
-func TestJoinGivesRunnersToBoth(t *testing.T) {
+func TestRunnersAreSharedAfterJoin(t *testing.T) {
 	w := newWorld(2, faults{})
 	for range 2 {
 		settle(w, w.holders[0])
@@ -224,15 +225,15 @@
 	}
 	for _, runner := range w.runners {
 		if len(w.actors(runner)) != 1 {
-			t.Errorf("%s has actors %v, want one", runner, w.actors(runner))
+			t.Errorf("runner %s has active owners %v, want one", runner, w.actors(runner))
 		}
 	}
 }
 
-// An instance is killed. The other sees its row stand still for a lease time,
-// takes it off the roster and acts on all runners with a higher fencing number;
-// the dead incarnation stays listed as departed until it is known to be gone.
-func TestDeadMemberIsReplaced(t *testing.T) {
+// An instance is killed. The other observes no renewal for a lease duration, removes it
+// from the roster and owns all runners in a later epoch; the killed incarnation stays
+// listed as departed until it is known to have terminated.
+func TestCrashedMemberIsReplaced(t *testing.T) {
 	w := newWorld(2, faults{})
 	for range 2 {
 		settle(w, w.holders[0])
@@ -257,11 +258,11 @@
 		}
 	}
 	if _, ok := survivor.Acts(runner, w.now); !ok || w.roster.Epoch <= before {
-		t.Errorf("survivor acts = %v at epoch %d", ok, w.roster.Epoch)
+		t.Errorf("survivor may send orders = %v at epoch %d", ok, w.roster.Epoch)
 	}
 }
 
-func TestDepartedIsForgottenOnceGone(t *testing.T) {
+func TestDepartedIncarnationIsRemovedOnceGone(t *testing.T) {
 	w := newWorld(1, faults{})
 	w.roster = leaser.Roster{Epoch: 7, Departed: []string{"old-1"}}
 	h := w.holders[0]
@@ -274,7 +275,7 @@
 	}
 }
 
-func TestEveryTransitionIsTaken(t *testing.T) { walker.Walk(t, leaser.Chart) }
+func TestChartTransitions(t *testing.T) { walker.Walk(t, leaser.Chart) }
 
 func BenchmarkSee(b *testing.B) {
 	for _, n := range []int{75, 150, 300} {
--- a/internal/member/leaser/roster.go
+++ b/internal/member/leaser/roster.go
@@ -7,22 +7,22 @@
 	rendezvous "github.com/dgryski/go-rendezvous"
 )
 
-// A Member is one instance on a roster. An instance that restarts comes back
-// with the same ID and another Incarnation.
+// A Member is one instance on a roster. After a restart an instance has the same ID
+// and another Incarnation.
 type Member struct {
 	ID          string `cbor:"1,keyasint"`
 	Incarnation string `cbor:"2,keyasint"`
 }
 
-// A Roster is the membership of a failure domain that all owners agree on.
+// A Roster is the agreed membership of a failure domain.
 type Roster struct {
 	Epoch    uint64   `cbor:"1,keyasint"`
 	Members  []Member `cbor:"2,keyasint"` // sorted by ID
 	Departed []string `cbor:"3,keyasint"` // incarnations that may still send requests or orders
 }
 
-// With returns the next roster, in which m is a member and no longer departed.
-// An earlier incarnation of the same instance departs.
+// With returns the next roster, in which m is a member and not departed. A previous
+// incarnation of the same instance becomes departed.
 func (r Roster) With(m Member) Roster {
 	next := r.Without(m.ID)
 	next.Members = append(next.Members, m)
@@ -36,7 +36,7 @@
 	return next
 }
 
-// Without returns the next roster, in which the named instances have departed.
+// Without returns the next roster, in which the members with the IDs have departed.
 func (r Roster) Without(ids ...string) Roster {
 	next := Roster{Epoch: r.Epoch + 1, Departed: slices.Clone(r.Departed)}
 	for _, m := range r.Members {
@@ -65,7 +65,8 @@
 	return owner, ok
 }
 
-// A ranking answers Owner for many runners without hashing the members anew.
+// A ranking computes the owners of many runners without hashing the members again
+// for each.
 type ranking struct {
 	members map[string]Member
 	table   *rendezvous.Rendezvous
