--- a/internal/member/elector/elector.go
+++ b/internal/member/elector/elector.go
@@ -39,8 +39,8 @@
 	sent    time.Duration // when the last successful renewal was sent; valid while leader
 	held    bool          // acquired the lease and has not lost or released it; it may have expired
 	from    time.Duration // before which no orders may be sent
-	known   bool // the row was observed, and no write failed and no Yield happened since
-	leaving bool // the instance is stopping
+	known   bool          // the row was observed, and no write failed and no Yield happened since
+	leaving bool          // the instance is stopping
 	yielded time.Duration // when this instance stepped down in favor of another one
 	until   time.Duration // before which it does not take the lease over again
 	ended   uint64        // fencing token of a lease whose leader reported that it stepped down
--- a/internal/member/relayer/conversation.go
+++ b/internal/member/relayer/conversation.go
@@ -9,8 +9,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/streamer"
 )
 
-// window is how many messages of an answer may be under way. Half of it is
-// granted anew at a time.
+// window is how many messages of an answer may be in flight. Credit is granted in
+// steps of half a window.
 const window = 64
 
 // A Conversation is the opener's side of one exchange.
@@ -25,20 +25,20 @@
 	taken int
 
 	once sync.Once
-	gone chan struct{} // closed when the link failed
+	gone chan struct{} // closed when the link failed or a message was lost
 }
 
-// Close ends the conversation. If the answer has not ended the peer is told to
-// stop.
+// Close ends the conversation. If the answer has not ended it is canceled at the
+// peer.
 func (c *Conversation) Close() {
 	c.mesh.drop(c)
 	if !c.ended {
-		_ = c.link.send(c.id, 0, Cancel{}) // a failed link has ended it already
+		_ = c.link.send(c.id, 0, Cancel{}) // a failed link has already ended the answer
 	}
 }
 
-// Next returns the next message of the answer: an End is the last. A Fail, a
-// failed link and an ended ctx are errors.
+// Next returns the next message of the answer, of which an End is the last. It
+// returns an error for a Fail, a failed link and an ended ctx.
 func (c *Conversation) Next(ctx context.Context) (Message, error) {
 	select {
 	case m := <-c.parts:
@@ -55,13 +55,13 @@
 	}
 }
 
-// fail wakes the opener after a link failure.
+// fail makes Next return an error once the received messages are consumed.
 func (c *Conversation) fail() {
 	c.once.Do(func() { close(c.gone) })
 }
 
-// receive hands a message of the answer to the opener. A late or doubled one is
-// dropped; after a gap the answer cannot be whole.
+// receive queues a message of the answer for the opener. A late or duplicate one is
+// dropped; after a gap the answer cannot be complete.
 func (c *Conversation) receive(number uint32, m Message) {
 	switch c.order.Accept(number) {
 	case streamer.Stale:
@@ -74,7 +74,7 @@
 	}
 	select {
 	case c.parts <- m:
-	default: // the peer sent more than it was granted
+	default: // the peer exceeded its credit
 		c.mesh.gaps.Add(1)
 		c.fail()
 	}
@@ -83,7 +83,7 @@
 func (c *Conversation) take(m Message) (Message, error) {
 	c.taken++
 	if c.taken%(window/2) == 0 {
-		_ = c.link.send(c.id, 0, Grant{Parts: window / 2}) // a failed link shows at the next message
+		_ = c.link.send(c.id, 0, Grant{Parts: window / 2}) // a failed link makes a later Next fail
 	}
 	if fail, failed := m.(Fail); failed {
 		c.ended = true
@@ -93,7 +93,7 @@
 	return m, nil
 }
 
-// ends reports whether a message is the last of an answer.
+// ends reports whether m ends an answer.
 func ends(m Message) bool {
 	switch m.(type) {
 	case End, Reserved, Settled:
@@ -122,8 +122,8 @@
 	return r
 }
 
-// Send sends one message of the answer. It waits while the opener has granted
-// none and fails when the opener wants no more.
+// Send sends one message of the answer. It blocks while there is no credit and fails
+// once the opener has closed the conversation.
 func (r *Reply) Send(m Message) error {
 	select {
 	case <-r.credit:
@@ -136,14 +136,14 @@
 	return r.link.send(r.id, r.number, m)
 }
 
-// Finish sends a message that ends the answer by itself.
+// Finish sends a message that ends the answer without an End.
 func (r *Reply) Finish(m Message) error {
 	r.finished = true
 	r.number++
 	return r.link.send(r.id, r.number, m)
 }
 
-// end sends the last message, which needs no grant.
+// end sends the last message, which needs no credit.
 func (r *Reply) end(err error) {
 	if r.finished {
 		r.cancel()
@@ -154,7 +154,7 @@
 	if err != nil {
 		last = failOf(err)
 	}
-	_ = r.link.send(r.id, r.number, last) // a failed link tells the opener by itself
+	_ = r.link.send(r.id, r.number, last) // a failed link ends the conversation at the opener, too
 	r.cancel()
 }
 
@@ -162,7 +162,7 @@
 	for range parts {
 		select {
 		case r.credit <- struct{}{}:
-		default: // an opener cannot grant more than there is room for
+		default: // credit beyond the capacity is ignored
 		}
 	}
 }
--- a/internal/member/relayer/gateway.go
+++ b/internal/member/relayer/gateway.go
@@ -9,117 +9,118 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// The messages between the members of a failure domain and the instance that gives
-// orders to its runners.
+// The messages between the members of a failure domain and its leader, which sends
+// orders to the runners.
 
-// A Demand tells the instance that orders for a failure domain, or the one through
-// which the sender is told of it, what the sender's requests need and use there. It
-// stands alone.
+// A Demand reports what the sender's requests need and use in a failure domain, to its
+// leader or to the instance that relays the leader's updates to the sender. It has no
+// answer.
 type Demand struct {
 	Domain  string                  `cbor:"5,keyasint"`
-	Others  int                     `cbor:"10,keyasint,omitempty"` // instances that it speaks for beside the sender
-	Parted  bool                    `cbor:"11,keyasint,omitempty"` // the sender tells somebody else from now on; the rest says nothing
-	Loads   map[string]tracker.Load `cbor:"1,keyasint,omitempty"`  // the sender's work on each runner, all that have some
-	Short   int                     `cbor:"8,keyasint,omitempty"`  // answers that had only short pauses
-	Long    int                     `cbor:"9,keyasint,omitempty"`  // that had a long one
-	Missing []Need                  `cbor:"2,keyasint,omitempty"`  // refused for want of the copy
-	There   []Need                  `cbor:"6,keyasint,omitempty"`  // used, and known to be there
-	Spare   []Need                  `cbor:"7,keyasint,omitempty"`  // of use to those that come later; nobody waits
+	Others  int                     `cbor:"10,keyasint,omitempty"` // instances that it covers besides the sender
+	Parted  bool                    `cbor:"11,keyasint,omitempty"` // the sender reports to another instance from now on; no other field but Domain is set
+	Loads   map[string]tracker.Load `cbor:"1,keyasint,omitempty"`  // the sender's load on each runner, all that have any
+	Short   int                     `cbor:"8,keyasint,omitempty"`  // responses with only short gaps between events
+	Long    int                     `cbor:"9,keyasint,omitempty"`  // responses with a long gap
+	Missing []Need                  `cbor:"2,keyasint,omitempty"`  // copies for lack of which a runner refused requests
+	There   []Need                  `cbor:"6,keyasint,omitempty"`  // copies that requests found resident
+	Spare   []Need                  `cbor:"7,keyasint,omitempty"`  // copies that would help later requests; none waits for them
 	Uses    []Need                  `cbor:"3,keyasint,omitempty"`  // all copies that requests use now
 	Waits   []Wait                  `cbor:"4,keyasint,omitempty"`  // all copies that requests wait for now
 }
 
-// Crashes tells whoever tells the sender of others which requests the sender saw crash
-// runners, or run whole since. It stands alone, and is told again until the receiver
-// tells it back.
+// Crashes reports the requests during which the sender observed that runners crashed,
+// and those that have completed since, to the instance that publishes the crash reports
+// of others to the sender. It has no answer and is sent again until the receiver
+// publishes the reports back.
 type Crashes struct {
 	Words []quarantiner.Word `cbor:"1,keyasint"`
 }
 
-// A Reserve asks the instance that orders for a failure domain for room at
-// one of its runners.
+// A Reserve asks the leader of a failure domain for prefill capacity at one of its
+// runners.
 type Reserve struct {
 	_      struct{} `cbor:",toarray"`
-	By     string   // who tells the receiver of the sender's uses; empty for the sender itself
+	By     string   // instance that reports the sender's uses to the receiver; empty for the sender itself
 	Domain string
 	Runner string
-	Copy   placer.Copy   // that the request uses
-	Tokens int           // of the prompt
-	Pause  time.Duration // between events that its runs bear
-	Within time.Duration // in which the prompt has to be read
+	Copy   placer.Copy   // copy that the request uses
+	Tokens int           // length of the prompt
+	Pause  time.Duration // maximum gap between events that the requests running there tolerate
+	Within time.Duration // time limit for the prefill of the prompt
 }
 
-// A Reserved answers a Reserve and ends the answer.
+// A Reserved answers a Reserve and ends the conversation.
 type Reserved struct {
 	_       struct{}      `cbor:",toarray"`
-	Absent  bool          // the runner does not hold the copy any more; the rest says nothing
-	Wait    time.Duration // before the request is sent
-	Reading time.Duration // that the runner still reads, this prompt included
+	Absent  bool          // the runner no longer holds the copy; the other fields are not set
+	Wait    time.Duration // delay before the request may be sent
+	Reading time.Duration // prefill backlog of the runner, this prompt included
 }
 
-// A Subscribe asks for the News of a failure domain, of whoever orders for it or for
+// A Subscribe asks for the News of a failure domain. The receiver leads that domain or
 // another one.
 type Subscribe struct {
 	Domain  string            `cbor:"1,keyasint"`
-	Passes  bool              `cbor:"2,keyasint,omitempty"` // the sender passes the news on
-	Crashes bool              `cbor:"4,keyasint,omitempty"` // requests that crash runners are to be told of
-	Tables  map[string]uint64 `cbor:"3,keyasint,omitempty"` // tables of the store to be told of, and up to which version the sender knows them
+	Passes  bool              `cbor:"2,keyasint,omitempty"` // the sender relays the updates
+	Crashes bool              `cbor:"4,keyasint,omitempty"` // crash reports are to be included
+	Tables  map[string]uint64 `cbor:"3,keyasint,omitempty"` // store tables to include, each with the version up to which the sender knows it
 }
 
-// News answers a Subscribe, again and again: what has changed since the
-// last one. Without a change it is a heartbeat.
+// News is an update about a failure domain. A Subscribe is answered with a stream of
+// them, each with the changes since the last one; without a change it is a heartbeat.
 type News struct {
-	Acting   bool                    `cbor:"7,keyasint,omitempty"` // orders are given now
-	Age      time.Duration           `cbor:"8,keyasint,omitempty"` // since the renewal in force was sent
-	Renewal  uint64                  `cbor:"9,keyasint,omitempty"` // version that it gave the row of the tenure
+	Acting   bool                    `cbor:"7,keyasint,omitempty"` // the leader may send orders now
+	Age      time.Duration           `cbor:"8,keyasint,omitempty"` // since the last renewal of the lease was sent
+	Renewal  uint64                  `cbor:"9,keyasint,omitempty"` // version of the lease row from that renewal
 	Tenure   elector.Tenure          `cbor:"10,keyasint"`
-	Ended    uint64                  `cbor:"20,keyasint,omitempty"` // fencing number of the tenure that the sender has given up; the last word of it
+	Ended    uint64                  `cbor:"20,keyasint,omitempty"` // fencing token of the lease from which the sender stepped down; in its last update
 	Fresh    bool                    `cbor:"11,keyasint,omitempty"` // the runners are as in the store a moment ago
-	From     string                  `cbor:"-"`                     // instance that told it; set by the receiver
-	Crashes  []quarantiner.Word      `cbor:"21,keyasint,omitempty"` // that are news
+	From     string                  `cbor:"-"`                     // instance that sent it; set by the receiver
+	Crashes  []quarantiner.Word      `cbor:"21,keyasint,omitempty"` // new crash reports
 	Gone     []Gone                  `cbor:"1,keyasint,omitempty"`
 	Held     []Held                  `cbor:"2,keyasint,omitempty"`
-	Loaded   bool                    `cbor:"13,keyasint,omitempty"` // Loads are told; else they are as before
-	Loads    map[string]tracker.Load `cbor:"3,keyasint,omitempty"`  // other instances' work on the domain's runners
-	Rooms    []Room                  `cbor:"14,keyasint,omitempty"` // that changed
-	Line     time.Duration           `cbor:"12,keyasint,omitempty"` // until an adapter that is asked for now begins to load
-	Silence  time.Duration           `cbor:"16,keyasint,omitempty"` // since the last word of who orders there; zero from that instance itself
-	Operator Known                   `cbor:"15,keyasint,omitzero"`  // what the sender knows of the operator's rows
-	Tables   []Table                 `cbor:"17,keyasint,omitempty"` // that were asked for
-	Load     time.Duration           `cbor:"18,keyasint,omitempty"` // that an adapter takes from the weight store
-	Return   time.Duration           `cbor:"19,keyasint,omitempty"` // that one takes which the runner held before
-	Members  int                     `cbor:"4,keyasint"`            // instances that subscribe, the sender included
-	Runners  []tracker.Runner        `cbor:"5,keyasint,omitempty"`  // described anew
-	Checksum uint64                  `cbor:"23,keyasint,omitempty"` // checksum of the runners that the sender knows
-	Reached  Span                    `cbor:"24,keyasint,omitzero"`  // over which the store was reached without a break, up to the sender's last call
-	Revision uint64                  `cbor:"22,keyasint,omitempty"` // revision of the store up to which the sender has read the runners' table itself
-	Whole    bool                    `cbor:"6,keyasint,omitempty"`  // Runners and Held are all there are
-}
-
-// A Span is a span of time, by how long ago it began and ended.
+	Loaded   bool                    `cbor:"13,keyasint,omitempty"` // Loads and Members are set; otherwise they are unchanged
+	Loads    map[string]tracker.Load `cbor:"3,keyasint,omitempty"`  // load of other instances on the domain's runners
+	Rooms    []Room                  `cbor:"14,keyasint,omitempty"` // changed since the last update
+	Line     time.Duration           `cbor:"12,keyasint,omitempty"` // until an adapter requested now begins to load
+	Silence  time.Duration           `cbor:"16,keyasint,omitempty"` // since the last update from the leader; zero from the leader itself
+	Operator Known                   `cbor:"15,keyasint,omitzero"`  // how far the sender knows the operator's table
+	Tables   []Table                 `cbor:"17,keyasint,omitempty"` // tables named in the Subscribe
+	Load     time.Duration           `cbor:"18,keyasint,omitempty"` // time to load an adapter from the weight store
+	Return   time.Duration           `cbor:"19,keyasint,omitempty"` // time to load an adapter that the runner held before
+	Members  int                     `cbor:"4,keyasint"`            // number of subscribed instances, the sender included
+	Runners  []tracker.Runner        `cbor:"5,keyasint,omitempty"`  // new or changed descriptions
+	Checksum uint64                  `cbor:"23,keyasint,omitempty"` // of the runners that the sender knows
+	Reached  Span                    `cbor:"24,keyasint,omitzero"`  // in which the store was reachable without interruption, up to the sender's last call
+	Revision uint64                  `cbor:"22,keyasint,omitempty"` // of the store, up to which the sender itself has read the table of runners
+	Whole    bool                    `cbor:"6,keyasint,omitempty"`  // snapshot: Runners and Held are complete
+}
+
+// A Span is a period of time, given by how long ago it began and ended.
 type Span struct {
 	_     struct{} `cbor:",toarray"`
 	First time.Duration
 	Last  time.Duration
 }
 
-// A Known says how far the sender knows a table of the store by calls of its own.
+// A Known states how far the sender knows a table of the store by its own calls.
 type Known struct {
 	_      struct{}      `cbor:",toarray"`
 	Newest uint64        // version of the newest row
-	Age    time.Duration // since a call showed that there is no newer one
+	Age    time.Duration // since a call that showed that there is no newer one
 }
 
-// A Table is what the sender knows of a table of the store beyond what it has told.
+// A Table holds the changes of a table of the store that the sender has not yet sent.
 type Table struct {
 	Name   string        `cbor:"1,keyasint"`
-	Rows   []Row         `cbor:"2,keyasint,omitempty"` // after the version that the receiver knew, in order of version
-	UpTo   uint64        `cbor:"3,keyasint"`           // the receiver knows the table up to this version now
-	Newest uint64        `cbor:"4,keyasint"`           // version of the newest row that anybody has told of
-	Age    time.Duration `cbor:"5,keyasint"`           // since a call to the store showed that UpTo is current
+	Rows   []Row         `cbor:"2,keyasint,omitempty"` // newer than the version known to the receiver, in order of version
+	UpTo   uint64        `cbor:"3,keyasint"`           // version up to which the receiver knows the table with these rows
+	Newest uint64        `cbor:"4,keyasint"`           // version of the newest row that any instance has reported
+	Age    time.Duration `cbor:"5,keyasint"`           // since a call to the store that showed that UpTo is current
 }
 
-// A Row is a row of the store on its way between instances.
+// A Row is a row of the store in a message.
 type Row struct {
 	Key     string `cbor:"1,keyasint"`
 	Value   []byte `cbor:"2,keyasint"`
@@ -128,15 +129,15 @@
 	Version uint64 `cbor:"5,keyasint"`
 }
 
-// Urgent reports whether the receiver is to look at once whether orders are due.
+// Urgent reports whether the receiver must check at once whether orders are due.
 func (d Demand) Urgent() bool { return len(d.Waits) > 0 || len(d.Missing) > 0 || len(d.Spare) > 0 }
 
-// Empty reports whether the sender needs and uses nothing.
+// Empty reports whether the sender neither needs nor uses anything.
 func (d Demand) Empty() bool {
 	return len(d.Loads)+len(d.Missing)+len(d.There)+len(d.Spare)+len(d.Uses)+len(d.Waits)+d.Short+d.Long == 0
 }
 
-// A Wait is the requests that wait for a copy at a runner.
+// A Wait counts the requests that wait for a copy at a runner.
 type Wait struct {
 	_       struct{} `cbor:",toarray"`
 	Runner  string
@@ -144,25 +145,27 @@
 	Waiting placer.Waiting
 }
 
-// A Room says how long a copy that a runner does not hold waits there for a place.
+// A Room states how long a copy that a runner does not hold would wait there for a free
+// adapter slot.
 type Room struct {
 	_      struct{} `cbor:",toarray"`
 	Runner string
 	Wait   time.Duration
 }
 
-// A Need is a copy at a runner.
+// A Need is a copy at a runner that requests need or use.
 type Need struct {
 	_        struct{} `cbor:",toarray"`
 	Runner   string
 	Copy     placer.Copy
-	Requests int           // that found it there
+	Requests int           // number of requests that use it or found it resident
 	Ago      time.Duration // since the first of them was sent
 }
 
-// A Held says how copies of a model stand at a runner. The names of both are told
-// once for all of them: with a hundred bytes a copy, the news of all that the runners
-// of six domains hold took two seconds to 35 instances over a link of 20 Mbit/s.
+// A Held is the state of the copies of a model at a runner. The names of both are sent
+// once for all copies: with a hundred bytes a copy, the snapshot of all copies at the
+// runners of six domains took two seconds to reach 35 instances over a link of
+// 20 Mbit/s.
 type Held struct {
 	_      struct{} `cbor:",toarray"`
 	Runner string
@@ -170,20 +173,20 @@
 	Copies []Stand
 }
 
-// A Stand says how one copy stands.
+// A Stand is the state of one copy.
 type Stand struct {
 	_       struct{} `cbor:",toarray"`
 	Adapter string
 	Version int
-	In      time.Duration // until it can be used; negative: it is not there
+	In      time.Duration // until it can be used; negative if it is not resident
 }
 
-// Copy returns the copy that a Stand is of.
+// Copy returns the copy whose state s is.
 func (h Held) Copy(s Stand) placer.Copy {
 	return placer.Copy{Model: h.Model, Adapter: s.Adapter, Version: s.Version}
 }
 
-// AddHeld adds how a copy stands at a runner.
+// AddHeld adds the state of a copy at a runner, which can be used after in.
 func (n *News) AddHeld(runner string, c placer.Copy, in time.Duration) {
 	s := Stand{Adapter: c.Adapter, Version: c.Version, In: in}
 	for i := range n.Held {
@@ -195,7 +198,7 @@
 	n.Held = append(n.Held, Held{Runner: runner, Model: c.Model, Copies: []Stand{s}})
 }
 
-// A Gone is a runner that is no more, with the last revision of its description.
+// A Gone is a removed runner, with the last revision of its description.
 type Gone struct {
 	_        struct{} `cbor:",toarray"`
 	Runner   string
--- a/internal/member/relayer/link.go
+++ b/internal/member/relayer/link.go
@@ -9,22 +9,22 @@
 	"github.com/fasthttp/websocket"
 )
 
-// A link is one WebSocket connection. Frames are written by one goroutine from
-// a bounded queue, so that a peer that stands still blocks nobody who speaks.
+// A link is one WebSocket connection. Frames are written by one goroutine from a
+// bounded queue, so that a stalled peer does not block the senders.
 type link struct {
 	conn *websocket.Conn
 	out  chan []byte
-	sent *atomic.Int64 // bytes, for the control budget
+	sent *atomic.Int64 // bytes written, over all links of the mesh
 
 	close  sync.Once
 	closed chan struct{}
-	ended  chan struct{} // closed when nothing is written any more
+	ended  chan struct{} // closed when the writer has returned
 }
 
 const (
-	outgoing     = 1024             // frames that may wait for a slow peer
-	writeTimeout = 5 * time.Second  // after which a peer that takes nothing is given up
-	readTimeout  = 30 * time.Second // on links that peers dialled, where heartbeats come
+	outgoing     = 1024             // capacity of the queue, in frames
+	writeTimeout = 5 * time.Second  // after which the link to a peer that reads nothing is closed
+	readTimeout  = 30 * time.Second // on links that peers dialed, which carry heartbeats
 	frameLimit   = 16 << 20         // bytes
 )
 
@@ -40,7 +40,7 @@
 	return l
 }
 
-// expect bounds the wait for the next frame.
+// expect limits the wait for the next frame.
 func (l *link) expect() {
 	_ = l.conn.SetReadDeadline(time.Now().Add(readTimeout)) // fails only on a closed connection
 }
@@ -54,7 +54,7 @@
 	return decodeFrame(data)
 }
 
-// send queues a message. An error means that it was not sent.
+// send queues a message. After an error it is certain that it was not sent.
 func (l *link) send(conversation uint64, number uint32, m Message) error {
 	data, err := encodeFrame(conversation, number, m)
 	if err != nil {
@@ -81,9 +81,9 @@
 	})
 }
 
-// end shuts the link and waits until nothing is written to it any more. Whoever
-// gives the connection back to the library has to: it hands its buffers to the
-// next connection, and two that write into the same one end the process.
+// end closes the link and waits until its writer has returned. This is required
+// before the connection is returned to the library, which reuses its buffers for the
+// next connection: two concurrent writers to one buffer crash the process.
 func (l *link) end() {
 	l.shut()
 	<-l.ended
--- a/internal/member/relayer/mesh.go
+++ b/internal/member/relayer/mesh.go
@@ -16,74 +16,74 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// Path is where an instance takes links.
+// Path is the path at which an instance accepts links.
 const Path = "/peer"
 
-// A Handler answers what peers ask.
+// A Handler handles the messages of peers.
 type Handler interface {
-	// Answer answers a message that opens a conversation. What it returns ends
-	// the answer.
+	// Answer answers a message that opens a conversation. Its return ends the answer,
+	// with a Fail if there is an error.
 	Answer(ctx context.Context, from heartbeater.Instance, m Message, reply *Reply) error
-	// Heard takes in a heartbeat.
+	// Heard handles a heartbeat.
 	Heard(from heartbeater.Instance, beat Beat)
 }
 
-// A Demander takes in what peers need, where an instance orders for them.
+// A Demander is a Handler that also handles the demand reports of peers.
 type Demander interface {
-	// Demanded takes in a Demand.
+	// Demanded handles a Demand.
 	Demanded(from heartbeater.Instance, d Demand)
 }
 
-// A Suspecter takes in the crashes of runners that peers saw.
+// A Suspecter is a Handler that also handles the crash reports of peers.
 type Suspecter interface {
-	// HeardCrashes takes in Crashes.
+	// HeardCrashes handles Crashes.
 	HeardCrashes(from heartbeater.Instance, c Crashes)
 }
 
-// A Mesh holds the links of one instance. Its fields are set before use.
+// A Mesh holds the links of one instance. Its exported fields are set before use.
 type Mesh struct {
 	Handler Handler
 	Secret  func() string               // shared by all instances; may change
-	Self    func() heartbeater.Instance // this instance as it is now
-	TLS     *tls.Config                 // for links that are dialled; nil for none
+	Self    func() heartbeater.Instance // current description of this instance
+	TLS     *tls.Config                 // for outgoing links; nil for no TLS
 
-	bytes atomic.Int64 // sent
-	gaps  atomic.Int64
-	stale atomic.Int64
+	bytes atomic.Int64 // written
+	gaps  atomic.Int64 // answers that lost a message
+	stale atomic.Int64 // messages that came late or twice
 
 	mu    sync.Mutex
 	links map[string]*dialled // by address
 	next  uint64
 }
 
-// A dialled link and the conversations open on it.
+// A dialled link is one that this instance dialed, with the conversations open on it.
 type dialled struct {
 	*link
-	heard         atomic.Pointer[time.Time] // when the last frame came, or the link was made
+	heard         atomic.Pointer[time.Time] // when the last frame was received or the link was established
 	conversations map[uint64]*Conversation
 }
 
-// dialTimeout bounds how long a link takes to be made.
+// dialTimeout limits the time to establish a link.
 const dialTimeout = time.Second
 
-// Bytes returns how many bytes of frames were sent.
+// Bytes returns how many bytes of frames were written.
 func (m *Mesh) Bytes() int64 { return m.bytes.Load() }
 
-// Dropped returns how many messages of answers came late or twice, and how many
+// Dropped returns how many messages of answers arrived late or twice, and how many
 // answers had a gap.
 func (m *Mesh) Dropped() (stale, gaps int64) { return m.stale.Load(), m.gaps.Load() }
 
-// Cut ends the link to an address. It is called when the peer falls silent: the
-// network may keep a dead connection open for a long time, and whoever waits on
-// it would wait as long.
+// Cut closes the link to an address. It is called when the peer stops responding: the
+// network may keep a dead connection open for a long time, and conversations would
+// hang as long.
 func (m *Mesh) Cut(address string) {
 	if l, ok := m.link(address); ok {
 		m.lost(address, l)
 	}
 }
 
-// CutSilent ends the link to an address, unless a frame came over it within a time:
-// a peer that gives answers lives, also when its heartbeats are late.
+// CutSilent closes the link to an address unless a frame was received over it within a
+// time: a peer that sends answers is alive even if its heartbeats are late.
 func (m *Mesh) CutSilent(address string, within time.Duration, now time.Time) {
 	if l, ok := m.link(address); ok && now.Sub(*l.heard.Load()) >= within {
 		m.lost(address, l)
@@ -97,7 +97,7 @@
 	return l, ok
 }
 
-// Open begins a conversation. If it returns an error the peer has not seen the
+// Open begins a conversation. If it returns an error the peer has not received the
 // message.
 func (m *Mesh) Open(ctx context.Context, address string, message Message) (*Conversation, error) {
 	l, err := m.dial(ctx, address)
@@ -116,7 +116,7 @@
 	return c, nil
 }
 
-// Serve takes a link from a peer that knows the secret.
+// Serve accepts a link from a peer that sends the secret.
 func (m *Mesh) Serve(c *fasthttp.RequestCtx) {
 	given := string(c.Request.Header.Peek(fasthttp.HeaderAuthorization))
 	if subtle.ConstantTimeCompare([]byte(given), []byte(bearer(m.Secret()))) != 1 {
@@ -124,10 +124,10 @@
 		return
 	}
 	upgrader := websocket.FastHTTPUpgrader{CheckOrigin: func(*fasthttp.RequestCtx) bool { return true }}
-	_ = upgrader.Upgrade(c, m.accept) // the library has answered the client
+	_ = upgrader.Upgrade(c, m.accept) // the library has sent the error response
 }
 
-// Tell sends a message that wants no answer. It dials if there is no link.
+// Tell sends a message that needs no answer. It dials if there is no link.
 func (m *Mesh) Tell(ctx context.Context, address string, message Message) error {
 	l, err := m.dial(ctx, address)
 	if err != nil {
@@ -136,8 +136,8 @@
 	return l.send(0, 0, message)
 }
 
-// Linked reports whether there is a link to the address now, and an identity of
-// it that changes when it is made anew.
+// Linked reports whether there is a link to the address now. The first result
+// identifies the link; it differs after the link was established again.
 func (m *Mesh) Linked(address string) (any, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -159,7 +159,7 @@
 	defer cancel()
 	conn, response, err := dialer.DialContext(ctx, scheme+address+Path, header)
 	if response != nil {
-		_ = response.Body.Close() // it has none after an upgrade
+		_ = response.Body.Close() // the body is empty after an upgrade
 	}
 	if err != nil {
 		return nil, err
@@ -167,7 +167,7 @@
 	return m.adopt(address, conn)
 }
 
-// adopt enters a new link unless another was made meanwhile.
+// adopt registers a new link, unless another one to the address exists by now.
 func (m *Mesh) adopt(address string, conn *websocket.Conn) (*dialled, error) {
 	m.mu.Lock()
 	if other, ok := m.links[address]; ok {
@@ -201,7 +201,7 @@
 	l.heard.Store(&now)
 }
 
-// receive hands answers to their conversations until the link fails.
+// receive dispatches messages of answers to their conversations until the link fails.
 func (m *Mesh) receive(address string, l *dialled) {
 	defer m.lost(address, l)
 	for {
@@ -221,7 +221,7 @@
 	}
 }
 
-// lost ends every conversation of a link that failed.
+// lost closes a link and ends every conversation on it.
 func (m *Mesh) lost(address string, l *dialled) {
 	l.shut()
 	m.mu.Lock()
@@ -236,8 +236,8 @@
 	}
 }
 
-// bearer returns the value of the header that shows the secret. Without a
-// secret there is none, and mutual TLS alone lets a peer in.
+// bearer returns the value of the authorization header for the secret. Without a
+// secret it is empty, and only mutual TLS authenticates a peer.
 func bearer(secret string) string {
 	if secret == "" {
 		return ""
--- a/internal/member/relayer/mesh_test.go
+++ b/internal/member/relayer/mesh_test.go
@@ -18,8 +18,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A fakeHandler answers with as many parts as the key of a Fetch says, and tells
-// when an opener has gone.
+// A fakeHandler answers a Fetch with as many parts as its key says, and records the
+// keys of answers that could not be sent completely.
 type fakeHandler struct {
 	beats chan Beat
 	gone  chan string
@@ -46,7 +46,7 @@
 func (h *fakeHandler) Heard(_ heartbeater.Instance, beat Beat) { h.beats <- beat }
 
 // newPair returns a mesh that dials, the address of one that answers, and the
-// handler there.
+// handler of the latter.
 func newPair(t *testing.T, secret string) (*Mesh, string, *fakeHandler) {
 	t.Helper()
 	l, err := listener.Local()
@@ -80,10 +80,9 @@
 	}
 }
 
-// One caller takes nothing of a long answer. Another one on the same link must
-// get all of its own: the sender waits for grants of the first conversation
-// only.
-func TestSlowReaderHoldsOnlyItself(t *testing.T) {
+// One opener reads nothing of a long answer. Another one on the same link must still
+// receive its complete answer: credit is granted per conversation.
+func TestSlowReaderBlocksOnlyItsOwnConversation(t *testing.T) {
 	m, address, h := newPair(t, "right")
 	slow, err := m.Open(t.Context(), address, Fetch{Key: "1000"})
 	if err != nil {
@@ -98,12 +97,12 @@
 	}
 	slow.Close()
 	if key := <-h.gone; key != "1000" {
-		t.Errorf("told that %s has gone, want 1000", key)
+		t.Errorf("the answer to %s was canceled, want 1000", key)
 	}
 }
 
-// The link fails in mid-answer. Whoever waits on it is told at once, without a
-// promise: the peer may have run the request.
+// The link fails in the middle of an answer. The opener must get an error at once, with
+// the verdict that the peer may have run the request.
 func TestLinkFailureEndsConversations(t *testing.T) {
 	m, address, _ := newPair(t, "right")
 	c, err := m.Open(t.Context(), address, Fetch{Key: "1000"})
@@ -121,7 +120,7 @@
 	}
 }
 
-func TestFailKeepsItsVerdict(t *testing.T) {
+func TestFailPreservesVerdict(t *testing.T) {
 	m, address, _ := newPair(t, "right")
 	c, err := m.Open(t.Context(), address, Inquire{})
 	if err != nil {
@@ -134,14 +133,14 @@
 	}
 }
 
-func TestWrongSecretIsNotHeard(t *testing.T) {
+func TestPeerWithWrongSecretIsRefused(t *testing.T) {
 	m, address, h := newPair(t, "wrong")
 	_, err := m.Open(t.Context(), address, Fetch{Key: "1"})
 	if err == nil || judge.As(err).Verdict != judge.NotRun {
 		t.Errorf("Open = %v, want a refusal", err)
 	}
 	if len(h.beats) > 0 {
-		t.Error("a peer with the wrong secret was heard")
+		t.Error("received a heartbeat of a peer with the wrong secret")
 	}
 }
 
@@ -178,16 +177,15 @@
 			t.Fatal(err)
 		}
 		if _, _, err := decodeFrame(again); err != nil {
-			t.Errorf("%T does not come back: %v", message, err)
+			t.Errorf("%T is not decoded after encoding it again: %v", message, err)
 		}
 	})
 }
 
-// Links are cut while answers are written to them, as when a peer is killed.
-// The library takes a connection back as soon as its handler returns; a writer
-// that is still at it then wrote into nothing, and the process ended with all
-// its callers.
-func TestCutLinksDoNotEndTheProcess(t *testing.T) {
+// Links are closed while answers are written to them, as when a peer is killed. The
+// library reclaims a connection as soon as its handler returns; a writer that was still
+// active then wrote to released buffers, which crashed the process.
+func TestClosedLinksDoNotCrashTheProcess(t *testing.T) {
 	server := &Mesh{Handler: flood{}, Secret: func() string { return "" }, Self: func() heartbeater.Instance { return heartbeater.Instance{} }}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -205,7 +203,7 @@
 				if err != nil {
 					continue
 				}
-				_, _ = c.Next(t.Context()) // whatever comes, the link is cut now
+				_, _ = c.Next(t.Context()) // whatever the result, the link is closed next
 				client.Cut(l.Addr().String())
 			}
 		})
@@ -213,7 +211,7 @@
 	all.Wait()
 }
 
-// flood answers everything with as much as it can.
+// flood answers every message with data until the opener cancels or the link fails.
 type flood struct{}
 
 func (flood) Answer(_ context.Context, _ heartbeater.Instance, _ Message, reply *Reply) error {
@@ -226,11 +224,11 @@
 
 func (flood) Heard(heartbeater.Instance, Beat) {}
 
-// An instance is so busy that its heartbeats are late, but it goes on to give the
-// answers that its peer's callers wait for. Taken for dead, its link was cut and
-// they got half of their answers. A link over which nothing came for as long is
-// cut all the same, or whoever waits on it would wait for good.
-func TestLinkThatBringsAnswersIsNotCut(t *testing.T) {
+// An instance is so busy that its heartbeats are late, but it still sends the answers
+// that its peer's callers wait for. Its link was closed nevertheless and the callers got
+// truncated responses. A link over which no frame was received for as long must still be
+// closed, or its conversations would hang.
+func TestLinkWithRecentFramesIsNotClosed(t *testing.T) {
 	const silence = time.Minute
 	m, address, _ := newPair(t, "right")
 	c, err := m.Open(t.Context(), address, Fetch{Key: "3"})
@@ -240,10 +238,10 @@
 	drain(t, c)
 	m.CutSilent(address, silence, time.Now())
 	if _, linked := m.Linked(address); !linked {
-		t.Error("a link was cut over which answers had just come")
+		t.Error("a link was closed over which an answer had just been received")
 	}
 	m.CutSilent(address, silence, time.Now().Add(2*silence))
 	if _, linked := m.Linked(address); linked {
-		t.Error("a silent link was kept")
+		t.Error("a link without recent frames was kept open")
 	}
 }
--- a/internal/member/relayer/message.go
+++ b/internal/member/relayer/message.go
@@ -17,30 +17,30 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// A Message is what one instance says to another.
+// A Message is sent from one instance to another.
 //
 //sumtype:decl
 type Message interface{ message() }
 
 // Messages that open a conversation or stand alone.
 type (
-	// An Ask passes a request on to the owner of its runner, or to another
-	// failure domain.
+	// An Ask forwards a request to the owner of its runner, or to another failure
+	// domain.
 	Ask struct {
 		Call streamer.Call `cbor:"1,keyasint"`
 	}
 
-	// A Beat is a heartbeat with what changed since the last one on the link.
+	// A Beat is a heartbeat with the changes since the last one on the link.
 	Beat struct {
 		Epoch    uint64  `cbor:"1,keyasint"` // roster epoch adopted
 		Revision uint64  `cbor:"2,keyasint"` // settings in force
 		Leaving  bool    `cbor:"3,keyasint,omitempty"`
 		Loads    []Load  `cbor:"4,keyasint,omitempty"`
 		States   []State `cbor:"5,keyasint,omitempty"`
-		Line     int     `cbor:"6,keyasint,omitempty"` // adapters that stand in line for a load: here, or told to another domain, in the whole domain
+		Line     int     `cbor:"6,keyasint,omitempty"` // adapters queued for a load: at the sender, or, in a heartbeat to another domain, in the sender's whole domain
 	}
 
-	// A Commit asks the instance that gathers for its domain to commit a
+	// A Commit asks the instance that batches commits for its domain to commit a
 	// transaction together with others.
 	Commit struct {
 		Txn tabler.Txn `cbor:"1,keyasint"`
@@ -51,7 +51,7 @@
 		Key string `cbor:"1,keyasint"`
 	}
 
-	// A Hello names the instance that dialled; it is the first message.
+	// A Hello identifies the instance that dialed; it is the first message.
 	Hello struct {
 		Instance heartbeater.Instance `cbor:"1,keyasint"`
 	}
@@ -59,22 +59,22 @@
 	// An Inquire asks for the head of the settings in force.
 	Inquire struct{}
 
-	// A Preload asks the owner of a runner to load an adapter ahead.
+	// A Preload asks the owner of a runner to load an adapter before requests need it.
 	Preload struct {
 		Runner  string `cbor:"1,keyasint"`
 		Adapter string `cbor:"2,keyasint"`
 	}
 
-	// A Permit bids for a load from the weight store. The conversation lasts as
-	// long as the load; its end gives the permit back.
+	// A Permit requests permission for a load from the weight store. The conversation
+	// lasts as long as the load; its end releases the permit.
 	Permit struct {
 		Value    float64       `cbor:"1,keyasint"` // stall that the load removes
-		Together int           `cbor:"2,keyasint"` // loads at once, as the sender's settings say
-		Time     time.Duration `cbor:"3,keyasint"` // after which the permit runs out
+		Together int           `cbor:"2,keyasint"` // maximum number of concurrent loads, by the sender's settings
+		Time     time.Duration `cbor:"3,keyasint"` // after which the permit expires
 	}
 
-	// A Yield asks whether the receiver has given a runner up under a roster
-	// epoch, and what its running requests still use.
+	// A Yield asks whether the receiver has released a runner under a roster epoch,
+	// and what its running requests still use there.
 	Yield struct {
 		Runner string `cbor:"1,keyasint"`
 		Epoch  uint64 `cbor:"2,keyasint"`
@@ -83,19 +83,19 @@
 
 // Messages that answer.
 type (
-	// A Committed answers a Commit: one of the three failures, or none.
+	// A Committed answers a Commit. At most one of the three failures is set.
 	Committed struct {
-		Conflict    string `cbor:"1,keyasint,omitempty"` // row that was not as checked
+		Conflict    string `cbor:"1,keyasint,omitempty"` // key of the row whose condition did not hold
 		Unavailable bool   `cbor:"2,keyasint,omitempty"` // certainly not written
 		Unknown     bool   `cbor:"3,keyasint,omitempty"`
 	}
 
-	// Data is a part of an answer.
+	// Data is a part of the body of an answer.
 	Data struct {
 		Data []byte `cbor:"1,keyasint"`
 	}
 
-	// An End says that the answer is whole.
+	// An End completes an answer.
 	End struct{}
 
 	// A Fail ends an answer with a verdict.
@@ -106,7 +106,7 @@
 		Retry   time.Duration `cbor:"4,keyasint"`
 	}
 
-	// A Granted says that the load may begin.
+	// A Granted answers a Permit: the load may begin.
 	Granted struct{}
 
 	// A Head begins an answer.
@@ -116,7 +116,7 @@
 
 	// A Surrendered answers a Yield.
 	Surrendered struct {
-		Given bool           `cbor:"1,keyasint"` // false: not yet, ask again
+		Given bool           `cbor:"1,keyasint"` // false: not released yet, to be asked again
 		Pins  map[string]int `cbor:"2,keyasint"`
 		Doom  []string       `cbor:"3,keyasint"`
 	}
@@ -129,7 +129,7 @@
 
 // Messages of the link itself.
 type (
-	// A Cancel ends a conversation whose opener wants no more.
+	// A Cancel ends a conversation before its answer is complete.
 	Cancel struct{}
 
 	// A Grant lets the sender of an answer send Parts more messages.
@@ -138,28 +138,29 @@
 	}
 )
 
-// A State is a runner as its owner sees it; sent when what is resident changed.
+// A State is the state of a runner by its owner; sent when the resident adapters
+// changed.
 type State struct {
-	Number   int      `cbor:"1,keyasint"` // by which Loads name the runner on this link
+	Number   int      `cbor:"1,keyasint"` // identifies the runner in Loads on this link
 	Name     string   `cbor:"2,keyasint"`
 	Resident []string `cbor:"3,keyasint"`
 	Loading  []string `cbor:"4,keyasint"`
 	Leaving  bool     `cbor:"5,keyasint"`
-	Owned    bool     `cbor:"6,keyasint"` // false: the sender serves it no more
+	Owned    bool     `cbor:"6,keyasint"` // false: the sender no longer serves it
 }
 
-// Hundredths scales what a Load tells in hundredths.
+// Hundredths is the scale of the values of a Load that are in hundredths.
 const Hundredths = 100
 
-// A Load is how busy a runner is; sent when it changed.
+// A Load is the load of a runner; sent when it changed.
 type Load struct {
 	_       struct{} `cbor:",toarray"`
 	Number  int
 	Running int
 	Waiting int
 	Free    int
-	Ramp    int // part of the batch given out, in hundredths
-	Wait    int // until a further load would begin, in hundredths of a second
+	Ramp    int // fraction of the batch that may be used, in hundredths
+	Wait    int // until another adapter load could begin, in hundredths of a second
 }
 
 func (Ask) message()         {}
@@ -182,7 +183,7 @@
 func (Told) message()        {}
 func (Yield) message()       {}
 
-// kinds gives each message its number on the wire. Numbers are never reused.
+// kinds assigns each message type its number on the wire. Numbers are never reused.
 var kinds = []Message{
 	1: Ask{}, 2: Beat{}, 3: Cancel{}, 4: Data{}, 5: End{}, 6: Fail{}, 7: Fetch{},
 	8: Grant{}, 9: Head{}, 10: Hello{}, 11: Inquire{}, 12: Surrendered{}, 13: Told{}, 14: Yield{},
@@ -204,7 +205,7 @@
 type frame struct {
 	_            struct{} `cbor:",toarray"`
 	Conversation uint64
-	Number       uint32 // of the message in its answer; 0 from the opener
+	Number       uint32 // sequence number of the message in its answer; 0 from the opener
 	Kind         uint8
 	Body         cbor.RawMessage
 }
@@ -224,7 +225,7 @@
 		return f, nil, err
 	}
 	if int(f.Kind) >= len(kinds) || kinds[f.Kind] == nil {
-		return f, nil, fmt.Errorf("unknown kind of message %d", f.Kind)
+		return f, nil, fmt.Errorf("unknown message kind %d", f.Kind)
 	}
 	m := reflect.New(reflect.TypeOf(kinds[f.Kind]))
 	if err := encoder.Unmarshal(f.Body, m.Interface()); err != nil {
@@ -239,12 +240,12 @@
 	return Fail{Verdict: e.Verdict, Reason: e.Reason, Message: e.Message, Retry: e.Retry}
 }
 
-// Surrender returns the answer's content.
+// Surrender returns the references and evictions of the previous owner.
 func (s Surrendered) Surrender() keeper.Surrender {
 	return keeper.Surrender{Pins: s.Pins, Doomed: s.Doom}
 }
 
-// Err returns how the commit ended, as the table itself would have told.
+// Err returns the result of the commit in the form of a tabler.Table.
 func (c Committed) Err() error {
 	switch {
 	case c.Conflict != "":
--- a/internal/member/relayer/place.go
+++ b/internal/member/relayer/place.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// A Place asks the instance that orders for a failure domain for a place at a runner of a
-// plain service there. The conversation lasts as long as the request; its end gives the place
-// back.
+// A Place asks the leader of a failure domain for a request slot at a runner of a plain
+// service there. The conversation lasts as long as the request; its end releases the slot.
 type Place struct {
 	_      struct{} `cbor:",toarray"`
 	Domain string
 	Runner string
-	Within time.Duration // in which the request is to begin
+	Within time.Duration // time limit for the request to begin
 }
 
-// A Placed says that the place is held.
+// A Placed answers a Place: the request slot is reserved.
 type Placed struct {
 	_    struct{}      `cbor:",toarray"`
-	Wait time.Duration // before the request begins, as expected
+	Wait time.Duration // estimated time until the request begins
 }
 
 func (Place) message()  {}
--- a/internal/member/relayer/quota.go
+++ b/internal/member/relayer/quota.go
@@ -6,19 +6,19 @@
 	"github.com/sardinetiller/sardinetiller/internal/account/limiter"
 )
 
-// A Settle tells an instance that keeps a ledger of quotas what the sender has spent.
+// A Settle reports what the sender has spent to an instance that keeps a ledger of quotas.
 type Settle struct {
 	_      struct{} `cbor:",toarray"`
 	Party  limiter.Party
 	Spent  []limiter.Spent
-	Parted bool // the sender settles with another instance from now on; Spent says nothing
+	Parted bool // the sender settles with another instance from now on; Spent is not set
 }
 
-// A Settled answers a Settle and ends the answer.
+// A Settled answers a Settle and ends the conversation.
 type Settled struct {
 	_        struct{}          `cbor:",toarray"`
 	Age      time.Duration     // since the ledger began
-	Balances []limiter.Balance // of the accounts that were told of and have a quota
+	Balances []limiter.Balance // of the accounts in the Settle that have a quota
 }
 
 func (Settle) message()  {}
--- a/internal/member/relayer/served.go
+++ b/internal/member/relayer/served.go
@@ -9,7 +9,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/member/heartbeater"
 )
 
-// A served link is one that a peer dialled, with the answers open on it.
+// A served link is one that a peer dialed, with the replies in progress on it.
 type served struct {
 	mesh *Mesh
 	link *link
@@ -65,7 +65,7 @@
 	return s.replies[id]
 }
 
-// accept serves a link that a peer dialled.
+// accept serves a link that a peer dialed.
 func (m *Mesh) accept(conn *websocket.Conn) {
 	l := newLink(conn, &m.bytes)
 	defer l.end()
