--- a/internal/member/elector/elector.go
+++ b/internal/member/elector/elector.go
@@ -35,15 +35,15 @@
 
 	version uint64 // of the row as last observed or written
 	row     Tenure
-	seen    time.Duration // when version was first observed
-	sent    time.Duration // when the last successful renewal was sent; valid while leader
-	held    bool          // acquired the lease and has not lost or released it; it may have expired
-	from    time.Duration // before which no orders may be sent
-	known   bool          // the row was observed, and no write failed and no Yield happened since
+	observedAt    time.Duration // when version was first observed
+	renewedAt    time.Duration // when the last successful renewal was sent; valid while leader
+	acquired    bool          // acquired the lease and has not lost or released it; it may have expired
+	ordersFrom    time.Duration // before which no orders may be sent
+	rowKnown   bool          // the row was observed, and no write failed and no Yield happened since
 	leaving bool          // the instance is stopping
-	yielded time.Duration // when this instance stepped down in favor of another one
-	until   time.Duration // before which it does not take the lease over again
-	ended   uint64        // fencing token of a lease whose leader reported that it stepped down
+	steppedDownAt time.Duration // when this instance stepped down in favor of another one
+	idleUntil   time.Duration // before which it does not take the lease over again
+	endedFence   uint64        // fencing token of a lease whose leader reported that it stepped down
 	endedAt time.Duration // when that report arrived
 }
 
@@ -53,27 +53,27 @@
 	Version  uint64
 	Row      Tenure
 	Takeover bool
-	at       time.Duration // when the write was sent
+	sentAt       time.Duration // when the write was sent
 }
 
-// renewals is how often the lease is renewed within its duration, so that two
+// renewalsPerLease is how often the lease is renewed within its duration, so that two
 // lost renewals in a row do not end it.
-const renewals = 4
+const renewalsPerLease = 4
 
-// guard sets how much longer than the leader trusts its lease an observer waits:
+// driftDivisor sets how much longer than the leader trusts its lease an observer waits:
 // the lease duration divided by guard. It allows for clocks whose rates differ by
 // a tenth, far more than real clocks do.
-const guard = 10
+const driftDivisor = 10
 
 // Acts reports whether orders may be sent at now, and returns the fencing token
 // for them.
 func (e *Elector) Acts(now time.Duration) (uint64, bool) {
-	return e.row.Fence, e.Holds(now) && now >= e.from
+	return e.row.Fence, e.Holds(now) && now >= e.ordersFrom
 }
 
 // Holds reports whether this instance is the leader at now.
 func (e *Elector) Holds(now time.Duration) bool {
-	return e.held && now-e.sent < e.Lease
+	return e.acquired && now-e.renewedAt < e.Lease
 }
 
 // Holder returns the lease row as last observed.
@@ -82,10 +82,10 @@
 // Renewal returns the row version of the last renewal and the time since it was
 // sent; for the row of another leader, the minimum of that time.
 func (e *Elector) Renewal(now time.Duration) (version uint64, age time.Duration) {
-	if !e.held {
-		return e.version, now - e.seen
+	if !e.acquired {
+		return e.version, now - e.observedAt
 	}
-	return e.version, now - e.sent
+	return e.version, now - e.renewedAt
 }
 
 // Heard records the row that its leader published, with the version and the age
@@ -93,13 +93,13 @@
 // reading the row. The network delay makes the renewal appear younger than it is,
 // never older.
 func (e *Elector) Heard(row Tenure, version uint64, age, now time.Duration) {
-	if e.held || version <= e.version {
+	if e.acquired || version <= e.version {
 		return
 	}
-	e.known = true
+	e.rowKnown = true
 	e.row = row
 	e.version = version
-	e.seen = now - age
+	e.observedAt = now - age
 }
 
 // Leave steps down for good: no more orders are sent. If this instance was the
@@ -114,9 +114,9 @@
 // lease is not taken over again before away has passed. If this instance was the
 // leader, the returned write releases the lease.
 func (e *Elector) Yield(now, away time.Duration) (w Write, held bool) {
-	e.yielded, e.until = now, now+away
+	e.steppedDownAt, e.idleUntil = now, now+away
 	w, held = e.release(now)
-	e.known = false
+	e.rowKnown = false
 	return w, held
 }
 
@@ -124,82 +124,82 @@
 // more orders, whatever the row says. A leader that cannot reach the table service
 // cannot release the lease, but it may reach instances that can take it over.
 func (e *Elector) Ended(fence uint64, now time.Duration) {
-	if !e.held && fence > e.ended {
-		e.ended, e.endedAt = fence, now
+	if !e.acquired && fence > e.endedFence {
+		e.endedFence, e.endedAt = fence, now
 	}
 }
 
-// over reports whether the leader named in the row is known to have stepped down.
-func (e *Elector) over() bool { return e.ended > 0 && e.row.Fence == e.ended }
+// leaderEnded reports whether the leader named in the row is known to have stepped down.
+func (e *Elector) leaderEnded() bool { return e.endedFence > 0 && e.row.Fence == e.endedFence }
 
 func (e *Elector) release(now time.Duration) (w Write, held bool) {
 	held = e.Holds(now)
-	e.held = false
+	e.acquired = false
 	row := e.row
 	row.Holder, row.Address = "", ""
 	row.Serial++
-	return Write{Version: e.version, Row: row, at: now}, held
+	return Write{Version: e.version, Row: row, sentAt: now}, held
 }
 
 // Read records the row as read at now. A missing row has version 0.
 func (e *Elector) Read(row Tenure, version uint64, now time.Duration) {
-	if e.known && version == e.version {
+	if e.rowKnown && version == e.version {
 		return
 	}
 	if version < e.version {
 		return // a response that arrived after that of a later call
 	}
-	e.known = true
+	e.rowKnown = true
 	e.version = version
 	e.row = row
-	e.seen = now
+	e.observedAt = now
 	if row.Holder != e.Self {
-		e.held = false
+		e.acquired = false
 	}
 }
 
 // Next returns the write that is due at now, if any: a renewal if this instance is
 // the leader, else a takeover.
 func (e *Elector) Next(now time.Duration) (Write, bool) {
-	if e.leaving || !e.known || now < e.until {
+	if e.leaving || !e.rowKnown || now < e.idleUntil {
 		return Write{}, false
 	}
-	if e.held {
-		if now-e.sent < e.Lease/renewals {
+	if e.acquired {
+		if now-e.renewedAt < e.Lease/renewalsPerLease {
 			return Write{}, false
 		}
-		return e.write(now, false), true
+		return e.newWrite(now, false), true
 	}
-	if !e.free(now) {
+	if !e.available(now) {
 		return Write{}, false
 	}
-	return e.write(now, true), true
+	return e.newWrite(now, true), true
 }
 
-// free reports whether the lease may be taken over. An instance that finds its own
+// available reports whether the lease may be taken over. An instance that finds its own
 // ID in the row has restarted: the process that wrote the row has terminated, so
 // the lease may be taken over at once.
-func (e *Elector) free(now time.Duration) bool {
+func (e *Elector) available(now time.Duration) bool {
 	if e.version == 0 || e.row.Holder == "" {
-		return now-e.seen >= e.Late
+		return now-e.observedAt >= e.Late
 	}
-	if e.over() && now-e.endedAt >= e.Late {
+	if e.leaderEnded() && now-e.endedAt >= e.Late {
 		return true
 	}
-	return e.row.Holder == e.Self || now-e.seen >= e.Lease+e.Lease/guard+e.Late
+	return e.row.Holder == e.Self || now-e.observedAt >= e.Lease+e.Lease/driftDivisor+e.Late
 }
 
-func (e *Elector) write(now time.Duration, takeover bool) Write {
+func (e *Elector) newWrite(now time.Duration, takeover bool) Write {
 	w := Write{
-		Version: e.version, Takeover: takeover, at: now,
+		Version: e.version, Takeover: takeover, sentAt: now,
 		Row: Tenure{Holder: e.Self, Address: e.Address, Fence: e.row.Fence, Serial: e.row.Serial + 1},
 	}
 	if takeover {
 		w.Row.Fence++
 		// Set before the result is known: the write may take effect even if its response is lost.
-		e.from = max(e.from, e.start(w))
+		e.ordersFrom = max(e.ordersFrom, e.firstOrderAt(w))
 	}
-	w.Row.Settled = now >= e.from
+	w.Row.Settled = now >= e.ordersFrom
 	return w
 }
 
@@ -210,34 +210,34 @@
 	}
 	e.version = version
 	e.row = w.Row
-	e.seen = now
-	e.sent = w.at
-	e.held = w.at >= e.yielded // the response to a renewal may arrive after stepping down
-	e.known = true
+	e.observedAt = now
+	e.renewedAt = w.sentAt
+	e.acquired = w.sentAt >= e.steppedDownAt // the response to a renewal may arrive after stepping down
+	e.rowKnown = true
 }
 
-// start returns when orders may first be sent after a takeover: the previous
+// firstOrderAt returns when orders may first be sent after a takeover: the previous
 // leader may have sent its last order when the last observed renewal expired. A
 // process that restarted before the quiet period of its own earlier takeover had
 // passed waits for a full quiet period again.
-func (e *Elector) start(w Write) time.Duration {
+func (e *Elector) firstOrderAt(w Write) time.Duration {
 	switch {
 	case w.Version == 0, e.row.Holder == e.Self && e.row.Settled:
-		return w.at
+		return w.sentAt
 	case e.row.Holder == e.Self, e.row.Holder == "":
-		return e.seen + e.Quiet
-	case e.over():
+		return e.observedAt + e.Quiet
+	case e.leaderEnded():
 		return e.endedAt + e.Quiet
 	default:
-		return e.seen + e.Lease + e.Quiet
+		return e.observedAt + e.Lease + e.Quiet
 	}
 }
 
 // Lost records that the condition of a write did not hold or that its response was
 // lost: the row has to be read again.
 func (e *Elector) Lost() {
-	e.known = false
+	e.rowKnown = false
 }
 
 // Stale reports whether the row has to be read before Next returns a write.
-func (e *Elector) Stale() bool { return !e.known }
+func (e *Elector) Stale() bool { return !e.rowKnown }
--- a/internal/member/gatherer/gatherer.go
+++ b/internal/member/gatherer/gatherer.go
@@ -24,23 +24,23 @@
 	instances int // sum over the members
 	loads     map[string]tracker.Load
 	members   map[string]*member
-	oldest    time.Time // no member's last report is older
+	oldestReport    time.Time // no member's last report is older
 	uses      map[Key]int
 	waiting   map[Key]map[string]placer.Waiting // by member
 }
 
 // A member is an instance that reports here, with its last report.
 type member struct {
-	heard time.Time
-	word  Word
+	lastReportAt time.Time
+	lastReport  Word
 }
 
 // Tell replaces the last report of a member.
 func (g *Gatherer) Tell(from string, w Word, now time.Time) {
 	m := g.member(from, now)
-	m.heard = now
-	before := m.word.Uses
-	g.replace(from, m, w)
+	m.lastReportAt = now
+	before := m.lastReport.Uses
+	g.replaceReport(from, m, w)
 	if g.Freed == nil {
 		return
 	}
@@ -55,17 +55,17 @@
 // count and includes this use for as long as it lasts.
 func (g *Gatherer) Use(by string, k Key, now time.Time) {
 	m := g.member(by, now)
-	if m.word.Uses == nil {
-		m.word.Uses = make(map[Key]int)
+	if m.lastReport.Uses == nil {
+		m.lastReport.Uses = make(map[Key]int)
 	}
-	m.word.Uses[k]++
-	g.use(k, 1)
+	m.lastReport.Uses[k]++
+	g.addUses(k, 1)
 }
 
 // Drop removes a member.
 func (g *Gatherer) Drop(id string) {
 	if m, ok := g.members[id]; ok {
-		g.replace(id, m, Word{})
+		g.replaceReport(id, m, Word{})
 		delete(g.members, id)
 	}
 }
@@ -80,15 +80,15 @@
 // Expire removes the members that stopped reporting. Without it the uses of a
 // crashed instance would occupy their adapter slots for good.
 func (g *Gatherer) Expire(now time.Time) {
-	if now.Sub(g.oldest) <= g.Silent {
+	if now.Sub(g.oldestReport) <= g.Silent {
 		return
 	}
-	g.oldest = now
+	g.oldestReport = now
 	for id, m := range g.members {
-		if now.Sub(m.heard) > g.Silent {
+		if now.Sub(m.lastReportAt) > g.Silent {
 			g.Drop(id)
-		} else if m.heard.Before(g.oldest) {
-			g.oldest = m.heard
+		} else if m.lastReportAt.Before(g.oldestReport) {
+			g.oldestReport = m.lastReportAt
 		}
 	}
 }
@@ -106,7 +106,7 @@
 func (g *Gatherer) Loads(but string) map[string]tracker.Load {
 	var own map[string]tracker.Load
 	if m, ok := g.members[but]; ok {
-		own = m.word.Loads
+		own = m.lastReport.Loads
 	}
 	others := make(map[string]tracker.Load, len(g.loads))
 	for runner, load := range g.loads {
@@ -127,7 +127,7 @@
 		w.Uses[k] = n
 	}
 	for k := range g.waiting {
-		w.Waits[k] = g.all(k)
+		w.Waits[k] = g.totalWaiting(k)
 	}
 	return w
 }
@@ -135,44 +135,44 @@
 func (g *Gatherer) member(id string, now time.Time) *member {
 	m, ok := g.members[id]
 	if !ok {
-		m = &member{heard: now}
+		m = &member{lastReportAt: now}
 		if g.members == nil {
 			g.members = make(map[string]*member)
-			g.oldest = now
+			g.oldestReport = now
 		}
 		g.members[id] = m
 	}
 	return m
 }
 
-// replace replaces a member's last report and updates the sums.
-func (g *Gatherer) replace(id string, m *member, w Word) {
-	before := m.word
-	m.word = w
+// replaceReport replaces a member's last report and updates the sums.
+func (g *Gatherer) replaceReport(id string, m *member, w Word) {
+	before := m.lastReport
+	m.lastReport = w
 	g.instances += w.Instances - before.Instances
 	for runner, load := range before.Loads {
-		g.load(runner, tracker.Load{}.Minus(load))
+		g.addLoad(runner, tracker.Load{}.Minus(load))
 	}
 	for runner, load := range w.Loads {
-		g.load(runner, load)
+		g.addLoad(runner, load)
 	}
 	for k, n := range before.Uses {
-		g.use(k, -n)
+		g.addUses(k, -n)
 	}
 	for k, n := range w.Uses {
-		g.use(k, n)
+		g.addUses(k, n)
 	}
 	for k := range before.Waits {
 		if _, still := w.Waits[k]; !still {
-			g.unwait(id, k)
+			g.removeWaiting(id, k)
 		}
 	}
 	for k, waiting := range w.Waits {
-		g.wait(id, k, waiting)
+		g.setWaiting(id, k, waiting)
 	}
 }
 
-func (g *Gatherer) load(runner string, change tracker.Load) {
+func (g *Gatherer) addLoad(runner string, change tracker.Load) {
 	if g.loads == nil {
 		g.loads = make(map[string]tracker.Load)
 	}
@@ -184,7 +184,7 @@
 	g.loads[runner] = sum
 }
 
-func (g *Gatherer) use(k Key, n int) {
+func (g *Gatherer) addUses(k Key, n int) {
 	if g.uses == nil {
 		g.uses = make(map[Key]int)
 	}
@@ -194,7 +194,7 @@
 	}
 }
 
-func (g *Gatherer) wait(id string, k Key, waiting placer.Waiting) {
+func (g *Gatherer) setWaiting(id string, k Key, waiting placer.Waiting) {
 	if g.waiting == nil {
 		g.waiting = make(map[Key]map[string]placer.Waiting)
 	}
@@ -202,25 +202,25 @@
 		g.waiting[k] = make(map[string]placer.Waiting)
 	}
 	g.waiting[k][id] = waiting
-	g.waits(k)
+	g.notifyWaits(k)
 }
 
-func (g *Gatherer) unwait(id string, k Key) {
+func (g *Gatherer) removeWaiting(id string, k Key) {
 	delete(g.waiting[k], id)
 	if len(g.waiting[k]) == 0 {
 		delete(g.waiting, k)
 	}
-	g.waits(k)
+	g.notifyWaits(k)
 }
 
-func (g *Gatherer) waits(k Key) {
+func (g *Gatherer) notifyWaits(k Key) {
 	if g.Waits != nil {
-		g.Waits(k, g.all(k))
+		g.Waits(k, g.totalWaiting(k))
 	}
 }
 
-// all returns the sum over all members of the requests that wait for a copy.
-func (g *Gatherer) all(k Key) placer.Waiting {
+// totalWaiting returns the sum over all members of the requests that wait for a copy.
+func (g *Gatherer) totalWaiting(k Key) placer.Waiting {
 	all := placer.Waiting{Priority: placer.Spare}
 	for _, waiting := range g.waiting[k] {
 		all = all.Plus(waiting)
--- a/internal/member/heartbeater/monitor.go
+++ b/internal/member/heartbeater/monitor.go
@@ -21,7 +21,7 @@
 // The values of Health.
 const (
 	Live    Health = "live"
-	Leaving Health = "leaving" // running, accepts no new work
+	Leaving Health = "leaving" // draining: running, accepts no new work
 	Suspect Health = "suspect" // heartbeats missing; gets no new work until the next one
 	Unknown Health = "unknown" // no heartbeat received yet
 )
@@ -33,43 +33,43 @@
 	Patience time.Duration // time without a heartbeat and off the list after which an instance is gone
 
 	listed map[string]bool // incarnations on the last list read
-	read   time.Time       // when the last list was read
+	listReadAt   time.Time       // when the last list was read
 	peers  map[string]*peer
 }
 
 type peer struct {
 	instance Instance
-	absent   time.Time // since when it has been missing from the list; zero if it is not
-	heard    time.Time // last heartbeat
+	absentSince   time.Time // since when it has been missing from the list; zero if it is not
+	lastHeartbeat    time.Time // last heartbeat
 }
 
 // Beat records a heartbeat.
 func (m *Monitor) Beat(i Instance, now time.Time) {
 	p := m.peer(i)
-	p.heard = now
-	p.absent = time.Time{}
+	p.lastHeartbeat = now
+	p.absentSince = time.Time{}
 }
 
 // Gone reports whether the incarnation's process has terminated. The time limit of
 // an incarnation that was never listed nor sent a heartbeat starts at the first call.
 func (m *Monitor) Gone(incarnation string, now time.Time) bool {
 	p := m.peer(Instance{Incarnation: incarnation})
-	if m.read.IsZero() || m.listed[incarnation] {
+	if m.listReadAt.IsZero() || m.listed[incarnation] {
 		return false
 	}
-	if p.absent.IsZero() {
-		p.absent = now
+	if p.absentSince.IsZero() {
+		p.absentSince = now
 	}
-	return now.Sub(p.absent) >= m.Patience && now.Sub(p.heard) >= m.Patience
+	return now.Sub(p.absentSince) >= m.Patience && now.Sub(p.lastHeartbeat) >= m.Patience
 }
 
 // Health returns the health of an incarnation.
 func (m *Monitor) Health(incarnation string, now time.Time) Health {
 	p, ok := m.peers[incarnation]
 	switch {
-	case !ok || p.heard.IsZero():
+	case !ok || p.lastHeartbeat.IsZero():
 		return Unknown
-	case now.Sub(p.heard) > m.Silence:
+	case now.Sub(p.lastHeartbeat) > m.Silence:
 		return Suspect
 	case p.instance.Leaving:
 		return Leaving
@@ -85,7 +85,7 @@
 	if !ok || p.instance.ID == "" {
 		return Instance{}, false
 	}
-	known := m.listed[incarnation] || now.Sub(p.heard) <= m.Patience
+	known := m.listed[incarnation] || now.Sub(p.lastHeartbeat) <= m.Patience
 	return p.instance, known
 }
 
@@ -111,31 +111,31 @@
 // gone for long.
 func (m *Monitor) List(instances []Instance, now time.Time) {
 	m.listed = make(map[string]bool, len(instances))
-	m.read = now
+	m.listReadAt = now
 	for _, i := range instances {
 		m.listed[i.Incarnation] = true
-		m.peer(i).absent = time.Time{}
+		m.peer(i).absentSince = time.Time{}
 	}
 	for incarnation := range m.peers {
-		m.forget(incarnation, now)
+		m.removeExpired(incarnation, now)
 	}
 }
 
-// forgetAfter is how many times Patience a gone peer is kept, so that late queries
+// retentionFactor is how many times Patience a gone peer is kept, so that late queries
 // about it still get the right result.
-const forgetAfter = 20
+const retentionFactor = 20
 
-func (m *Monitor) forget(incarnation string, now time.Time) {
+func (m *Monitor) removeExpired(incarnation string, now time.Time) {
 	if !m.Gone(incarnation, now) {
 		return
 	}
-	if now.Sub(m.peers[incarnation].absent) > forgetAfter*m.Patience {
+	if now.Sub(m.peers[incarnation].absentSince) > retentionFactor*m.Patience {
 		delete(m.peers, incarnation)
 	}
 }
 
 // peer returns the record of an instance, updated from i. Leaving is never reset:
-// a list that lags behind would send new work to a leaving instance.
+// a list that lags behind would send new work to a draining instance.
 func (m *Monitor) peer(i Instance) *peer {
 	if m.peers == nil {
 		m.peers = make(map[string]*peer)
--- a/internal/member/leaser/holder.go
+++ b/internal/member/leaser/holder.go
@@ -29,9 +29,9 @@
 	eventRenewed = "renewed"
 )
 
-// renewals is how often a lease is renewed within its duration, so that two lost
-// renewals in a row do not end it.
-const renewals = 4
+// renewalsPerLease is how often a lease is renewed within its duration, so that two lost
+// renewalsPerLease in a row do not end it.
+const renewalsPerLease = 4
 
 // driftDivisor sets how much longer than a holder trusts its lease an observer
 // waits: the lease duration divided by driftDivisor. It allows for clocks whose
@@ -49,29 +49,29 @@
 	Self Member
 	Time time.Duration // lease duration
 
-	adopted  map[string]uint64 // roster epoch by incarnation
+	adoptedEpochs  map[string]uint64 // roster epoch by incarnation
 	deadline time.Time         // until which this instance's lease is trusted
-	gained   map[string]uint64 // epoch in which each owned runner was gained
+	gainedEpochs   map[string]uint64 // epoch in which each owned runner was gained
 	machine  *interpreter.Machine
-	next     time.Time // when the next renewal is due
+	nextRenewal     time.Time // when the next renewal is due
 	ranking  ranking
 	roster   Roster
 	runners  []string
-	seen     map[string]sighting
+	observed     map[string]observation
 	serial   uint64
 }
 
 // A sighting is the last change observed in another member's lease row.
-type sighting struct {
+type observation struct {
 	serial uint64
-	first  time.Time // when the serial was first observed
+	observedAt  time.Time // when the serial was first observed
 }
 
 // Acts reports whether this instance may send orders to the runner as its owner,
 // and returns the fencing token for them.
 func (h *Holder) Acts(runner string, now time.Time) (uint64, bool) {
-	gain, owned := h.gained[runner]
-	if !owned || !h.Valid(now) || !h.settled(gain) {
+	gain, owned := h.gainedEpochs[runner]
+	if !owned || !h.Valid(now) || !h.adoptedByAll(gain) {
 		return 0, false
 	}
 	return gain << epochShift, true
@@ -80,7 +80,7 @@
 // Adopted records the roster epoch that a member reports to have adopted.
 func (h *Holder) Adopted(incarnation string, epoch uint64) {
 	h.init()
-	h.adopted[incarnation] = max(h.adopted[incarnation], epoch)
+	h.adoptedEpochs[incarnation] = max(h.adoptedEpochs[incarnation], epoch)
 }
 
 // Epoch returns the roster epoch that this instance has adopted.
@@ -103,9 +103,9 @@
 	h.init()
 	for _, l := range leases {
 		h.Adopted(l.Incarnation, l.Epoch)
-		last, ok := h.seen[l.Incarnation]
+		last, ok := h.observed[l.Incarnation]
 		if !ok || last.serial != l.Serial {
-			h.seen[l.Incarnation] = sighting{serial: l.Serial, first: now}
+			h.observed[l.Incarnation] = observation{serial: l.Serial, observedAt: now}
 		}
 	}
 }
@@ -115,7 +115,7 @@
 func (h *Holder) Owned() []string {
 	var owned []string
 	for _, r := range h.runners {
-		if _, ok := h.gained[r]; ok {
+		if _, ok := h.gainedEpochs[r]; ok {
 			owned = append(owned, r)
 		}
 	}
@@ -129,7 +129,7 @@
 
 // Owns reports whether the roster assigns the runner to this instance.
 func (h *Holder) Owns(runner string) bool {
-	_, ok := h.gained[runner]
+	_, ok := h.gainedEpochs[runner]
 	return ok
 }
 
@@ -151,7 +151,7 @@
 	h.init()
 	_ = h.machine.Fire(eventRemoved)
 	h.deadline = time.Time{}
-	h.gained = make(map[string]uint64)
+	h.gainedEpochs = make(map[string]uint64)
 }
 
 // Renewed records that the renewal sent at asked has taken effect. The lease
@@ -175,19 +175,19 @@
 		return
 	}
 	if r.Epoch != h.roster.Epoch+1 {
-		h.gained = make(map[string]uint64)
+		h.gainedEpochs = make(map[string]uint64)
 	}
 	h.roster = r
 	h.ranking = r.ranking()
 	if _, on := r.Member(h.Self.Incarnation); !on {
-		h.seeAbsent()
+		h.handleAbsence()
 		return
 	}
 	if h.machine.State == stateOutside {
 		_ = h.machine.Fire(eventJoined)
 	}
-	h.next = now // report the adopted epoch to the others at once
-	h.regain()
+	h.nextRenewal = now // report the adopted epoch to the others at once
+	h.updateOwned()
 }
 
 // SetRunners sets the runners of the domain. They change with the settings.
@@ -195,7 +195,7 @@
 	h.init()
 	h.runners = slices.Clone(runners)
 	slices.Sort(h.runners)
-	h.regain()
+	h.updateOwned()
 }
 
 // Tick returns the actions due at now. The conditions of their transactions decide
@@ -214,10 +214,10 @@
 		return nil
 	}
 	var actions []Action
-	if !now.Before(h.next) {
+	if !now.Before(h.nextRenewal) {
 		actions = append(actions, h.renew(now))
 	}
-	if propose, ok := h.cleanUp(now, gone); ok {
+	if propose, ok := h.proposeCleanup(now, gone); ok {
 		actions = append(actions, propose)
 	}
 	return actions
@@ -228,10 +228,10 @@
 	return h.machine != nil && h.machine.State == stateHeld && now.Before(h.deadline)
 }
 
-// cleanUp proposes a roster without the members that stopped renewing and without
+// proposeCleanup proposes a roster without the members that stopped renewing and without
 // the departed incarnations that have terminated. Only a member whose own lease is
 // valid may propose: the observations of one that was paused are outdated.
-func (h *Holder) cleanUp(now time.Time, gone func(string) bool) (Propose, bool) {
+func (h *Holder) proposeCleanup(now time.Time, gone func(string) bool) (Propose, bool) {
 	if !h.Valid(now) {
 		return Propose{}, false
 	}
@@ -240,14 +240,14 @@
 	var drop []Lease
 	for _, m := range expired {
 		ids = append(ids, m.ID)
-		drop = append(drop, Lease{Incarnation: m.Incarnation, Serial: h.seen[m.Incarnation].serial})
+		drop = append(drop, Lease{Incarnation: m.Incarnation, Serial: h.observed[m.Incarnation].serial})
 	}
 	next := h.roster.Without(ids...)
 	before := len(next.Departed)
 	next.Departed = slices.DeleteFunc(next.Departed, func(d string) bool {
 		return slices.Contains(h.roster.Departed, d) && gone(d)
 	})
-	if len(ids) == 0 && (len(next.Departed) == before || !h.first(expired)) {
+	if len(ids) == 0 && (len(next.Departed) == before || !h.isProposer(expired)) {
 		return Propose{}, false
 	}
 	return Propose{Roster: next, Drop: drop}, true
@@ -261,21 +261,21 @@
 		if m.Incarnation == h.Self.Incarnation {
 			continue
 		}
-		last, ok := h.seen[m.Incarnation]
+		last, ok := h.observed[m.Incarnation]
 		if !ok {
-			h.seen[m.Incarnation] = sighting{first: now}
+			h.observed[m.Incarnation] = observation{observedAt: now}
 			continue
 		}
-		if now.Sub(last.first) > h.Time+h.Time/driftDivisor {
+		if now.Sub(last.observedAt) > h.Time+h.Time/driftDivisor {
 			expired = append(expired, m)
 		}
 	}
 	return expired
 }
 
-// first reports whether this instance is the first member whose lease has not
+// isProposer reports whether this instance is the first member whose lease has not
 // expired. One proposer suffices for what is not urgent.
-func (h *Holder) first(expired []Member) bool {
+func (h *Holder) isProposer(expired []Member) bool {
 	for _, m := range h.roster.Members {
 		if !slices.Contains(expired, m) {
 			return m == h.Self
@@ -289,9 +289,9 @@
 		return
 	}
 	h.machine = Chart.Machine()
-	h.adopted = make(map[string]uint64)
-	h.gained = make(map[string]uint64)
-	h.seen = make(map[string]sighting)
+	h.adoptedEpochs = make(map[string]uint64)
+	h.gainedEpochs = make(map[string]uint64)
+	h.observed = make(map[string]observation)
 }
 
 func (h *Holder) join() Action {
@@ -301,44 +301,44 @@
 	return Propose{Roster: next, Lease: lease}
 }
 
-// regain recomputes which runners are owned and since which epoch. A runner that
+// updateOwned recomputes which runners are owned and since which epoch. A runner that
 // is owned from one epoch to the next keeps the epoch of its gain. After a skipped
 // epoch none is kept: another member may have owned the runner in between, and this
 // instance's adoption of the later epoch allows that member to send orders.
-func (h *Holder) regain() {
-	gained := make(map[string]uint64, len(h.gained))
+func (h *Holder) updateOwned() {
+	gained := make(map[string]uint64, len(h.gainedEpochs))
 	for _, runner := range h.runners {
 		owner, ok := h.ranking.owner(runner)
 		if !ok || owner.Incarnation != h.Self.Incarnation {
 			continue
 		}
 		gained[runner] = h.roster.Epoch
-		if epoch, kept := h.gained[runner]; kept {
+		if epoch, kept := h.gainedEpochs[runner]; kept {
 			gained[runner] = epoch
 		}
 	}
-	h.gained = gained
+	h.gainedEpochs = gained
 }
 
 func (h *Holder) renew(now time.Time) Action {
 	h.serial++
-	h.next = now.Add(h.Time / renewals)
+	h.nextRenewal = now.Add(h.Time / renewalsPerLease)
 	return Renew{Lease: Lease{Incarnation: h.Self.Incarnation, Serial: h.serial, Epoch: h.roster.Epoch}}
 }
 
-// seeAbsent handles a roster without this instance: before it has joined, after it
+// handleAbsence handles a roster without this instance: before it has joined, after it
 // was removed, or after it has left.
-func (h *Holder) seeAbsent() {
+func (h *Holder) handleAbsence() {
 	if h.machine.State != stateOutside {
 		h.Removed()
 	}
 }
 
-// settled reports whether every other member has adopted the epoch, and so has
+// adoptedByAll reports whether every other member has adopted the epoch, and so has
 // released the runners that it owned before.
-func (h *Holder) settled(epoch uint64) bool {
+func (h *Holder) adoptedByAll(epoch uint64) bool {
 	for _, m := range h.roster.Members {
-		if m.Incarnation != h.Self.Incarnation && h.adopted[m.Incarnation] < epoch {
+		if m.Incarnation != h.Self.Incarnation && h.adoptedEpochs[m.Incarnation] < epoch {
 			return false
 		}
 	}
--- a/internal/member/relayer/conversation.go
+++ b/internal/member/relayer/conversation.go
@@ -21,17 +21,17 @@
 	parts chan Message
 
 	ended bool
-	order streamer.Sequencer
-	taken int
+	sequencer streamer.Sequencer
+	consumed int
 
-	once sync.Once
-	gone chan struct{} // closed when the link failed or a message was lost
+	failOnce sync.Once
+	failed chan struct{} // closed when the link failed or a message was lost
 }
 
 // Close ends the conversation. If the answer has not ended it is canceled at the
 // peer.
 func (c *Conversation) Close() {
-	c.mesh.drop(c)
+	c.mesh.removeConversation(c)
 	if !c.ended {
 		_ = c.link.send(c.id, 0, Cancel{}) // a failed link has already ended the answer
 	}
@@ -42,13 +42,13 @@
 func (c *Conversation) Next(ctx context.Context) (Message, error) {
 	select {
 	case m := <-c.parts:
-		return c.take(m)
+		return c.consume(m)
 	default:
 	}
 	select {
 	case m := <-c.parts:
-		return c.take(m)
-	case <-c.gone:
+		return c.consume(m)
+	case <-c.failed:
 		return nil, &judge.Error{Verdict: judge.MayHaveRun, Reason: judge.ReasonPeer, Message: "the link to the peer failed"}
 	case <-ctx.Done():
 		return nil, &judge.Error{Verdict: judge.MayHaveRun, Reason: judge.ReasonDeadline, Message: "the deadline passed while the peer had the request"}
@@ -57,13 +57,13 @@
 
 // fail makes Next return an error once the received messages are consumed.
 func (c *Conversation) fail() {
-	c.once.Do(func() { close(c.gone) })
+	c.failOnce.Do(func() { close(c.failed) })
 }
 
 // receive queues a message of the answer for the opener. A late or duplicate one is
 // dropped; after a gap the answer cannot be complete.
 func (c *Conversation) receive(number uint32, m Message) {
-	switch c.order.Accept(number) {
+	switch c.sequencer.Accept(number) {
 	case streamer.Stale:
 		c.mesh.stale.Add(1)
 		return
@@ -80,21 +80,21 @@
 	}
 }
 
-func (c *Conversation) take(m Message) (Message, error) {
-	c.taken++
-	if c.taken%(window/2) == 0 {
+func (c *Conversation) consume(m Message) (Message, error) {
+	c.consumed++
+	if c.consumed%(window/2) == 0 {
 		_ = c.link.send(c.id, 0, Grant{Parts: window / 2}) // a failed link makes a later Next fail
 	}
 	if fail, failed := m.(Fail); failed {
 		c.ended = true
 		return nil, &judge.Error{Verdict: fail.Verdict, Reason: fail.Reason, Message: fail.Message, Retry: fail.Retry}
 	}
-	c.ended = ends(m)
+	c.ended = isLast(m)
 	return m, nil
 }
 
-// ends reports whether m ends an answer.
-func ends(m Message) bool {
+// isLast reports whether m ends an answer.
+func isLast(m Message) bool {
 	switch m.(type) {
 	case End, Reserved, Settled:
 		return true
@@ -112,7 +112,7 @@
 
 	credit   chan struct{}
 	finished bool
-	number   uint32
+	lastNumber   uint32
 }
 
 func newReply(ctx context.Context, l *link, id uint64) *Reply {
@@ -132,15 +132,15 @@
 	case <-r.link.closed:
 		return errClosed
 	}
-	r.number++
-	return r.link.send(r.id, r.number, m)
+	r.lastNumber++
+	return r.link.send(r.id, r.lastNumber, m)
 }
 
 // Finish sends a message that ends the answer without an End.
 func (r *Reply) Finish(m Message) error {
 	r.finished = true
-	r.number++
-	return r.link.send(r.id, r.number, m)
+	r.lastNumber++
+	return r.link.send(r.id, r.lastNumber, m)
 }
 
 // end sends the last message, which needs no credit.
@@ -149,12 +149,12 @@
 		r.cancel()
 		return
 	}
-	r.number++
+	r.lastNumber++
 	var last Message = End{}
 	if err != nil {
 		last = failOf(err)
 	}
-	_ = r.link.send(r.id, r.number, last) // a failed link ends the conversation at the opener, too
+	_ = r.link.send(r.id, r.lastNumber, last) // a failed link ends the conversation at the opener, too
 	r.cancel()
 }
 
--- a/internal/member/relayer/link.go
+++ b/internal/member/relayer/link.go
@@ -13,16 +13,16 @@
 // bounded queue, so that a stalled peer does not block the senders.
 type link struct {
 	conn *websocket.Conn
-	out  chan []byte
-	sent *atomic.Int64 // bytes written, over all links of the mesh
+	queue  chan []byte
+	writtenBytes *atomic.Int64 // bytes written, over all links of the mesh
 
-	close  sync.Once
+	closeOnce  sync.Once
 	closed chan struct{}
-	ended  chan struct{} // closed when the writer has returned
+	writerDone  chan struct{} // closed when the writer has returned
 }
 
 const (
-	outgoing     = 1024             // capacity of the queue, in frames
+	queueCapacity     = 1024             // capacity of the queue, in frames
 	writeTimeout = 5 * time.Second  // after which the link to a peer that reads nothing is closed
 	readTimeout  = 30 * time.Second // on links that peers dialed, which carry heartbeats
 	frameLimit   = 16 << 20         // bytes
@@ -30,18 +30,18 @@
 
 var (
 	errClosed = errors.New("the link is closed")
-	errFull   = errors.New("the peer takes nothing")
+	errQueueFull   = errors.New("the peer takes nothing")
 )
 
 func newLink(conn *websocket.Conn, sent *atomic.Int64) *link {
 	conn.SetReadLimit(frameLimit)
-	l := &link{conn: conn, out: make(chan []byte, outgoing), sent: sent, closed: make(chan struct{}), ended: make(chan struct{})}
+	l := &link{conn: conn, queue: make(chan []byte, queueCapacity), writtenBytes: sent, closed: make(chan struct{}), writerDone: make(chan struct{})}
 	go l.write()
 	return l
 }
 
-// expect limits the wait for the next frame.
-func (l *link) expect() {
+// extendReadDeadline limits the wait for the next frame.
+func (l *link) extendReadDeadline() {
 	_ = l.conn.SetReadDeadline(time.Now().Add(readTimeout)) // fails only on a closed connection
 }
 
@@ -66,42 +66,42 @@
 	default:
 	}
 	select {
-	case l.out <- data:
+	case l.queue <- data:
 		return nil
 	default:
-		l.shut()
-		return errFull
+		l.closeConn()
+		return errQueueFull
 	}
 }
 
-func (l *link) shut() {
-	l.close.Do(func() {
+func (l *link) closeConn() {
+	l.closeOnce.Do(func() {
 		close(l.closed)
 		_ = l.conn.Close()
 	})
 }
 
-// end closes the link and waits until its writer has returned. This is required
+// closeAndWait closes the link and waits until its writer has returned. This is required
 // before the connection is returned to the library, which reuses its buffers for the
 // next connection: two concurrent writers to one buffer crash the process.
-func (l *link) end() {
-	l.shut()
-	<-l.ended
+func (l *link) closeAndWait() {
+	l.closeConn()
+	<-l.writerDone
 }
 
 func (l *link) write() {
-	defer close(l.ended)
-	defer l.shut()
+	defer close(l.writerDone)
+	defer l.closeConn()
 	for {
 		select {
 		case <-l.closed:
 			return
-		case data := <-l.out:
+		case data := <-l.queue:
 			_ = l.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection
 			if l.conn.WriteMessage(websocket.BinaryMessage, data) != nil {
 				return
 			}
-			l.sent.Add(int64(len(data)))
+			l.writtenBytes.Add(int64(len(data)))
 		}
 	}
 }
--- a/internal/member/relayer/mesh.go
+++ b/internal/member/relayer/mesh.go
@@ -52,14 +52,14 @@
 	stale atomic.Int64 // messages that came late or twice
 
 	mu    sync.Mutex
-	links map[string]*dialled // by address
-	next  uint64
+	links map[string]*outgoingLink // by address
+	lastID  uint64
 }
 
 // A dialled link is one that this instance dialed, with the conversations open on it.
-type dialled struct {
+type outgoingLink struct {
 	*link
-	heard         atomic.Pointer[time.Time] // when the last frame was received or the link was established
+	lastFrameAt         atomic.Pointer[time.Time] // when the last frame was received or the link was established
 	conversations map[uint64]*Conversation
 }
 
@@ -78,19 +78,19 @@
 // hang as long.
 func (m *Mesh) Cut(address string) {
 	if l, ok := m.link(address); ok {
-		m.lost(address, l)
+		m.closeLink(address, l)
 	}
 }
 
 // CutSilent closes the link to an address unless a frame was received over it within a
 // time: a peer that sends answers is alive even if its heartbeats are late.
 func (m *Mesh) CutSilent(address string, within time.Duration, now time.Time) {
-	if l, ok := m.link(address); ok && now.Sub(*l.heard.Load()) >= within {
-		m.lost(address, l)
+	if l, ok := m.link(address); ok && now.Sub(*l.lastFrameAt.Load()) >= within {
+		m.closeLink(address, l)
 	}
 }
 
-func (m *Mesh) link(address string) (*dialled, bool) {
+func (m *Mesh) link(address string) (*outgoingLink, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l, ok := m.links[address]
@@ -105,12 +105,12 @@
 		return nil, judge.Refuse(judge.ReasonPeer, "link to %s: %v", address, err)
 	}
 	m.mu.Lock()
-	m.next++
-	c := &Conversation{id: m.next, link: l.link, mesh: m, parts: make(chan Message, window+1), gone: make(chan struct{})}
+	m.lastID++
+	c := &Conversation{id: m.lastID, link: l.link, mesh: m, parts: make(chan Message, window+1), failed: make(chan struct{})}
 	l.conversations[c.id] = c
 	m.mu.Unlock()
 	if err := l.send(c.id, 0, message); err != nil {
-		m.drop(c)
+		m.removeConversation(c)
 		return nil, judge.Refuse(judge.ReasonPeer, "link to %s: %v", address, err)
 	}
 	return c, nil
@@ -119,12 +119,12 @@
 // Serve accepts a link from a peer that sends the secret.
 func (m *Mesh) Serve(c *fasthttp.RequestCtx) {
 	given := string(c.Request.Header.Peek(fasthttp.HeaderAuthorization))
-	if subtle.ConstantTimeCompare([]byte(given), []byte(bearer(m.Secret()))) != 1 {
+	if subtle.ConstantTimeCompare([]byte(given), []byte(authorization(m.Secret()))) != 1 {
 		c.Error("wrong secret", fasthttp.StatusUnauthorized)
 		return
 	}
 	upgrader := websocket.FastHTTPUpgrader{CheckOrigin: func(*fasthttp.RequestCtx) bool { return true }}
-	_ = upgrader.Upgrade(c, m.accept) // the library has sent the error response
+	_ = upgrader.Upgrade(c, m.serveLink) // the library has sent the error response
 }
 
 // Tell sends a message that needs no answer. It dials if there is no link.
@@ -145,7 +145,7 @@
 	return l, ok
 }
 
-func (m *Mesh) dial(ctx context.Context, address string) (*dialled, error) {
+func (m *Mesh) dial(ctx context.Context, address string) (*outgoingLink, error) {
 	if l, ok := m.link(address); ok {
 		return l, nil
 	}
@@ -154,7 +154,7 @@
 		scheme = "wss://"
 	}
 	dialer := websocket.Dialer{HandshakeTimeout: dialTimeout, TLSClientConfig: m.TLS}
-	header := http.Header{fasthttp.HeaderAuthorization: {bearer(m.Secret())}}
+	header := http.Header{fasthttp.HeaderAuthorization: {authorization(m.Secret())}}
 	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	conn, response, err := dialer.DialContext(ctx, scheme+address+Path, header)
@@ -164,11 +164,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return m.adopt(address, conn)
+	return m.addLink(address, conn)
 }
 
-// adopt registers a new link, unless another one to the address exists by now.
-func (m *Mesh) adopt(address string, conn *websocket.Conn) (*dialled, error) {
+// addLink registers a new link, unless another one to the address exists by now.
+func (m *Mesh) addLink(address string, conn *websocket.Conn) (*outgoingLink, error) {
 	m.mu.Lock()
 	if other, ok := m.links[address]; ok {
 		m.mu.Unlock()
@@ -176,17 +176,17 @@
 		return other, nil
 	}
 	if m.links == nil {
-		m.links = make(map[string]*dialled)
+		m.links = make(map[string]*outgoingLink)
 	}
-	l := &dialled{link: newLink(conn, &m.bytes), conversations: make(map[uint64]*Conversation)}
-	l.hear()
+	l := &outgoingLink{link: newLink(conn, &m.bytes), conversations: make(map[uint64]*Conversation)}
+	l.recordFrame()
 	m.links[address] = l
 	m.mu.Unlock()
 	go m.receive(address, l)
 	return l, l.send(0, 0, Hello{Instance: m.Self()})
 }
 
-func (m *Mesh) drop(c *Conversation) {
+func (m *Mesh) removeConversation(c *Conversation) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range m.links {
@@ -196,20 +196,20 @@
 	}
 }
 
-func (l *dialled) hear() {
+func (l *outgoingLink) recordFrame() {
 	now := time.Now()
-	l.heard.Store(&now)
+	l.lastFrameAt.Store(&now)
 }
 
 // receive dispatches messages of answers to their conversations until the link fails.
-func (m *Mesh) receive(address string, l *dialled) {
-	defer m.lost(address, l)
+func (m *Mesh) receive(address string, l *outgoingLink) {
+	defer m.closeLink(address, l)
 	for {
 		f, message, err := l.read()
 		if err != nil {
 			return
 		}
-		l.hear()
+		l.recordFrame()
 		m.mu.Lock()
 		c := l.conversations[f.Conversation]
 		m.mu.Unlock()
@@ -221,9 +221,9 @@
 	}
 }
 
-// lost closes a link and ends every conversation on it.
-func (m *Mesh) lost(address string, l *dialled) {
-	l.shut()
+// closeLink closes a link and ends every conversation on it.
+func (m *Mesh) closeLink(address string, l *outgoingLink) {
+	l.closeConn()
 	m.mu.Lock()
 	if m.links[address] == l {
 		delete(m.links, address)
@@ -236,9 +236,9 @@
 	}
 }
 
-// bearer returns the value of the authorization header for the secret. Without a
+// authorization returns the value of the authorization header for the secret. Without a
 // secret it is empty, and only mutual TLS authenticates a peer.
-func bearer(secret string) string {
+func authorization(secret string) string {
 	if secret == "" {
 		return ""
 	}
--- a/internal/member/relayer/message.go
+++ b/internal/member/relayer/message.go
@@ -190,8 +190,8 @@
 	15: Commit{}, 16: Committed{}, 17: Permit{}, 18: Granted{}, 19: Preload{}, 20: Demand{}, 21: News{}, 22: Subscribe{}, 23: Reserve{}, 24: Reserved{}, 25: Crashes{}, 26: Settle{}, 27: Settled{}, 28: Place{}, 29: Placed{},
 }
 
-// numbers is the inverse of kinds.
-var numbers = func() map[reflect.Type]uint8 {
+// kindNumbers is the inverse of kinds.
+var kindNumbers = func() map[reflect.Type]uint8 {
 	n := make(map[reflect.Type]uint8)
 	for i, m := range kinds {
 		if m != nil {
@@ -215,7 +215,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return encoder.Marshal(frame{Conversation: conversation, Number: number, Kind: numbers[reflect.TypeOf(m)], Body: body})
+	return encoder.Marshal(frame{Conversation: conversation, Number: number, Kind: kindNumbers[reflect.TypeOf(m)], Body: body})
 }
 
 // decodeFrame returns the frame and its message.
--- a/internal/member/relayer/served.go
+++ b/internal/member/relayer/served.go
@@ -10,7 +10,7 @@
 )
 
 // A served link is one that a peer dialed, with the replies in progress on it.
-type served struct {
+type incomingLink struct {
 	mesh *Mesh
 	link *link
 	from heartbeater.Instance
@@ -19,7 +19,7 @@
 	replies map[uint64]*Reply
 }
 
-func (s *served) handle(ctx context.Context, f frame, message Message) {
+func (s *incomingLink) handle(ctx context.Context, f frame, message Message) {
 	switch message := message.(type) {
 	case Beat:
 		s.from.Leaving = message.Leaving
@@ -41,11 +41,11 @@
 			r.grant(message.Parts)
 		}
 	default:
-		s.open(ctx, f.Conversation, message)
+		s.startReply(ctx, f.Conversation, message)
 	}
 }
 
-func (s *served) open(ctx context.Context, id uint64, message Message) {
+func (s *incomingLink) startReply(ctx context.Context, id uint64, message Message) {
 	r := newReply(ctx, s.link, id)
 	from := s.from
 	s.mu.Lock()
@@ -59,17 +59,17 @@
 	}()
 }
 
-func (s *served) reply(id uint64) *Reply {
+func (s *incomingLink) reply(id uint64) *Reply {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.replies[id]
 }
 
-// accept serves a link that a peer dialed.
-func (m *Mesh) accept(conn *websocket.Conn) {
+// serveLink serves a link that a peer dialed.
+func (m *Mesh) serveLink(conn *websocket.Conn) {
 	l := newLink(conn, &m.bytes)
-	defer l.end()
-	l.expect()
+	defer l.closeAndWait()
+	l.extendReadDeadline()
 	_, first, err := l.read()
 	hello, ok := first.(Hello)
 	if err != nil || !ok {
@@ -77,9 +77,9 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	s := &served{mesh: m, link: l, from: hello.Instance, replies: make(map[uint64]*Reply)}
+	s := &incomingLink{mesh: m, link: l, from: hello.Instance, replies: make(map[uint64]*Reply)}
 	for {
-		l.expect()
+		l.extendReadDeadline()
 		f, message, err := l.read()
 		if err != nil {
 			return
