--- a/internal/member/elector/elector.go
+++ b/internal/member/elector/elector.go
@@ -33,18 +33,18 @@
 	Quiet   time.Duration // quiet period: minimum time between the orders of two leaders
 	Late    time.Duration // additional delay before a takeover; 0 for the instances of the domain itself
 
-	version uint64 // of the row as last observed or written
-	row     Tenure
+	version       uint64 // of the row as last observed or written
+	row           Tenure
 	observedAt    time.Duration // when version was first observed
-	renewedAt    time.Duration // when the last successful renewal was sent; valid while leader
-	acquired    bool          // acquired the lease and has not lost or released it; it may have expired
+	renewedAt     time.Duration // when the last successful renewal was sent; valid while leader
+	acquired      bool          // acquired the lease and has not lost or released it; it may have expired
 	ordersFrom    time.Duration // before which no orders may be sent
-	rowKnown   bool          // the row was observed, and no write failed and no Yield happened since
-	leaving bool          // the instance is stopping
+	rowKnown      bool          // the row was observed, and no write failed and no Yield happened since
+	leaving       bool          // the instance is stopping
 	steppedDownAt time.Duration // when this instance stepped down in favor of another one
-	idleUntil   time.Duration // before which it does not take the lease over again
-	endedFence   uint64        // fencing token of a lease whose leader reported that it stepped down
-	endedAt time.Duration // when that report arrived
+	idleUntil     time.Duration // before which it does not take the lease over again
+	endedFence    uint64        // fencing token of a lease whose leader reported that it stepped down
+	endedAt       time.Duration // when that report arrived
 }
 
 // A Write is a conditional write of the lease row: it takes effect only if the
@@ -53,7 +53,7 @@
 	Version  uint64
 	Row      Tenure
 	Takeover bool
-	sentAt       time.Duration // when the write was sent
+	sentAt   time.Duration // when the write was sent
 }
 
 // renewalsPerLease is how often the lease is renewed within its duration, so that two
@@ -105,7 +105,7 @@
 // Leave steps down for good: no more orders are sent. If this instance was the
 // leader, the returned write releases the lease, so that the next leader waits
 // only for the quiet period and not for the lease to expire.
-func (e *Elector) Leave(now time.Duration) (w Write, held bool) {
+func (e *Elector) Leave(now time.Duration) (w Write, wasLeader bool) {
 	e.leaving = true
 	return e.release(now)
 }
@@ -113,11 +113,11 @@
 // Yield steps down in favor of another instance: no more orders are sent, and the
 // lease is not taken over again before away has passed. If this instance was the
 // leader, the returned write releases the lease.
-func (e *Elector) Yield(now, away time.Duration) (w Write, held bool) {
-	e.steppedDownAt, e.idleUntil = now, now+away
-	w, held = e.release(now)
+func (e *Elector) Yield(now, idle time.Duration) (w Write, wasLeader bool) {
+	e.steppedDownAt, e.idleUntil = now, now+idle
+	w, wasLeader = e.release(now)
 	e.rowKnown = false
-	return w, held
+	return w, wasLeader
 }
 
 // Ended records that the leader with a fencing token has stepped down: it sends no
@@ -132,13 +132,13 @@
 // leaderEnded reports whether the leader named in the row is known to have stepped down.
 func (e *Elector) leaderEnded() bool { return e.endedFence > 0 && e.row.Fence == e.endedFence }
 
-func (e *Elector) release(now time.Duration) (w Write, held bool) {
-	held = e.Holds(now)
+func (e *Elector) release(now time.Duration) (w Write, wasLeader bool) {
+	wasLeader = e.Holds(now)
 	e.acquired = false
 	row := e.row
 	row.Holder, row.Address = "", ""
 	row.Serial++
-	return Write{Version: e.version, Row: row, sentAt: now}, held
+	return Write{Version: e.version, Row: row, sentAt: now}, wasLeader
 }
 
 // Read records the row as read at now. A missing row has version 0.
--- a/internal/member/elector/elector_test.go
+++ b/internal/member/elector/elector_test.go
@@ -80,7 +80,7 @@
 	if !ok {
 		t.Fatal("no renewal is due; the test needs one in flight")
 	}
-	if _, held := e.Yield(1100*time.Millisecond, 5*time.Second); !held {
+	if _, wasLeader := e.Yield(1100*time.Millisecond, 5*time.Second); !wasLeader {
 		t.Error("was not the leader before Yield")
 	}
 	e.Written(renewal, 2, 1200*time.Millisecond)
@@ -130,82 +130,82 @@
 // evict each other's adapters: that must not happen, and there must be a leader most
 // of the time.
 func TestOrdersOfTwoLeadersNeverOverlap(t *testing.T) {
-	playHolders(t, 0)
+	simulateElection(t, 0)
 }
 
 // The same, with leaders that step down now and then, as they do when they reach the
 // store but not the runners.
 func TestOrdersOfTwoLeadersNeverOverlapAfterYield(t *testing.T) {
-	playHolders(t, 1000)
+	simulateElection(t, 1000)
 }
 
-// playHolders simulates three instances. A leader steps down with a probability of 1 in
+// simulateElection simulates three instances. A leader steps down with a probability of 1 in
 // yields at each step; never if yields is 0.
-func playHolders(t *testing.T, yields int) {
+func simulateElection(t *testing.T, yieldOdds int) {
 	for seed := range uint64(300) {
-		chance := rand.New(rand.NewPCG(seed, 3))
+		yieldRNG := rand.New(rand.NewPCG(seed, 3))
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var row elector.Tenure
 		var version uint64
 		electors := []*elector.Elector{newElector("a"), newElector("b"), newElector("c")}
-		frozen := make([]time.Duration, len(electors))
-		cut := make([]time.Duration, len(electors)) // until when it is cut off from the table service
-		pending := make([]func(), len(electors))
-		last := -time.Hour
-		holder := ""
+		pausedUntil := make([]time.Duration, len(electors))
+		cutOffUntil := make([]time.Duration, len(electors)) // until when it is cut off from the table service
+		responses := make([]func(), len(electors))
+		lastOrderAt := -time.Hour
+		leader := ""
 		var fence uint64
 		orders := 0
 		for now := time.Duration(0); now < 5*time.Minute; now += 100 * time.Millisecond {
 			for i, e := range electors {
-				if now < frozen[i] {
+				if now < pausedUntil[i] {
 					continue
 				}
 				if rng.IntN(150) == 0 {
-					frozen[i] = now + time.Duration(rng.IntN(15))*time.Second
+					pausedUntil[i] = now + time.Duration(rng.IntN(15))*time.Second
 					if rng.IntN(2) == 0 { // crashed: its state is lost
 						electors[i] = newElector(e.Self)
-						pending[i] = nil
+						responses[i] = nil
 					}
 					continue
 				}
 				if rng.IntN(150) == 0 {
-					cut[i] = now + time.Duration(rng.IntN(15))*time.Second
+					cutOffUntil[i] = now + time.Duration(rng.IntN(15))*time.Second
 				}
 				if rng.IntN(200) == 0 { // planned restart
-					if w, held := e.Leave(now); held && w.Version == version {
+					if w, wasLeader := e.Leave(now); wasLeader && w.Version == version {
 						version++
 						row = w.Row
 					}
 					electors[i] = newElector(e.Self)
-					pending[i] = nil
+					responses[i] = nil
 					continue
 				}
-				if yields > 0 && e.Holds(now) && chance.IntN(yields) == 0 {
-					given := e.Holder().Fence
-					w, held := e.Yield(now, 10*time.Second)
-					if held && w.Version == version && now >= cut[i] {
+				if yieldOdds > 0 && e.Holds(now) && yieldRNG.IntN(yieldOdds) == 0 {
+					released := e.Holder().Fence
+					w, wasLeader := e.Yield(now, 10*time.Second)
+					if wasLeader && w.Version == version && now >= cutOffUntil[i] {
 						version++
 						row = w.Row
 					}
-					if other := electors[chance.IntN(len(electors))]; other != e {
-						other.Ended(given, now)
+					if other := electors[yieldRNG.IntN(len(electors))]; other != e {
+						other.Ended(released, now)
 					}
 				}
-				if answer := pending[i]; answer != nil { // arrives after the pause
-					pending[i] = nil
-					answer()
+				if deliver := responses[i]; deliver != nil { // arrives after the pause
+					responses[i] = nil
+					deliver()
 				}
 				if f, acts := e.Acts(now); acts {
-					if holder != e.Self && now-last < quiet {
-						t.Fatalf("seed %d at %s: %s sends orders %s after %s", seed, now, e.Self, now-last, holder)
+					if leader != e.Self && now-lastOrderAt < quiet {
+						t.Fatalf("seed %d at %s: %s sends orders %s after %s", seed, now, e.Self, now-lastOrderAt, leader)
 					}
-					if f < fence || f == fence && holder != e.Self {
-						t.Fatalf("seed %d at %s: %s sends orders with fence %d after fence %d of %s", seed, now, e.Self, f, fence, holder)
+					if f < fence || f == fence && leader != e.Self {
+						t.Fatalf("seed %d at %s: %s sends orders with fence %d after fence %d of %s", seed, now, e.Self, f, fence, leader)
 					}
-					holder, last, fence = e.Self, now, f
+					leader, lastOrderAt, fence = e.Self, now, f
 					orders++
 				}
-				if now < cut[i] {
+				if now < cutOffUntil[i] {
 					continue
 				}
 				if other := electors[rng.IntN(len(electors))]; other != e && other.Holds(now) {
@@ -213,21 +213,21 @@
 					e.Heard(other.Holder(), v, age, now)
 				}
 				if w, ok := e.Next(now); ok {
-					done := w.Version == version
-					if done {
+					matches := w.Version == version
+					if matches {
 						version++
 						row = w.Row
 					}
 					written := version
-					if !done || rng.IntN(10) == 0 {
+					if !matches || rng.IntN(10) == 0 {
 						e.Lost()
 						continue
 					}
-					pending[i] = func() { e.Written(w, written, now) }
+					responses[i] = func() { e.Written(w, written, now) }
 					continue
 				}
 				r, v := row, version
-				pending[i] = func() { e.Read(r, v, now) }
+				responses[i] = func() { e.Read(r, v, now) }
 			}
 		}
 		if orders < 1000 {
--- a/internal/member/gatherer/gatherer.go
+++ b/internal/member/gatherer/gatherer.go
@@ -21,30 +21,30 @@
 	Silent time.Duration                   // time since its last report after which a member is removed
 	Waits  func(k Key, all placer.Waiting) // called with the sum over all members whenever the waiting requests of one are set or removed; may be nil
 
-	instances int // sum over the members
-	loads     map[string]tracker.Load
-	members   map[string]*member
-	oldestReport    time.Time // no member's last report is older
-	uses      map[Key]int
-	waiting   map[Key]map[string]placer.Waiting // by member
+	instances    int // sum over the members
+	loads        map[string]tracker.Load
+	members      map[string]*member
+	oldestReport time.Time // no member's last report is older
+	uses         map[Key]int
+	waiting      map[Key]map[string]placer.Waiting // by member
 }
 
 // A member is an instance that reports here, with its last report.
 type member struct {
 	lastReportAt time.Time
-	lastReport  Word
+	lastReport   Word
 }
 
 // Tell replaces the last report of a member.
 func (g *Gatherer) Tell(from string, w Word, now time.Time) {
 	m := g.member(from, now)
 	m.lastReportAt = now
-	before := m.lastReport.Uses
+	previous := m.lastReport.Uses
 	g.replaceReport(from, m, w)
 	if g.Freed == nil {
 		return
 	}
-	for k := range before {
+	for k := range previous {
 		if g.uses[k] == 0 {
 			g.Freed(k)
 		}
@@ -103,9 +103,9 @@
 func (g *Gatherer) Instances() int { return g.instances }
 
 // Loads returns the load of each runner from all members but one.
-func (g *Gatherer) Loads(but string) map[string]tracker.Load {
+func (g *Gatherer) Loads(except string) map[string]tracker.Load {
 	var own map[string]tracker.Load
-	if m, ok := g.members[but]; ok {
+	if m, ok := g.members[except]; ok {
 		own = m.lastReport.Loads
 	}
 	others := make(map[string]tracker.Load, len(g.loads))
@@ -147,22 +147,22 @@
 
 // replaceReport replaces a member's last report and updates the sums.
 func (g *Gatherer) replaceReport(id string, m *member, w Word) {
-	before := m.lastReport
+	previous := m.lastReport
 	m.lastReport = w
-	g.instances += w.Instances - before.Instances
-	for runner, load := range before.Loads {
+	g.instances += w.Instances - previous.Instances
+	for runner, load := range previous.Loads {
 		g.addLoad(runner, tracker.Load{}.Minus(load))
 	}
 	for runner, load := range w.Loads {
 		g.addLoad(runner, load)
 	}
-	for k, n := range before.Uses {
+	for k, n := range previous.Uses {
 		g.addUses(k, -n)
 	}
 	for k, n := range w.Uses {
 		g.addUses(k, n)
 	}
-	for k := range before.Waits {
+	for k := range previous.Waits {
 		if _, still := w.Waits[k]; !still {
 			g.removeWaiting(id, k)
 		}
@@ -221,9 +221,9 @@
 
 // totalWaiting returns the sum over all members of the requests that wait for a copy.
 func (g *Gatherer) totalWaiting(k Key) placer.Waiting {
-	all := placer.Waiting{Priority: placer.Spare}
+	total := placer.Waiting{Priority: placer.Spare}
 	for _, waiting := range g.waiting[k] {
-		all = all.Plus(waiting)
+		total = total.Plus(waiting)
 	}
-	return all
+	return total
 }
--- a/internal/member/gatherer/gatherer_test.go
+++ b/internal/member/gatherer/gatherer_test.go
@@ -15,22 +15,22 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-const silent = 3 * time.Second
+const memberTimeout = 3 * time.Second
 
 var (
-	begun = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	hot   = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}}
 	cold  = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a2", Version: 1}}
 )
 
 func ExampleGatherer_Tell() {
-	g := gatherer.Gatherer{Silent: silent}
-	g.Tell("front-1", gatherer.Word{Instances: 1, Uses: map[gatherer.Key]int{hot: 2}}, begun)
-	g.Tell("front-2", gatherer.Word{Instances: 1, Uses: map[gatherer.Key]int{hot: 1}}, begun)
+	g := gatherer.Gatherer{Silent: memberTimeout}
+	g.Tell("front-1", gatherer.Word{Instances: 1, Uses: map[gatherer.Key]int{hot: 2}}, start)
+	g.Tell("front-2", gatherer.Word{Instances: 1, Uses: map[gatherer.Key]int{hot: 1}}, start)
 	fmt.Println(g.Uses(hot))
-	g.Tell("front-1", gatherer.Word{Instances: 1}, begun) // complete: its uses have ended
+	g.Tell("front-1", gatherer.Word{Instances: 1}, start) // complete: its uses have ended
 	fmt.Println(g.Uses(hot))
-	g.Expire(begun.Add(silent + time.Second)) // no reports since
+	g.Expire(start.Add(memberTimeout + time.Second)) // no reports since
 	fmt.Println(g.Uses(hot), g.Instances())
 	// Output:
 	// 3
@@ -42,23 +42,23 @@
 // whichever reported last: given the requests of one instance only, it gave the adapter
 // slot to a copy for which fewer requests waited.
 func TestWaitingRequestsOfAllMembersAreSummed(t *testing.T) {
-	told := make(map[gatherer.Key]placer.Waiting)
-	g := gatherer.Gatherer{Silent: silent, Waits: func(k gatherer.Key, all placer.Waiting) { told[k] = all }}
+	notified := make(map[gatherer.Key]placer.Waiting)
+	g := gatherer.Gatherer{Silent: memberTimeout, Waits: func(k gatherer.Key, all placer.Waiting) { notified[k] = all }}
 	waits := func(priority, requests, inTime int) gatherer.Word {
 		return gatherer.Word{Waits: map[gatherer.Key]placer.Waiting{hot: {Priority: priority, Requests: requests, InTime: inTime}}}
 	}
-	g.Tell("front-1", waits(1, 2, 1), begun)
-	g.Tell("front-2", waits(0, 3, 2), begun)
-	if diff := cmp.Diff(placer.Waiting{Priority: 0, Requests: 5, InTime: 3}, told[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
+	g.Tell("front-1", waits(1, 2, 1), start)
+	g.Tell("front-2", waits(0, 3, 2), start)
+	if diff := cmp.Diff(placer.Waiting{Priority: 0, Requests: 5, InTime: 3}, notified[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
 		t.Error("requests of both wait:", diff)
 	}
-	g.Tell("front-2", gatherer.Word{}, begun)
-	if diff := cmp.Diff(placer.Waiting{Priority: 1, Requests: 2, InTime: 1}, told[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
+	g.Tell("front-2", gatherer.Word{}, start)
+	if diff := cmp.Diff(placer.Waiting{Priority: 1, Requests: 2, InTime: 1}, notified[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
 		t.Error("after the urgent requests ended:", diff)
 	}
 	g.Drop("front-1")
-	if told[hot].Requests != 0 {
-		t.Errorf("%d requests wait after all have ended", told[hot].Requests)
+	if notified[hot].Requests != 0 {
+		t.Errorf("%d requests wait after all have ended", notified[hot].Requests)
 	}
 }
 
@@ -67,16 +67,16 @@
 // stays occupied until the next report.
 func TestFreedIsCalledWhenLastUseEnds(t *testing.T) {
 	var freed []gatherer.Key
-	g := gatherer.Gatherer{Silent: silent, Freed: func(k gatherer.Key) { freed = append(freed, k) }}
+	g := gatherer.Gatherer{Silent: memberTimeout, Freed: func(k gatherer.Key) { freed = append(freed, k) }}
 	uses := func(n int) gatherer.Word { return gatherer.Word{Uses: map[gatherer.Key]int{hot: n, cold: 1}} }
-	g.Tell("front-1", uses(2), begun)
-	g.Tell("front-2", uses(1), begun)
-	g.Tell("front-1", uses(1), begun)
-	g.Tell("front-2", gatherer.Word{Uses: map[gatherer.Key]int{cold: 1}}, begun)
+	g.Tell("front-1", uses(2), start)
+	g.Tell("front-2", uses(1), start)
+	g.Tell("front-1", uses(1), start)
+	g.Tell("front-2", gatherer.Word{Uses: map[gatherer.Key]int{cold: 1}}, start)
 	if len(freed) > 0 {
 		t.Errorf("Freed was called for %v, which are in use", freed)
 	}
-	g.Tell("front-1", gatherer.Word{Uses: map[gatherer.Key]int{cold: 1}}, begun)
+	g.Tell("front-1", gatherer.Word{Uses: map[gatherer.Key]int{cold: 1}}, start)
 	if diff := cmp.Diff([]gatherer.Key{hot}, freed); diff != "" {
 		t.Error(diff)
 	}
@@ -88,45 +88,45 @@
 // would be evicted.
 func TestSumsMatchLastReports(t *testing.T) {
 	for seed := range uint64(200) {
-		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { playWords(t, rand.New(rand.NewPCG(seed, seed))) })
+		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) { compareWithReports(t, rand.New(rand.NewPCG(seed, seed))) })
 	}
 }
 
-func playWords(t *testing.T, rng *rand.Rand) {
-	g := gatherer.Gatherer{Silent: silent}
-	words := make(map[string]gatherer.Word)
-	heard := make(map[string]time.Time)
-	now := begun
+func compareWithReports(t *testing.T, rng *rand.Rand) {
+	g := gatherer.Gatherer{Silent: memberTimeout}
+	reports := make(map[string]gatherer.Word)
+	lastReportAt := make(map[string]time.Time)
+	now := start
 	for range 60 {
 		now = now.Add(time.Duration(rng.Int64N(int64(400 * time.Millisecond))))
 		id := fmt.Sprint("front-", rng.IntN(6))
 		switch rng.IntN(8) {
 		case 0:
 			g.Drop(id)
-			delete(words, id)
+			delete(reports, id)
 		case 1:
 			k := randomKey(rng)
 			g.Use(id, k, now)
-			if _, known := words[id]; !known {
-				heard[id] = now
-				words[id] = gatherer.Word{Uses: make(map[gatherer.Key]int)}
+			if _, known := reports[id]; !known {
+				lastReportAt[id] = now
+				reports[id] = gatherer.Word{Uses: make(map[gatherer.Key]int)}
 			}
-			words[id].Uses[k]++
+			reports[id].Uses[k]++
 		case 2:
 			g.Expire(now)
-			for other := range words {
-				if now.Sub(heard[other]) > silent {
-					delete(words, other)
+			for other := range reports {
+				if now.Sub(lastReportAt[other]) > memberTimeout {
+					delete(reports, other)
 				}
 			}
 		default:
-			w := randomWord(rng)
-			words[id], heard[id] = w, now
+			w := randomReport(rng)
+			reports[id], lastReportAt[id] = w, now
 			w.Uses = maps.Clone(w.Uses)
 			g.Tell(id, w, now)
 		}
 		var want gatherer.Word
-		for _, w := range words {
+		for _, w := range reports {
 			want.Add(w)
 		}
 		if diff := cmp.Diff(want, g.Word(), cmpopts.EquateEmpty(), cmp.AllowUnexported(placer.Waiting{}, tracker.Load{})); diff != "" {
@@ -139,7 +139,7 @@
 	return gatherer.Key{Runner: fmt.Sprint("i-", rng.IntN(3)), Copy: placer.Copy{Model: "m", Adapter: fmt.Sprint("a", rng.IntN(3)), Version: 1}}
 }
 
-func randomWord(rng *rand.Rand) gatherer.Word {
+func randomReport(rng *rand.Rand) gatherer.Word {
 	w := gatherer.Word{
 		Instances: 1 + rng.IntN(3), Loads: make(map[string]tracker.Load), Uses: make(map[gatherer.Key]int), Waits: make(map[gatherer.Key]placer.Waiting),
 	}
@@ -156,14 +156,14 @@
 	for _, members := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprint("members=", members), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
-			g := gatherer.Gatherer{Silent: silent, Waits: func(gatherer.Key, placer.Waiting) {}}
+			g := gatherer.Gatherer{Silent: memberTimeout, Waits: func(gatherer.Key, placer.Waiting) {}}
 			for n := range members {
-				g.Tell(fmt.Sprint("front-", n), randomWord(rng), begun)
+				g.Tell(fmt.Sprint("front-", n), randomReport(rng), start)
 			}
-			words := []gatherer.Word{randomWord(rng), randomWord(rng)}
+			reports := []gatherer.Word{randomReport(rng), randomReport(rng)}
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
-				g.Tell("front-0", words[n%2], begun)
+				g.Tell("front-0", reports[n%2], start)
 				g.Loads("front-0")
 			}
 		})
--- a/internal/member/gatherer/word.go
+++ b/internal/member/gatherer/word.go
@@ -40,8 +40,8 @@
 		w.Waits = make(map[Key]placer.Waiting, len(other.Waits))
 	}
 	for k, waiting := range other.Waits {
-		if before, ok := w.Waits[k]; ok {
-			waiting = before.Plus(waiting)
+		if sum, ok := w.Waits[k]; ok {
+			waiting = sum.Plus(waiting)
 		}
 		w.Waits[k] = waiting
 	}
--- a/internal/member/heartbeater/monitor.go
+++ b/internal/member/heartbeater/monitor.go
@@ -32,15 +32,15 @@
 	Silence  time.Duration // time without a heartbeat after which an instance is suspect
 	Patience time.Duration // time without a heartbeat and off the list after which an instance is gone
 
-	listed map[string]bool // incarnations on the last list read
-	listReadAt   time.Time       // when the last list was read
-	peers  map[string]*peer
+	listed     map[string]bool // incarnations on the last list read
+	listReadAt time.Time       // when the last list was read
+	peers      map[string]*peer
 }
 
 type peer struct {
-	instance Instance
+	instance      Instance
 	absentSince   time.Time // since when it has been missing from the list; zero if it is not
-	lastHeartbeat    time.Time // last heartbeat
+	lastHeartbeat time.Time // last heartbeat
 }
 
 // Beat records a heartbeat.
--- a/internal/member/leaser/holder.go
+++ b/internal/member/leaser/holder.go
@@ -49,32 +49,32 @@
 	Self Member
 	Time time.Duration // lease duration
 
-	adoptedEpochs  map[string]uint64 // roster epoch by incarnation
-	deadline time.Time         // until which this instance's lease is trusted
-	gainedEpochs   map[string]uint64 // epoch in which each owned runner was gained
-	machine  *interpreter.Machine
-	nextRenewal     time.Time // when the next renewal is due
-	ranking  ranking
-	roster   Roster
-	runners  []string
-	observed     map[string]observation
-	serial   uint64
+	adoptedEpochs map[string]uint64 // roster epoch by incarnation
+	deadline      time.Time         // until which this instance's lease is trusted
+	gainedEpochs  map[string]uint64 // epoch in which each owned runner was gained
+	machine       *interpreter.Machine
+	nextRenewal   time.Time // when the next renewal is due
+	ranking       ranking
+	roster        Roster
+	runners       []string
+	observed      map[string]observation
+	serial        uint64
 }
 
 // A sighting is the last change observed in another member's lease row.
 type observation struct {
-	serial uint64
-	observedAt  time.Time // when the serial was first observed
+	serial     uint64
+	observedAt time.Time // when the serial was first observed
 }
 
 // Acts reports whether this instance may send orders to the runner as its owner,
 // and returns the fencing token for them.
 func (h *Holder) Acts(runner string, now time.Time) (uint64, bool) {
-	gain, owned := h.gainedEpochs[runner]
-	if !owned || !h.Valid(now) || !h.adoptedByAll(gain) {
+	epoch, owned := h.gainedEpochs[runner]
+	if !owned || !h.Valid(now) || !h.adoptedByAll(epoch) {
 		return 0, false
 	}
-	return gain << epochShift, true
+	return epoch << epochShift, true
 }
 
 // Adopted records the roster epoch that a member reports to have adopted.
@@ -103,8 +103,8 @@
 	h.init()
 	for _, l := range leases {
 		h.Adopted(l.Incarnation, l.Epoch)
-		last, ok := h.observed[l.Incarnation]
-		if !ok || last.serial != l.Serial {
+		previous, ok := h.observed[l.Incarnation]
+		if !ok || previous.serial != l.Serial {
 			h.observed[l.Incarnation] = observation{serial: l.Serial, observedAt: now}
 		}
 	}
@@ -157,10 +157,10 @@
 // Renewed records that the renewal sent at asked has taken effect. The lease
 // duration is counted from the sending, because the row may have been written as
 // early as that.
-func (h *Holder) Renewed(asked time.Time) {
+func (h *Holder) Renewed(sentAt time.Time) {
 	_ = h.machine.Fire(eventRenewed) // a late response after removal has no effect
 	if h.machine.State == stateHeld || h.machine.State == stateLeaving {
-		h.deadline = asked.Add(h.Time)
+		h.deadline = sentAt.Add(h.Time)
 	}
 }
 
@@ -243,11 +243,11 @@
 		drop = append(drop, Lease{Incarnation: m.Incarnation, Serial: h.observed[m.Incarnation].serial})
 	}
 	next := h.roster.Without(ids...)
-	before := len(next.Departed)
+	departed := len(next.Departed)
 	next.Departed = slices.DeleteFunc(next.Departed, func(d string) bool {
 		return slices.Contains(h.roster.Departed, d) && gone(d)
 	})
-	if len(ids) == 0 && (len(next.Departed) == before || !h.isProposer(expired)) {
+	if len(ids) == 0 && (len(next.Departed) == departed || !h.isProposer(expired)) {
 		return Propose{}, false
 	}
 	return Propose{Roster: next, Drop: drop}, true
--- a/internal/member/relayer/conversation.go
+++ b/internal/member/relayer/conversation.go
@@ -20,12 +20,12 @@
 	mesh  *Mesh
 	parts chan Message
 
-	ended bool
+	ended     bool
 	sequencer streamer.Sequencer
-	consumed int
+	consumed  int
 
 	failOnce sync.Once
-	failed chan struct{} // closed when the link failed or a message was lost
+	failed   chan struct{} // closed when the link failed or a message was lost
 }
 
 // Close ends the conversation. If the answer has not ended it is canceled at the
@@ -110,9 +110,9 @@
 	id     uint64
 	link   *link
 
-	credit   chan struct{}
-	finished bool
-	lastNumber   uint32
+	credit     chan struct{}
+	finished   bool
+	lastNumber uint32
 }
 
 func newReply(ctx context.Context, l *link, id uint64) *Reply {
--- a/internal/member/relayer/link.go
+++ b/internal/member/relayer/link.go
@@ -12,25 +12,25 @@
 // A link is one WebSocket connection. Frames are written by one goroutine from a
 // bounded queue, so that a stalled peer does not block the senders.
 type link struct {
-	conn *websocket.Conn
-	queue  chan []byte
+	conn         *websocket.Conn
+	queue        chan []byte
 	writtenBytes *atomic.Int64 // bytes written, over all links of the mesh
 
 	closeOnce  sync.Once
-	closed chan struct{}
-	writerDone  chan struct{} // closed when the writer has returned
+	closed     chan struct{}
+	writerDone chan struct{} // closed when the writer has returned
 }
 
 const (
-	queueCapacity     = 1024             // capacity of the queue, in frames
-	writeTimeout = 5 * time.Second  // after which the link to a peer that reads nothing is closed
-	readTimeout  = 30 * time.Second // on links that peers dialed, which carry heartbeats
-	frameLimit   = 16 << 20         // bytes
+	queueCapacity = 1024             // capacity of the queue, in frames
+	writeTimeout  = 5 * time.Second  // after which the link to a peer that reads nothing is closed
+	readTimeout   = 30 * time.Second // on links that peers dialed, which carry heartbeats
+	frameLimit    = 16 << 20         // bytes
 )
 
 var (
-	errClosed = errors.New("the link is closed")
-	errQueueFull   = errors.New("the peer takes nothing")
+	errClosed    = errors.New("the link is closed")
+	errQueueFull = errors.New("the peer takes nothing")
 )
 
 func newLink(conn *websocket.Conn, sent *atomic.Int64) *link {
@@ -69,12 +69,12 @@
 	case l.queue <- data:
 		return nil
 	default:
-		l.closeConn()
+		l.close()
 		return errQueueFull
 	}
 }
 
-func (l *link) closeConn() {
+func (l *link) close() {
 	l.closeOnce.Do(func() {
 		close(l.closed)
 		_ = l.conn.Close()
@@ -85,13 +85,13 @@
 // before the connection is returned to the library, which reuses its buffers for the
 // next connection: two concurrent writers to one buffer crash the process.
 func (l *link) closeAndWait() {
-	l.closeConn()
+	l.close()
 	<-l.writerDone
 }
 
 func (l *link) write() {
 	defer close(l.writerDone)
-	defer l.closeConn()
+	defer l.close()
 	for {
 		select {
 		case <-l.closed:
--- a/internal/member/relayer/mesh.go
+++ b/internal/member/relayer/mesh.go
@@ -51,15 +51,15 @@
 	gaps  atomic.Int64 // answers that lost a message
 	stale atomic.Int64 // messages that came late or twice
 
-	mu    sync.Mutex
-	links map[string]*outgoingLink // by address
-	lastID  uint64
+	mu     sync.Mutex
+	links  map[string]*outgoingLink // by address
+	lastID uint64
 }
 
 // A dialled link is one that this instance dialed, with the conversations open on it.
 type outgoingLink struct {
 	*link
-	lastFrameAt         atomic.Pointer[time.Time] // when the last frame was received or the link was established
+	lastFrameAt   atomic.Pointer[time.Time] // when the last frame was received or the link was established
 	conversations map[uint64]*Conversation
 }
 
@@ -118,8 +118,8 @@
 
 // Serve accepts a link from a peer that sends the secret.
 func (m *Mesh) Serve(c *fasthttp.RequestCtx) {
-	given := string(c.Request.Header.Peek(fasthttp.HeaderAuthorization))
-	if subtle.ConstantTimeCompare([]byte(given), []byte(authorization(m.Secret()))) != 1 {
+	received := string(c.Request.Header.Peek(fasthttp.HeaderAuthorization))
+	if subtle.ConstantTimeCompare([]byte(received), []byte(authorization(m.Secret()))) != 1 {
 		c.Error("wrong secret", fasthttp.StatusUnauthorized)
 		return
 	}
@@ -170,10 +170,10 @@
 // addLink registers a new link, unless another one to the address exists by now.
 func (m *Mesh) addLink(address string, conn *websocket.Conn) (*outgoingLink, error) {
 	m.mu.Lock()
-	if other, ok := m.links[address]; ok {
+	if existing, ok := m.links[address]; ok {
 		m.mu.Unlock()
 		_ = conn.Close()
-		return other, nil
+		return existing, nil
 	}
 	if m.links == nil {
 		m.links = make(map[string]*outgoingLink)
@@ -223,7 +223,7 @@
 
 // closeLink closes a link and ends every conversation on it.
 func (m *Mesh) closeLink(address string, l *outgoingLink) {
-	l.closeConn()
+	l.close()
 	m.mu.Lock()
 	if m.links[address] == l {
 		delete(m.links, address)
--- a/internal/member/relayer/mesh_test.go
+++ b/internal/member/relayer/mesh_test.go
@@ -21,8 +21,8 @@
 // A fakeHandler answers a Fetch with as many parts as its key says, and records the
 // keys of answers that could not be sent completely.
 type fakeHandler struct {
-	beats chan Beat
-	gone  chan string
+	beats  chan Beat
+	unsent chan string
 }
 
 func (h *fakeHandler) Answer(ctx context.Context, _ heartbeater.Instance, m Message, reply *Reply) error {
@@ -36,7 +36,7 @@
 	}
 	for i := range parts {
 		if err := reply.Send(Data{Data: []byte{byte(i)}}); err != nil {
-			h.gone <- fetch.Key
+			h.unsent <- fetch.Key
 			return err
 		}
 	}
@@ -53,19 +53,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &fakeHandler{beats: make(chan Beat, 8), gone: make(chan string, 8)}
+	h := &fakeHandler{beats: make(chan Beat, 8), unsent: make(chan string, 8)}
 	self := func() heartbeater.Instance { return heartbeater.Instance{ID: "i", Incarnation: "i-1"} }
-	answers := &Mesh{Handler: h, Secret: func() string { return "right" }, Self: self}
+	server := &Mesh{Handler: h, Secret: func() string { return "right" }, Self: self}
 	r := router.New()
-	r.GET(Path, answers.Serve)
+	r.GET(Path, server.Serve)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	server := listener.Server{Handler: r.Handler, Listener: l, Drain: time.Millisecond}
-	go func() { _ = server.Run(ctx) }()
+	httpServer := listener.Server{Handler: r.Handler, Listener: l, Drain: time.Millisecond}
+	go func() { _ = httpServer.Run(ctx) }()
 	return &Mesh{Handler: h, Secret: func() string { return secret }, Self: self}, l.Addr().String(), h
 }
 
-func drain(t *testing.T, c *Conversation) int {
+func readAll(t *testing.T, c *Conversation) int {
 	t.Helper()
 	parts := 0
 	for {
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, over := m.(End); over {
+		if _, ended := m.(End); ended {
 			return parts
 		}
 		parts++
@@ -92,11 +92,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := drain(t, quick); got != 5000 {
+	if got := readAll(t, quick); got != 5000 {
 		t.Errorf("quick reader got %d parts, want 5000", got)
 	}
 	slow.Close()
-	if key := <-h.gone; key != "1000" {
+	if key := <-h.unsent; key != "1000" {
 		t.Errorf("the answer to %s was canceled, want 1000", key)
 	}
 }
@@ -172,11 +172,11 @@
 		if err != nil {
 			return
 		}
-		again, err := encodeFrame(frame.Conversation, frame.Number, message)
+		reencoded, err := encodeFrame(frame.Conversation, frame.Number, message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := decodeFrame(again); err != nil {
+		if _, _, err := decodeFrame(reencoded); err != nil {
 			t.Errorf("%T is not decoded after encoding it again: %v", message, err)
 		}
 	})
@@ -186,7 +186,7 @@
 // library reclaims a connection as soon as its handler returns; a writer that was still
 // active then wrote to released buffers, which crashed the process.
 func TestClosedLinksDoNotCrashTheProcess(t *testing.T) {
-	server := &Mesh{Handler: flood{}, Secret: func() string { return "" }, Self: func() heartbeater.Instance { return heartbeater.Instance{} }}
+	server := &Mesh{Handler: floodHandler{}, Secret: func() string { return "" }, Self: func() heartbeater.Instance { return heartbeater.Instance{} }}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -198,7 +198,7 @@
 	for range 8 {
 		all.Go(func() {
 			for range 40 {
-				client := &Mesh{Handler: flood{}, Secret: func() string { return "" }, Self: func() heartbeater.Instance { return heartbeater.Instance{} }}
+				client := &Mesh{Handler: floodHandler{}, Secret: func() string { return "" }, Self: func() heartbeater.Instance { return heartbeater.Instance{} }}
 				c, err := client.Open(t.Context(), l.Addr().String(), Subscribe{Domain: "a"})
 				if err != nil {
 					continue
@@ -211,10 +211,10 @@
 	all.Wait()
 }
 
-// flood answers every message with data until the opener cancels or the link fails.
-type flood struct{}
+// floodHandler answers every message with data until the opener cancels or the link fails.
+type floodHandler struct{}
 
-func (flood) Answer(_ context.Context, _ heartbeater.Instance, _ Message, reply *Reply) error {
+func (floodHandler) Answer(_ context.Context, _ heartbeater.Instance, _ Message, reply *Reply) error {
 	for {
 		if err := reply.Send(Data{Data: make([]byte, 16<<10)}); err != nil {
 			return err
@@ -222,25 +222,25 @@
 	}
 }
 
-func (flood) Heard(heartbeater.Instance, Beat) {}
+func (floodHandler) Heard(heartbeater.Instance, Beat) {}
 
 // An instance is so busy that its heartbeats are late, but it still sends the answers
 // that its peer's callers wait for. Its link was closed nevertheless and the callers got
 // truncated responses. A link over which no frame was received for as long must still be
 // closed, or its conversations would hang.
 func TestLinkWithRecentFramesIsNotClosed(t *testing.T) {
-	const silence = time.Minute
+	const timeout = time.Minute
 	m, address, _ := newPair(t, "right")
 	c, err := m.Open(t.Context(), address, Fetch{Key: "3"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	drain(t, c)
-	m.CutSilent(address, silence, time.Now())
+	readAll(t, c)
+	m.CutSilent(address, timeout, time.Now())
 	if _, linked := m.Linked(address); !linked {
 		t.Error("a link was closed over which an answer had just been received")
 	}
-	m.CutSilent(address, silence, time.Now().Add(2*silence))
+	m.CutSilent(address, timeout, time.Now().Add(2*timeout))
 	if _, linked := m.Linked(address); linked {
 		t.Error("a link without recent frames was kept open")
 	}
