--- a/internal/member/elector/elector.go
+++ b/internal/member/elector/elector.go
@@ -41,7 +41,7 @@
 	ordersFrom    time.Duration // before which no orders may be sent
 	rowKnown      bool          // the row was observed, and no write failed and no Yield happened since
 	leaving       bool          // the instance is stopping
-	steppedDownAt time.Duration // when this instance stepped down in favor of another one
+	steppedDownAt time.Duration // by Yield
 	idleUntil     time.Duration // before which it does not take the lease over again
 	endedFence    uint64        // fencing token of a lease whose leader reported that it stepped down
 	endedAt       time.Duration // when that report arrived
@@ -53,16 +53,16 @@
 	Version  uint64
 	Row      Tenure
 	Takeover bool
-	sentAt   time.Duration // when the write was sent
+	sentAt   time.Duration
 }
 
-// renewalsPerLease is how often the lease is renewed within its duration, so that two
-// lost renewals in a row do not end it.
+// renewalsPerLease is how often the lease is renewed within its duration, so that
+// two lost renewals in a row do not end it.
 const renewalsPerLease = 4
 
-// driftDivisor sets how much longer than the leader trusts its lease an observer waits:
-// the lease duration divided by guard. It allows for clocks whose rates differ by
-// a tenth, far more than real clocks do.
+// driftDivisor sets how much longer than the leader trusts its lease an observer
+// waits: the lease duration divided by driftDivisor. It allows for clocks whose rates
+// differ by a tenth, far more than real clocks do.
 const driftDivisor = 10
 
 // Acts reports whether orders may be sent at now, and returns the fencing token
@@ -111,7 +111,7 @@
 }
 
 // Yield steps down in favor of another instance: no more orders are sent, and the
-// lease is not taken over again before away has passed. If this instance was the
+// lease is not taken over again until idle has passed. If this instance was the
 // leader, the returned write releases the lease.
 func (e *Elector) Yield(now, idle time.Duration) (w Write, wasLeader bool) {
 	e.steppedDownAt, e.idleUntil = now, now+idle
@@ -176,8 +176,8 @@
 	return e.newWrite(now, true), true
 }
 
-// available reports whether the lease may be taken over. An instance that finds its own
-// ID in the row has restarted: the process that wrote the row has terminated, so
+// available reports whether the lease may be taken over. An instance that finds its
+// own ID in the row has restarted: the process that wrote the row has terminated, so
 // the lease may be taken over at once.
 func (e *Elector) available(now time.Duration) bool {
 	if e.version == 0 || e.row.Holder == "" {
--- a/internal/member/elector/elector_test.go
+++ b/internal/member/elector/elector_test.go
@@ -139,8 +139,8 @@
 	simulateElection(t, 1000)
 }
 
-// simulateElection simulates three instances. A leader steps down with a probability of 1 in
-// yields at each step; never if yields is 0.
+// simulateElection simulates three instances. A leader steps down with a probability of
+// 1 in yieldOdds at each step; never if yieldOdds is 0.
 func simulateElection(t *testing.T, yieldOdds int) {
 	for seed := range uint64(300) {
 		yieldRNG := rand.New(rand.NewPCG(seed, 3))
@@ -149,7 +149,7 @@
 		var version uint64
 		electors := []*elector.Elector{newElector("a"), newElector("b"), newElector("c")}
 		pausedUntil := make([]time.Duration, len(electors))
-		cutOffUntil := make([]time.Duration, len(electors)) // until when it is cut off from the table service
+		cutOffUntil := make([]time.Duration, len(electors)) // from the table service
 		responses := make([]func(), len(electors))
 		lastOrderAt := -time.Hour
 		leader := ""
--- a/internal/member/heartbeater/monitor.go
+++ b/internal/member/heartbeater/monitor.go
@@ -33,14 +33,14 @@
 	Patience time.Duration // time without a heartbeat and off the list after which an instance is gone
 
 	listed     map[string]bool // incarnations on the last list read
-	listReadAt time.Time       // when the last list was read
+	listReadAt time.Time       // zero before the first list
 	peers      map[string]*peer
 }
 
 type peer struct {
 	instance      Instance
 	absentSince   time.Time // since when it has been missing from the list; zero if it is not
-	lastHeartbeat time.Time // last heartbeat
+	lastHeartbeat time.Time
 }
 
 // Beat records a heartbeat.
--- a/internal/member/leaser/holder.go
+++ b/internal/member/leaser/holder.go
@@ -29,8 +29,8 @@
 	eventRenewed = "renewed"
 )
 
-// renewalsPerLease is how often a lease is renewed within its duration, so that two lost
-// renewalsPerLease in a row do not end it.
+// renewalsPerLease is how often a lease is renewed within its duration, so that two
+// lost renewals in a row do not end it.
 const renewalsPerLease = 4
 
 // driftDivisor sets how much longer than a holder trusts its lease an observer
@@ -53,7 +53,7 @@
 	deadline      time.Time         // until which this instance's lease is trusted
 	gainedEpochs  map[string]uint64 // epoch in which each owned runner was gained
 	machine       *interpreter.Machine
-	nextRenewal   time.Time // when the next renewal is due
+	nextRenewal   time.Time
 	ranking       ranking
 	roster        Roster
 	runners       []string
@@ -61,7 +61,7 @@
 	serial        uint64
 }
 
-// A sighting is the last change observed in another member's lease row.
+// An observation is the last change observed in another member's lease row.
 type observation struct {
 	serial     uint64
 	observedAt time.Time // when the serial was first observed
@@ -154,7 +154,7 @@
 	h.gainedEpochs = make(map[string]uint64)
 }
 
-// Renewed records that the renewal sent at asked has taken effect. The lease
+// Renewed records that the renewal sent at sentAt has taken effect. The lease
 // duration is counted from the sending, because the row may have been written as
 // early as that.
 func (h *Holder) Renewed(sentAt time.Time) {
@@ -228,9 +228,9 @@
 	return h.machine != nil && h.machine.State == stateHeld && now.Before(h.deadline)
 }
 
-// proposeCleanup proposes a roster without the members that stopped renewing and without
-// the departed incarnations that have terminated. Only a member whose own lease is
-// valid may propose: the observations of one that was paused are outdated.
+// proposeCleanup proposes a roster without the members that stopped renewing and
+// without the departed incarnations that have terminated. Only a member whose own
+// lease is valid may propose: the observations of one that was paused are outdated.
 func (h *Holder) proposeCleanup(now time.Time, gone func(string) bool) (Propose, bool) {
 	if !h.Valid(now) {
 		return Propose{}, false
@@ -301,10 +301,10 @@
 	return Propose{Roster: next, Lease: lease}
 }
 
-// updateOwned recomputes which runners are owned and since which epoch. A runner that
-// is owned from one epoch to the next keeps the epoch of its gain. After a skipped
-// epoch none is kept: another member may have owned the runner in between, and this
-// instance's adoption of the later epoch allows that member to send orders.
+// updateOwned recomputes which runners are owned and since which epoch. A runner
+// that is owned from one epoch to the next keeps the epoch of its gain. After a
+// skipped epoch none is kept: another member may have owned the runner in between,
+// and this instance's adoption of the later epoch allows that member to send orders.
 func (h *Holder) updateOwned() {
 	gained := make(map[string]uint64, len(h.gainedEpochs))
 	for _, runner := range h.runners {
@@ -326,8 +326,8 @@
 	return Renew{Lease: Lease{Incarnation: h.Self.Incarnation, Serial: h.serial, Epoch: h.roster.Epoch}}
 }
 
-// handleAbsence handles a roster without this instance: before it has joined, after it
-// was removed, or after it has left.
+// handleAbsence handles a roster without this instance: before it has joined, after
+// it was removed, or after it has left.
 func (h *Holder) handleAbsence() {
 	if h.machine.State != stateOutside {
 		h.Removed()
--- a/internal/member/leaser/holder_test.go
+++ b/internal/member/leaser/holder_test.go
@@ -14,13 +14,14 @@
 	"github.com/sardinetiller/sardinetiller/internal/member/leaser"
 )
 
-// disabledSafeguards disables safeguards, for tests that the check for a single owner can fail.
+// disabledSafeguards lists the safeguards that are switched off, to test that
+// checkSingleOwner detects their absence.
 type disabledSafeguards struct{ adoption bool }
 
 const leaseTime = 10 * time.Second
 
-// A world simulates a table service and the holders of one failure domain on one
-// clock. Holders receive information only through the steps.
+// A simulation consists of a table service and the holders of one failure domain on one
+// clock. Holders receive information only through its methods.
 type simulation struct {
 	disabled disabledSafeguards
 	holders  []*leaser.Holder
@@ -43,7 +44,7 @@
 }
 
 // apply executes an action in the table. The holder receives the response only if
-// answered is true; otherwise the response is lost after the write.
+// responds is true; otherwise the response is lost after the write.
 func (sim *simulation) apply(h *leaser.Holder, action leaser.Action, responds bool) {
 	switch a := action.(type) {
 	case leaser.Renew:
--- a/internal/member/relayer/incoming.go
+++ b/internal/member/relayer/incoming.go
@@ -9,7 +9,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/member/heartbeater"
 )
 
-// A served link is one that a peer dialed, with the replies in progress on it.
+// An incomingLink is a link that a peer dialed, with the replies in progress on it.
 type incomingLink struct {
 	mesh *Mesh
 	link *link
--- a/internal/member/relayer/leader.go
+++ b/internal/member/relayer/leader.go
@@ -92,8 +92,8 @@
 	Members  int                     `cbor:"4,keyasint"`            // number of subscribed instances, the sender included
 	Runners  []tracker.Runner        `cbor:"5,keyasint,omitempty"`  // new or changed descriptions
 	Checksum uint64                  `cbor:"23,keyasint,omitempty"` // of the runners that the sender knows
-	Reached  Span                    `cbor:"24,keyasint,omitzero"`  // in which the store was reachable without interruption, up to the sender's last call
-	Revision uint64                  `cbor:"22,keyasint,omitempty"` // of the store, up to which the sender itself has read the table of runners
+	Reached  Span                    `cbor:"24,keyasint,omitzero"`  // during which the store was reachable without interruption, up to the sender's last call
+	Revision uint64                  `cbor:"22,keyasint,omitempty"` // of the store up to which the sender itself has read the table of runners
 	Whole    bool                    `cbor:"6,keyasint,omitempty"`  // snapshot: Runners and Held are complete
 }
 
--- a/internal/member/relayer/link.go
+++ b/internal/member/relayer/link.go
@@ -14,15 +14,15 @@
 type link struct {
 	conn         *websocket.Conn
 	queue        chan []byte
-	writtenBytes *atomic.Int64 // bytes written, over all links of the mesh
+	writtenBytes *atomic.Int64 // over all links of the mesh
 
-	closeOnce  sync.Once
+	close      sync.Once
 	closed     chan struct{}
 	writerDone chan struct{} // closed when the writer has returned
 }
 
 const (
-	queueCapacity = 1024             // capacity of the queue, in frames
+	queueCapacity = 1024             // frames
 	writeTimeout  = 5 * time.Second  // after which the link to a peer that reads nothing is closed
 	readTimeout   = 30 * time.Second // on links that peers dialed, which carry heartbeats
 	frameLimit    = 16 << 20         // bytes
@@ -69,29 +69,29 @@
 	case l.queue <- data:
 		return nil
 	default:
-		l.close()
+		l.shutdown()
 		return errQueueFull
 	}
 }
 
-func (l *link) close() {
-	l.closeOnce.Do(func() {
+func (l *link) shutdown() {
+	l.close.Do(func() {
 		close(l.closed)
 		_ = l.conn.Close()
 	})
 }
 
-// closeAndWait closes the link and waits until its writer has returned. This is required
-// before the connection is returned to the library, which reuses its buffers for the
-// next connection: two concurrent writers to one buffer crash the process.
+// closeAndWait closes the link and waits until its writer has returned. This is
+// required before the connection is returned to the library, which reuses its buffers
+// for the next connection: two concurrent writers to one buffer crash the process.
 func (l *link) closeAndWait() {
-	l.close()
+	l.shutdown()
 	<-l.writerDone
 }
 
 func (l *link) write() {
 	defer close(l.writerDone)
-	defer l.close()
+	defer l.shutdown()
 	for {
 		select {
 		case <-l.closed:
--- a/internal/member/relayer/mesh.go
+++ b/internal/member/relayer/mesh.go
@@ -56,7 +56,7 @@
 	lastID uint64
 }
 
-// A dialled link is one that this instance dialed, with the conversations open on it.
+// An outgoingLink is a link that this instance dialed, with the conversations open on it.
 type outgoingLink struct {
 	*link
 	lastFrameAt   atomic.Pointer[time.Time] // when the last frame was received or the link was established
@@ -223,7 +223,7 @@
 
 // closeLink closes a link and ends every conversation on it.
 func (m *Mesh) closeLink(address string, l *outgoingLink) {
-	l.close()
+	l.shutdown()
 	m.mu.Lock()
 	if m.links[address] == l {
 		delete(m.links, address)
@@ -236,8 +236,8 @@
 	}
 }
 
-// authorization returns the value of the authorization header for the secret. Without a
-// secret it is empty, and only mutual TLS authenticates a peer.
+// authorization returns the value of the authorization header for the secret. Without
+// a secret it is empty, and only mutual TLS authenticates a peer.
 func authorization(secret string) string {
 	if secret == "" {
 		return ""
--- a/internal/member/relayer/message.go
+++ b/internal/member/relayer/message.go
@@ -22,7 +22,7 @@
 //sumtype:decl
 type Message interface{ message() }
 
-// Messages that open a conversation or stand alone.
+// Messages that open a conversation or need no answer.
 type (
 	// An Ask forwards a request to the owner of its runner, or to another failure
 	// domain.
@@ -141,7 +141,7 @@
 // A State is the state of a runner by its owner; sent when the resident adapters
 // changed.
 type State struct {
-	Number   int      `cbor:"1,keyasint"` // identifies the runner in Loads on this link
+	Number   int      `cbor:"1,keyasint"` // identifies the runner in each Load on this link
 	Name     string   `cbor:"2,keyasint"`
 	Resident []string `cbor:"3,keyasint"`
 	Loading  []string `cbor:"4,keyasint"`
