--- a/internal/member/relayer/conversation.go
+++ b/internal/member/relayer/conversation.go
@@ -9,11 +9,11 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/streamer"
 )
 
-// window is how many messages of an answer may be in flight. Credit is granted in
+// window is how many messages of a response may be in flight. Credit is granted in
 // steps of half a window.
 const window = 64
 
-// A Conversation is the opener's side of one exchange.
+// A Conversation is the initiator's side of one exchange.
 type Conversation struct {
 	id    uint64
 	link  *link
@@ -28,16 +28,16 @@
 	failed   chan struct{} // closed when the link failed or a message was lost
 }
 
-// Close ends the conversation. If the answer has not ended it is canceled at the
+// Close ends the conversation. If the response has not ended it is canceled at the
 // peer.
 func (c *Conversation) Close() {
 	c.mesh.removeConversation(c)
 	if !c.ended {
-		_ = c.link.send(c.id, 0, Cancel{}) // a failed link has already ended the answer
+		_ = c.link.send(c.id, 0, Cancel{}) // a failed link has already ended the response
 	}
 }
 
-// Next returns the next message of the answer, of which an End is the last. It
+// Next returns the next message of the response, of which an End is the last. It
 // returns an error for a Fail, a failed link and an ended ctx.
 func (c *Conversation) Next(ctx context.Context) (Message, error) {
 	select {
@@ -60,8 +60,8 @@
 	c.failOnce.Do(func() { close(c.failed) })
 }
 
-// receive queues a message of the answer for the opener. A late or duplicate one is
-// dropped; after a gap the answer cannot be complete.
+// receive queues a message of the response for the initiator. A late or duplicate one
+// is dropped; after a gap the response cannot be complete.
 func (c *Conversation) receive(number uint32, m Message) {
 	switch c.sequencer.Accept(number) {
 	case streamer.Stale:
@@ -93,7 +93,7 @@
 	return m, nil
 }
 
-// isLast reports whether m ends an answer.
+// isLast reports whether m ends a response.
 func isLast(m Message) bool {
 	switch m.(type) {
 	case End, Reserved, Settled:
@@ -103,7 +103,7 @@
 	}
 }
 
-// A Reply is the answering side of a conversation.
+// A Reply is the responding side of a conversation.
 type Reply struct {
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -122,8 +122,8 @@
 	return r
 }
 
-// Send sends one message of the answer. It blocks while there is no credit and fails
-// once the opener has closed the conversation.
+// Send sends one message of the response. It blocks while there is no credit and fails
+// once the initiator has closed the conversation.
 func (r *Reply) Send(m Message) error {
 	select {
 	case <-r.credit:
@@ -136,7 +136,7 @@
 	return r.link.send(r.id, r.lastNumber, m)
 }
 
-// Finish sends a message that ends the answer without an End.
+// Finish sends a message that ends the response without an End.
 func (r *Reply) Finish(m Message) error {
 	r.finished = true
 	r.lastNumber++
@@ -154,7 +154,7 @@
 	if err != nil {
 		last = failOf(err)
 	}
-	_ = r.link.send(r.id, r.lastNumber, last) // a failed link ends the conversation at the opener, too
+	_ = r.link.send(r.id, r.lastNumber, last) // a failed link ends the conversation at the initiator, too
 	r.cancel()
 }
 
--- a/internal/member/relayer/doc.go
+++ b/internal/member/relayer/doc.go
@@ -2,8 +2,9 @@
 // with CBOR frames.
 //
 // Each instance dials one link to each peer that it talks to. Many conversations
-// share a link; each is opened with one message and answered with numbered ones, the
-// last an End or a Fail. The opener grants the peer credits for messages, so that a
-// slow caller blocks only its own conversation. When a link fails, every conversation
+// share a link; each is opened with one message, and the response is a sequence of
+// numbered messages that ends with an End or a Fail. The initiator grants the peer
+// credit for a number of messages, so that a slow caller blocks only its own
+// conversation. When a link fails, every conversation
 // on it ends with an error that leaves open whether the request has run.
 package relayer
--- a/internal/member/relayer/leader.go
+++ b/internal/member/relayer/leader.go
@@ -14,7 +14,7 @@
 
 // A Demand reports what the sender's requests need and use in a failure domain, to its
 // leader or to the instance that relays the leader's updates to the sender. It has no
-// answer.
+// response.
 type Demand struct {
 	Domain  string                  `cbor:"5,keyasint"`
 	Others  int                     `cbor:"10,keyasint,omitempty"` // instances that it covers besides the sender
@@ -31,7 +31,7 @@
 
 // Crashes reports the requests during which the sender observed that runners crashed,
 // and those that have completed since, to the instance that publishes the crash reports
-// of others to the sender. It has no answer and is sent again until the receiver
+// of others to the sender. It has no response and is sent again until the receiver
 // publishes the reports back.
 type Crashes struct {
 	Words []quarantiner.Word `cbor:"1,keyasint"`
@@ -50,7 +50,7 @@
 	Within time.Duration // time limit for the prefill of the prompt
 }
 
-// A Reserved answers a Reserve and ends the conversation.
+// A Reserved is the response to a Reserve and ends the conversation.
 type Reserved struct {
 	_       struct{}      `cbor:",toarray"`
 	Absent  bool          // the runner no longer holds the copy; the other fields are not set
@@ -67,7 +67,7 @@
 	Tables  map[string]uint64 `cbor:"3,keyasint,omitempty"` // store tables to include, each with the version up to which the sender knows it
 }
 
-// News is an update about a failure domain. A Subscribe is answered with a stream of
+// News is an update about a failure domain. The response to a Subscribe is a stream of
 // them, each with the changes since the last one; without a change it is a heartbeat.
 type News struct {
 	Acting   bool                    `cbor:"7,keyasint,omitempty"` // the leader may send orders now
--- a/internal/member/relayer/mesh.go
+++ b/internal/member/relayer/mesh.go
@@ -21,7 +21,7 @@
 
 // A Handler handles the messages of peers.
 type Handler interface {
-	// Answer answers a message that opens a conversation. Its return ends the answer,
+	// Answer handles a message that opens a conversation. Its return ends the response,
 	// with a Fail if there is an error.
 	Answer(ctx context.Context, from heartbeater.Instance, m Message, reply *Reply) error
 	// Heard handles a heartbeat.
@@ -48,7 +48,7 @@
 	TLS     *tls.Config                 // for outgoing links; nil for no TLS
 
 	bytes atomic.Int64 // written
-	gaps  atomic.Int64 // answers that lost a message
+	gaps  atomic.Int64 // responses that lost a message
 	stale atomic.Int64 // messages that came late or twice
 
 	mu     sync.Mutex
@@ -69,8 +69,8 @@
 // Bytes returns how many bytes of frames were written.
 func (m *Mesh) Bytes() int64 { return m.bytes.Load() }
 
-// Dropped returns how many messages of answers arrived late or twice, and how many
-// answers had a gap.
+// Dropped returns how many response messages arrived late or twice, and how many
+// responses had a gap.
 func (m *Mesh) Dropped() (stale, gaps int64) { return m.stale.Load(), m.gaps.Load() }
 
 // Cut closes the link to an address. It is called when the peer stops responding: the
@@ -83,7 +83,7 @@
 }
 
 // CutSilent closes the link to an address unless a frame was received over it within a
-// time: a peer that sends answers is alive even if its heartbeats are late.
+// time: a peer that sends responses is alive even if its heartbeats are late.
 func (m *Mesh) CutSilent(address string, within time.Duration, now time.Time) {
 	if l, ok := m.link(address); ok && now.Sub(*l.lastFrameAt.Load()) >= within {
 		m.closeLink(address, l)
@@ -127,7 +127,7 @@
 	_ = upgrader.Upgrade(c, m.serveLink) // the library has sent the error response
 }
 
-// Tell sends a message that needs no answer. It dials if there is no link.
+// Tell sends a message that needs no response. It dials if there is no link.
 func (m *Mesh) Tell(ctx context.Context, address string, message Message) error {
 	l, err := m.dial(ctx, address)
 	if err != nil {
@@ -201,7 +201,7 @@
 	l.lastFrameAt.Store(&now)
 }
 
-// receive dispatches messages of answers to their conversations until the link fails.
+// receive dispatches response messages to their conversations until the link fails.
 func (m *Mesh) receive(address string, l *outgoingLink) {
 	defer m.closeLink(address, l)
 	for {
--- a/internal/member/relayer/mesh_test.go
+++ b/internal/member/relayer/mesh_test.go
@@ -18,8 +18,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A fakeHandler answers a Fetch with as many parts as its key says, and records the
-// keys of answers that could not be sent completely.
+// A fakeHandler responds to a Fetch with as many parts as its key says, and records the
+// keys of responses that could not be sent completely.
 type fakeHandler struct {
 	beats  chan Beat
 	unsent chan string
@@ -45,8 +45,8 @@
 
 func (h *fakeHandler) Heard(_ heartbeater.Instance, beat Beat) { h.beats <- beat }
 
-// newPair returns a mesh that dials, the address of one that answers, and the
-// handler of the latter.
+// newPair returns a mesh that dials, the address of one that responds, and the handler
+// of the latter.
 func newPair(t *testing.T, secret string) (*Mesh, string, *fakeHandler) {
 	t.Helper()
 	l, err := listener.Local()
@@ -80,8 +80,8 @@
 	}
 }
 
-// One opener reads nothing of a long answer. Another one on the same link must still
-// receive its complete answer: credit is granted per conversation.
+// One initiator reads nothing of a long response. Another one on the same link must still
+// receive its complete response: credit is granted per conversation.
 func TestSlowReaderBlocksOnlyItsOwnConversation(t *testing.T) {
 	m, address, h := newPair(t, "right")
 	slow, err := m.Open(t.Context(), address, Fetch{Key: "1000"})
@@ -97,12 +97,12 @@
 	}
 	slow.Close()
 	if key := <-h.unsent; key != "1000" {
-		t.Errorf("the answer to %s was canceled, want 1000", key)
+		t.Errorf("the response to %s was canceled, want 1000", key)
 	}
 }
 
-// The link fails in the middle of an answer. The opener must get an error at once, with
-// the verdict that the peer may have run the request.
+// The link fails in the middle of a response. The initiator must get an error at once,
+// with the verdict that the peer may have run the request.
 func TestLinkFailureEndsConversations(t *testing.T) {
 	m, address, _ := newPair(t, "right")
 	c, err := m.Open(t.Context(), address, Fetch{Key: "1000"})
@@ -182,7 +182,7 @@
 	})
 }
 
-// Links are closed while answers are written to them, as when a peer is killed. The
+// Links are closed while responses are written to them, as when a peer is killed. The
 // library reclaims a connection as soon as its handler returns; a writer that was still
 // active then wrote to released buffers, which crashed the process.
 func TestClosedLinksDoNotCrashTheProcess(t *testing.T) {
@@ -211,7 +211,8 @@
 	all.Wait()
 }
 
-// floodHandler answers every message with data until the opener cancels or the link fails.
+// floodHandler responds to every message with data until the initiator cancels or the
+// link fails.
 type floodHandler struct{}
 
 func (floodHandler) Answer(_ context.Context, _ heartbeater.Instance, _ Message, reply *Reply) error {
@@ -224,7 +225,7 @@
 
 func (floodHandler) Heard(heartbeater.Instance, Beat) {}
 
-// An instance is so busy that its heartbeats are late, but it still sends the answers
+// An instance is so busy that its heartbeats are late, but it still sends the responses
 // that its peer's callers wait for. Its link was closed nevertheless and the callers got
 // truncated responses. A link over which no frame was received for as long must still be
 // closed, or its conversations would hang.
@@ -238,7 +239,7 @@
 	readAll(t, c)
 	m.CutSilent(address, timeout, time.Now())
 	if _, linked := m.Linked(address); !linked {
-		t.Error("a link was closed over which an answer had just been received")
+		t.Error("a link was closed over which a response had just been received")
 	}
 	m.CutSilent(address, timeout, time.Now().Add(2*timeout))
 	if _, linked := m.Linked(address); linked {
--- a/internal/member/relayer/message.go
+++ b/internal/member/relayer/message.go
@@ -22,7 +22,7 @@
 //sumtype:decl
 type Message interface{ message() }
 
-// Messages that open a conversation or need no answer.
+// Messages that open a conversation or need no response.
 type (
 	// An Ask forwards a request to the owner of its runner, or to another failure
 	// domain.
@@ -81,24 +81,24 @@
 	}
 )
 
-// Messages that answer.
+// Responses.
 type (
-	// A Committed answers a Commit. At most one of the three failures is set.
+	// A Committed is the response to a Commit. At most one of the three failures is set.
 	Committed struct {
 		Conflict    string `cbor:"1,keyasint,omitempty"` // key of the row whose condition did not hold
 		Unavailable bool   `cbor:"2,keyasint,omitempty"` // certainly not written
 		Unknown     bool   `cbor:"3,keyasint,omitempty"`
 	}
 
-	// Data is a part of the body of an answer.
+	// Data is a part of the body of a response.
 	Data struct {
 		Data []byte `cbor:"1,keyasint"`
 	}
 
-	// An End completes an answer.
+	// An End completes a response.
 	End struct{}
 
-	// A Fail ends an answer with a verdict.
+	// A Fail ends a response with a verdict.
 	Fail struct {
 		Verdict judge.Verdict `cbor:"1,keyasint"`
 		Reason  judge.Reason  `cbor:"2,keyasint"`
@@ -106,22 +106,22 @@
 		Retry   time.Duration `cbor:"4,keyasint"`
 	}
 
-	// A Granted answers a Permit: the load may begin.
+	// A Granted is the response to a Permit: the load may begin.
 	Granted struct{}
 
-	// A Head begins an answer.
+	// A Head begins a response.
 	Head struct {
 		Head streamer.Head `cbor:"1,keyasint"`
 	}
 
-	// A Surrendered answers a Yield.
+	// A Surrendered is the response to a Yield.
 	Surrendered struct {
 		Given bool           `cbor:"1,keyasint"` // false: not released yet, to be asked again
 		Pins  map[string]int `cbor:"2,keyasint"`
 		Doom  []string       `cbor:"3,keyasint"`
 	}
 
-	// A Told answers an Inquire.
+	// A Told is the response to an Inquire.
 	Told struct {
 		Head publisher.Head `cbor:"1,keyasint"`
 	}
@@ -129,10 +129,10 @@
 
 // Messages of the link itself.
 type (
-	// A Cancel ends a conversation before its answer is complete.
+	// A Cancel ends a conversation before its response is complete.
 	Cancel struct{}
 
-	// A Grant lets the sender of an answer send Parts more messages.
+	// A Grant lets the sender of a response send Parts more messages.
 	Grant struct {
 		Parts int `cbor:"1,keyasint"`
 	}
@@ -205,7 +205,7 @@
 type frame struct {
 	_            struct{} `cbor:",toarray"`
 	Conversation uint64
-	Number       uint32 // sequence number of the message in its answer; 0 from the opener
+	Number       uint32 // sequence number of the message in its response; 0 from the initiator
 	Kind         uint8
 	Body         cbor.RawMessage
 }
@@ -234,7 +234,7 @@
 	return f, m.Elem().Interface().(Message), nil
 }
 
-// failOf returns the message that ends an answer with an error.
+// failOf returns the message that ends a response with an error.
 func failOf(err error) Fail {
 	e := judge.As(err)
 	return Fail{Verdict: e.Verdict, Reason: e.Reason, Message: e.Message, Retry: e.Retry}
--- a/internal/member/relayer/place.go
+++ b/internal/member/relayer/place.go
@@ -11,7 +11,7 @@
 	Within time.Duration // time limit for the request to begin
 }
 
-// A Placed answers a Place: the request slot is reserved.
+// A Placed is the response to a Place: the request slot is reserved.
 type Placed struct {
 	_    struct{}      `cbor:",toarray"`
 	Wait time.Duration // estimated time until the request begins
--- a/internal/member/relayer/quota.go
+++ b/internal/member/relayer/quota.go
@@ -14,7 +14,7 @@
 	Parted bool // the sender settles with another instance from now on; Spent is not set
 }
 
-// A Settled answers a Settle and ends the conversation.
+// A Settled is the response to a Settle and ends the conversation.
 type Settled struct {
 	_        struct{}          `cbor:",toarray"`
 	Age      time.Duration     // since the ledger began
