--- a/internal/member/gatherer/gatherer.go
+++ b/internal/member/gatherer/gatherer.go
@@ -1,10 +1,10 @@
-// Package gatherer sums up what the requests of many instances do at the runners
-// of a failure domain.
+// Package gatherer aggregates what the requests of many instances need and use at
+// the runners of a failure domain.
 //
-// Each instance tells it whole, again and again, so a word that is lost on the way
-// is made good by the next one, and an instance that falls silent is forgotten
-// after a while. The sums are kept and not counted anew: what an instance's word
-// costs does not depend on how many others there are.
+// Each instance repeatedly reports its complete state, so the next report makes up
+// for a lost one, and an instance that stops reporting is removed after a timeout.
+// The sums are updated incrementally: the cost of a report does not depend on the
+// number of instances.
 package gatherer
 
 import (
@@ -14,99 +14,99 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// A Gatherer holds the last word of each member. Its fields are set before use;
-// it is not safe for concurrent use.
+// A Gatherer holds the last report of each member and the sums over all of them.
+// Its exported fields are set before use; it is not safe for concurrent use.
 type Gatherer struct {
-	Freed  func(k Key)                     // is told when the last use of a copy has ended; may be nil
-	Silent time.Duration                   // after its last word a member counts no more
-	Waits  func(k Key, all placer.Waiting) // is told of all requests that wait for a copy, whenever a member tells of some; may be nil
+	Freed  func(k Key)                     // called when a report ends the last use of a copy; may be nil
+	Silent time.Duration                   // time since its last report after which a member is removed
+	Waits  func(k Key, all placer.Waiting) // called with the sum over all members whenever the waiting requests of one are set or removed; may be nil
 
-	instances int
-	loads     map[string]tracker.Load
-	members   map[string]*member
-	oldest    time.Time // no member was heard before
-	uses      map[Key]int
-	waiting   map[Key]map[string]placer.Waiting // by member
+	instances    int // sum over the members
+	loads        map[string]tracker.Load
+	members      map[string]*member
+	oldestReport time.Time // no member's last report is older
+	uses         map[Key]int
+	waiting      map[Key]map[string]placer.Waiting // by member
 }
 
-// A member is who told a word.
+// A member is an instance that reports here, with its last report.
 type member struct {
-	heard time.Time
-	word  Word
+	lastReportAt time.Time
+	lastReport   Word
 }
 
-// Tell takes in the word of a member, in place of its last one.
+// Tell replaces the last report of a member.
 func (g *Gatherer) Tell(from string, w Word, now time.Time) {
 	m := g.member(from, now)
-	m.heard = now
-	before := m.word.Uses
-	g.replace(from, m, w)
+	m.lastReportAt = now
+	previous := m.lastReport.Uses
+	g.replaceReport(from, m, w)
 	if g.Freed == nil {
 		return
 	}
-	for k := range before {
+	for k := range previous {
 		if g.uses[k] == 0 {
 			g.Freed(k)
 		}
 	}
 }
 
-// Use counts a use that a member has begun. Its next word tells of all its uses,
-// this one included for as long as it lasts.
+// Use counts a use that a member has begun. The member's next report replaces the
+// count and includes this use for as long as it lasts.
 func (g *Gatherer) Use(by string, k Key, now time.Time) {
 	m := g.member(by, now)
-	if m.word.Uses == nil {
-		m.word.Uses = make(map[Key]int)
+	if m.lastReport.Uses == nil {
+		m.lastReport.Uses = make(map[Key]int)
 	}
-	m.word.Uses[k]++
-	g.use(k, 1)
+	m.lastReport.Uses[k]++
+	g.addUses(k, 1)
 }
 
-// Drop forgets a member.
+// Drop removes a member.
 func (g *Gatherer) Drop(id string) {
 	if m, ok := g.members[id]; ok {
-		g.replace(id, m, Word{})
+		g.replaceReport(id, m, Word{})
 		delete(g.members, id)
 	}
 }
 
-// Clear forgets all members.
+// Clear removes all members.
 func (g *Gatherer) Clear() {
 	for id := range g.members {
 		g.Drop(id)
 	}
 }
 
-// Expire forgets the members that are silent. Without it the uses of an instance
-// that died would keep their places for good.
+// Expire removes the members that stopped reporting. Without it the uses of a
+// crashed instance would occupy their adapter slots for good.
 func (g *Gatherer) Expire(now time.Time) {
-	if now.Sub(g.oldest) <= g.Silent {
+	if now.Sub(g.oldestReport) <= g.Silent {
 		return
 	}
-	g.oldest = now
+	g.oldestReport = now
 	for id, m := range g.members {
-		if now.Sub(m.heard) > g.Silent {
+		if now.Sub(m.lastReportAt) > g.Silent {
 			g.Drop(id)
-		} else if m.heard.Before(g.oldest) {
-			g.oldest = m.heard
+		} else if m.lastReportAt.Before(g.oldestReport) {
+			g.oldestReport = m.lastReportAt
 		}
 	}
 }
 
-// Knows reports whether a member counts.
+// Knows reports whether id is a member.
 func (g *Gatherer) Knows(id string) bool {
 	_, ok := g.members[id]
 	return ok
 }
 
-// Instances returns how many instances the members speak for.
+// Instances returns the number of instances that the members report for.
 func (g *Gatherer) Instances() int { return g.instances }
 
-// Loads returns the work of all members but one.
-func (g *Gatherer) Loads(but string) map[string]tracker.Load {
+// Loads returns the load of each runner from all members but one.
+func (g *Gatherer) Loads(except string) map[string]tracker.Load {
 	var own map[string]tracker.Load
-	if m, ok := g.members[but]; ok {
-		own = m.word.Loads
+	if m, ok := g.members[except]; ok {
+		own = m.lastReport.Loads
 	}
 	others := make(map[string]tracker.Load, len(g.loads))
 	for runner, load := range g.loads {
@@ -117,17 +117,17 @@
 	return others
 }
 
-// Uses returns how many requests need a copy to stay.
+// Uses returns how many requests use a copy, which must not be evicted meanwhile.
 func (g *Gatherer) Uses(k Key) int { return g.uses[k] }
 
-// Word returns the sum of the words of all members.
+// Word returns the sum of the reports of all members.
 func (g *Gatherer) Word() Word {
 	w := Word{Instances: g.instances, Loads: g.Loads(""), Uses: make(map[Key]int, len(g.uses)), Waits: make(map[Key]placer.Waiting, len(g.waiting))}
 	for k, n := range g.uses {
 		w.Uses[k] = n
 	}
 	for k := range g.waiting {
-		w.Waits[k] = g.all(k)
+		w.Waits[k] = g.totalWaiting(k)
 	}
 	return w
 }
@@ -135,44 +135,44 @@
 func (g *Gatherer) member(id string, now time.Time) *member {
 	m, ok := g.members[id]
 	if !ok {
-		m = &member{heard: now}
+		m = &member{lastReportAt: now}
 		if g.members == nil {
 			g.members = make(map[string]*member)
-			g.oldest = now
+			g.oldestReport = now
 		}
 		g.members[id] = m
 	}
 	return m
 }
 
-// replace puts a word in place of a member's last one.
-func (g *Gatherer) replace(id string, m *member, w Word) {
-	before := m.word
-	m.word = w
-	g.instances += w.Instances - before.Instances
-	for runner, load := range before.Loads {
-		g.load(runner, tracker.Load{}.Minus(load))
+// replaceReport replaces a member's last report and updates the sums.
+func (g *Gatherer) replaceReport(id string, m *member, w Word) {
+	previous := m.lastReport
+	m.lastReport = w
+	g.instances += w.Instances - previous.Instances
+	for runner, load := range previous.Loads {
+		g.addLoad(runner, tracker.Load{}.Minus(load))
 	}
 	for runner, load := range w.Loads {
-		g.load(runner, load)
+		g.addLoad(runner, load)
 	}
-	for k, n := range before.Uses {
-		g.use(k, -n)
+	for k, n := range previous.Uses {
+		g.addUses(k, -n)
 	}
 	for k, n := range w.Uses {
-		g.use(k, n)
+		g.addUses(k, n)
 	}
-	for k := range before.Waits {
+	for k := range previous.Waits {
 		if _, still := w.Waits[k]; !still {
-			g.unwait(id, k)
+			g.removeWaiting(id, k)
 		}
 	}
 	for k, waiting := range w.Waits {
-		g.wait(id, k, waiting)
+		g.setWaiting(id, k, waiting)
 	}
 }
 
-func (g *Gatherer) load(runner string, change tracker.Load) {
+func (g *Gatherer) addLoad(runner string, change tracker.Load) {
 	if g.loads == nil {
 		g.loads = make(map[string]tracker.Load)
 	}
@@ -184,7 +184,7 @@
 	g.loads[runner] = sum
 }
 
-func (g *Gatherer) use(k Key, n int) {
+func (g *Gatherer) addUses(k Key, n int) {
 	if g.uses == nil {
 		g.uses = make(map[Key]int)
 	}
@@ -194,7 +194,7 @@
 	}
 }
 
-func (g *Gatherer) wait(id string, k Key, waiting placer.Waiting) {
+func (g *Gatherer) setWaiting(id string, k Key, waiting placer.Waiting) {
 	if g.waiting == nil {
 		g.waiting = make(map[Key]map[string]placer.Waiting)
 	}
@@ -202,28 +202,28 @@
 		g.waiting[k] = make(map[string]placer.Waiting)
 	}
 	g.waiting[k][id] = waiting
-	g.waits(k)
+	g.notifyWaits(k)
 }
 
-func (g *Gatherer) unwait(id string, k Key) {
+func (g *Gatherer) removeWaiting(id string, k Key) {
 	delete(g.waiting[k], id)
 	if len(g.waiting[k]) == 0 {
 		delete(g.waiting, k)
 	}
-	g.waits(k)
+	g.notifyWaits(k)
 }
 
-func (g *Gatherer) waits(k Key) {
+func (g *Gatherer) notifyWaits(k Key) {
 	if g.Waits != nil {
-		g.Waits(k, g.all(k))
+		g.Waits(k, g.totalWaiting(k))
 	}
 }
 
-// all sums up the requests that wait for a copy, over the members that have some.
-func (g *Gatherer) all(k Key) placer.Waiting {
-	all := placer.Waiting{Priority: placer.Spare}
+// totalWaiting returns the sum over all members of the requests that wait for a copy.
+func (g *Gatherer) totalWaiting(k Key) placer.Waiting {
+	total := placer.Waiting{Priority: placer.Spare}
 	for _, waiting := range g.waiting[k] {
-		all = all.Plus(waiting)
+		total = total.Plus(waiting)
 	}
-	return all
+	return total
 }
--- a/internal/member/leaser/holder.go
+++ b/internal/member/leaser/holder.go
@@ -29,57 +29,58 @@
 	eventRenewed = "renewed"
 )
 
-// renewals is how often a lease is renewed within its time, so that two lost
-// renewals in a row do not cost the lease.
-const renewals = 4
+// renewalsPerLease is how often a lease is renewed within its duration, so that two
+// lost renewals in a row do not end it.
+const renewalsPerLease = 4
 
-// driftDivisor is the part of the lease time by which an observer waits longer
-// than a holder trusts its lease. It covers clocks that run at rates up to a
-// tenth apart, which is far more than any real pair.
+// driftDivisor sets how much longer than a holder trusts its lease an observer
+// waits: the lease duration divided by driftDivisor. It allows for clocks whose
+// rates differ by a tenth, far more than real clocks do.
 const driftDivisor = 10
 
-// epochShift is the place of the epoch in a fencing number. The low bits count
-// how often a rightful owner had to go past a number that the engine had seen.
+// epochShift is the position of the epoch in a fencing token. The lower bits count
+// how often the legitimate owner had to exceed a token that the engine had
+// already accepted.
 const epochShift = 16
 
 // A Holder is one instance's view of its failure domain's roster and of its own
-// lease. Self and Time are set before use.
+// lease in it. Self and Time are set before use.
 type Holder struct {
 	Self Member
-	Time time.Duration // lease time
-
-	adopted  map[string]uint64 // incarnation to roster epoch
-	deadline time.Time         // until when the own lease is trusted
-	gained   map[string]uint64 // owned runner to epoch of the gain
-	machine  *interpreter.Machine
-	next     time.Time // when the next renewal is due
-	ranking  ranking
-	roster   Roster
-	runners  []string
-	seen     map[string]sighting
-	serial   uint64
+	Time time.Duration // lease duration
+
+	adoptedEpochs map[string]uint64 // roster epoch by incarnation
+	deadline      time.Time         // until which this instance's lease is trusted
+	gainedEpochs  map[string]uint64 // epoch in which each owned runner was gained
+	machine       *interpreter.Machine
+	nextRenewal   time.Time
+	ranking       ranking
+	roster        Roster
+	runners       []string
+	observed      map[string]observation
+	serial        uint64
 }
 
-// A sighting is the last change seen in another member's lease row.
-type sighting struct {
-	serial uint64
-	first  time.Time // when the serial was first seen
+// An observation is the last change observed in another member's lease row.
+type observation struct {
+	serial     uint64
+	observedAt time.Time // when the serial was first observed
 }
 
-// Acts reports whether this instance may order on the runner as its owner, and
-// the fencing number to order with.
+// Acts reports whether this instance may send orders to the runner as its owner,
+// and returns the fencing token for them.
 func (h *Holder) Acts(runner string, now time.Time) (uint64, bool) {
-	gain, owned := h.gained[runner]
-	if !owned || !h.Valid(now) || !h.settled(gain) {
+	epoch, owned := h.gainedEpochs[runner]
+	if !owned || !h.Valid(now) || !h.adoptedByAll(epoch) {
 		return 0, false
 	}
-	return gain << epochShift, true
+	return epoch << epochShift, true
 }
 
-// Adopted records the roster epoch that another member says it has adopted.
+// Adopted records the roster epoch that a member reports to have adopted.
 func (h *Holder) Adopted(incarnation string, epoch uint64) {
 	h.init()
-	h.adopted[incarnation] = max(h.adopted[incarnation], epoch)
+	h.adoptedEpochs[incarnation] = max(h.adoptedEpochs[incarnation], epoch)
 }
 
 // Epoch returns the roster epoch that this instance has adopted.
@@ -88,7 +89,7 @@
 // Leave makes the next Tick propose a roster without this instance.
 func (h *Holder) Leave() {
 	h.init()
-	_ = h.machine.Fire(eventLeave) // leaving twice changes nothing
+	_ = h.machine.Fire(eventLeave) // a second Leave has no effect
 }
 
 // Left reports whether this instance is off the roster for good.
@@ -97,24 +98,24 @@
 	return h.machine.State == stateLeft
 }
 
-// Observe takes in the domain's lease rows as read at now.
+// Observe records the domain's lease rows as read at now.
 func (h *Holder) Observe(leases []Lease, now time.Time) {
 	h.init()
 	for _, l := range leases {
 		h.Adopted(l.Incarnation, l.Epoch)
-		last, ok := h.seen[l.Incarnation]
-		if !ok || last.serial != l.Serial {
-			h.seen[l.Incarnation] = sighting{serial: l.Serial, first: now}
+		previous, ok := h.observed[l.Incarnation]
+		if !ok || previous.serial != l.Serial {
+			h.observed[l.Incarnation] = observation{serial: l.Serial, observedAt: now}
 		}
 	}
 }
 
-// Owned returns the runners that the roster gives to this instance, sorted,
-// whether or not it may act on them yet.
+// Owned returns the runners that the roster assigns to this instance, sorted,
+// whether or not it may send orders to them yet.
 func (h *Holder) Owned() []string {
 	var owned []string
 	for _, r := range h.runners {
-		if _, ok := h.gained[r]; ok {
+		if _, ok := h.gainedEpochs[r]; ok {
 			owned = append(owned, r)
 		}
 	}
@@ -126,14 +127,14 @@
 	return h.ranking.owner(runner)
 }
 
-// Owns reports whether the roster gives the runner to this instance.
+// Owns reports whether the roster assigns the runner to this instance.
 func (h *Holder) Owns(runner string) bool {
-	_, ok := h.gained[runner]
+	_, ok := h.gainedEpochs[runner]
 	return ok
 }
 
 // Parties returns the incarnations that may have used a runner before: every
-// other member and all that have departed without being cleared.
+// other member, and all departed ones not yet known to have terminated.
 func (h *Holder) Parties() []string {
 	var parties []string
 	for _, m := range h.roster.Members {
@@ -144,61 +145,61 @@
 	return append(parties, h.roster.Departed...)
 }
 
-// Removed records that a renewal was refused because the row is gone: another
-// member took this instance off the roster.
+// Removed records that a renewal failed because the lease row no longer exists:
+// another member removed this instance from the roster.
 func (h *Holder) Removed() {
 	h.init()
 	_ = h.machine.Fire(eventRemoved)
 	h.deadline = time.Time{}
-	h.gained = make(map[string]uint64)
+	h.gainedEpochs = make(map[string]uint64)
 }
 
-// Renewed records that the renewal that was sent at asked has taken effect.
-// The lease is trusted from the sending on, because the row may have been
-// written that early.
-func (h *Holder) Renewed(asked time.Time) {
-	_ = h.machine.Fire(eventRenewed) // a late answer after removal changes nothing
+// Renewed records that the renewal sent at sentAt has taken effect. The lease
+// duration is counted from the sending, because the row may have been written as
+// early as that.
+func (h *Holder) Renewed(sentAt time.Time) {
+	_ = h.machine.Fire(eventRenewed) // a late response after removal has no effect
 	if h.machine.State == stateHeld || h.machine.State == stateLeaving {
-		h.deadline = asked.Add(h.Time)
+		h.deadline = sentAt.Add(h.Time)
 	}
 }
 
 // Roster returns the adopted roster.
 func (h *Holder) Roster() Roster { return h.roster }
 
-// See takes in a roster that was read from the table service or told by a
-// peer. An older one changes nothing.
+// See adopts a roster that was read from the table service or received from a
+// peer. An older one has no effect.
 func (h *Holder) See(r Roster, now time.Time) {
 	h.init()
 	if r.Epoch <= h.roster.Epoch {
 		return
 	}
 	if r.Epoch != h.roster.Epoch+1 {
-		h.gained = make(map[string]uint64)
+		h.gainedEpochs = make(map[string]uint64)
 	}
 	h.roster = r
 	h.ranking = r.ranking()
 	if _, on := r.Member(h.Self.Incarnation); !on {
-		h.seeAbsent()
+		h.handleAbsence()
 		return
 	}
 	if h.machine.State == stateOutside {
 		_ = h.machine.Fire(eventJoined)
 	}
-	h.next = now // tells the others at once what was adopted
-	h.regain()
+	h.nextRenewal = now // report the adopted epoch to the others at once
+	h.updateOwned()
 }
 
-// SetRunners names the runners of the domain. They change with the settings.
+// SetRunners sets the runners of the domain. They change with the settings.
 func (h *Holder) SetRunners(runners []string) {
 	h.init()
 	h.runners = slices.Clone(runners)
 	slices.Sort(h.runners)
-	h.regain()
+	h.updateOwned()
 }
 
-// Tick returns what is due at now. The table service is the judge of all of
-// it; a proposal that lost a race changes nothing.
+// Tick returns the actions due at now. The conditions of their transactions decide
+// whether they take effect; a proposal that lost a race has none.
 func (h *Holder) Tick(now time.Time, gone func(incarnation string) bool) []Action {
 	h.init()
 	if h.machine.State == stateHeld && !now.Before(h.deadline) && !h.deadline.IsZero() {
@@ -213,24 +214,24 @@
 		return nil
 	}
 	var actions []Action
-	if !now.Before(h.next) {
+	if !now.Before(h.nextRenewal) {
 		actions = append(actions, h.renew(now))
 	}
-	if propose, ok := h.cleanUp(now, gone); ok {
+	if propose, ok := h.proposeCleanup(now, gone); ok {
 		actions = append(actions, propose)
 	}
 	return actions
 }
 
-// Valid reports whether the lease can be trusted at now.
+// Valid reports whether this instance's lease can be trusted at now.
 func (h *Holder) Valid(now time.Time) bool {
 	return h.machine != nil && h.machine.State == stateHeld && now.Before(h.deadline)
 }
 
-// cleanUp proposes a roster without the members that stopped renewing and
-// without the departed that no longer run. Only a member with a lease that it
-// can trust may propose: one that was paused itself has old sightings.
-func (h *Holder) cleanUp(now time.Time, gone func(string) bool) (Propose, bool) {
+// proposeCleanup proposes a roster without the members that stopped renewing and
+// without the departed incarnations that have terminated. Only a member whose own
+// lease is valid may propose: the observations of one that was paused are outdated.
+func (h *Holder) proposeCleanup(now time.Time, gone func(string) bool) (Propose, bool) {
 	if !h.Valid(now) {
 		return Propose{}, false
 	}
@@ -239,42 +240,42 @@
 	var drop []Lease
 	for _, m := range expired {
 		ids = append(ids, m.ID)
-		drop = append(drop, Lease{Incarnation: m.Incarnation, Serial: h.seen[m.Incarnation].serial})
+		drop = append(drop, Lease{Incarnation: m.Incarnation, Serial: h.observed[m.Incarnation].serial})
 	}
 	next := h.roster.Without(ids...)
-	before := len(next.Departed)
+	departed := len(next.Departed)
 	next.Departed = slices.DeleteFunc(next.Departed, func(d string) bool {
 		return slices.Contains(h.roster.Departed, d) && gone(d)
 	})
-	if len(ids) == 0 && (len(next.Departed) == before || !h.first(expired)) {
+	if len(ids) == 0 && (len(next.Departed) == departed || !h.isProposer(expired)) {
 		return Propose{}, false
 	}
 	return Propose{Roster: next, Drop: drop}, true
 }
 
-// expired returns the members whose lease row has not changed for a lease time
-// and the drift allowance, by this instance's clock.
+// expired returns the members whose lease row has not changed for the lease
+// duration and the drift allowance, by this instance's clock.
 func (h *Holder) expired(now time.Time) []Member {
 	var expired []Member
 	for _, m := range h.roster.Members {
 		if m.Incarnation == h.Self.Incarnation {
 			continue
 		}
-		last, ok := h.seen[m.Incarnation]
+		last, ok := h.observed[m.Incarnation]
 		if !ok {
-			h.seen[m.Incarnation] = sighting{first: now}
+			h.observed[m.Incarnation] = observation{observedAt: now}
 			continue
 		}
-		if now.Sub(last.first) > h.Time+h.Time/driftDivisor {
+		if now.Sub(last.observedAt) > h.Time+h.Time/driftDivisor {
 			expired = append(expired, m)
 		}
 	}
 	return expired
 }
 
-// first reports whether this instance is the first member that has not
-// expired. One proposer is enough for what is not urgent.
-func (h *Holder) first(expired []Member) bool {
+// isProposer reports whether this instance is the first member whose lease has not
+// expired. One proposer suffices for what is not urgent.
+func (h *Holder) isProposer(expired []Member) bool {
 	for _, m := range h.roster.Members {
 		if !slices.Contains(expired, m) {
 			return m == h.Self
@@ -288,9 +289,9 @@
 		return
 	}
 	h.machine = Chart.Machine()
-	h.adopted = make(map[string]uint64)
-	h.gained = make(map[string]uint64)
-	h.seen = make(map[string]sighting)
+	h.adoptedEpochs = make(map[string]uint64)
+	h.gainedEpochs = make(map[string]uint64)
+	h.observed = make(map[string]observation)
 }
 
 func (h *Holder) join() Action {
@@ -300,45 +301,44 @@
 	return Propose{Roster: next, Lease: lease}
 }
 
-// regain works out anew which runners are owned and since which epoch. A
-// runner that stays from one epoch to the next keeps the epoch of its gain.
-// Over a skipped epoch nothing is kept: the runner may have been another
-// member's in between, and adopting the later epoch told that member that it
-// may act.
-func (h *Holder) regain() {
-	gained := make(map[string]uint64, len(h.gained))
+// updateOwned recomputes which runners are owned and since which epoch. A runner
+// that is owned from one epoch to the next keeps the epoch of its gain. After a
+// skipped epoch none is kept: another member may have owned the runner in between,
+// and this instance's adoption of the later epoch allows that member to send orders.
+func (h *Holder) updateOwned() {
+	gained := make(map[string]uint64, len(h.gainedEpochs))
 	for _, runner := range h.runners {
 		owner, ok := h.ranking.owner(runner)
 		if !ok || owner.Incarnation != h.Self.Incarnation {
 			continue
 		}
 		gained[runner] = h.roster.Epoch
-		if epoch, kept := h.gained[runner]; kept {
+		if epoch, kept := h.gainedEpochs[runner]; kept {
 			gained[runner] = epoch
 		}
 	}
-	h.gained = gained
+	h.gainedEpochs = gained
 }
 
 func (h *Holder) renew(now time.Time) Action {
 	h.serial++
-	h.next = now.Add(h.Time / renewals)
+	h.nextRenewal = now.Add(h.Time / renewalsPerLease)
 	return Renew{Lease: Lease{Incarnation: h.Self.Incarnation, Serial: h.serial, Epoch: h.roster.Epoch}}
 }
 
-// seeAbsent handles a roster that this instance is not on: before it has
-// joined, after it was removed, or after it has left.
-func (h *Holder) seeAbsent() {
+// handleAbsence handles a roster without this instance: before it has joined, after
+// it was removed, or after it has left.
+func (h *Holder) handleAbsence() {
 	if h.machine.State != stateOutside {
 		h.Removed()
 	}
 }
 
-// settled reports whether every other member has adopted the epoch, and so has
-// given up what it owned before.
-func (h *Holder) settled(epoch uint64) bool {
+// adoptedByAll reports whether every other member has adopted the epoch, and so has
+// released the runners that it owned before.
+func (h *Holder) adoptedByAll(epoch uint64) bool {
 	for _, m := range h.roster.Members {
-		if m.Incarnation != h.Self.Incarnation && h.adopted[m.Incarnation] < epoch {
+		if m.Incarnation != h.Self.Incarnation && h.adoptedEpochs[m.Incarnation] < epoch {
 			return false
 		}
 	}
--- a/internal/member/relayer/conversation.go
+++ b/internal/member/relayer/conversation.go
@@ -9,61 +9,61 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/streamer"
 )
 
-// window is how many messages of an answer may be under way. Half of it is
-// granted anew at a time.
+// window is how many messages of a response may be in flight. Credit is granted in
+// steps of half a window.
 const window = 64
 
-// A Conversation is the opener's side of one exchange.
+// A Conversation is the initiator's side of one exchange.
 type Conversation struct {
 	id    uint64
 	link  *link
 	mesh  *Mesh
 	parts chan Message
 
-	ended bool
-	order streamer.Sequencer
-	taken int
+	ended     bool
+	sequencer streamer.Sequencer
+	consumed  int
 
-	once sync.Once
-	gone chan struct{} // closed when the link failed
+	failOnce sync.Once
+	failed   chan struct{} // closed when the link failed or a message was lost
 }
 
-// Close ends the conversation. If the answer has not ended the peer is told to
-// stop.
+// Close ends the conversation. If the response has not ended it is canceled at the
+// peer.
 func (c *Conversation) Close() {
-	c.mesh.drop(c)
+	c.mesh.removeConversation(c)
 	if !c.ended {
-		_ = c.link.send(c.id, 0, Cancel{}) // a failed link has ended it already
+		_ = c.link.send(c.id, 0, Cancel{}) // a failed link has already ended the response
 	}
 }
 
-// Next returns the next message of the answer: an End is the last. A Fail, a
-// failed link and an ended ctx are errors.
+// Next returns the next message of the response, of which an End is the last. It
+// returns an error for a Fail, a failed link and an ended ctx.
 func (c *Conversation) Next(ctx context.Context) (Message, error) {
 	select {
 	case m := <-c.parts:
-		return c.take(m)
+		return c.consume(m)
 	default:
 	}
 	select {
 	case m := <-c.parts:
-		return c.take(m)
-	case <-c.gone:
+		return c.consume(m)
+	case <-c.failed:
 		return nil, &judge.Error{Verdict: judge.MayHaveRun, Reason: judge.ReasonPeer, Message: "the link to the peer failed"}
 	case <-ctx.Done():
 		return nil, &judge.Error{Verdict: judge.MayHaveRun, Reason: judge.ReasonDeadline, Message: "the deadline passed while the peer had the request"}
 	}
 }
 
-// fail wakes the opener after a link failure.
+// fail makes Next return an error once the received messages are consumed.
 func (c *Conversation) fail() {
-	c.once.Do(func() { close(c.gone) })
+	c.failOnce.Do(func() { close(c.failed) })
 }
 
-// receive hands a message of the answer to the opener. A late or doubled one is
-// dropped; after a gap the answer cannot be whole.
+// receive queues a message of the response for the initiator. A late or duplicate one
+// is dropped; after a gap the response cannot be complete.
 func (c *Conversation) receive(number uint32, m Message) {
-	switch c.order.Accept(number) {
+	switch c.sequencer.Accept(number) {
 	case streamer.Stale:
 		c.mesh.stale.Add(1)
 		return
@@ -74,27 +74,27 @@
 	}
 	select {
 	case c.parts <- m:
-	default: // the peer sent more than it was granted
+	default: // the peer exceeded its credit
 		c.mesh.gaps.Add(1)
 		c.fail()
 	}
 }
 
-func (c *Conversation) take(m Message) (Message, error) {
-	c.taken++
-	if c.taken%(window/2) == 0 {
-		_ = c.link.send(c.id, 0, Grant{Parts: window / 2}) // a failed link shows at the next message
+func (c *Conversation) consume(m Message) (Message, error) {
+	c.consumed++
+	if c.consumed%(window/2) == 0 {
+		_ = c.link.send(c.id, 0, Grant{Parts: window / 2}) // a failed link makes a later Next fail
 	}
 	if fail, failed := m.(Fail); failed {
 		c.ended = true
 		return nil, &judge.Error{Verdict: fail.Verdict, Reason: fail.Reason, Message: fail.Message, Retry: fail.Retry}
 	}
-	c.ended = ends(m)
+	c.ended = isLast(m)
 	return m, nil
 }
 
-// ends reports whether a message is the last of an answer.
-func ends(m Message) bool {
+// isLast reports whether m ends a response.
+func isLast(m Message) bool {
 	switch m.(type) {
 	case End, Reserved, Settled:
 		return true
@@ -103,16 +103,16 @@
 	}
 }
 
-// A Reply is the answering side of a conversation.
+// A Reply is the responding side of a conversation.
 type Reply struct {
 	ctx    context.Context
 	cancel context.CancelFunc
 	id     uint64
 	link   *link
 
-	credit   chan struct{}
-	finished bool
-	number   uint32
+	credit     chan struct{}
+	finished   bool
+	lastNumber uint32
 }
 
 func newReply(ctx context.Context, l *link, id uint64) *Reply {
@@ -122,8 +122,8 @@
 	return r
 }
 
-// Send sends one message of the answer. It waits while the opener has granted
-// none and fails when the opener wants no more.
+// Send sends one message of the response. It blocks while there is no credit and fails
+// once the initiator has closed the conversation.
 func (r *Reply) Send(m Message) error {
 	select {
 	case <-r.credit:
@@ -132,29 +132,29 @@
 	case <-r.link.closed:
 		return errClosed
 	}
-	r.number++
-	return r.link.send(r.id, r.number, m)
+	r.lastNumber++
+	return r.link.send(r.id, r.lastNumber, m)
 }
 
-// Finish sends a message that ends the answer by itself.
+// Finish sends a message that ends the response without an End.
 func (r *Reply) Finish(m Message) error {
 	r.finished = true
-	r.number++
-	return r.link.send(r.id, r.number, m)
+	r.lastNumber++
+	return r.link.send(r.id, r.lastNumber, m)
 }
 
-// end sends the last message, which needs no grant.
+// end sends the last message, which needs no credit.
 func (r *Reply) end(err error) {
 	if r.finished {
 		r.cancel()
 		return
 	}
-	r.number++
+	r.lastNumber++
 	var last Message = End{}
 	if err != nil {
 		last = failOf(err)
 	}
-	_ = r.link.send(r.id, r.number, last) // a failed link tells the opener by itself
+	_ = r.link.send(r.id, r.lastNumber, last) // a failed link ends the conversation at the initiator, too
 	r.cancel()
 }
 
@@ -162,7 +162,7 @@
 	for range parts {
 		select {
 		case r.credit <- struct{}{}:
-		default: // an opener cannot grant more than there is room for
+		default: // credit beyond the capacity is ignored
 		}
 	}
 }
--- a/internal/member/relayer/link.go
+++ b/internal/member/relayer/link.go
@@ -9,39 +9,39 @@
 	"github.com/fasthttp/websocket"
 )
 
-// A link is one WebSocket connection. Frames are written by one goroutine from
-// a bounded queue, so that a peer that stands still blocks nobody who speaks.
+// A link is one WebSocket connection. Frames are written by one goroutine from a
+// bounded queue, so that a stalled peer does not block the senders.
 type link struct {
-	conn *websocket.Conn
-	out  chan []byte
-	sent *atomic.Int64 // bytes, for the control budget
+	conn         *websocket.Conn
+	queue        chan []byte
+	writtenBytes *atomic.Int64 // over all links of the mesh
 
-	close  sync.Once
-	closed chan struct{}
-	ended  chan struct{} // closed when nothing is written any more
+	close      sync.Once
+	closed     chan struct{}
+	writerDone chan struct{} // closed when the writer has returned
 }
 
 const (
-	outgoing     = 1024             // frames that may wait for a slow peer
-	writeTimeout = 5 * time.Second  // after which a peer that takes nothing is given up
-	readTimeout  = 30 * time.Second // on links that peers dialled, where heartbeats come
-	frameLimit   = 16 << 20         // bytes
+	queueCapacity = 1024             // frames
+	writeTimeout  = 5 * time.Second  // after which the link to a peer that reads nothing is closed
+	readTimeout   = 30 * time.Second // on links that peers dialed, which carry heartbeats
+	frameLimit    = 16 << 20         // bytes
 )
 
 var (
-	errClosed = errors.New("the link is closed")
-	errFull   = errors.New("the peer takes nothing")
+	errClosed    = errors.New("the link is closed")
+	errQueueFull = errors.New("the peer takes nothing")
 )
 
 func newLink(conn *websocket.Conn, sent *atomic.Int64) *link {
 	conn.SetReadLimit(frameLimit)
-	l := &link{conn: conn, out: make(chan []byte, outgoing), sent: sent, closed: make(chan struct{}), ended: make(chan struct{})}
+	l := &link{conn: conn, queue: make(chan []byte, queueCapacity), writtenBytes: sent, closed: make(chan struct{}), writerDone: make(chan struct{})}
 	go l.write()
 	return l
 }
 
-// expect bounds the wait for the next frame.
-func (l *link) expect() {
+// extendReadDeadline limits the wait for the next frame.
+func (l *link) extendReadDeadline() {
 	_ = l.conn.SetReadDeadline(time.Now().Add(readTimeout)) // fails only on a closed connection
 }
 
@@ -54,7 +54,7 @@
 	return decodeFrame(data)
 }
 
-// send queues a message. An error means that it was not sent.
+// send queues a message. After an error it is certain that it was not sent.
 func (l *link) send(conversation uint64, number uint32, m Message) error {
 	data, err := encodeFrame(conversation, number, m)
 	if err != nil {
@@ -66,42 +66,42 @@
 	default:
 	}
 	select {
-	case l.out <- data:
+	case l.queue <- data:
 		return nil
 	default:
-		l.shut()
-		return errFull
+		l.shutdown()
+		return errQueueFull
 	}
 }
 
-func (l *link) shut() {
+func (l *link) shutdown() {
 	l.close.Do(func() {
 		close(l.closed)
 		_ = l.conn.Close()
 	})
 }
 
-// end shuts the link and waits until nothing is written to it any more. Whoever
-// gives the connection back to the library has to: it hands its buffers to the
-// next connection, and two that write into the same one end the process.
-func (l *link) end() {
-	l.shut()
-	<-l.ended
+// closeAndWait closes the link and waits until its writer has returned. This is
+// required before the connection is returned to the library, which reuses its buffers
+// for the next connection: two concurrent writers to one buffer crash the process.
+func (l *link) closeAndWait() {
+	l.shutdown()
+	<-l.writerDone
 }
 
 func (l *link) write() {
-	defer close(l.ended)
-	defer l.shut()
+	defer close(l.writerDone)
+	defer l.shutdown()
 	for {
 		select {
 		case <-l.closed:
 			return
-		case data := <-l.out:
+		case data := <-l.queue:
 			_ = l.conn.SetWriteDeadline(time.Now().Add(writeTimeout)) // fails only on a closed connection
 			if l.conn.WriteMessage(websocket.BinaryMessage, data) != nil {
 				return
 			}
-			l.sent.Add(int64(len(data)))
+			l.writtenBytes.Add(int64(len(data)))
 		}
 	}
 }
--- a/internal/member/relayer/mesh_test.go
+++ b/internal/member/relayer/mesh_test.go
@@ -18,11 +18,11 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A fakeHandler answers with as many parts as the key of a Fetch says, and tells
-// when an opener has gone.
+// A fakeHandler responds to a Fetch with as many parts as its key says, and records the
+// keys of responses that could not be sent completely.
 type fakeHandler struct {
-	beats chan Beat
-	gone  chan string
+	beats  chan Beat
+	unsent chan string
 }
 
 func (h *fakeHandler) Answer(ctx context.Context, _ heartbeater.Instance, m Message, reply *Reply) error {
@@ -36,7 +36,7 @@
 	}
 	for i := range parts {
 		if err := reply.Send(Data{Data: []byte{byte(i)}}); err != nil {
-			h.gone <- fetch.Key
+			h.unsent <- fetch.Key
 			return err
 		}
 	}
@@ -45,27 +45,27 @@
 
 func (h *fakeHandler) Heard(_ heartbeater.Instance, beat Beat) { h.beats <- beat }
 
-// newPair returns a mesh that dials, the address of one that answers, and the
-// handler there.
+// newPair returns a mesh that dials, the address of one that responds, and the handler
+// of the latter.
 func newPair(t *testing.T, secret string) (*Mesh, string, *fakeHandler) {
 	t.Helper()
 	l, err := listener.Local()
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := &fakeHandler{beats: make(chan Beat, 8), gone: make(chan string, 8)}
+	h := &fakeHandler{beats: make(chan Beat, 8), unsent: make(chan string, 8)}
 	self := func() heartbeater.Instance { return heartbeater.Instance{ID: "i", Incarnation: "i-1"} }
-	answers := &Mesh{Handler: h, Secret: func() string { return "right" }, Self: self}
+	server := &Mesh{Handler: h, Secret: func() string { return "right" }, Self: self}
 	r := router.New()
-	r.GET(Path, answers.Serve)
+	r.GET(Path, server.Serve)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	server := listener.Server{Handler: r.Handler, Listener: l, Drain: time.Millisecond}
-	go func() { _ = server.Run(ctx) }()
+	httpServer := listener.Server{Handler: r.Handler, Listener: l, Drain: time.Millisecond}
+	go func() { _ = httpServer.Run(ctx) }()
 	return &Mesh{Handler: h, Secret: func() string { return secret }, Self: self}, l.Addr().String(), h
 }
 
-func drain(t *testing.T, c *Conversation) int {
+func readAll(t *testing.T, c *Conversation) int {
 	t.Helper()
 	parts := 0
 	for {
@@ -73,17 +73,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, over := m.(End); over {
+		if _, ended := m.(End); ended {
 			return parts
 		}
 		parts++
 	}
 }
 
-// One caller takes nothing of a long answer. Another one on the same link must
-// get all of its own: the sender waits for grants of the first conversation
-// only.
-func TestSlowReaderHoldsOnlyItself(t *testing.T) {
+// One initiator reads nothing of a long response. Another one on the same link must still
+// receive its complete response: credit is granted per conversation.
+func TestSlowReaderBlocksOnlyItsOwnConversation(t *testing.T) {
 	m, address, h := newPair(t, "right")
 	slow, err := m.Open(t.Context(), address, Fetch{Key: "1000"})
 	if err != nil {
@@ -93,17 +92,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := drain(t, quick); got != 5000 {
+	if got := readAll(t, quick); got != 5000 {
 		t.Errorf("quick reader got %d parts, want 5000", got)
 	}
 	slow.Close()
-	if key := <-h.gone; key != "1000" {
-		t.Errorf("told that %s has gone, want 1000", key)
+	if key := <-h.unsent; key != "1000" {
+		t.Errorf("the response to %s was canceled, want 1000", key)
 	}
 }
 
-// The link fails in mid-answer. Whoever waits on it is told at once, without a
-// promise: the peer may have run the request.
+// The link fails in the middle of a response. The initiator must get an error at once,
+// with the verdict that the peer may have run the request.
 func TestLinkFailureEndsConversations(t *testing.T) {
 	m, address, _ := newPair(t, "right")
 	c, err := m.Open(t.Context(), address, Fetch{Key: "1000"})
@@ -121,7 +120,7 @@
 	}
 }
 
-func TestFailKeepsItsVerdict(t *testing.T) {
+func TestFailPreservesVerdict(t *testing.T) {
 	m, address, _ := newPair(t, "right")
 	c, err := m.Open(t.Context(), address, Inquire{})
 	if err != nil {
@@ -134,14 +133,14 @@
 	}
 }
 
-func TestWrongSecretIsNotHeard(t *testing.T) {
+func TestPeerWithWrongSecretIsRefused(t *testing.T) {
 	m, address, h := newPair(t, "wrong")
 	_, err := m.Open(t.Context(), address, Fetch{Key: "1"})
 	if err == nil || judge.As(err).Verdict != judge.NotRun {
 		t.Errorf("Open = %v, want a refusal", err)
 	}
 	if len(h.beats) > 0 {
-		t.Error("a peer with the wrong secret was heard")
+		t.Error("received a heartbeat of a peer with the wrong secret")
 	}
 }
 
@@ -173,22 +172,21 @@
 		if err != nil {
 			return
 		}
-		again, err := encodeFrame(frame.Conversation, frame.Number, message)
+		reencoded, err := encodeFrame(frame.Conversation, frame.Number, message)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := decodeFrame(again); err != nil {
-			t.Errorf("%T does not come back: %v", message, err)
+		if _, _, err := decodeFrame(reencoded); err != nil {
+			t.Errorf("%T is not decoded after encoding it again: %v", message, err)
 		}
 	})
 }
 
-// Links are cut while answers are written to them, as when a peer is killed.
-// The library takes a connection back as soon as its handler returns; a writer
-// that is still at it then wrote into nothing, and the process ended with all
-// its callers.
-func TestCutLinksDoNotEndTheProcess(t *testing.T) {
-	server := &Mesh{Handler: flood{}, Secret: func() string { return "" }, Self: func() heartbeater.Instance { return heartbeater.Instance{} }}
+// Links are closed while responses are written to them, as when a peer is killed. The
+// library reclaims a connection as soon as its handler returns; a writer that was still
+// active then wrote to released buffers, which crashed the process.
+func TestClosedLinksDoNotCrashTheProcess(t *testing.T) {
+	server := &Mesh{Handler: floodHandler{}, Secret: func() string { return "" }, Self: func() heartbeater.Instance { return heartbeater.Instance{} }}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -200,12 +198,12 @@
 	for range 8 {
 		all.Go(func() {
 			for range 40 {
-				client := &Mesh{Handler: flood{}, Secret: func() string { return "" }, Self: func() heartbeater.Instance { return heartbeater.Instance{} }}
+				client := &Mesh{Handler: floodHandler{}, Secret: func() string { return "" }, Self: func() heartbeater.Instance { return heartbeater.Instance{} }}
 				c, err := client.Open(t.Context(), l.Addr().String(), Subscribe{Domain: "a"})
 				if err != nil {
 					continue
 				}
-				_, _ = c.Next(t.Context()) // whatever comes, the link is cut now
+				_, _ = c.Next(t.Context()) // whatever the result, the link is closed next
 				client.Cut(l.Addr().String())
 			}
 		})
@@ -213,10 +211,11 @@
 	all.Wait()
 }
 
-// flood answers everything with as much as it can.
-type flood struct{}
+// floodHandler responds to every message with data until the initiator cancels or the
+// link fails.
+type floodHandler struct{}
 
-func (flood) Answer(_ context.Context, _ heartbeater.Instance, _ Message, reply *Reply) error {
+func (floodHandler) Answer(_ context.Context, _ heartbeater.Instance, _ Message, reply *Reply) error {
 	for {
 		if err := reply.Send(Data{Data: make([]byte, 16<<10)}); err != nil {
 			return err
@@ -224,26 +223,26 @@
 	}
 }
 
-func (flood) Heard(heartbeater.Instance, Beat) {}
+func (floodHandler) Heard(heartbeater.Instance, Beat) {}
 
-// An instance is so busy that its heartbeats are late, but it goes on to give the
-// answers that its peer's callers wait for. Taken for dead, its link was cut and
-// they got half of their answers. A link over which nothing came for as long is
-// cut all the same, or whoever waits on it would wait for good.
-func TestLinkThatBringsAnswersIsNotCut(t *testing.T) {
-	const silence = time.Minute
+// An instance is so busy that its heartbeats are late, but it still sends the responses
+// that its peer's callers wait for. Its link was closed nevertheless and the callers got
+// truncated responses. A link over which no frame was received for as long must still be
+// closed, or its conversations would hang.
+func TestLinkWithRecentFramesIsNotClosed(t *testing.T) {
+	const timeout = time.Minute
 	m, address, _ := newPair(t, "right")
 	c, err := m.Open(t.Context(), address, Fetch{Key: "3"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	drain(t, c)
-	m.CutSilent(address, silence, time.Now())
+	readAll(t, c)
+	m.CutSilent(address, timeout, time.Now())
 	if _, linked := m.Linked(address); !linked {
-		t.Error("a link was cut over which answers had just come")
+		t.Error("a link was closed over which a response had just been received")
 	}
-	m.CutSilent(address, silence, time.Now().Add(2*silence))
+	m.CutSilent(address, timeout, time.Now().Add(2*timeout))
 	if _, linked := m.Linked(address); linked {
-		t.Error("a silent link was kept")
+		t.Error("a link without recent frames was kept open")
 	}
 }
