--- a/internal/instance/assembler/assembler.go
+++ b/internal/instance/assembler/assembler.go
@@ -1,10 +1,11 @@
-// Package assembler wires an instance from the constructors of its parts.
+// Package assembler builds an object graph from constructors by dependency injection.
 package assembler
 
 import "go.uber.org/dig"
 
-// Assemble makes the parts that the constructors give, calls assemble with them,
-// and returns the one of type T. A missing part is an error that names it.
+// Assemble creates the values that the constructors provide, calls assemble with
+// those it takes, and returns the value of type T. The error for a missing
+// dependency names it.
 func Assemble[T any](assemble any, constructors ...any) (T, error) {
 	var made T
 	c := dig.New()
--- a/internal/instance/composer/composer.go
+++ b/internal/instance/composer/composer.go
@@ -1,5 +1,4 @@
-// Package composer wires an entry instance together. It is the only place
-// where the parts meet by construction.
+// Package composer constructs an instance and injects its dependencies.
 package composer
 
 import (
@@ -33,32 +32,31 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/monitor"
 )
 
-// Parts are what an instance is made of that does not follow from its
-// settings.
+// Parts are the inputs from which an instance is constructed.
 type Parts struct {
 	Config    configurer.Daemon
 	Keys      Keys
 	Listeners server.Listeners
 	Logger    log.Logger
-	LRU       bool // evict by last use instead of by heat, as a baseline
+	LRU       bool // evict the least recently used adapter, not the one with the lowest heat; a baseline for comparison
 }
 
 // Keys are the secrets of an instance. They may change while it runs.
 type Keys struct {
 	Secret func() string // shared by the instances
-	Token  func() string // of operators; empty for none
-	Dial   *tls.Config   // for links that are dialled; nil for none
-	Take   *tls.Config   // for links that peers dial; nil for none
+	Token  func() string // operator token; empty for none
+	Dial   *tls.Config   // for outgoing links to peers; nil for none
+	Take   *tls.Config   // for incoming links from peers; nil for none
 }
 
-// The times that follow from the settings of a daemon.
+// Time limits that are not settings of a daemon.
 const (
 	platformTimeout = 2 * time.Second
 	orderTimeout    = 30 * time.Second
 	silentBeats     = 4 // heartbeats missed before an instance is suspect
 )
 
-// incarnation is the name of one run of an instance.
+// incarnation identifies one run of an instance.
 type incarnation string
 
 // Compose returns an instance that is ready to run.
@@ -72,7 +70,7 @@
 	)
 }
 
-// An assembly is every part of a server.
+// An assembly holds the dependencies of a server.
 type assembly struct {
 	dig.In
 
@@ -94,7 +92,7 @@
 	Watcher     *watcher.Watcher
 }
 
-// assemble fills the server, which several of its parts refer back to.
+// assemble sets the fields of the server, to which several of its dependencies refer back.
 func assemble(a assembly) {
 	s := a.Server
 	s.Answerer = a.Answerer
@@ -163,9 +161,9 @@
 	return &relayer.Mesh{Handler: s, Secret: p.Keys.Secret, Self: s.Self, TLS: p.Keys.Dial}
 }
 
-// newMetrics returns the counters of an instance. Those of refusals and retries
-// are there from the start, so that a reason that has not occurred shows as 0
-// and an alert on its growth works the first time.
+// newMetrics returns the metrics of an instance. The counters of refusals and retries
+// are registered at the start, so that a reason that has not occurred yet reads 0
+// and an alert on its increase fires on the first occurrence.
 func newMetrics() *metrics.Set {
 	set := metrics.NewSet()
 	for _, reason := range judge.Reasons {
@@ -196,7 +194,7 @@
 	return &watcher.Watcher{Store: &server.ChainStore{Peers: s.Addresses, Mesh: m, Store: store}}
 }
 
-// token returns a fresh name.
+// token returns a random identifier.
 func token() string {
 	var b [6]byte
 	_, _ = rand.Read(b[:]) // never fails
--- a/internal/instance/server/answer.go
+++ b/internal/instance/server/answer.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// catchUpTime bounds how long one peer is asked for the settings.
+// catchUpTime bounds a request for the settings to one peer.
 const catchUpTime = 5 * time.Second
 
 func (s *Server) catchUp(address string) {
@@ -82,8 +82,8 @@
 	s.askSettings(ctx, address)
 }
 
-// answerAsk serves a call that a peer passed on: on the named runner, or
-// wherever this domain can.
+// answerAsk serves a call that a peer forwarded, on the named runner or, if none
+// is named, on any runner of this failure domain.
 func (s *Server) answerAsk(ctx context.Context, call *streamer.Call, reply *relayer.Reply) error {
 	call.Deadline = time.Now().Add(call.Left)
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
@@ -94,8 +94,9 @@
 	return s.Driver.Serve(ctx, call, replySink{reply})
 }
 
-// yield answers a later owner. Until this instance has adopted the roster epoch
-// that took the runner from it, it may still order.
+// yield answers the next owner's request to release a runner. Until this
+// instance has adopted the roster epoch that reassigned the runner, it may still
+// send orders to it, so it does not confirm the release.
 func (s *Server) yield(m relayer.Yield) relayer.Surrendered {
 	s.mu.Lock()
 	adopted := s.Holder.Epoch() >= m.Epoch
@@ -108,7 +109,7 @@
 	return relayer.Surrendered{Given: given, Pins: surrender.Pins, Doom: surrender.Doomed}
 }
 
-// A replySink passes an answer on to the instance that asked.
+// A replySink forwards a response to the instance that sent the call.
 type replySink struct{ reply *relayer.Reply }
 
 var _ streamer.Sink = replySink{}
@@ -193,11 +194,12 @@
 	return s.Holder.Owns(runner)
 }
 
-// May implements driver.Tenancy. With a lease that can be trusted an order may
-// go out. Without one it may only if the table has just been found not to
-// answer: nobody can have taken over through it, and what this instance holds
-// by handles stays its own even if somebody did (docs/design/custody.md). A
-// process that wakes from a pause fails both and looks at the table first.
+// May implements driver.Tenancy. Orders may be sent under a valid lease. Without
+// one they may be sent only if the table service has just failed to answer: no
+// other instance can have taken over through it, and the adapters that this
+// instance loaded under its own handles stay its own even if one did
+// (docs/design/custody.md). A process that resumes after a pause meets neither
+// condition and has to poll the table first.
 func (s *Server) May(runner string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -249,7 +251,7 @@
 }
 
 // Addresses returns the peer addresses of the other instances, those of this
-// domain first.
+// failure domain first.
 func (s *Server) Addresses() []string {
 	now := time.Now()
 	var addresses []string
@@ -259,7 +261,7 @@
 	return addresses
 }
 
-// Gone reports whether an incarnation's process runs no more.
+// Gone reports whether the process of an incarnation has terminated.
 func (s *Server) Gone(incarnation string) bool {
 	if incarnation == s.Incarnation {
 		return false
--- a/internal/instance/server/beat.go
+++ b/internal/instance/server/beat.go
@@ -14,24 +14,25 @@
 	"github.com/sardinetiller/sardinetiller/internal/platform/lister"
 )
 
-// A linkState is what was told on one link, so that a beat carries only what
-// changed.
+// A linkState records what was sent on one link, so that a heartbeat carries only
+// changes.
 type linkState struct {
-	identity any // of the link; a new link is told everything
+	identity any // of the link; a new link is sent the full state
 	loads    map[int]relayer.Load
 	version  uint64
 }
 
-// heldUpBeats is how many beats after the last look for silent peers an instance
-// counts as held up.
+// heldUpBeats is the number of heartbeat intervals without a check for
+// unresponsive peers after which this instance considers itself to have stalled.
 const heldUpBeats = 2
 
-// changeEvery is how soon a change of residency is told between two beats.
+// changeEvery is how often changes of residency are published between two heartbeats.
 const changeEvery = 50 * time.Millisecond
 
-// beatLoop tells the peers of the domain what changed: at once when what is
-// resident or the adopted roster changed, and with each beat otherwise. A new
-// owner waits for the adoption of all the others.
+// beatLoop publishes changes to the peers of the failure domain: at once when
+// residency or the adopted roster epoch changed, and with each heartbeat
+// otherwise. The epoch is urgent because a new owner of a runner waits until all
+// the others have adopted it.
 func (s *Server) beatLoop(ctx context.Context) {
 	var told, toldEpoch uint64
 	var last time.Time
@@ -53,8 +54,9 @@
 	})
 }
 
-// beat tells every peer of the domain, and one instance of each other domain,
-// which passes on only the revision of the settings.
+// beat sends a heartbeat to every peer of the failure domain and to one instance
+// of each other domain, without loads and residency. Of the latter only the
+// revision of the settings spreads further, as the instances there adopt it.
 func (s *Server) beat(ctx context.Context, now time.Time) {
 	loads, states, version := s.Driver.Loads(0)
 	s.Fleet.Hear(s.Incarnation, relayer.Beat{Loads: loads, States: states}, now)
@@ -75,9 +77,10 @@
 	}
 }
 
-// seed makes this instance known to the seeds of its settings. One that starts
-// while the platform is away has no list and would find nobody; a seed that
-// hears it answers with its own heartbeats, which tell the settings in force.
+// seed sends a heartbeat to the configured seeds. An instance that starts while
+// the platform is unavailable has no instance list and would find no peers; a
+// seed that receives its heartbeat answers with its own, which carry the revision
+// of the settings in force.
 func (s *Server) seed(ctx context.Context, bare relayer.Beat) {
 	for _, address := range s.Config.Seeds {
 		go func() { _ = s.Mesh.Tell(ctx, address, bare) }() // the next beat tries again
@@ -90,7 +93,7 @@
 	return s.Holder.Epoch()
 }
 
-// bare returns a beat without runners.
+// bare returns a heartbeat without the state of runners.
 func (s *Server) bare() relayer.Beat {
 	line := s.Driver.Line()
 	s.mu.Lock()
@@ -98,7 +101,7 @@
 	return relayer.Beat{Epoch: s.Holder.Epoch(), Revision: s.Watcher.Revision(), Leaving: s.stop.leaving(), Line: line}
 }
 
-// tell sends one peer a beat with what changed since the last one on the link.
+// tell sends a heartbeat with the changes since the last one on the same link.
 func (s *Server) tell(ctx context.Context, peer heartbeater.Instance, beat relayer.Beat, loads []relayer.Load, version uint64) {
 	identity, linked := s.Mesh.Linked(peer.Address)
 	state := s.linkState(peer.Address, identity)
@@ -114,7 +117,7 @@
 		return
 	}
 	if !linked {
-		return // a link that this beat made is told everything by the next one
+		return // the next heartbeat sends the full state on a link that this one opened
 	}
 	next := linkState{identity: identity, loads: make(map[int]relayer.Load), version: version}
 	for _, l := range loads {
@@ -125,7 +128,7 @@
 	s.links[peer.Address] = next
 }
 
-// linkState returns what was told on a link, nothing if the link is new.
+// linkState returns what was sent on a link, the zero value if the link is new.
 func (s *Server) linkState(address string, identity any) linkState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -135,9 +138,10 @@
 	return linkState{}
 }
 
-// cutSilent ends the links to peers that have fallen silent, so that nobody
-// waits on them. An instance that was itself held up has not read yet what its peers
-// said meanwhile, and takes them for silent: it looks again with the next beat.
+// cutSilent closes the links to unresponsive peers, so that no request waits on
+// them. An instance that was stalled itself has not yet read the heartbeats that
+// arrived meanwhile and would take its peers for unresponsive, so it skips the
+// check until the next heartbeat.
 func (s *Server) cutSilent(now time.Time) {
 	heldUp := now.Sub(s.looked) > heldUpBeats*s.Config.Beat
 	s.looked = now
@@ -157,12 +161,12 @@
 	}
 }
 
-// announce tells the platform of this instance.
+// announce registers this instance in the platform's instance list, or its end.
 func (s *Server) announce(ctx context.Context, ended bool) error {
 	return s.Lister.Announce(ctx, lister.Announcement{Instance: s.Self(), Process: os.Getpid(), Ended: ended})
 }
 
-// listLoop announces this instance and reads the platform's list.
+// listLoop announces this instance and reads the platform's instance list.
 func (s *Server) listLoop(ctx context.Context) {
 	repeater.Now(ctx, s.Config.Poll, nil, func() {
 		if err := s.announce(ctx, false); err != nil {
@@ -180,7 +184,7 @@
 	})
 }
 
-// peers returns the other instances of the domain.
+// peers returns the other instances of the failure domain.
 func (s *Server) peers(now time.Time) []heartbeater.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,8 +193,9 @@
 	})
 }
 
-// neighbours returns one instance of each other domain that is not known to be
-// leaving. Instances spread over them by their place in their own domain.
+// neighbours returns one instance of each other failure domain, none that is known
+// to be draining. The choice follows from this instance's index in the list, so
+// that instances spread over those of the other domains.
 func (s *Server) neighbours(now time.Time) []heartbeater.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/instance/server/doc.go
+++ b/internal/instance/server/doc.go
@@ -1,11 +1,12 @@
-// Package server is one entry instance at work: it joins the decisions to the
-// platform, to its peers, to callers and to operators.
+// Package server runs one instance: it connects the packages that decide to the
+// platform, peers, callers and operators.
 //
-// Four loops keep it going. The poll loop reads the domain's rows in one scan,
-// renews the lease and looks at the settings' head. The list loop announces the
-// instance and reads the platform's list. The beat loop tells the peers what
-// changed. The drive loop looks after the owned runners.
+// Four loops run in the background. The poll loop reads the rows of the failure
+// domain in one scan, renews the lease and polls the head of the settings. The
+// list loop announces the instance and reads the platform's instance list. The
+// heartbeat loop publishes changes to peers. The drive loop updates the owned
+// runners.
 //
-// Locks are taken in one order: the driver's, then the server's, then the
-// fleet's. A part never calls one before it in that order under its own lock.
+// Locks are acquired in one order: the driver's, then the server's, then the
+// fleet's. None of them calls an earlier one while it holds its own lock.
 package server
--- a/internal/instance/server/gather.go
+++ b/internal/instance/server/gather.go
@@ -10,11 +10,12 @@
 	"github.com/sardinetiller/sardinetiller/internal/platform/tabler"
 )
 
-// Route commits a transaction through the instance that gathers for the domain,
-// so that the domain writes a few groups a second however many claims there
-// are. That is the first live member of the roster; it needs no lease, because
-// the table's own checks decide. If it cannot be reached this instance writes
-// by itself.
+// Route commits a transaction through the instance that batches writes for the
+// failure domain, so that the domain writes a few batches a second whatever the
+// number of claims. That is the first live member of the roster; it needs no
+// lease, because the version checks of the table detect conflicts. If no
+// conversation with it can be opened, this instance commits the transaction
+// itself.
 func (s *Server) Route(ctx context.Context, txn tabler.Txn) error {
 	address, ok := s.gathering(time.Now())
 	if !ok {
@@ -36,8 +37,8 @@
 	return answer.Err()
 }
 
-// gathering returns the address of the peer that gathers, or false if that is
-// this instance.
+// gathering returns the address of the peer that batches writes, or false if that
+// is this instance or no other live member is known.
 func (s *Server) gathering(now time.Time) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -55,7 +56,7 @@
 	return "", false
 }
 
-// committed returns how a commit ended, as a peer is told.
+// committed converts the result of a commit into the message to a peer.
 func committed(err error) relayer.Committed {
 	var conflict *tabler.ConflictError
 	var unavailable *tabler.UnavailableError
--- a/internal/instance/server/gauges.go
+++ b/internal/instance/server/gauges.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// gauges registers what is read at the moment of asking, beside the counters
-// that the parts keep.
+// gauges registers the metrics that are computed when they are scraped. Counters
+// are registered where they are incremented.
 func (s *Server) gauges() {
 	for name, read := range map[string]func() float64{
 		"sardinetiller_blocked_slots": func() float64 {
--- a/internal/instance/server/keep.go
+++ b/internal/instance/server/keep.go
@@ -12,19 +12,19 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// crashInfix is in the keys of crashes, which go on with the digest, a slash and the
-// engine. They lie under the prefix of the failure domain, so that the scan for leases
-// reads them too.
+// crashInfix is followed in the key of a crash row by the digest, a slash and the
+// engine. Crash rows have the prefix of the failure domain, so that the scan that
+// reads the leases returns them too.
 const crashInfix = "/crash/"
 
-// fromTable is where the words of rows come from.
+// fromTable is the logged source of crash reports that were read from rows.
 const fromTable = "table"
 
 func (s *Server) crashKey(c quarantiner.Crash) string {
 	return DomainPrefix(s.Config.Domain) + crashInfix + string(c.Digest) + "/" + c.Runner
 }
 
-// takeKept takes in the rows of crashes. Those that are too old are to be dropped.
+// takeKept applies crash rows. Rows past the retention period are marked for deletion.
 func (s *Server) takeKept(rows []tabler.Row, now time.Time) {
 	var words []quarantiner.Word
 	for _, row := range rows {
@@ -48,7 +48,8 @@
 	s.takeWords(words, fromTable)
 }
 
-// keepWords has the table keep news of requests with some more crashes.
+// keepWords queues rows for new crash reports. A crash is stored once its request
+// has reached KeptFrom crashes; a cleared one only if it is stored or queued already.
 func (s *Server) keepWords(news []quarantiner.Word) {
 	now := time.Now()
 	for _, w := range news {
@@ -69,7 +70,7 @@
 	}
 }
 
-// want notes that a row is to be written, or dropped.
+// want queues a row to be written, or deleted if drop is true.
 func (q *quarantine) want(c quarantiner.Crash, drop bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -79,8 +80,8 @@
 	q.rows[c] = drop
 }
 
-// writeCrashes writes the rows that are to be written. What fails is tried again with the
-// next look at the table: a row that is written twice is the same.
+// writeCrashes writes the queued rows. A failed write is retried at the next poll of the
+// table; writing a row twice is idempotent.
 func (s *Server) writeCrashes(ctx context.Context) {
 	txn, rows := s.unwritten(time.Now())
 	if len(rows) == 0 {
@@ -94,7 +95,7 @@
 	s.quarantine.written(rows)
 }
 
-// unwritten returns the transaction for the rows that are to be written, and which.
+// unwritten returns the transaction for the queued rows, and these rows.
 func (s *Server) unwritten(now time.Time) (tabler.Txn, map[quarantiner.Crash]bool) {
 	q := &s.quarantine
 	q.mu.Lock()
@@ -110,14 +111,14 @@
 		}
 		value, err := encoder.Marshal(w.Row(now))
 		if err != nil {
-			panic(err) // such a row can always be encoded
+			panic(err) // crash rows always encode
 		}
 		txn.Puts = append(txn.Puts, tabler.Put{Key: s.crashKey(c), Value: value})
 	}
 	return txn, rows
 }
 
-// written forgets rows that are as they were wanted when they were sent.
+// written removes written rows from the queue, unless they were queued differently meanwhile.
 func (q *quarantine) written(rows map[quarantiner.Crash]bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -129,7 +130,7 @@
 	}
 }
 
-// keeps reports whether the table has a crash, or is to have it.
+// keeps reports whether the table holds a crash, or a change of its row is queued.
 func (q *quarantine) keeps(c quarantiner.Crash) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -137,7 +138,7 @@
 	return wanted || q.kept[c]
 }
 
-// noteKept notes whether the table has a crash.
+// noteKept records whether the table holds a crash.
 func (q *quarantine) noteKept(c quarantiner.Crash, kept bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/instance/server/operate.go
+++ b/internal/instance/server/operate.go
@@ -14,7 +14,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// The paths of operators.
+// The paths of the operator API.
 const (
 	PathDrain   = "/drain"
 	PathExplain = "/explain/"
@@ -25,34 +25,34 @@
 	PathStatus  = "/status"
 )
 
-// A Status is what an instance says of itself and of its domain.
+// A Status describes an instance and its failure domain.
 type Status struct {
 	Instance    string         `json:"instance" yaml:"instance"`
 	Incarnation string         `json:"incarnation" yaml:"incarnation"`
 	Domain      string         `json:"domain" yaml:"domain"`
 	Ready       bool           `json:"ready" yaml:"ready"`
 	Leaving     bool           `json:"leaving" yaml:"leaving"`
-	Lease       bool           `json:"lease" yaml:"lease"` // whether it can be trusted now
+	Lease       bool           `json:"lease" yaml:"lease"` // whether the lease is valid now
 	Epoch       uint64         `json:"epoch" yaml:"epoch"`
 	Revision    uint64         `json:"revision" yaml:"revision"`
-	Since       time.Time      `json:"since" yaml:"since"`     // when the revision came into force here
+	Since       time.Time      `json:"since" yaml:"since"`     // when the revision took effect here
 	Outage      bool           `json:"outage" yaml:"outage"`   // the table service does not answer
-	Blocked     int            `json:"blocked" yaml:"blocked"` // slots kept for an earlier owner
+	Blocked     int            `json:"blocked" yaml:"blocked"` // slots reserved for a previous owner
 	Sent        int64          `json:"sent" yaml:"sent"`       // bytes to peers so far
 	Memory      uint64         `json:"memory" yaml:"memory"`   // bytes of heap in use
 	Peers       []PeerStatus   `json:"peers" yaml:"peers"`
 	Runners     []monitor.View `json:"runners" yaml:"runners"`
-	Quarantine  []HeldStatus   `json:"quarantine" yaml:"quarantine"` // requests that are not run now
+	Quarantine  []HeldStatus   `json:"quarantine" yaml:"quarantine"` // quarantined requests
 }
 
-// A HeldStatus is a request that is not run, as engines crashed that ran it.
+// A HeldStatus describes a request that is quarantined because engines that ran it crashed.
 type HeldStatus struct {
 	Digest  string    `json:"digest" yaml:"digest"`
 	Crashes int       `json:"crashes" yaml:"crashes"`
-	Until   time.Time `json:"until" yaml:"until"` // it is tried again then
+	Until   time.Time `json:"until" yaml:"until"` // end of the quarantine
 }
 
-// A PeerStatus is what an instance knows of another one.
+// A PeerStatus describes another instance as this one sees it.
 type PeerStatus struct {
 	Instance    string `json:"instance" yaml:"instance"`
 	Incarnation string `json:"incarnation" yaml:"incarnation"`
@@ -62,13 +62,13 @@
 	Revision    uint64 `json:"revision" yaml:"revision"`
 }
 
-// An Explanation is the way of one request.
+// An Explanation lists the routing steps of one request.
 type Explanation struct {
 	Request string            `json:"request" yaml:"request"`
 	Steps   []dispatcher.Step `json:"steps" yaml:"steps"`
 }
 
-// operate returns the operators' API.
+// operate returns the handler of the operator API.
 func (s *Server) operate() fasthttp.RequestHandler {
 	r := router.New()
 	r.GET(PathLive, func(c *fasthttp.RequestCtx) { c.SetBodyString("live\n") })
@@ -81,7 +81,7 @@
 	return r.Handler
 }
 
-// Ready reports whether the balancer should send requests here, and why not.
+// Ready reports whether the load balancer should send requests here, and the reason.
 func (s *Server) Ready() (bool, string) {
 	switch {
 	case s.stop.leaving():
@@ -93,7 +93,7 @@
 	}
 }
 
-// Status returns what this instance says of itself and its domain.
+// Status returns the status of this instance and its failure domain.
 func (s *Server) Status() Status {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -135,7 +135,7 @@
 	listener.JSON(c, fasthttp.StatusOK, Explanation{Request: id, Steps: steps})
 }
 
-// guarded lets only operators in.
+// guarded rejects requests without the operator token.
 func (s *Server) guarded(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		want := "Bearer " + s.Token()
--- a/internal/instance/server/permit.go
+++ b/internal/instance/server/permit.go
@@ -12,16 +12,16 @@
 
 var _ driver.Permits = (*Server)(nil)
 
-// permits is the allocator of the deployment, as far as this instance is the
-// one that runs it. It is guarded by the server's lock.
+// permits is the load permit allocator of the deployment. It is used only while
+// this instance is the one that grants permits, and is guarded by the server's lock.
 type permits struct {
 	loader.Allocator
 
-	granted map[uint64]chan struct{} // of bids that wait
+	granted map[uint64]chan struct{} // of pending bids
 	next    uint64
 }
 
-// loadsOut is after how many times a load's usual time a permit runs out.
+// loadsOut is the lifetime of a permit in multiples of the expected load time.
 const loadsOut = 5
 
 // Acquire implements driver.Permits.
@@ -41,13 +41,13 @@
 	m, err := c.Next(ctx)
 	if _, granted := m.(relayer.Granted); err != nil || !granted {
 		c.Close()
-		return nil, ctx.Err() != nil // still in line, or the allocator has gone
+		return nil, ctx.Err() != nil // still queued, or the allocator has failed
 	}
 	return c.Close, true
 }
 
-// bid returns a bid with the limits of the settings in force, or false if there
-// are none.
+// bid returns a permit request with the limits of the settings in force, or false
+// if there are none.
 func (s *Server) bid(value float64) (relayer.Permit, bool) {
 	force := s.Watcher.Force()
 	if force == nil {
@@ -62,8 +62,8 @@
 	return relayer.Permit{Value: value, Together: together, Time: loadsOut*usual + s.Config.Beat}, true
 }
 
-// allocating returns the address of the instance that hands out permits, or
-// false if that is this one: the first live one by its ID.
+// allocating returns the address of the instance that grants permits, or false if
+// that is this instance. It is the first by ID that is neither suspect nor draining.
 func (s *Server) allocating(now time.Time) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,8 +79,8 @@
 	return "", false
 }
 
-// acquireHere waits for a permit of the own allocator. It returns nil if there
-// was none within ctx.
+// acquireHere waits for a permit of the local allocator. It returns nil if ctx ends
+// first.
 func (s *Server) acquireHere(ctx context.Context, bid relayer.Permit) func() {
 	id, granted := s.enterBid(bid)
 	select {
@@ -92,7 +92,7 @@
 	}
 }
 
-// answerPermit hands a permit to a peer for as long as its conversation lasts.
+// answerPermit grants a permit to a peer for as long as its conversation is open.
 func (s *Server) answerPermit(ctx context.Context, bid relayer.Permit, reply *relayer.Reply) error {
 	release := s.acquireHere(ctx, bid)
 	if release == nil {
@@ -102,7 +102,7 @@
 	if err := reply.Send(relayer.Granted{}); err != nil {
 		return err
 	}
-	<-ctx.Done() // the peer has closed the conversation, or its link has failed
+	<-ctx.Done() // the peer closes the conversation, or its link fails
 	return nil
 }
 
@@ -131,7 +131,7 @@
 	s.grantBids()
 }
 
-// grantBids tells the bids that are granted now.
+// grantBids wakes the bids that are granted now.
 func (s *Server) grantBids() {
 	for _, id := range s.permits.Grant(time.Now()) {
 		close(s.permits.granted[id])
@@ -139,7 +139,7 @@
 	}
 }
 
-// tidyBids grants what permits that ran out have left.
+// tidyBids grants again what expired permits have freed.
 func (s *Server) tidyBids() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/instance/server/poll.go
+++ b/internal/instance/server/poll.go
@@ -14,7 +14,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// The rows of a failure domain. All are under one prefix, so that one scan
+// The keys of the rows of a failure domain. All have one prefix, so that one scan
 // reads the roster, the leases and the drains.
 const (
 	drainInfix  = "/drain/"
@@ -25,7 +25,7 @@
 // DomainPrefix returns the prefix of a failure domain's rows.
 func DomainPrefix(domain string) string { return "domain/" + domain }
 
-// DrainKey returns the row that drains an upstream.
+// DrainKey returns the key of the row that drains an upstream.
 func DrainKey(domain, upstream string) string { return DomainPrefix(domain) + drainInfix + upstream }
 
 func (s *Server) pollLoop(ctx context.Context) {
@@ -35,7 +35,7 @@
 	})
 }
 
-// pollSoon makes the poll loop look at the table at once.
+// pollSoon wakes the poll loop.
 func (s *Server) pollSoon() {
 	select {
 	case s.pollNow <- struct{}{}:
@@ -43,7 +43,7 @@
 	}
 }
 
-// poll reads the domain's rows and carries out what the lease needs.
+// poll reads the rows of the failure domain and executes the actions that keep the lease.
 func (s *Server) poll(ctx context.Context) {
 	rows, err := s.Table.Scan(ctx, DomainPrefix(s.Config.Domain)+"/")
 	s.reached(err)
@@ -66,8 +66,8 @@
 	}
 }
 
-// reached notes whether the table answers. While it does not, a lease that
-// lapses is no sign that another instance took over.
+// reached records whether the table service answered. While it does not, an expired
+// lease does not mean that another instance has taken over.
 func (s *Server) reached(err error) {
 	if err == nil {
 		s.outage.Store(0)
@@ -104,8 +104,9 @@
 	s.takeDrains(drains)
 }
 
-// renew writes the own lease row if it is as last written. A lost answer is
-// settled by reading the row back: only this instance writes its serial.
+// renew writes this instance's lease row if it has not changed since the last scan.
+// If the commit fails or its response is lost, the row is read back: only this
+// instance writes that serial number.
 func (s *Server) renew(ctx context.Context, a leaser.Renew) {
 	s.mu.Lock()
 	row, ok := s.leases[s.Incarnation]
@@ -143,15 +144,15 @@
 	var stored leaser.Lease
 	switch {
 	case row.Version == 0:
-		_ = level.Warn(s.Logger).Log("msg", "taken off the roster; joining anew")
+		_ = level.Warn(s.Logger).Log("msg", "removed from the roster; rejoining")
 		s.Holder.Removed()
 	case encoder.Unmarshal(row.Value, &stored) == nil && stored.Serial == a.Lease.Serial:
 		s.Holder.Renewed(asked)
 	}
 }
 
-// propose writes the next roster. One that lost a race, or whose answer was
-// lost, changes nothing here: the next scan shows what is in force.
+// propose writes the next roster. If the commit conflicts or its response is lost,
+// nothing changes here: the next scan reads the roster in force.
 func (s *Server) propose(ctx context.Context, a leaser.Propose) {
 	txn, err := s.proposal(a)
 	if err != nil {
@@ -176,8 +177,8 @@
 	}
 }
 
-// proposal returns the transaction of a proposal. It fails if a row that it
-// depends on is not as the decision saw it.
+// proposal returns the transaction of a proposal. It fails if a lease that the
+// proposal drops has been renewed since the decision.
 func (s *Server) proposal(a leaser.Propose) (tabler.Txn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -198,7 +199,7 @@
 		}
 		var seen leaser.Lease
 		if row.Version != 0 && (encoder.Unmarshal(row.Value, &seen) != nil || seen.Serial != d.Serial) {
-			return tabler.Txn{}, errors.New("a member has renewed its lease meanwhile")
+			return tabler.Txn{}, errors.New("a member renewed its lease after the proposal was made")
 		}
 		txn.Checks = append(txn.Checks, tabler.Check{Key: s.leaseKey(d.Incarnation), Version: row.Version})
 	}
@@ -225,7 +226,7 @@
 	s.Fleet.Drain(names)
 }
 
-// Drained reports whether operators drain an upstream.
+// Drained reports whether an operator drains the upstream.
 func (s *Server) Drained(upstream string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -234,7 +235,7 @@
 
 func (s *Server) warnIf(what string, err error) {
 	if err != nil {
-		_ = level.Warn(s.Logger).Log("msg", "unreadable", "what", what, "err", err)
+		_ = level.Warn(s.Logger).Log("msg", "cannot decode", "what", what, "err", err)
 	}
 }
 
--- a/internal/instance/server/preload.go
+++ b/internal/instance/server/preload.go
@@ -9,14 +9,14 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A Preloaded says on which runner an adapter is being loaded ahead.
+// A Preloaded names the runner on which an adapter is preloaded.
 type Preloaded struct {
 	Adapter string `json:"adapter" yaml:"adapter"`
 	Runner  string `json:"runner" yaml:"runner"`
 }
 
-// preload answers an operator who wants an adapter loaded before it is asked
-// for, on the runner that a request for it would go to.
+// preload handles an operator's request to preload an adapter, on the runner to
+// which a request for it would be routed.
 func (s *Server) preload(c *fasthttp.RequestCtx) {
 	adapter, _ := c.UserValue("adapter").(string)
 	force := s.Force()
--- a/internal/instance/server/quarantine.go
+++ b/internal/instance/server/quarantine.go
@@ -14,19 +14,20 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/streamer"
 )
 
-// retellFor is how long what is known of a crash is told with each beat: a peer that was
-// not reached may be reached again.
+// retellFor is how long a crash report is repeated with each heartbeat, for peers that
+// were temporarily unreachable.
 const retellFor = 10 * time.Second
 
-// A quarantine is what this instance knows of requests that crash engines. All instances
-// of a domain tell each other, and one of each other domain, which tells its own.
+// A quarantine holds this instance's records of requests that crash engines. An instance
+// sends its crash reports to all instances of its failure domain and to one of each other
+// domain, which relays them in its own.
 type quarantine struct {
 	ledger quarantiner.Ledger
 
 	mu     sync.Mutex
-	recent map[quarantiner.Crash]time.Time // told with each beat, and since when
-	rows   map[quarantiner.Crash]bool      // of the table, to be written or (true) dropped
-	kept   map[quarantiner.Crash]bool      // in the table
+	recent map[quarantiner.Crash]time.Time // reports repeated with each heartbeat, and since when
+	rows   map[quarantiner.Crash]bool      // rows to be written or, if true, deleted
+	kept   map[quarantiner.Crash]bool      // crashes whose row is in the table
 }
 
 // Crashed implements driver.Quarantine.
@@ -66,7 +67,7 @@
 	}
 }
 
-// held returns the requests in quarantine.
+// held returns the quarantined requests.
 func (q *quarantine) held(now time.Time) []HeldStatus {
 	held := []HeldStatus{}
 	for _, c := range q.ledger.Cases() {
@@ -77,7 +78,7 @@
 	return held
 }
 
-// takeWords takes in words and returns those that were news.
+// takeWords applies crash reports and returns those that were new.
 func (s *Server) takeWords(words []quarantiner.Word, from string) []quarantiner.Word {
 	news := s.quarantine.ledger.Take(words, time.Now())
 	for _, w := range news {
@@ -89,10 +90,10 @@
 	return news
 }
 
-// spread tells and keeps what was seen here, or comes from another failure domain, whose
-// rows nobody reads here. What a peer of the domain tells or the table has is known to
-// the others by the same way; told on by each, one crash would cost messages with the
-// square of the instances.
+// spread publishes and stores crash reports that were observed here or come from another
+// failure domain, whose rows are not read here. Reports from a peer of this domain or
+// from the table reach the other instances directly; if each instance relayed them, one
+// crash would cost a number of messages quadratic in the number of instances.
 func (s *Server) spread(news []quarantiner.Word) {
 	if len(news) == 0 {
 		return
@@ -102,7 +103,7 @@
 	go s.tellCrashes(context.Background(), time.Now())
 }
 
-// tell has words told with the beats to come.
+// tell schedules crash reports for the next heartbeats.
 func (q *quarantine) tell(words []quarantiner.Word) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -114,7 +115,7 @@
 	}
 }
 
-// words returns what is to be told now.
+// words returns the crash reports to send now.
 func (q *quarantine) words(now time.Time) []quarantiner.Word {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -130,7 +131,7 @@
 	return words
 }
 
-// tellCrashes tells peers and neighbours what is known of crashes.
+// tellCrashes sends the scheduled crash reports to the instances that receive heartbeats.
 func (s *Server) tellCrashes(ctx context.Context, now time.Time) {
 	for _, old := range s.quarantine.ledger.Expire(now) {
 		s.quarantine.want(old, true)
--- a/internal/instance/server/quarantine_test.go
+++ b/internal/instance/server/quarantine_test.go
@@ -13,24 +13,25 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
 )
 
-// An engine crashes and its owner tells all 41 instances of the domain. If each of them
-// told all others in turn, with each beat for ten seconds, one crash would be 16,000
-// messages. Only who saw it tells its domain, and who was told from another one.
+// The owner of an engine reports its crash to all 41 instances of the failure domain. If
+// each of them relayed it to all others with each heartbeat for ten seconds, one crash
+// would cost 16,000 messages. So only the instance that observed the crash, or received
+// the report from another domain, sends it to its own domain.
 func TestWordsOfCrashesAreRetoldOnce(t *testing.T) {
 	word := quarantiner.Word{Digest: "d", Runner: "engine-1"}
 	for _, tc := range []struct {
 		name string
 		hear func(s *Server)
-		want int // words to be told with the next beat
+		want int // crash reports sent with the next heartbeat
 	}{
-		{"seen here", func(s *Server) { s.Crashed(word.Runner, map[quarantiner.Digest]time.Duration{word.Digest: 0}) }, 1},
-		{"told by a peer of the domain", func(s *Server) {
+		{"observed here", func(s *Server) { s.Crashed(word.Runner, map[quarantiner.Digest]time.Duration{word.Digest: 0}) }, 1},
+		{"received from a peer of the domain", func(s *Server) {
 			s.HeardCrashes(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Crashes{Words: []quarantiner.Word{word}})
 		}, 0},
-		{"told from another domain", func(s *Server) {
+		{"received from another domain", func(s *Server) {
 			s.HeardCrashes(heartbeater.Instance{ID: "b-1", Domain: "b"}, relayer.Crashes{Words: []quarantiner.Word{word}})
 		}, 1},
-		{"read in the table", func(s *Server) { s.takeWords([]quarantiner.Word{word}, fromTable) }, 0},
+		{"read from the table", func(s *Server) { s.takeWords([]quarantiner.Word{word}, fromTable) }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &Server{Logger: log.NewNopLogger(), Metrics: metrics.NewSet(), Monitor: &heartbeater.Monitor{}}
@@ -40,7 +41,7 @@
 				t.Error(diff)
 			}
 			if s.quarantine.ledger.Empty() {
-				t.Error("the word was not taken in")
+				t.Error("the crash report was not recorded")
 			}
 		})
 	}
--- a/internal/instance/server/server.go
+++ b/internal/instance/server/server.go
@@ -31,8 +31,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A Server is one entry instance. Its fields are set before Run; the composer
-// package does that.
+// A Server is one instance. The composer package sets its fields before Run.
 type Server struct {
 	Answerer    *answerer.Answerer
 	Claimer     *claimer.Claimer
@@ -50,17 +49,17 @@
 	Monitor     *heartbeater.Monitor // guarded by mu
 	Sharer      *loader.Sharer       // guarded by mu
 	Table       tabler.Table
-	TLS         *tls.Config   // for links that peers dial; nil for none
-	Token       func() string // operators' key; empty for none
+	TLS         *tls.Config   // for incoming links from peers; nil for none
+	Token       func() string // operator token; empty for none
 	Watcher     *watcher.Watcher
 
-	declared   atomic.Uint64 // revision whose upstreams the driver has
+	declared   atomic.Uint64 // revision whose upstreams are declared to the fleet
 	drains     map[string]bool
 	leases     map[string]tabler.Row // by incarnation, as last scanned; guarded by mu
 	links      map[string]linkState  // by address
-	looked     time.Time             // for silent peers; of the loop of beats
+	looked     time.Time             // last check for unresponsive peers; used by the heartbeat loop only
 	mu         sync.Mutex
-	outage     atomic.Int64 // unix nanoseconds of the last failed look at the table; 0 after a good one
+	outage     atomic.Int64 // Unix nanoseconds of the last failed call to the table service; 0 after a successful one
 	permits    permits      // guarded by mu
 	peerBeats  map[string]relayer.Beat
 	pollNow    chan struct{}
@@ -69,18 +68,18 @@
 	stop       stopState
 }
 
-// Listeners are the sockets of an instance.
+// Listeners are the listening sockets of an instance.
 type Listeners struct {
 	Caller   net.Listener
 	Operator net.Listener
 	Peer     net.Listener
 }
 
-// driveEvery is how often the owned runners are looked after.
+// driveEvery is how often the runners are updated.
 const driveEvery = 200 * time.Millisecond
 
-// Run serves until ctx ends, then leaves gracefully: it cuts off no request
-// that ends within the drain time.
+// Run serves until ctx ends, then stops gracefully: requests that end within the
+// drain time are not interrupted.
 func (s *Server) Run(ctx context.Context) error {
 	s.pollNow = make(chan struct{}, 1)
 	s.links = make(map[string]linkState)
@@ -109,8 +108,8 @@
 	return err
 }
 
-// farewellTime bounds how long the platform is told that the instance has
-// ended. Without it the list finds out from the end of the process.
+// farewellTime bounds the announcement to the platform that the instance has
+// stopped. If it fails, the list learns of the stop from the end of the process.
 const farewellTime = time.Second
 
 func (s *Server) farewell() {
@@ -121,7 +120,7 @@
 	}
 }
 
-// listen serves the three sockets until ctx ends.
+// listen serves the caller, peer and operator sockets until ctx ends.
 func (s *Server) listen(ctx context.Context, loops *sync.WaitGroup) <-chan error {
 	peers := router.New()
 	peers.GET(relayer.Path, s.Mesh.Serve)
@@ -144,7 +143,7 @@
 	return failed
 }
 
-// Self returns this instance as its peers know it.
+// Self describes this instance to its peers.
 func (s *Server) Self() heartbeater.Instance {
 	address := s.Config.Advertise
 	if address == "" {
--- a/internal/instance/server/settings.go
+++ b/internal/instance/server/settings.go
@@ -14,7 +14,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// pollSettings looks at the head in the table service.
+// pollSettings reads the head of the settings from the table service.
 func (s *Server) pollSettings(ctx context.Context) {
 	row, err := s.Table.Get(ctx, publisher.KeyHead)
 	if err != nil || row.Version == 0 {
@@ -34,7 +34,7 @@
 	taken, err := s.Watcher.Offer(ctx, head)
 	if err != nil {
 		s.count("sardinetiller_settings_failures_total", "offer")
-		_ = level.Warn(s.Logger).Log("msg", "settings not taken", "revision", head.Revision, "err", err)
+		_ = level.Warn(s.Logger).Log("msg", "settings not applied", "revision", head.Revision, "err", err)
 		return
 	}
 	if taken {
@@ -42,10 +42,9 @@
 	}
 }
 
-// declare tells the driver and the fleet which upstreams the settings in force
-// name, and the holder which runners there are to own. The driver asks this
-// instance about its lease while it holds its own lock, so it is never called
-// under ours.
+// declare passes the upstreams of the settings in force to the driver and the
+// fleet, and the runners that can be owned to the holder. The driver calls this
+// server while it holds its own lock, so it must not be called under the server's.
 func (s *Server) declare() {
 	force := s.Watcher.Force()
 	if force == nil {
@@ -64,7 +63,7 @@
 	s.Holder.SetRunners(names)
 }
 
-// share gives the driver its part of the weight store's rate.
+// share sets the driver's share of the weight store's rate.
 func (s *Server) share(now time.Time) {
 	force := s.Watcher.Force()
 	if force == nil {
@@ -92,8 +91,9 @@
 	s.Driver.Share(force.Resolver.Weights(), part)
 }
 
-// askSettings takes a higher revision from a peer. It is how a domain that is
-// cut off from the platform, but not from its neighbours, still gets it.
+// askSettings fetches the head of the settings from a peer. A failure domain that is
+// partitioned from the platform, but not from other domains, gets a later revision
+// this way.
 func (s *Server) askSettings(ctx context.Context, address string) {
 	c, err := s.Mesh.Open(ctx, address, relayer.Inquire{})
 	if err != nil {
@@ -107,8 +107,7 @@
 	}
 }
 
-// A ChainStore reads objects from the platform and, when it does not answer,
-// from peers.
+// A ChainStore reads objects from the platform and, if that fails, from peers.
 type ChainStore struct {
 	Peers func() []string // addresses
 	Mesh  *relayer.Mesh
@@ -136,10 +135,11 @@
 	return c.Store.Put(ctx, key, data)
 }
 
-// objectTime bounds how long one peer is asked for an object; it answers within
-// milliseconds from what it holds. Links to other failure domains are not watched
-// for silence, and the loop that asks renews the lease as well: with a peer that
-// had fallen silent an instance kept its old settings and lost its runners.
+// objectTime bounds a request for an object to one peer, which answers from memory
+// within milliseconds. Links to other failure domains are not checked for
+// unresponsive peers, and the loop that sends the request renews the lease as well:
+// without the limit one unresponsive peer made an instance keep its old settings and
+// lose its runners.
 const objectTime = time.Second
 
 func (c *ChainStore) ask(ctx context.Context, address, key string) ([]byte, bool) {
@@ -152,7 +152,7 @@
 	defer conversation.Close()
 	answer, err := conversation.Next(ctx)
 	if ctx.Err() != nil {
-		c.Mesh.Cut(address) // the next one who asks dials anew
+		c.Mesh.Cut(address) // the next request opens a new link
 	}
 	data, ok := answer.(relayer.Data)
 	return data.Data, ok && err == nil
--- a/internal/instance/server/settings_test.go
+++ b/internal/instance/server/settings_test.go
@@ -16,7 +16,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/platform/storer"
 )
 
-// silent takes what peers ask and never answers.
+// silent is a handler that receives requests of peers and never answers.
 type silent struct{}
 
 func (silent) Answer(ctx context.Context, _ heartbeater.Instance, _ relayer.Message, _ *relayer.Reply) error {
@@ -33,9 +33,9 @@
 
 func (away) Get(context.Context, string) ([]byte, error) { return nil, errAway }
 
-// The platform is away, and a peer of another failure domain takes what it is asked
-// and answers nothing. The loop that looks for new settings asks it for a file of
-// theirs; the same loop renews the lease of this instance, and must get on.
+// The platform is unavailable, and a peer of another failure domain accepts requests
+// but never answers. The loop that polls the settings requests an object from that
+// peer; since it also renews the lease of this instance, it must not block.
 func TestSilentPeerDoesNotHoldUpWhoeverAsksForAnObject(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -61,12 +61,12 @@
 	select {
 	case err := <-got:
 		if !errors.Is(err, errAway) {
-			t.Errorf("got %v, want that the store is away", err)
+			t.Errorf("got %v, want the error of the unavailable store", err)
 		}
 	case <-time.After(20 * time.Second):
-		t.Error("still waits for the peer after 20 s")
+		t.Error("still waiting for the peer after 20 s")
 	}
 	if _, linked := mesh.Linked(address); linked {
-		t.Error("the silent link is kept")
+		t.Error("the link to the unresponsive peer was not closed")
 	}
 }
--- a/internal/instance/server/stop.go
+++ b/internal/instance/server/stop.go
@@ -8,31 +8,33 @@
 	"github.com/go-kit/log/level"
 )
 
-// A stopState tells how far the instance is on its way out.
+// A stopState is the progress of a graceful stop.
 type stopState struct{ phase atomic.Int32 }
 
 // The phases of a stop.
 const (
 	phaseServing int32 = iota
-	phaseNotice        // not ready, still takes new requests while the balancer notices
-	phaseDrain         // refuses new requests, ends those in flight
+	phaseNotice        // not ready; still accepts new requests until the load balancer has noticed
+	phaseDrain         // rejects new requests, completes those in flight
 )
 
 func (s *stopState) leaving() bool  { return s.phase.Load() > phaseServing }
 func (s *stopState) draining() bool { return s.phase.Load() >= phaseDrain }
 
-// idlePoll is how often a leaving instance looks whether it is done.
+// idlePoll is how often a stopping instance checks whether it is idle.
 const idlePoll = 20 * time.Millisecond
 
-// Drain makes the instance leave as SIGTERM does, except that it keeps running.
+// Drain starts the first phase of a graceful stop: the instance is not ready and
+// tells its peers that it is draining. The process keeps running, and unlike after
+// SIGTERM the later phases do not follow.
 func (s *Server) Drain() { s.stop.phase.CompareAndSwap(phaseServing, phaseNotice) }
 
-// Stopping implements the answerer's question whether new requests are refused.
+// Stopping reports whether new requests are rejected.
 func (s *Server) Stopping() bool { return s.stop.draining() }
 
-// leave is the graceful stop. The order matters: the balancer and the peers
-// stop sending first, then the runners go over with what is resident and
-// pinned, then the requests in flight run to their end.
+// leave stops the instance gracefully. The order matters: the load balancer and the
+// peers stop sending first, then other instances take over the runners with their
+// resident and pinned adapters, then the requests in flight run to completion.
 func (s *Server) leave(ctx context.Context) {
 	_ = level.Info(s.Logger).Log("msg", "leaving")
 	s.stop.phase.Store(phaseNotice)
@@ -44,11 +46,11 @@
 	s.stop.phase.Store(phaseDrain)
 	done := wait(ctx, s.Config.Drain, func() bool { return s.Answerer.Idle() && s.Driver.Idle() })
 	if !done {
-		_ = level.Warn(s.Logger).Log("msg", "requests in flight are cut off", "drain", s.Config.Drain)
+		_ = level.Warn(s.Logger).Log("msg", "drain time exceeded; aborting requests in flight", "drain", s.Config.Drain)
 	}
 }
 
-// wait returns whether until held before the time had passed.
+// wait polls until and reports whether it became true within the bound.
 func wait(ctx context.Context, bound time.Duration, until func() bool) bool {
 	deadline := time.Now().Add(bound)
 	for !until() {
--- a/internal/upstream/caller/caller.go
+++ b/internal/upstream/caller/caller.go
@@ -12,27 +12,27 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// An Engine is one model engine as its owner reaches it.
+// An Engine is the control API of model engines.
 type Engine interface {
-	// Cancel ends a request. It returns whether the engine has confirmed that
+	// Cancel cancels a request. It returns whether the engine has confirmed that
 	// the request does not run.
 	Cancel(ctx context.Context, address, request string) bool
-	// Order carries out one order and says what is known of it.
+	// Order sends one order and returns its outcome as far as it is known.
 	Order(ctx context.Context, address string, action keeper.Action) Answer
-	// Raise tells the engine a new fencing number. It returns whether the
-	// engine has confirmed it.
+	// Raise raises the engine's fencing token. It returns whether the engine has
+	// confirmed it.
 	Raise(ctx context.Context, address string, fence uint64) bool
-	// Report asks the engine for its state.
+	// Report requests the engine's state.
 	Report(ctx context.Context, address string) (Report, error)
 }
 
-// An Answer is how an order ended.
+// An Answer is the outcome of an order.
 type Answer struct {
 	Outcome keeper.Outcome
-	Fenced  bool // refused because of a newer fencing number: another instance owns the runner
+	Fenced  bool // refused because of a newer fencing token: another instance owns the runner
 }
 
-// A Report is what an engine says of itself.
+// A Report is the state of an engine as it reports it.
 type Report struct {
 	Engine   string   `json:"engine"`
 	Resident []string `json:"resident"`
@@ -42,14 +42,14 @@
 	Leaving  bool     `json:"leaving"`
 }
 
-// A Client is an Engine over HTTP. Its fields are set before use.
+// A Client implements Engine over HTTP. Its fields are set before use.
 type Client struct {
-	Timeout time.Duration // for an order; a load takes as long as the weight store
+	Timeout time.Duration // for an order; the duration of a load depends on the weight store
 }
 
 var _ Engine = (*Client)(nil)
 
-// The paths of an engine.
+// The paths of an engine's control API.
 const (
 	pathCancel = "/orders/cancel"
 	pathEvict  = "/orders/evict"
@@ -58,7 +58,7 @@
 	pathReport = "/report"
 )
 
-// reportTimeout bounds the wait for a report. A late one is of no use.
+// reportTimeout bounds requests for reports and cancellations. A late report is of no use.
 const reportTimeout = 2 * time.Second
 
 // order is the body of an order.
@@ -109,7 +109,7 @@
 	return report, err
 }
 
-// order sends one order. Only an explicit answer is taken for an outcome.
+// order sends one order. Only an explicit response counts as a definite outcome.
 func (c *Client) order(ctx context.Context, address, path string, o order) Answer {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
@@ -117,7 +117,7 @@
 	return judgeOrder(path, status, seen)
 }
 
-// post sends a value as JSON and returns the status of the answer.
+// post sends a value as JSON and returns the status of the response.
 func post(ctx context.Context, address, path string, value any) (int, judge.Observation) {
 	body, err := json.Marshal(value)
 	if err != nil {
--- a/internal/upstream/caller/run.go
+++ b/internal/upstream/caller/run.go
@@ -18,28 +18,28 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// The headers between the system and an engine.
+// Headers of requests to and responses from an engine.
 const (
 	headerAdapter  = "X-Adapter"
 	headerPriority = "X-Priority"
 	headerRequest  = "X-Request-Id"
 )
 
-// wholeLimit bounds an answer that is not a stream, in bytes.
+// wholeLimit bounds a response that is not streamed, and one line of a stream, in bytes.
 const wholeLimit = 8 << 20
 
-// done is the last event of a stream that is whole.
+// done is the data of the event that ends a complete stream.
 const done = "[DONE]"
 
-// Run sends a call to an engine under the handle and passes the answer on. The
-// answer's adapter is checked before its first byte goes to the sink, so that a
-// mismatch never reaches a caller.
+// Run sends a call to an engine with the handle as the model and forwards the
+// response. The adapter of the response is checked before its first byte goes to the
+// sink, so that a response of the wrong adapter never reaches a caller.
 func Run(ctx context.Context, address, handle string, call *streamer.Call, head streamer.Head, sink streamer.Sink) error {
 	return ended(ctx, run(ctx, address, handle, call, head, sink))
 }
 
-// ended names the deadline or the caller as the reason of a connection that was
-// closed for them. The verdict stays what was observed.
+// ended replaces the reason of an error by the deadline or the cancellation if ctx
+// has ended. The verdict stays as observed.
 func ended(ctx context.Context, err error) error {
 	if err == nil || ctx.Err() == nil {
 		return err
@@ -82,7 +82,7 @@
 	return p.whole()
 }
 
-// Plain sends a call to a plain service and passes the answer on as it is.
+// Plain sends a call to a plain service and forwards the response unchanged.
 func Plain(ctx context.Context, address string, call *streamer.Call, sink streamer.Sink) error {
 	return ended(ctx, plain(ctx, address, call, sink))
 }
@@ -144,7 +144,7 @@
 	return request, nil
 }
 
-// A pass moves one answer from the engine to the sink.
+// A pass copies one response from the engine to the sink.
 type pass struct {
 	answer *requester.Answer
 	call   *streamer.Call
@@ -153,7 +153,7 @@
 	sink   streamer.Sink
 }
 
-// check compares the model that a part of the answer names with the handle.
+// check verifies that the model named in a response or an event of it is the handle.
 func (p *pass) check(data []byte) error {
 	var part struct {
 		Model string `json:"model"`
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// rename gives the answer the name that the caller asked for.
+// rename replaces the handle in the response by the adapter name that the caller requested.
 func (p *pass) rename(data []byte) []byte {
 	return bytes.Replace(data, []byte(strconv.Quote(p.handle)), []byte(strconv.Quote(p.call.Adapter)), 1)
 }
--- a/internal/upstream/caller/verdict.go
+++ b/internal/upstream/caller/verdict.go
@@ -7,9 +7,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// judgeOrder says what is known of an order after its answer. A connection that
-// failed after bytes were sent leaves the outcome open: the engine may carry
-// the order out later.
+// judgeOrder derives the outcome of an order from the response. If the connection
+// failed after bytes were sent, the outcome is unknown: the engine may still execute
+// the order later.
 func judgeOrder(path string, status int, seen judge.Observation) Answer {
 	if seen != nil {
 		if judge.Judge(seen).Verdict == judge.NotRun {
@@ -24,7 +24,7 @@
 		return Answer{Outcome: keeper.Failed, Fenced: true}
 	case fasthttp.StatusNotFound:
 		if path == pathEvict {
-			return Answer{Outcome: keeper.Done} // it is not there any more
+			return Answer{Outcome: keeper.Done} // already evicted
 		}
 		return Answer{Outcome: keeper.Failed}
 	case fasthttp.StatusConflict, fasthttp.StatusServiceUnavailable, fasthttp.StatusTooManyRequests:
--- a/internal/upstream/driver/average.go
+++ b/internal/upstream/driver/average.go
@@ -4,10 +4,10 @@
 	"time"
 )
 
-// An ewma is a moving average of seconds.
+// An ewma is an exponentially weighted moving average of seconds.
 type ewma struct{ value float64 }
 
-// weight is how much the newest value counts.
+// weight is the weight of the newest value.
 const weight = 0.1
 
 func (a *ewma) add(d time.Duration) { a.value += weight * (d.Seconds() - a.value) }
--- a/internal/upstream/driver/crash.go
+++ b/internal/upstream/driver/crash.go
@@ -9,23 +9,23 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/streamer"
 )
 
-// A Quarantine knows which requests crash the engines that run them.
+// A Quarantine records which requests crash the engines that run them.
 type Quarantine interface {
-	// Crashed tells that an engine started again, and which requests had broken off
-	// there and after how long.
+	// Crashed reports that an engine restarted, and the requests whose responses had
+	// broken off there with the time that each had run.
 	Crashed(engine string, requests map[quarantiner.Digest]time.Duration)
-	// Held refuses a request that is not to be run; nil if it may run.
+	// Held returns the refusal of a quarantined request, nil if the request may run.
 	Held(call *streamer.Call) *judge.Error
 }
 
-// A broken answer is one that broke off.
+// A broken records a response that broke off.
 type broken struct {
 	at  time.Time
 	ran time.Duration
 }
 
-// broke notes that an answer broke off, unless this instance ended it. Whether the
-// engine has crashed shows in its next report: it is another incarnation then.
+// broke records that a response broke off, unless this instance ended it. The next
+// report shows whether the engine crashed: a restarted engine has a new incarnation.
 func (d *Driver) broke(ctx context.Context, e *engine, call *streamer.Call, began time.Time) {
 	if ctx.Err() != nil {
 		return
@@ -37,11 +37,11 @@
 		e.broke = make(map[quarantiner.Digest]broken)
 	}
 	e.broke[call.Digest()] = broken{at: now, ran: now.Sub(began)}
-	e.asked = time.Time{} // look at once
+	e.asked = time.Time{} // request a report at once
 }
 
-// suspects takes out the requests that broke off before a report was asked for. Called
-// with the lock held.
+// suspects removes and returns the requests that broke off before a report was
+// requested. The caller holds the lock.
 func (e *engine) suspects(asked time.Time) map[quarantiner.Digest]time.Duration {
 	suspects := make(map[quarantiner.Digest]time.Duration)
 	for d, b := range e.broke {
--- a/internal/upstream/driver/doc.go
+++ b/internal/upstream/driver/doc.go
@@ -1,8 +1,7 @@
-// Package driver owns runners: it carries out, on real engines, what the
-// decisions about one runner's slots and queue ask for.
+// Package driver operates the runners that this instance owns: it executes the
+// decisions about their adapter slots and queues on the engines.
 //
-// A Driver holds one orderer.Runner for each engine of the failure domain and
-// acts on those that the roster gives to this instance. Every change of state
-// happens under one lock and returns quickly; orders, reports and requests run
-// outside of it.
+// A Driver has one orderer.Runner for each engine of the failure domain and acts
+// on those that the roster assigns to this instance. State changes only under
+// one lock, which is held briefly; orders, reports and requests run outside it.
 package driver
--- a/internal/upstream/driver/driver.go
+++ b/internal/upstream/driver/driver.go
@@ -20,63 +20,63 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/orderer"
 )
 
-// A Tenancy tells which runners this instance may act on.
+// A Tenancy decides which runners this instance may act on.
 type Tenancy interface {
-	// Acts returns the fencing number of the tenure if this instance may begin
+	// Acts returns the fencing token of the ownership if this instance may start
 	// or continue to act on the runner.
 	Acts(runner string) (uint64, bool)
-	// Owns reports whether the roster gives the runner to this instance.
+	// Owns reports whether the roster assigns the runner to this instance.
 	Owns(runner string) bool
-	// May reports whether an order may be sent at this moment.
+	// May reports whether an order may be sent to the runner now.
 	May(runner string) bool
-	// Parties returns the incarnations that may have used a runner before.
+	// Parties returns the incarnations that may have owned a runner before.
 	Parties() []string
-	// Cleared asks a party to give the runner up. It returns false while the
-	// party has not, and an empty surrender if the party runs no more.
+	// Cleared asks a previous owner to release the runner. It returns false until
+	// that owner has released it, and an empty surrender if its process has
+	// terminated.
 	Cleared(ctx context.Context, party, runner string) (keeper.Surrender, bool)
 }
 
-// Permits hands out permits to load from the weight store.
+// Permits grants permits to load from the weight store.
 type Permits interface {
 	// Acquire waits for a permit. The value is the stall that the load removes.
-	// A nil release means that there was none within ctx. It returns false if
-	// whoever hands them out cannot be reached; the driver then keeps to its
-	// part of the rate.
+	// A nil release means that no permit was granted within ctx. It returns false
+	// if the allocator cannot be reached; the driver then loads within its share
+	// of the rate.
 	Acquire(ctx context.Context, value float64) (release func(), ok bool)
 }
 
-// A Driver drives the runners of one failure domain. Its fields are set before
+// A Driver operates the runners of one failure domain. Its fields are set before
 // use; it is safe for concurrent use.
 type Driver struct {
-	Copies     func(adapter string) int // in the domain
+	Copies     func(adapter string) int // in the failure domain
 	Domain     string
 	Engine     caller.Engine
 	Evictor    func() keeper.Evictor // for engines declared later
 	Logger     log.Logger
 	Metrics    *metrics.Set
-	Permits    Permits // nil to keep to the part of the rate always
+	Permits    Permits // nil to load within the share of the rate only
 	Quarantine Quarantine
 	Self       string // incarnation
 	Tenancy    Tenancy
 
-	bids    int // for permits, under way
+	bids    int // permit requests in flight
 	budget  *loader.Budget
 	mu      sync.Mutex
-	loads   ewma // seconds that a load takes
+	loads   ewma // duration of a load
 	names   []string
-	runs    ewma // seconds that a request runs
+	runs    ewma // duration of a run
 	runners map[string]*engine
-	version uint64 // grows when what is resident anywhere changes
+	version uint64 // incremented when the state of any runner changes
 }
 
-// What is expected, in seconds, before any load or run was seen.
+// Initial estimates, in seconds, before any load or run was observed.
 const (
 	firstLoad = 0.5
 	firstRun  = 0.5
 )
 
-// Declare takes in the engines that the settings name and the bounds of their
-// queues.
+// Declare applies the engines of the settings and the limits of their queues.
 func (d *Driver) Declare(services []parser.Service, queue int, share float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -93,27 +93,27 @@
 	for name, e := range d.runners {
 		if !declared[name] && !e.dropped {
 			e.dropped = true
-			e.Leave() // it ends what it has and takes nothing new
+			e.Leave() // it completes its requests and accepts no new ones
 			d.changed(e)
 		}
 	}
 }
 
-// Names returns the engines of the domain that the settings name.
+// Names returns the engines of the failure domain that are in the settings.
 func (d *Driver) Names() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.DeleteFunc(slices.Clone(d.names), func(name string) bool { return d.runners[name].dropped })
 }
 
-// Line returns how many adapters stand in line for a load.
+// Line returns the length of the load queue, in adapters.
 func (d *Driver) Line() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.line()
 }
 
-// Share sets this instance's part of the weight store's rate.
+// Share sets this instance's share of the weight store's rate.
 func (d *Driver) Share(weights parser.Weights, part float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -121,7 +121,7 @@
 	d.grant(weights, part)
 }
 
-// Estimates returns how long a load and a run take.
+// Estimates returns the average duration of a load and of a run.
 func (d *Driver) Estimates() (load, run time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -129,8 +129,9 @@
 	return d.loads.duration(), d.runs.duration()
 }
 
-// Tick looks after every runner, also those that the settings name no more:
-// what waits there is sent elsewhere. It is called several times a second.
+// Tick updates every runner, including those that were removed from the settings:
+// requests that are queued there are refused, so that they go to another runner.
+// It is called several times a second.
 func (d *Driver) Tick(ctx context.Context, now time.Time) {
 	d.mu.Lock()
 	names := slices.Clone(d.names)
@@ -141,9 +142,8 @@
 	d.Pump(ctx, now)
 }
 
-// Loads returns how busy the owned runners are and, of those whose residency
-// changed after version, what is resident. It also returns the version to ask
-// with the next time.
+// Loads returns the load of the owned runners, the state of the runners that
+// changed after version, and the version to pass to the next call.
 func (d *Driver) Loads(version uint64) ([]relayer.Load, []relayer.State, uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -162,7 +162,7 @@
 	return loads, states, d.version
 }
 
-// Drain marks an engine as taking no new work.
+// Drain marks an engine as accepting no new requests.
 func (d *Driver) Drain(name string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -172,14 +172,14 @@
 	}
 }
 
-// Surrender answers a later owner: whether this instance has given the runner
-// up, and what its requests still use.
+// Surrender answers the next owner: whether this instance has released the
+// runner, and which adapters its requests still use.
 func (d *Driver) Surrender(name string) (keeper.Surrender, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e, ok := d.runners[name]
 	if !ok {
-		return keeper.Surrender{}, true // never knew it
+		return keeper.Surrender{}, true // never known here
 	}
 	if e.Keeper.Owned() && !d.Tenancy.Owns(name) {
 		d.abandon(e)
@@ -187,10 +187,11 @@
 	return e.Keeper.Surrender()
 }
 
-// Idle reports whether no request waits or runs here. Requests whose callers
-// are gone and which an engine has not confirmed to have ended do not count:
-// nobody waits for them, and an engine that is down would hold the instance for
-// ever. A later owner learns that this process is gone from the list.
+// Idle reports whether no request is queued or running here. Requests whose
+// response has ended here, but not confirmed by the engine, do not count: nobody
+// waits for them, and an engine that is down would keep the instance from stopping
+// for ever. The next owner learns from the instance list that this process has
+// terminated.
 func (d *Driver) Idle() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -202,8 +203,8 @@
 	return true
 }
 
-// Blocked returns how many slots are kept only because an earlier owner has not
-// been cleared, and how many there are.
+// Blocked returns how many slots are reserved only because a previous owner has
+// not confirmed the release, and the total number of slots.
 func (d *Driver) Blocked() (blocked, slots int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -216,14 +217,14 @@
 	return blocked, slots
 }
 
-// abandon ends a tenure and sends those who wait elsewhere.
+// abandon ends the ownership and refuses the queued requests, so that they go elsewhere.
 func (d *Driver) abandon(e *engine) {
 	e.Keeper.Abandon()
 	e.turnAway(ownerRefusal(), everything)
 	d.changed(e)
 }
 
-// backlog estimates how long a further load would wait for its turn.
+// backlog estimates how long another load would be queued.
 func (d *Driver) backlog() time.Duration {
 	if d.budget == nil {
 		return 0
@@ -258,7 +259,7 @@
 		}
 		e.Warm()
 		d.runners[u.Name] = e
-		d.names = append(d.names, u.Name) // numbers on links are places in names: they never move
+		d.names = append(d.names, u.Name) // the index in names is the runner's number on links, so entries never move
 	}
 	if e.dropped {
 		e.dropped = false
@@ -273,7 +274,7 @@
 	e.Queue.Share = share
 }
 
-// grant gives this instance its part of the weight store's rate.
+// grant sets the limits of loads to this instance's share of the weight store's rate.
 func (d *Driver) grant(w parser.Weights, part float64) {
 	limit := rate.Inf
 	if w.Rate > 0 {
--- a/internal/upstream/driver/driver_test.go
+++ b/internal/upstream/driver/driver_test.go
@@ -19,7 +19,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/driver"
 )
 
-// A fakeEngine answers orders as it is told and counts them.
+// A fakeEngine answers orders with a set outcome and counts them.
 type fakeEngine struct {
 	leaving atomic.Bool
 	orders  atomic.Int64
@@ -29,7 +29,7 @@
 
 var _ caller.Engine = (*fakeEngine)(nil)
 
-// A noQuarantine holds nothing.
+// A noQuarantine quarantines no request.
 type noQuarantine struct{}
 
 func (noQuarantine) Crashed(string, map[quarantiner.Digest]time.Duration) {}
@@ -51,7 +51,7 @@
 	return caller.Report{Engine: "e-1", Leaving: f.leaving.Load()}, nil
 }
 
-// A fakeTenancy owns everything for as long as it is told.
+// A fakeTenancy owns every runner while owns is set.
 type fakeTenancy struct{ may, owns atomic.Bool }
 
 var _ driver.Tenancy = (*fakeTenancy)(nil)
@@ -68,7 +68,7 @@
 
 func (f *fakeTenancy) Parties() []string { return nil }
 
-// newDriver returns a driver of one engine that ticks until the test ends.
+// newDriver returns a driver of one engine, with Tick called until the test ends.
 func newDriver(t *testing.T, e *fakeEngine, tenancy *fakeTenancy) *driver.Driver {
 	tenancy.may.Store(true)
 	tenancy.owns.Store(true)
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		cancel()
-		time.Sleep(time.Minute) // what is under way ends by itself
+		time.Sleep(time.Minute) // lets work in flight finish
 	})
 	go func() {
 		for ctx.Err() == nil {
@@ -100,8 +100,8 @@
 	}}
 }
 
-// An operator takes an engine out of the settings and puts it back. It takes no
-// new work in between, and does afterwards without a restart.
+// An operator removes an engine from the settings and adds it again. It accepts no
+// new requests in between, and accepts them afterwards without a restart.
 func TestEngineComesBackIntoTheSettings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		d := newDriver(t, &fakeEngine{}, &fakeTenancy{})
@@ -116,7 +116,7 @@
 	})
 }
 
-// serve runs one request and returns how it failed and after how long.
+// serve runs one request and returns its error and its duration.
 func serve(d *driver.Driver, deadline time.Duration) (*judge.Error, time.Duration) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), deadline)
@@ -133,21 +133,21 @@
 		reason judge.Reason
 		within time.Duration
 	}{
-		// Loads keep failing. The caller is told after the third, long before its
-		// deadline, and when to come back.
+		// Loads keep failing. The request is refused after the third failure, long
+		// before its deadline, and with the time to retry after.
 		{"loads fail", func(e *fakeEngine, _ *fakeTenancy) { e.outcome = keeper.Failed }, judge.ReasonLoad, 5 * time.Second},
-		// The engine says that it leaves while a request waits there: the request
-		// is sent back at once, so that another runner can take it.
-		{"engine leaves", func(e *fakeEngine, tenancy *fakeTenancy) {
+		// The engine reports that it is draining while a request is queued: the
+		// request is refused at once, so that another runner can serve it.
+		{"engine drains", func(e *fakeEngine, tenancy *fakeTenancy) {
 			tenancy.may.Store(false)
 			time.AfterFunc(time.Second, func() { e.leaving.Store(true) })
 		}, judge.ReasonUpstream, 5 * time.Second},
-		// The runner passes to another instance while a request waits.
-		{"runner passes on", func(_ *fakeEngine, tenancy *fakeTenancy) {
+		// The runner is reassigned to another instance while a request is queued.
+		{"runner reassigned", func(_ *fakeEngine, tenancy *fakeTenancy) {
 			tenancy.may.Store(false)
 			time.AfterFunc(time.Second, func() { tenancy.owns.Store(false) })
 		}, judge.ReasonOwner, 2 * time.Second},
-		// Nothing can be ordered: the deadline ends the wait, without a run.
+		// No order may be sent: the request is refused at its deadline, without a run.
 		{"deadline", func(_ *fakeEngine, tenancy *fakeTenancy) { tenancy.may.Store(false) }, judge.ReasonDeadline, time.Minute},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -160,14 +160,14 @@
 					t.Errorf("%v after %s, want %s within %s", err, took, tc.reason, tc.within)
 				}
 				if !d.Idle() {
-					t.Error("the request was left behind")
+					t.Error("the driver is not idle after the request was refused")
 				}
 			})
 		})
 	}
 }
 
-// The lease cannot be trusted: no order goes out, however much is waited for.
+// Without a valid lease no order is sent, even if requests wait for an adapter.
 func TestNoOrderWithoutLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e, tenancy := &fakeEngine{}, &fakeTenancy{}
@@ -175,13 +175,13 @@
 		tenancy.may.Store(false)
 		err, _ := serve(d, 10*time.Second)
 		if n := e.orders.Load(); n != 0 || err.Verdict != judge.NotRun {
-			t.Errorf("%d orders went out, and the caller was told %v", n, err)
+			t.Errorf("%d orders were sent, and the request ended with %v", n, err)
 		}
 	})
 }
 
-// An engine goes down. Peers are told that it takes no new work, and that it
-// does again when it answers.
+// An engine stops responding. Its published state says that it accepts no new
+// requests, and that it does again once the engine answers.
 func TestSilentEngineTakesNoNewWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngine{}
@@ -194,7 +194,7 @@
 			e.silent.Store(silent)
 			time.Sleep(10 * time.Second)
 			if leaving() != silent {
-				t.Errorf("silent %v: told as leaving %v", silent, leaving())
+				t.Errorf("silent %v: published as leaving %v", silent, leaving())
 			}
 		}
 	})
--- a/internal/upstream/driver/engine.go
+++ b/internal/upstream/driver/engine.go
@@ -9,25 +9,24 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/orderer"
 )
 
-// An engine is one runner with what the driver knows of it beside the
-// decisions.
+// An engine is one runner with the driver's own state of it.
 type engine struct {
 	*orderer.Runner
 
-	at        atomic.Pointer[string]        // address, read without the lock while a request or an order goes out
-	asked     time.Time                     // when the last report was asked for
-	dropped   bool                          // the settings name it no more
-	broke     map[quarantiner.Digest]broken // requests whose answers broke off here since the last report
-	asking    bool                          // a report, a fencing number or a clearing is under way
+	at        atomic.Pointer[string]        // address, read without the lock when a request or an order is sent
+	asked     time.Time                     // when the last report was requested; zero to request one at once
+	dropped   bool                          // removed from the settings
+	broke     map[quarantiner.Digest]broken // requests whose responses broke off since the last report
+	asking    bool                          // a check of the engine is in flight
 	fencing   bool
-	releasing int    // requests that ended here and perhaps not in the engine
-	silent    int    // reports in a row that it did not give
-	reported  bool   // a report was taken in since the tenure began
-	version   uint64 // of what is resident
+	releasing int    // requests that ended here but perhaps not in the engine
+	silent    int    // consecutive reports that failed
+	reported  bool   // a report was applied since the ownership began
+	version   uint64 // Driver.version at the last change of the state
 	waiters   map[string]*waiter
 }
 
-// address returns where the engine is reached, as the settings said last.
+// address returns the address of the engine from the latest settings.
 func (e *engine) address() string { return *e.at.Load() }
 
 func (e *engine) load(number int, wait time.Duration) relayer.Load {
@@ -44,8 +43,8 @@
 	}
 }
 
-// coming returns the adapters that are being loaded or stand in line for it.
-// Others that want one of them do best to join.
+// coming returns the adapters that are being loaded or queued for a load. Further
+// requests for one of them are best sent here too.
 func (e *engine) coming() []string {
 	adapters := e.Keeper.Coming()
 	for _, n := range e.Needs() {
--- a/internal/upstream/driver/look.go
+++ b/internal/upstream/driver/look.go
@@ -10,14 +10,14 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/caller"
 )
 
-// look brings one runner's tenure up to date and begins what is due: the new
-// fencing number, the clearing of earlier parties, a report.
+// look updates the ownership of one runner and starts the calls that are due: raising
+// the fencing token, asking previous owners to release it, requesting a report.
 func (d *Driver) look(ctx context.Context, name string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	// Asked under the lock: a tenure begun on an older answer could follow this
-	// instance's own surrender, and serve copies that the next owner, which counts
-	// it as cleared, evicts.
+	// Read under the lock: ownership that starts from an older value could follow
+	// this instance's own surrender. It would then serve copies that the next owner,
+	// which has this instance's confirmation of the release, evicts.
 	fence, acts := d.Tenancy.Acts(name)
 	owns := d.Tenancy.Owns(name)
 	e := d.runners[name]
@@ -36,17 +36,17 @@
 	go d.ask(ctx, e)
 }
 
-// reportEvery is how often an engine with nothing open is asked for a report.
-// It bounds how late a leaving engine is seen, and costs its share of the 9 KB a
-// second that an instance may spend on control.
+// reportEvery is how often an engine without unconfirmed orders is asked for a
+// report. It bounds the delay until a draining engine is noticed; the reports count
+// towards the 9 KB a second that an instance may spend on control traffic.
 const reportEvery = 2 * time.Second
 
-// due reports whether the engine is to be asked now.
+// due reports whether a report is to be requested now.
 func (e *engine) due(now time.Time) bool {
 	return !e.reported || e.Keeper.Unsettled() || now.Sub(e.asked) >= reportEvery
 }
 
-// ask does the slow part of look outside the lock.
+// ask makes the network calls of look, outside the lock.
 func (d *Driver) ask(ctx context.Context, e *engine) {
 	d.mu.Lock()
 	raise := e.fencing && !e.Keeper.Raised()
@@ -78,18 +78,18 @@
 	d.Pump(ctx, time.Now())
 }
 
-// silentReports is how many reports in a row an engine may not give before new
-// work goes elsewhere. Without that, an engine that is down looks idle and holds
-// what is wanted, and every request would try it first.
+// silentReports is the number of consecutive failed reports after which new
+// requests go to other engines. Without it an engine that is down would appear idle
+// with the requested adapters resident, and every request would try it first.
 const silentReports = 2
 
-// missed counts a report that an engine did not give and asks again soon.
+// missed counts a failed report and has it requested again at the next tick.
 func (d *Driver) missed(e *engine) {
 	d.count("sardinetiller_report_failures_total", "report")
 	e.silent++
 	if e.silent == silentReports {
 		d.changed(e)
-		d.warn("engine does not answer", e.Name, nil)
+		d.warn("engine is unresponsive", e.Name, nil)
 	}
 	if e.silent < silentReports {
 		e.asked = time.Time{}
@@ -103,7 +103,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if e.Keeper.Fence() == fence { // else the answer is to an earlier tenure's question
+	if e.Keeper.Fence() == fence { // otherwise the answer belongs to an earlier ownership
 		e.Keeper.Clear(party, surrender)
 		d.changed(e)
 	}
@@ -126,12 +126,12 @@
 		Asked: asked, Held: acts && fence == e.Keeper.Fence(), Engine: report.Engine, Resident: report.Resident, Loading: report.Loading,
 	}, report.Leaving)
 	if err != nil {
-		d.warn("report does not fit the slots", e.Name, err)
+		d.warn("report is inconsistent with the slots", e.Name, err)
 	}
 	suspects := e.suspects(asked)
 	if restarted {
 		d.Quarantine.Crashed(report.Engine, suspects)
-		_ = level.Warn(d.Logger).Log("msg", "engine restarted empty", "runner", e.Name)
+		_ = level.Warn(d.Logger).Log("msg", "engine restarted", "runner", e.Name)
 		d.count("sardinetiller_cold_starts_total", "restart")
 	}
 	if restarted || !e.reported || before != len(e.Keeper.Resident()) || report.Leaving {
@@ -144,5 +144,5 @@
 	e.Keeper.Take(fence, d.Tenancy.Parties())
 	e.reported = false
 	d.changed(e)
-	_ = level.Info(d.Logger).Log("msg", "took runner", "runner", e.Name, "fence", fence)
+	_ = level.Info(d.Logger).Log("msg", "acquired runner", "runner", e.Name, "fence", fence)
 }
--- a/internal/upstream/driver/permit.go
+++ b/internal/upstream/driver/permit.go
@@ -8,12 +8,12 @@
 	"github.com/sardinetiller/sardinetiller/internal/adapter/loader"
 )
 
-// permitTime bounds the wait for one permit. A bid that has waited that long is
-// made anew with what it is worth then.
+// permitTime bounds the wait for one permit. After that a new bid is made with the
+// value it has then.
 const permitTime = 5 * time.Second
 
-// bidFor bids for permits, as many at once as the weight store takes loads.
-// Called with the lock held.
+// bidFor requests permits, at most as many at once as the weight store serves
+// loads. The caller holds the lock.
 func (d *Driver) bidFor(ctx context.Context, needs []loader.Need, now time.Time) {
 	for d.bids < min(d.budget.Together, len(needs)) {
 		value := loader.Saved(needs[d.bids], now)
@@ -22,7 +22,7 @@
 	}
 }
 
-// permitted waits for a permit and uses it on the best need of that moment.
+// permitted waits for a permit and uses it for the most valuable load of that moment.
 func (d *Driver) permitted(ctx context.Context, value float64) {
 	waited, cancel := context.WithTimeout(ctx, permitTime)
 	release, ok := d.Permits.Acquire(waited, value)
@@ -43,15 +43,15 @@
 	}
 }
 
-// withoutPermit loads within the own part of the rate, as when the instance
-// that hands out permits cannot be reached. Called with the lock held.
+// withoutPermit loads within this instance's share of the rate, for when the
+// allocator of permits cannot be reached. The caller holds the lock.
 func (d *Driver) withoutPermit(ctx context.Context) {
 	now := time.Now()
 	d.budget.Grant(d.needs(), now, func(n loader.Need) bool { return d.begin(ctx, n, now) })
 }
 
-// loadOne loads the adapter that removes the most stall now, after making room
-// for it if need be.
+// loadOne loads the adapter that removes the most stall now, after an eviction if
+// no slot is free.
 func (d *Driver) loadOne(ctx context.Context) {
 	const orders = 2 // an eviction and the load
 	for range orders {
@@ -66,7 +66,7 @@
 	}
 }
 
-// best decides on the next order.
+// best returns the next order for the most valuable load, or nil.
 func (d *Driver) best() (*engine, loader.Need, keeper.Action) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -84,8 +84,8 @@
 	return nil, loader.Need{}, nil
 }
 
-// needs returns what requests wait for on the runners whose state is known.
-// Called with the lock held.
+// needs returns the adapters that requests wait for on the runners whose state is
+// known. The caller holds the lock.
 func (d *Driver) needs() []loader.Need {
 	var needs []loader.Need
 	for _, name := range d.names {
--- a/internal/upstream/driver/preload.go
+++ b/internal/upstream/driver/preload.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Preload makes an adapter wanted on a runner that this instance owns, before a
-// request asks for it.
+// Preload queues a load of an adapter on a runner that this instance owns, before
+// any request needs it.
 func (d *Driver) Preload(ctx context.Context, runner, adapter string) error {
 	if err := d.wantAhead(runner, adapter); err != nil {
 		return err
--- a/internal/upstream/driver/serve.go
+++ b/internal/upstream/driver/serve.go
@@ -14,15 +14,15 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/caller"
 )
 
-// A waiter is a request that waits for its start.
+// A waiter is a queued request.
 type waiter struct {
 	start  chan keeper.Handle
 	failed chan *judge.Error
 }
 
-// Serve runs a request on a runner that this instance owns and passes the
-// answer to the sink. It returns when the last byte was passed on or the
-// request failed, with a *judge.Error.
+// Serve runs a request on a runner that this instance owns and writes the response
+// to the sink. It returns after the last byte, or with a *judge.Error if the
+// request failed.
 func (d *Driver) Serve(ctx context.Context, call *streamer.Call, sink streamer.Sink) error {
 	arrived := time.Now()
 	w, e, err := d.enter(call, arrived)
@@ -44,7 +44,7 @@
 	}
 }
 
-// Pump starts what can start and orders what is needed.
+// Pump starts the queued requests that can run and orders the loads that are needed.
 func (d *Driver) Pump(ctx context.Context, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -66,7 +66,7 @@
 	d.bidFor(ctx, d.budget.Order(needs, now), now)
 }
 
-// begin orders what brings a needed adapter nearer. It returns whether that is
+// begin sends the next order for a needed adapter. It returns whether that order is
 // a load.
 func (d *Driver) begin(ctx context.Context, n loader.Need, now time.Time) bool {
 	e, action := d.decide(n, now)
@@ -78,8 +78,8 @@
 	return isLoad
 }
 
-// decide returns the order that brings a needed adapter nearer, nil if there is
-// none that may be sent. Called with the lock held.
+// decide returns the next order for a needed adapter, an eviction or the load, or nil
+// if none may be sent. The caller holds the lock.
 func (d *Driver) decide(n loader.Need, now time.Time) (*engine, keeper.Action) {
 	e := d.runners[n.Runner]
 	if !d.Tenancy.May(n.Runner) {
@@ -92,18 +92,18 @@
 	return e, action
 }
 
-// carryOut sends an order, records how it ended, and looks what is next.
+// carryOut sends an order, records its outcome and starts what is possible next.
 func (d *Driver) carryOut(ctx context.Context, e *engine, n loader.Need, action keeper.Action) {
 	d.send(ctx, e, n, action)
 	d.Pump(ctx, time.Now())
 }
 
-// send sends an order and records how it ended.
+// send sends an order and records its outcome.
 func (d *Driver) send(ctx context.Context, e *engine, n loader.Need, action keeper.Action) {
 	began := time.Now()
 	answer := caller.Answer{Outcome: keeper.Failed}
-	// The last moment before the order: a process that was paused since it
-	// decided may have lost the runner meanwhile.
+	// Checked immediately before the order is sent: a process that was paused after
+	// the decision may have lost the runner.
 	if d.Tenancy.May(e.Name) {
 		answer = d.Engine.Order(context.WithoutCancel(ctx), e.address(), action)
 	} else {
@@ -112,7 +112,7 @@
 	now := time.Now()
 	d.mu.Lock()
 	if err := e.Keeper.Finish(action, answer.Outcome, now); err != nil {
-		d.warn("order does not fit the slots", e.Name, err)
+		d.warn("order is inconsistent with the slots", e.Name, err)
 	}
 	d.finish(n, action, answer, now, now.Sub(began))
 	d.changed(e)
@@ -143,12 +143,12 @@
 	}
 }
 
-// hopeless is how many failed loads in a row make an adapter be given up on for
-// those who wait. Their answer is due at once, not near their deadline.
+// hopeless is the number of consecutive failed loads of an adapter after which the
+// requests that wait for it are refused at once, not near their deadline.
 const hopeless = 3
 
 // giveUp refuses the requests that wait for an adapter whose loads keep failing.
-// They may find it on another runner; a new request tries it again after the
+// Another runner may serve them; a new request causes another load after the
 // backoff.
 func (d *Driver) giveUp(n loader.Need, now time.Time) {
 	if d.budget.Failures(n.Adapter) < hopeless {
@@ -170,7 +170,7 @@
 		return nil, nil, leavingRefusal(e)
 	}
 	if !e.Keeper.Servable(call.Adapter) && !slices.Contains(e.coming(), call.Adapter) {
-		d.changed(e) // a further adapter stands in line
+		d.changed(e) // one more adapter is queued for a load
 	}
 	if err := d.inTime(e, call, now); err != nil {
 		return nil, nil, err
@@ -190,9 +190,9 @@
 	return w, e, nil
 }
 
-// inTime refuses a request at once that would not get its turn before its
-// deadline. The owner knows the queue, and that an account with little in it
-// does not wait behind one with much.
+// inTime refuses a request at once if it would not start before its deadline. The
+// owner can tell because it has the queue and knows that an account with few queued
+// requests does not wait behind one with many.
 func (d *Driver) inTime(e *engine, call *streamer.Call, now time.Time) error {
 	if call.Deadline.IsZero() {
 		return nil
@@ -206,11 +206,11 @@
 	return nil
 }
 
-// leastRun is the part of the usual time of a run below which hardly any run
-// ends: what has less time left cannot be answered any more.
+// leastRun is the divisor of the average duration of a run that gives the minimum:
+// hardly any run is shorter, so a request with less time left cannot complete.
 const leastRun = 4
 
-// expire refuses at once what cannot be answered in time any more.
+// expire refuses the queued requests that cannot complete before their deadlines.
 func (d *Driver) expire(e *engine, now time.Time) {
 	for _, item := range e.Queue.Expired(now, d.runs.duration()/leastRun) {
 		e.refuse(item.ID, judge.Refuse(judge.ReasonDeadline, "the deadline passed while the request waited"))
@@ -220,13 +220,13 @@
 	}
 }
 
-// refuse tells a request that is out of the queue why it will not start.
+// refuse passes the refusal to a request that was removed from the queue.
 func (e *engine) refuse(id string, refusal *judge.Error) {
 	e.waiters[id].failed <- refusal
 	delete(e.waiters, id)
 }
 
-// turnAway takes the requests that match out of the queue and refuses them.
+// turnAway removes the matching requests from the queue and refuses them.
 func (e *engine) turnAway(refusal *judge.Error, match func(admitter.Item) bool) {
 	for _, item := range slices.Clone(e.Queue.Items()) {
 		if match(item) {
@@ -238,7 +238,7 @@
 
 func everything(admitter.Item) bool { return true }
 
-// unstart gives back the place of a request that is not sent.
+// unstart releases the slot and the pin of a started request that is not sent.
 func (d *Driver) unstart(ctx context.Context, e *engine, handle keeper.Handle) {
 	d.mu.Lock()
 	e.Finish(handle)
@@ -265,21 +265,21 @@
 	if err == nil {
 		d.runs.add(now.Sub(began))
 	} else {
-		e.asked = time.Time{} // it refused: look at once what it holds
+		e.asked = time.Time{} // it refused: request a report at once
 	}
 	d.mu.Unlock()
 	d.Pump(context.WithoutCancel(ctx), now)
 	return err
 }
 
-// cancelEvery is how often an engine is asked again to end a request.
+// cancelEvery is the interval between attempts to cancel a request.
 const cancelEvery = 100 * time.Millisecond
 
-// release gives the pin of a request back that did not end well. The engine may
-// not have noticed that its connection is gone and still run the request, and an
-// eviction would hit it; so the pin stays until the engine has confirmed that
-// the request does not run. An engine that cannot be reached keeps the pin: it
-// can be told to evict nothing either.
+// release releases the pin of a request that may still run after a failure. The
+// engine may not have noticed the closed connection, and an eviction would then hit
+// the running request; so the pin is kept until the engine confirms that the request
+// does not run. While the engine cannot be reached the pin stays: no eviction can be
+// sent to it either.
 func (d *Driver) release(ctx context.Context, e *engine, handle keeper.Handle, call *streamer.Call) {
 	for !d.Engine.Cancel(ctx, e.address(), call.ID) {
 		d.count("sardinetiller_cancel_failures_total", "cancel")
@@ -292,7 +292,7 @@
 	d.Pump(ctx, time.Now())
 }
 
-// stall is the part of the wait for which the adapter was not resident.
+// stall returns the share of the queueing time during which the adapter was not resident.
 func (d *Driver) stall(e *engine, adapter string, arrived, began time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -303,15 +303,15 @@
 	return min(since.Sub(arrived), began.Sub(arrived))
 }
 
-// withdraw takes a request back whose caller went away or whose deadline
-// passed before it started.
+// withdraw removes a request whose caller disconnected or whose deadline passed
+// before it started.
 func (d *Driver) withdraw(ctx context.Context, e *engine, w *waiter, call *streamer.Call) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(e.waiters, call.ID)
 	if !e.Queue.Remove(call.ID) {
 		select {
-		case handle := <-w.start: // it started in this very moment, and is not sent
+		case handle := <-w.start: // it started concurrently and is not sent
 			e.Finish(handle)
 		default:
 		}
--- a/internal/upstream/monitor/fleet.go
+++ b/internal/upstream/monitor/fleet.go
@@ -1,7 +1,6 @@
-// Package monitor holds what an instance knows of the runners of its failure
-// domain: who owns each, what is resident there and how busy it is. Owners tell
-// it in their heartbeats; between two of them the instance counts what it sent
-// itself.
+// Package monitor tracks the runners of an instance's failure domain: the owner,
+// resident adapters and load of each. Owners publish these in their heartbeats;
+// between two heartbeats the instance counts the requests it sent itself.
 package monitor
 
 import (
@@ -15,17 +14,17 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/parser"
 )
 
-// A Fleet is the view of the runners. Domain is set before use; it is safe for
-// concurrent use.
+// A Fleet is an instance's view of the runners. Domain is set before use; it is safe
+// for concurrent use.
 type Fleet struct {
 	Domain string
 
 	mu      sync.Mutex
-	numbers map[string]map[int]string // owner to number to runner
+	numbers map[string]map[int]string // by owner, then by the runner's number on links: runner name
 	runners map[string]*runner
 }
 
-// A runner is one engine of the domain.
+// A runner is one engine of the failure domain.
 type runner struct {
 	declared parser.Upstream
 	drained  bool
@@ -43,7 +42,7 @@
 	waiting  int
 }
 
-// A View is a runner as status shows it.
+// A View is the status of a runner.
 type View struct {
 	Runner   string   `json:"runner" yaml:"runner"`
 	Service  string   `json:"service" yaml:"service"`
@@ -55,12 +54,12 @@
 	Drained  bool     `json:"drained" yaml:"drained"`
 }
 
-// Candidates returns the runners of a service that may take a request for the
-// adapter, except those in tried. Only owners that alive accepts count.
+// Candidates returns the runners of a service that can accept a request for the
+// adapter, except those in tried and those whose owner alive rejects.
 //
-// Alive is asked without the fleet's lock. Under it, an instance that waits for
-// its own lock while another of its parts asks the fleet stands still for ever;
-// this was seen in the demo.
+// Alive is called without the fleet's lock, because it takes the server's lock.
+// Calling it under the fleet's lock deadlocked with a call to the fleet under the
+// server's lock; this occurred in the demo.
 func (f *Fleet) Candidates(service, adapter string, tried []string, alive func(owner string) bool) []router.Candidate {
 	candidates, owners := f.owned(service, adapter, tried)
 	living := make(map[string]bool)
@@ -78,8 +77,8 @@
 	return kept
 }
 
-// owned returns the runners of a service that have an owner and take new work,
-// and the owner of each.
+// owned returns the runners of a service that have an owner and accept new
+// requests, and the owner of each.
 func (f *Fleet) owned(service, adapter string, tried []string) (candidates []router.Candidate, owners []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -97,7 +96,7 @@
 	return candidates, owners
 }
 
-// Copies returns how many runners of the domain hold the adapter.
+// Copies returns how many runners of the failure domain have the adapter resident.
 func (f *Fleet) Copies(adapter string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -110,8 +109,8 @@
 	return copies
 }
 
-// Declare takes in the engines that the settings name for the domain and
-// forgets the others.
+// Declare applies the engines of the settings for the failure domain and removes
+// all others.
 func (f *Fleet) Declare(services []parser.Service) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -133,8 +132,8 @@
 	f.runners = next
 }
 
-// Disown forgets an owner that has refused because it owns the runner no more.
-// The next owner will tell.
+// Disown clears the owner of a runner after it refused a request because it no
+// longer owns the runner. The next owner's heartbeat sets it again.
 func (f *Fleet) Disown(name, owner string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,7 +142,7 @@
 	}
 }
 
-// Drain takes in the upstreams that operators drain.
+// Drain sets the upstreams that operators drain.
 func (f *Fleet) Drain(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -152,7 +151,7 @@
 	}
 }
 
-// Drained reports whether operators drain the runner.
+// Drained reports whether an operator drains the runner.
 func (f *Fleet) Drained(name string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -160,7 +159,7 @@
 	return ok && r.drained
 }
 
-// Hear takes in what an owner tells of its runners.
+// Hear applies an owner's heartbeat to its runners.
 func (f *Fleet) Hear(owner string, beat relayer.Beat, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -181,7 +180,7 @@
 	}
 }
 
-// Owner returns the incarnation that serves the runner, empty if none is known.
+// Owner returns the incarnation that owns the runner, empty if none is known.
 func (f *Fleet) Owner(name string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -191,8 +190,8 @@
 	return ""
 }
 
-// Pending reports whether a runner of the service, not among the tried, has no
-// owner yet but may take work once it has.
+// Pending reports whether a runner of the service, except those in tried, is neither
+// draining nor drained. It may have no owner yet.
 func (f *Fleet) Pending(service string, tried []string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,7 +204,7 @@
 }
 
 // Sent counts a request that this instance sent to a runner, until the owner
-// tells of its load again. An adapter that was not resident there is on its way
+// publishes its load again. An adapter that is not resident counts as being loaded
 // from now on.
 func (f *Fleet) Sent(name, adapter string) {
 	f.mu.Lock()
@@ -220,7 +219,7 @@
 	}
 }
 
-// Upstream returns what the settings declare of a runner.
+// Upstream returns the declaration of a runner in the settings.
 func (f *Fleet) Upstream(name string) (parser.Upstream, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
