--- a/internal/instance/composer/composer.go
+++ b/internal/instance/composer/composer.go
@@ -124,7 +124,7 @@
 }
 
 func newClaimer(i incarnation, s *server.Server, store storer.Store, table tabler.Table) *claimer.Claimer {
-	return &claimer.Claimer{Gone: s.Gone, Route: s.Route, Self: string(i), Store: store, Table: table, Token: token}
+	return &claimer.Claimer{Gone: s.Gone, Route: s.CommitBatched, Self: string(i), Store: store, Table: table, Token: token}
 }
 
 func newDispatcher(p Parts, i incarnation, s *server.Server, d *driver.Driver, f *monitor.Fleet, m *metrics.Set) *dispatcher.Dispatcher {
@@ -191,7 +191,7 @@
 }
 
 func newWatcher(s *server.Server, m *relayer.Mesh, store storer.Store) *watcher.Watcher {
-	return &watcher.Watcher{Store: &server.ChainStore{Peers: s.Addresses, Mesh: m, Store: store}}
+	return &watcher.Watcher{Store: &server.ChainStore{Peers: s.PeerAddresses, Mesh: m, Store: store}}
 }
 
 // token returns a random identifier.
--- a/internal/instance/server/answer.go
+++ b/internal/instance/server/answer.go
@@ -22,7 +22,7 @@
 	case relayer.Ask:
 		return s.answerAsk(ctx, &m.Call, reply)
 	case relayer.Commit:
-		return reply.Send(committed(s.Claimer.Gather(ctx, m.Txn)))
+		return reply.Send(commitResult(s.Claimer.Gather(ctx, m.Txn)))
 	case relayer.Fetch:
 		data, ok := s.Watcher.Object(m.Key)
 		if !ok {
@@ -40,7 +40,7 @@
 	case relayer.Preload:
 		return s.Driver.Preload(context.WithoutCancel(ctx), m.Runner, m.Adapter)
 	case relayer.Yield:
-		return reply.Send(s.yield(m))
+		return reply.Send(s.releaseRunner(m))
 	default:
 		return errors.Errorf("%s does not open a conversation: %T", from.ID, m)
 	}
@@ -51,7 +51,7 @@
 	now := time.Now()
 	s.mu.Lock()
 	s.Monitor.Beat(from, now)
-	s.peerBeats[from.Incarnation] = relayer.Beat{Epoch: beat.Epoch, Revision: beat.Revision, Leaving: beat.Leaving}
+	s.peerHeartbeats[from.Incarnation] = relayer.Beat{Epoch: beat.Epoch, Revision: beat.Revision, Leaving: beat.Leaving}
 	same := from.Domain == s.Config.Domain
 	later := false
 	if same {
@@ -69,17 +69,17 @@
 		s.pollSoon()
 	}
 	if beat.Revision > s.Watcher.Revision() {
-		go s.catchUp(from.Address)
+		go s.syncSettings(from.Address)
 	}
 }
 
-// catchUpTime bounds a request for the settings to one peer.
-const catchUpTime = 5 * time.Second
+// syncSettingsTimeout bounds a request for the settings to one peer.
+const syncSettingsTimeout = 5 * time.Second
 
-func (s *Server) catchUp(address string) {
-	ctx, cancel := context.WithTimeout(context.Background(), catchUpTime)
+func (s *Server) syncSettings(address string) {
+	ctx, cancel := context.WithTimeout(context.Background(), syncSettingsTimeout)
 	defer cancel()
-	s.askSettings(ctx, address)
+	s.fetchSettings(ctx, address)
 }
 
 // answerAsk serves a call that a peer forwarded, on the named runner or, if none
@@ -94,10 +94,10 @@
 	return s.Driver.Serve(ctx, call, replySink{reply})
 }
 
-// yield answers the next owner's request to release a runner. Until this
+// releaseRunner answers the next owner's request to release a runner. Until this
 // instance has adopted the roster epoch that reassigned the runner, it may still
 // send orders to it, so it does not confirm the release.
-func (s *Server) yield(m relayer.Yield) relayer.Surrendered {
+func (s *Server) releaseRunner(m relayer.Yield) relayer.Surrendered {
 	s.mu.Lock()
 	adopted := s.Holder.Epoch() >= m.Epoch
 	s.mu.Unlock()
@@ -167,7 +167,7 @@
 // Elsewhere implements dispatcher.Peers.
 func (s *Server) Elsewhere() []string {
 	var incarnations []string
-	for _, i := range s.neighbours(time.Now()) {
+	for _, i := range s.remotePeers(time.Now()) {
 		incarnations = append(incarnations, i.Incarnation)
 	}
 	return incarnations
@@ -210,7 +210,7 @@
 	if s.Holder.Valid(now) {
 		return true
 	}
-	failed := s.outage.Load()
+	failed := s.tableFailedAt.Load()
 	return failed != 0 && now.Sub(time.Unix(0, failed)) < 4*s.Config.Poll
 }
 
@@ -250,12 +250,12 @@
 	return surrendered.Surrender(), true
 }
 
-// Addresses returns the peer addresses of the other instances, those of this
+// PeerAddresses returns the peer addresses of the other instances, those of this
 // failure domain first.
-func (s *Server) Addresses() []string {
+func (s *Server) PeerAddresses() []string {
 	now := time.Now()
 	var addresses []string
-	for _, i := range append(s.peers(now), s.neighbours(now)...) {
+	for _, i := range append(s.peers(now), s.remotePeers(now)...) {
 		addresses = append(addresses, i.Address)
 	}
 	return addresses
--- a/internal/instance/server/beat.go
+++ b/internal/instance/server/beat.go
@@ -18,25 +18,25 @@
 // changes.
 type linkState struct {
 	identity any // of the link; a new link is sent the full state
-	loads    map[int]relayer.Load
-	version  uint64
+	sentLoads    map[int]relayer.Load
+	sentVersion  uint64
 }
 
-// heldUpBeats is the number of heartbeat intervals without a check for
+// maxCheckDelay is the number of heartbeat intervals without a check for
 // unresponsive peers after which this instance considers itself to have stalled.
-const heldUpBeats = 2
+const maxCheckDelay = 2
 
-// changeEvery is how often changes of residency are published between two heartbeats.
-const changeEvery = 50 * time.Millisecond
+// changeInterval is how often changes of residency are published between two heartbeats.
+const changeInterval = 50 * time.Millisecond
 
-// beatLoop publishes changes to the peers of the failure domain: at once when
+// heartbeatLoop publishes changes to the peers of the failure domain: at once when
 // residency or the adopted roster epoch changed, and with each heartbeat
 // otherwise. The epoch is urgent because a new owner of a runner waits until all
 // the others have adopted it.
-func (s *Server) beatLoop(ctx context.Context) {
+func (s *Server) heartbeatLoop(ctx context.Context) {
 	var told, toldEpoch uint64
 	var last time.Time
-	repeater.Now(ctx, min(changeEvery, s.Config.Beat), nil, func() {
+	repeater.Now(ctx, min(changeInterval, s.Config.Beat), nil, func() {
 		now := time.Now()
 		_, states, version := s.Driver.Loads(told)
 		epoch := s.epoch()
@@ -46,42 +46,42 @@
 		}
 		told = version
 		toldEpoch = epoch
-		s.beat(ctx, now)
+		s.sendHeartbeats(ctx, now)
 		if due {
 			last = now
-			s.cutSilent(now)
+			s.closeUnresponsive(now)
 		}
 	})
 }
 
-// beat sends a heartbeat to every peer of the failure domain and to one instance
+// sendHeartbeats sends a heartbeat to every peer of the failure domain and to one instance
 // of each other domain, without loads and residency. Of the latter only the
 // revision of the settings spreads further, as the instances there adopt it.
-func (s *Server) beat(ctx context.Context, now time.Time) {
+func (s *Server) sendHeartbeats(ctx context.Context, now time.Time) {
 	loads, states, version := s.Driver.Loads(0)
 	s.Fleet.Hear(s.Incarnation, relayer.Beat{Loads: loads, States: states}, now)
-	bare := s.bare()
+	bare := s.baseHeartbeat()
 	for _, peer := range s.peers(now) {
-		go s.tell(ctx, peer, bare, loads, version)
+		go s.sendHeartbeat(ctx, peer, bare, loads, version)
 	}
 	away := bare
 	s.mu.Lock()
 	away.Line = s.Sharer.Total(away.Line, now)
 	s.mu.Unlock()
-	for _, peer := range s.neighbours(now) {
+	for _, peer := range s.remotePeers(now) {
 		go func() { _ = s.Mesh.Tell(ctx, peer.Address, away) }() // the next beat tries again
 	}
-	s.tellCrashes(ctx, now)
+	s.sendCrashReports(ctx, now)
 	if s.Watcher.Force() == nil {
-		s.seed(ctx, bare)
+		s.contactSeeds(ctx, bare)
 	}
 }
 
-// seed sends a heartbeat to the configured seeds. An instance that starts while
+// contactSeeds sends a heartbeat to the configured seeds. An instance that starts while
 // the platform is unavailable has no instance list and would find no peers; a
-// seed that receives its heartbeat answers with its own, which carry the revision
+// contactSeeds that receives its heartbeat answers with its own, which carry the revision
 // of the settings in force.
-func (s *Server) seed(ctx context.Context, bare relayer.Beat) {
+func (s *Server) contactSeeds(ctx context.Context, bare relayer.Beat) {
 	for _, address := range s.Config.Seeds {
 		go func() { _ = s.Mesh.Tell(ctx, address, bare) }() // the next beat tries again
 	}
@@ -93,58 +93,58 @@
 	return s.Holder.Epoch()
 }
 
-// bare returns a heartbeat without the state of runners.
-func (s *Server) bare() relayer.Beat {
+// baseHeartbeat returns a heartbeat without the state of runners.
+func (s *Server) baseHeartbeat() relayer.Beat {
 	line := s.Driver.Line()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return relayer.Beat{Epoch: s.Holder.Epoch(), Revision: s.Watcher.Revision(), Leaving: s.stop.leaving(), Line: line}
 }
 
-// tell sends a heartbeat with the changes since the last one on the same link.
-func (s *Server) tell(ctx context.Context, peer heartbeater.Instance, beat relayer.Beat, loads []relayer.Load, version uint64) {
+// sendHeartbeat sends a heartbeat with the changes since the last one on the same link.
+func (s *Server) sendHeartbeat(ctx context.Context, peer heartbeater.Instance, beat relayer.Beat, loads []relayer.Load, version uint64) {
 	identity, linked := s.Mesh.Linked(peer.Address)
 	state := s.linkState(peer.Address, identity)
-	_, beat.States, _ = s.Driver.Loads(state.version)
+	_, beat.States, _ = s.Driver.Loads(state.sentVersion)
 	for _, l := range loads {
-		if state.loads[l.Number] != l {
+		if state.sentLoads[l.Number] != l {
 			beat.Loads = append(beat.Loads, l)
 		}
 	}
 	if err := s.Mesh.Tell(ctx, peer.Address, beat); err != nil {
-		s.count("sardinetiller_link_failures_total", "tell")
+		s.countReason("sardinetiller_link_failures_total", "tell")
 		_ = level.Debug(s.Logger).Log("msg", "peer not reached", "peer", peer.ID, "err", err)
 		return
 	}
 	if !linked {
 		return // the next heartbeat sends the full state on a link that this one opened
 	}
-	next := linkState{identity: identity, loads: make(map[int]relayer.Load), version: version}
+	next := linkState{identity: identity, sentLoads: make(map[int]relayer.Load), sentVersion: version}
 	for _, l := range loads {
-		next.loads[l.Number] = l
+		next.sentLoads[l.Number] = l
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.links[peer.Address] = next
+	s.linkStates[peer.Address] = next
 }
 
 // linkState returns what was sent on a link, the zero value if the link is new.
 func (s *Server) linkState(address string, identity any) linkState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if state := s.links[address]; state.identity == identity {
+	if state := s.linkStates[address]; state.identity == identity {
 		return state
 	}
 	return linkState{}
 }
 
-// cutSilent closes the links to unresponsive peers, so that no request waits on
+// closeUnresponsive closes the links to unresponsive peers, so that no request waits on
 // them. An instance that was stalled itself has not yet read the heartbeats that
 // arrived meanwhile and would take its peers for unresponsive, so it skips the
 // check until the next heartbeat.
-func (s *Server) cutSilent(now time.Time) {
-	heldUp := now.Sub(s.looked) > heldUpBeats*s.Config.Beat
-	s.looked = now
+func (s *Server) closeUnresponsive(now time.Time) {
+	heldUp := now.Sub(s.unresponsiveChecked) > maxCheckDelay*s.Config.Beat
+	s.unresponsiveChecked = now
 	if heldUp {
 		return
 	}
@@ -170,12 +170,12 @@
 func (s *Server) listLoop(ctx context.Context) {
 	repeater.Now(ctx, s.Config.Poll, nil, func() {
 		if err := s.announce(ctx, false); err != nil {
-			s.count("sardinetiller_platform_failures_total", "list")
+			s.countReason("sardinetiller_platform_failures_total", "list")
 			return
 		}
 		instances, err := s.Lister.List(ctx)
 		if err != nil {
-			s.count("sardinetiller_platform_failures_total", "list")
+			s.countReason("sardinetiller_platform_failures_total", "list")
 			return
 		}
 		s.mu.Lock()
@@ -193,10 +193,10 @@
 	})
 }
 
-// neighbours returns one instance of each other failure domain, none that is known
+// remotePeers returns one instance of each other failure domain, none that is known
 // to be draining. The choice follows from this instance's index in the list, so
 // that instances spread over those of the other domains.
-func (s *Server) neighbours(now time.Time) []heartbeater.Instance {
+func (s *Server) remotePeers(now time.Time) []heartbeater.Instance {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := s.Monitor.Instances(now)
--- a/internal/instance/server/gather.go
+++ b/internal/instance/server/gather.go
@@ -10,14 +10,14 @@
 	"github.com/sardinetiller/sardinetiller/internal/platform/tabler"
 )
 
-// Route commits a transaction through the instance that batches writes for the
+// CommitBatched commits a transaction through the instance that batches writes for the
 // failure domain, so that the domain writes a few batches a second whatever the
 // number of claims. That is the first live member of the roster; it needs no
 // lease, because the version checks of the table detect conflicts. If no
 // conversation with it can be opened, this instance commits the transaction
 // itself.
-func (s *Server) Route(ctx context.Context, txn tabler.Txn) error {
-	address, ok := s.gathering(time.Now())
+func (s *Server) CommitBatched(ctx context.Context, txn tabler.Txn) error {
+	address, ok := s.batcherAddress(time.Now())
 	if !ok {
 		return s.Claimer.Gather(ctx, txn)
 	}
@@ -37,9 +37,9 @@
 	return answer.Err()
 }
 
-// gathering returns the address of the peer that batches writes, or false if that
+// batcherAddress returns the address of the peer that batches writes, or false if that
 // is this instance or no other live member is known.
-func (s *Server) gathering(now time.Time) (string, bool) {
+func (s *Server) batcherAddress(now time.Time) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, m := range s.Holder.Roster().Members {
@@ -56,8 +56,8 @@
 	return "", false
 }
 
-// committed converts the result of a commit into the message to a peer.
-func committed(err error) relayer.Committed {
+// commitResult converts the result of a commit into the message to a peer.
+func commitResult(err error) relayer.Committed {
 	var conflict *tabler.ConflictError
 	var unavailable *tabler.UnavailableError
 	switch {
--- a/internal/instance/server/gauges.go
+++ b/internal/instance/server/gauges.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// gauges registers the metrics that are computed when they are scraped. Counters
+// registerGauges registers the metrics that are computed when they are scraped. Counters
 // are registered where they are incremented.
-func (s *Server) gauges() {
+func (s *Server) registerGauges() {
 	for name, read := range map[string]func() float64{
 		"sardinetiller_blocked_slots": func() float64 {
 			blocked, _ := s.Driver.Blocked()
@@ -23,18 +23,18 @@
 		"sardinetiller_lease_valid": func() float64 {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return number(s.Holder.Valid(time.Now()))
+			return boolGauge(s.Holder.Valid(time.Now()))
 		},
 		"sardinetiller_load_line":         func() float64 { return float64(s.Driver.Line()) },
 		"sardinetiller_peer_bytes":        func() float64 { return float64(s.Mesh.Bytes()) },
-		"sardinetiller_platform_away":     func() float64 { return number(s.outage.Load() != 0) },
+		"sardinetiller_platform_away":     func() float64 { return boolGauge(s.tableFailedAt.Load() != 0) },
 		"sardinetiller_settings_revision": func() float64 { return float64(s.Watcher.Revision()) },
 	} {
 		s.Metrics.NewGauge(name, read)
 	}
 }
 
-func number(b bool) float64 {
+func boolGauge(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/internal/instance/server/keep.go
+++ b/internal/instance/server/keep.go
@@ -17,15 +17,15 @@
 // reads the leases returns them too.
 const crashInfix = "/crash/"
 
-// fromTable is the logged source of crash reports that were read from rows.
-const fromTable = "table"
+// sourceTable is the logged source of crash reports that were read from rows.
+const sourceTable = "table"
 
 func (s *Server) crashKey(c quarantiner.Crash) string {
 	return DomainPrefix(s.Config.Domain) + crashInfix + string(c.Digest) + "/" + c.Runner
 }
 
-// takeKept applies crash rows. Rows past the retention period are marked for deletion.
-func (s *Server) takeKept(rows []tabler.Row, now time.Time) {
+// applyCrashRows applies crash rows. Rows past the retention period are marked for deletion.
+func (s *Server) applyCrashRows(rows []tabler.Row, now time.Time) {
 	var words []quarantiner.Word
 	for _, row := range rows {
 		_, rest, ok := strings.Cut(row.Key, crashInfix)
@@ -35,27 +35,27 @@
 		digest, engine, _ := strings.Cut(rest, "/")
 		var kept quarantiner.Row
 		if err := encoder.Unmarshal(row.Value, &kept); err != nil {
-			s.warnIf("crash row", err)
+			s.warnUndecodable("crash row", err)
 			continue
 		}
 		w := kept.Word(quarantiner.Crash{Digest: quarantiner.Digest(digest), Runner: engine}, now)
-		s.quarantine.noteKept(w.Crash(), true)
+		s.quarantine.recordStored(w.Crash(), true)
 		if w.Age >= quarantiner.Memory {
-			s.quarantine.want(w.Crash(), true)
+			s.quarantine.queueRow(w.Crash(), true)
 		}
 		words = append(words, w)
 	}
-	s.takeWords(words, fromTable)
+	s.applyCrashReports(words, sourceTable)
 }
 
-// keepWords queues rows for new crash reports. A crash is stored once its request
+// storeCrashReports queues rows for new crash reports. A crash is stored once its request
 // has reached KeptFrom crashes; a cleared one only if it is stored or queued already.
-func (s *Server) keepWords(news []quarantiner.Word) {
+func (s *Server) storeCrashReports(news []quarantiner.Word) {
 	now := time.Now()
 	for _, w := range news {
 		if w.Cleared {
-			if s.quarantine.keeps(w.Crash()) {
-				s.quarantine.want(w.Crash(), false)
+			if s.quarantine.isStoredOrQueued(w.Crash()) {
+				s.quarantine.queueRow(w.Crash(), false)
 			}
 			continue
 		}
@@ -64,45 +64,45 @@
 			continue
 		}
 		for _, o := range open {
-			s.quarantine.want(o.Crash(), false)
+			s.quarantine.queueRow(o.Crash(), false)
 		}
 		s.pollSoon()
 	}
 }
 
-// want queues a row to be written, or deleted if drop is true.
-func (q *quarantine) want(c quarantiner.Crash, drop bool) {
+// queueRow queues a row to be written, or deleted if drop is true.
+func (q *quarantine) queueRow(c quarantiner.Crash, drop bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.rows == nil {
-		q.rows = make(map[quarantiner.Crash]bool)
+	if q.queuedRows == nil {
+		q.queuedRows = make(map[quarantiner.Crash]bool)
 	}
-	q.rows[c] = drop
+	q.queuedRows[c] = drop
 }
 
 // writeCrashes writes the queued rows. A failed write is retried at the next poll of the
 // table; writing a row twice is idempotent.
 func (s *Server) writeCrashes(ctx context.Context) {
-	txn, rows := s.unwritten(time.Now())
+	txn, rows := s.queuedTxn(time.Now())
 	if len(rows) == 0 {
 		return
 	}
 	if err := s.Table.Commit(ctx, txn); err != nil {
-		s.count("sardinetiller_platform_failures_total", "crash")
+		s.countReason("sardinetiller_platform_failures_total", "crash")
 		_ = level.Warn(s.Logger).Log("msg", "crashes not written", "rows", len(rows), "err", err)
 		return
 	}
-	s.quarantine.written(rows)
+	s.quarantine.dequeueRows(rows)
 }
 
-// unwritten returns the transaction for the queued rows, and these rows.
-func (s *Server) unwritten(now time.Time) (tabler.Txn, map[quarantiner.Crash]bool) {
+// queuedTxn returns the transaction for the queued rows, and these rows.
+func (s *Server) queuedTxn(now time.Time) (tabler.Txn, map[quarantiner.Crash]bool) {
 	q := &s.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var txn tabler.Txn
 	rows := make(map[quarantiner.Crash]bool)
-	for c, drop := range q.rows {
+	for c, drop := range q.queuedRows {
 		rows[c] = drop
 		w, ok := q.ledger.Word(c, now)
 		if drop || !ok {
@@ -118,40 +118,40 @@
 	return txn, rows
 }
 
-// written removes written rows from the queue, unless they were queued differently meanwhile.
-func (q *quarantine) written(rows map[quarantiner.Crash]bool) {
+// dequeueRows removes written rows from the queue, unless they were queued differently meanwhile.
+func (q *quarantine) dequeueRows(rows map[quarantiner.Crash]bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for c, drop := range rows {
-		if now, ok := q.rows[c]; ok && now == drop {
-			delete(q.rows, c)
+		if now, ok := q.queuedRows[c]; ok && now == drop {
+			delete(q.queuedRows, c)
 		}
-		q.setKept(c, !drop)
+		q.setStored(c, !drop)
 	}
 }
 
-// keeps reports whether the table holds a crash, or a change of its row is queued.
-func (q *quarantine) keeps(c quarantiner.Crash) bool {
+// isStoredOrQueued reports whether the table holds a crash, or a change of its row is queued.
+func (q *quarantine) isStoredOrQueued(c quarantiner.Crash) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	_, wanted := q.rows[c]
-	return wanted || q.kept[c]
+	_, wanted := q.queuedRows[c]
+	return wanted || q.stored[c]
 }
 
-// noteKept records whether the table holds a crash.
-func (q *quarantine) noteKept(c quarantiner.Crash, kept bool) {
+// recordStored records whether the table holds a crash.
+func (q *quarantine) recordStored(c quarantiner.Crash, kept bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.setKept(c, kept)
+	q.setStored(c, kept)
 }
 
-func (q *quarantine) setKept(c quarantiner.Crash, kept bool) {
-	if q.kept == nil {
-		q.kept = make(map[quarantiner.Crash]bool)
+func (q *quarantine) setStored(c quarantiner.Crash, kept bool) {
+	if q.stored == nil {
+		q.stored = make(map[quarantiner.Crash]bool)
 	}
 	if kept {
-		q.kept[c] = true
+		q.stored[c] = true
 	} else {
-		delete(q.kept, c)
+		delete(q.stored, c)
 	}
 }
--- a/internal/instance/server/operate.go
+++ b/internal/instance/server/operate.go
@@ -42,11 +42,11 @@
 	Memory      uint64         `json:"memory" yaml:"memory"`   // bytes of heap in use
 	Peers       []PeerStatus   `json:"peers" yaml:"peers"`
 	Runners     []monitor.View `json:"runners" yaml:"runners"`
-	Quarantine  []HeldStatus   `json:"quarantine" yaml:"quarantine"` // quarantined requests
+	Quarantine  []QuarantineStatus   `json:"quarantine" yaml:"quarantine"` // quarantined requests
 }
 
-// A HeldStatus describes a request that is quarantined because engines that ran it crashed.
-type HeldStatus struct {
+// A QuarantineStatus describes a request that is quarantined because engines that ran it crashed.
+type QuarantineStatus struct {
 	Digest  string    `json:"digest" yaml:"digest"`
 	Crashes int       `json:"crashes" yaml:"crashes"`
 	Until   time.Time `json:"until" yaml:"until"` // end of the quarantine
@@ -68,16 +68,16 @@
 	Steps   []dispatcher.Step `json:"steps" yaml:"steps"`
 }
 
-// operate returns the handler of the operator API.
-func (s *Server) operate() fasthttp.RequestHandler {
+// operatorHandler returns the handler of the operator API.
+func (s *Server) operatorHandler() fasthttp.RequestHandler {
 	r := router.New()
 	r.GET(PathLive, func(c *fasthttp.RequestCtx) { c.SetBodyString("live\n") })
 	r.GET(PathReady, s.ready)
 	r.GET(PathMetrics, s.metrics)
-	r.GET(PathStatus, s.guarded(func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, s.Status()) }))
-	r.GET(PathExplain+"{id}", s.guarded(s.explain))
-	r.POST(PathPreload+"{adapter}", s.guarded(s.preload))
-	r.POST(PathDrain, s.guarded(func(*fasthttp.RequestCtx) { s.Drain() }))
+	r.GET(PathStatus, s.requireOperator(func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, s.Status()) }))
+	r.GET(PathExplain+"{id}", s.requireOperator(s.explain))
+	r.POST(PathPreload+"{adapter}", s.requireOperator(s.preload))
+	r.POST(PathDrain, s.requireOperator(func(*fasthttp.RequestCtx) { s.Drain() }))
 	return r.Handler
 }
 
@@ -105,8 +105,8 @@
 	status := Status{
 		Instance: s.Config.ID, Incarnation: s.Incarnation, Domain: s.Config.Domain, Ready: ready,
 		Leaving: s.stop.leaving(), Lease: s.Holder.Valid(now), Epoch: s.Holder.Epoch(),
-		Outage: s.outage.Load() != 0, Blocked: blocked, Sent: s.Mesh.Bytes(), Memory: memory.HeapInuse,
-		Runners: s.Fleet.Views(), Peers: []PeerStatus{}, Quarantine: s.quarantine.held(now),
+		Outage: s.tableFailedAt.Load() != 0, Blocked: blocked, Sent: s.Mesh.Bytes(), Memory: memory.HeapInuse,
+		Runners: s.Fleet.Views(), Peers: []PeerStatus{}, Quarantine: s.quarantine.quarantined(now),
 	}
 	if f := s.Watcher.Force(); f != nil {
 		status.Revision = f.Head.Revision
@@ -116,7 +116,7 @@
 		if i.Incarnation == s.Incarnation {
 			continue
 		}
-		beat := s.peerBeats[i.Incarnation]
+		beat := s.peerHeartbeats[i.Incarnation]
 		status.Peers = append(status.Peers, PeerStatus{
 			Instance: i.ID, Incarnation: i.Incarnation, Domain: i.Domain, Epoch: beat.Epoch, Revision: beat.Revision,
 			Health: string(s.Monitor.Health(i.Incarnation, now)),
@@ -135,8 +135,8 @@
 	listener.JSON(c, fasthttp.StatusOK, Explanation{Request: id, Steps: steps})
 }
 
-// guarded rejects requests without the operator token.
-func (s *Server) guarded(next fasthttp.RequestHandler) fasthttp.RequestHandler {
+// requireOperator rejects requests without the operator token.
+func (s *Server) requireOperator(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		want := "Bearer " + s.Token()
 		given := c.Request.Header.Peek(fasthttp.HeaderAuthorization)
--- a/internal/instance/server/permit.go
+++ b/internal/instance/server/permit.go
@@ -12,27 +12,27 @@
 
 var _ driver.Permits = (*Server)(nil)
 
-// permits is the load permit allocator of the deployment. It is used only while
+// permitAllocator is the load permit allocator of the deployment. It is used only while
 // this instance is the one that grants permits, and is guarded by the server's lock.
-type permits struct {
+type permitAllocator struct {
 	loader.Allocator
 
-	granted map[uint64]chan struct{} // of pending bids
-	next    uint64
+	pending map[uint64]chan struct{} // of pending bids
+	lastID    uint64
 }
 
-// loadsOut is the lifetime of a permit in multiples of the expected load time.
-const loadsOut = 5
+// permitLifetimeLoads is the lifetime of a permit in multiples of the expected load time.
+const permitLifetimeLoads = 5
 
 // Acquire implements driver.Permits.
 func (s *Server) Acquire(ctx context.Context, value float64) (release func(), ok bool) {
-	bid, limited := s.bid(value)
+	bid, limited := s.permitRequest(value)
 	if !limited {
 		return func() {}, true
 	}
-	address, remote := s.allocating(time.Now())
+	address, remote := s.allocatorAddress(time.Now())
 	if !remote {
-		return s.acquireHere(ctx, bid), true
+		return s.acquireLocal(ctx, bid), true
 	}
 	c, err := s.Mesh.Open(ctx, address, bid)
 	if err != nil {
@@ -46,9 +46,9 @@
 	return c.Close, true
 }
 
-// bid returns a permit request with the limits of the settings in force, or false
+// permitRequest returns a permit request with the limits of the settings in force, or false
 // if there are none.
-func (s *Server) bid(value float64) (relayer.Permit, bool) {
+func (s *Server) permitRequest(value float64) (relayer.Permit, bool) {
 	force := s.Watcher.Force()
 	if force == nil {
 		return relayer.Permit{}, false
@@ -59,12 +59,12 @@
 	}
 	together := max(1, w.Together)
 	usual := time.Duration(float64(together) / w.Rate * float64(time.Second))
-	return relayer.Permit{Value: value, Together: together, Time: loadsOut*usual + s.Config.Beat}, true
+	return relayer.Permit{Value: value, Together: together, Time: permitLifetimeLoads*usual + s.Config.Beat}, true
 }
 
-// allocating returns the address of the instance that grants permits, or false if
+// allocatorAddress returns the address of the instance that grants permits, or false if
 // that is this instance. It is the first by ID that is neither suspect nor draining.
-func (s *Server) allocating(now time.Time) (string, bool) {
+func (s *Server) allocatorAddress(now time.Time) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, i := range s.Monitor.Instances(now) {
@@ -79,22 +79,22 @@
 	return "", false
 }
 
-// acquireHere waits for a permit of the local allocator. It returns nil if ctx ends
+// acquireLocal waits for a permit of the local allocator. It returns nil if ctx ends
 // first.
-func (s *Server) acquireHere(ctx context.Context, bid relayer.Permit) func() {
-	id, granted := s.enterBid(bid)
+func (s *Server) acquireLocal(ctx context.Context, bid relayer.Permit) func() {
+	id, granted := s.enqueuePermit(bid)
 	select {
 	case <-granted:
-		return func() { s.endBid(id) }
+		return func() { s.releasePermit(id) }
 	case <-ctx.Done():
-		s.endBid(id)
+		s.releasePermit(id)
 		return nil
 	}
 }
 
 // answerPermit grants a permit to a peer for as long as its conversation is open.
 func (s *Server) answerPermit(ctx context.Context, bid relayer.Permit, reply *relayer.Reply) error {
-	release := s.acquireHere(ctx, bid)
+	release := s.acquireLocal(ctx, bid)
 	if release == nil {
 		return ctx.Err()
 	}
@@ -106,42 +106,42 @@
 	return nil
 }
 
-func (s *Server) enterBid(bid relayer.Permit) (uint64, <-chan struct{}) {
+func (s *Server) enqueuePermit(bid relayer.Permit) (uint64, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := &s.permits
-	if p.granted == nil {
-		p.granted = make(map[uint64]chan struct{})
+	if p.pending == nil {
+		p.pending = make(map[uint64]chan struct{})
 	}
 	p.Together = bid.Together
 	p.Time = bid.Time
-	p.next++
-	p.granted[p.next] = make(chan struct{})
-	granted := p.granted[p.next]
-	p.Bid(p.next, bid.Value, time.Now())
-	s.grantBids()
-	return p.next, granted
+	p.lastID++
+	p.pending[p.lastID] = make(chan struct{})
+	granted := p.pending[p.lastID]
+	p.Bid(p.lastID, bid.Value, time.Now())
+	s.grantPermits()
+	return p.lastID, granted
 }
 
-func (s *Server) endBid(id uint64) {
+func (s *Server) releasePermit(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.permits.Done(id)
-	delete(s.permits.granted, id)
-	s.grantBids()
+	delete(s.permits.pending, id)
+	s.grantPermits()
 }
 
-// grantBids wakes the bids that are granted now.
-func (s *Server) grantBids() {
+// grantPermits wakes the bids that are granted now.
+func (s *Server) grantPermits() {
 	for _, id := range s.permits.Grant(time.Now()) {
-		close(s.permits.granted[id])
-		delete(s.permits.granted, id)
+		close(s.permits.pending[id])
+		delete(s.permits.pending, id)
 	}
 }
 
-// tidyBids grants again what expired permits have freed.
-func (s *Server) tidyBids() {
+// grantExpiredPermits grants again what expired permits have freed.
+func (s *Server) grantExpiredPermits() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.grantBids()
+	s.grantPermits()
 }
--- a/internal/instance/server/poll.go
+++ b/internal/instance/server/poll.go
@@ -46,10 +46,10 @@
 // poll reads the rows of the failure domain and executes the actions that keep the lease.
 func (s *Server) poll(ctx context.Context) {
 	rows, err := s.Table.Scan(ctx, DomainPrefix(s.Config.Domain)+"/")
-	s.reached(err)
+	s.recordTableCall(err)
 	if err == nil {
-		s.takeRows(rows, time.Now())
-		s.takeKept(rows, time.Now())
+		s.applyRows(rows, time.Now())
+		s.applyCrashRows(rows, time.Now())
 		s.writeCrashes(ctx)
 	}
 	s.mu.Lock()
@@ -66,18 +66,18 @@
 	}
 }
 
-// reached records whether the table service answered. While it does not, an expired
+// recordTableCall records whether the table service answered. While it does not, an expired
 // lease does not mean that another instance has taken over.
-func (s *Server) reached(err error) {
+func (s *Server) recordTableCall(err error) {
 	if err == nil {
-		s.outage.Store(0)
+		s.tableFailedAt.Store(0)
 		return
 	}
-	s.outage.Store(time.Now().UnixNano())
-	s.count("sardinetiller_platform_failures_total", "table")
+	s.tableFailedAt.Store(time.Now().UnixNano())
+	s.countReason("sardinetiller_platform_failures_total", "table")
 }
 
-func (s *Server) takeRows(rows []tabler.Row, now time.Time) {
+func (s *Server) applyRows(rows []tabler.Row, now time.Time) {
 	var leases []leaser.Lease
 	drains := make(map[string]bool)
 	s.mu.Lock()
@@ -89,10 +89,10 @@
 		switch {
 		case strings.HasSuffix(row.Key, rosterInfix):
 			s.rosterRow = row
-			s.warnIf("roster row", encoder.Unmarshal(row.Value, &roster))
+			s.warnUndecodable("roster row", encoder.Unmarshal(row.Value, &roster))
 		case strings.Contains(row.Key, leaseInfix):
 			var l leaser.Lease
-			s.warnIf("lease row", encoder.Unmarshal(row.Value, &l))
+			s.warnUndecodable("lease row", encoder.Unmarshal(row.Value, &l))
 			s.leases[l.Incarnation] = row
 			leases = append(leases, l)
 		case strings.Contains(row.Key, drainInfix):
@@ -101,7 +101,7 @@
 	}
 	s.Holder.See(roster, now)
 	s.Holder.Observe(leases, now)
-	s.takeDrains(drains)
+	s.applyDrains(drains)
 }
 
 // renew writes this instance's lease row if it has not changed since the last scan.
@@ -112,7 +112,7 @@
 	row, ok := s.leases[s.Incarnation]
 	s.mu.Unlock()
 	if !ok {
-		s.settleRenewal(ctx, a, time.Now())
+		s.confirmRenewal(ctx, a, time.Now())
 		return
 	}
 	asked := time.Now()
@@ -130,12 +130,12 @@
 		s.mu.Unlock()
 		return
 	}
-	s.settleRenewal(ctx, a, asked)
+	s.confirmRenewal(ctx, a, asked)
 }
 
-func (s *Server) settleRenewal(ctx context.Context, a leaser.Renew, asked time.Time) {
+func (s *Server) confirmRenewal(ctx context.Context, a leaser.Renew, asked time.Time) {
 	row, err := s.Table.Get(ctx, s.leaseKey(s.Incarnation))
-	s.reached(err)
+	s.recordTableCall(err)
 	if err != nil {
 		return
 	}
@@ -172,7 +172,7 @@
 	}
 	var conflict *tabler.ConflictError
 	if errors.As(err, &conflict) {
-		s.count("sardinetiller_roster_conflicts_total", "race")
+		s.countReason("sardinetiller_roster_conflicts_total", "race")
 		s.pollSoon()
 	}
 }
@@ -217,7 +217,7 @@
 	return DomainPrefix(s.Config.Domain) + leaseInfix + incarnation
 }
 
-func (s *Server) takeDrains(drains map[string]bool) {
+func (s *Server) applyDrains(drains map[string]bool) {
 	s.drains = drains
 	names := make([]string, 0, len(drains))
 	for name := range drains {
@@ -233,12 +233,12 @@
 	return s.drains[upstream]
 }
 
-func (s *Server) warnIf(what string, err error) {
+func (s *Server) warnUndecodable(what string, err error) {
 	if err != nil {
 		_ = level.Warn(s.Logger).Log("msg", "cannot decode", "what", what, "err", err)
 	}
 }
 
-func (s *Server) count(name, reason string) {
+func (s *Server) countReason(name, reason string) {
 	s.Metrics.GetOrCreateCounter(name + `{reason="` + reason + `"}`).Inc()
 }
--- a/internal/instance/server/preload.go
+++ b/internal/instance/server/preload.go
@@ -34,14 +34,14 @@
 		c.Error("no runner of service "+declared.Service+" can serve here", fasthttp.StatusServiceUnavailable)
 		return
 	}
-	if err := s.loadAhead(c, step.Owner, step.Runner, adapter); err != nil {
+	if err := s.preloadOn(c, step.Owner, step.Runner, adapter); err != nil {
 		c.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 		return
 	}
 	listener.JSON(c, fasthttp.StatusOK, Preloaded{Adapter: adapter, Runner: step.Runner})
 }
 
-func (s *Server) loadAhead(ctx context.Context, owner, runner, adapter string) error {
+func (s *Server) preloadOn(ctx context.Context, owner, runner, adapter string) error {
 	ctx = context.WithoutCancel(ctx)
 	if owner == s.Incarnation {
 		return s.Driver.Preload(ctx, runner, adapter)
--- a/internal/instance/server/quarantine.go
+++ b/internal/instance/server/quarantine.go
@@ -14,9 +14,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/streamer"
 )
 
-// retellFor is how long a crash report is repeated with each heartbeat, for peers that
+// crashReportRepeat is how long a crash report is repeated with each heartbeat, for peers that
 // were temporarily unreachable.
-const retellFor = 10 * time.Second
+const crashReportRepeat = 10 * time.Second
 
 // A quarantine holds this instance's records of requests that crash engines. An instance
 // sends its crash reports to all instances of its failure domain and to one of each other
@@ -25,9 +25,9 @@
 	ledger quarantiner.Ledger
 
 	mu     sync.Mutex
-	recent map[quarantiner.Crash]time.Time // reports repeated with each heartbeat, and since when
-	rows   map[quarantiner.Crash]bool      // rows to be written or, if true, deleted
-	kept   map[quarantiner.Crash]bool      // crashes whose row is in the table
+	repeatedSince map[quarantiner.Crash]time.Time // reports repeated with each heartbeat, and since when
+	queuedRows   map[quarantiner.Crash]bool      // rows to be written or, if true, deleted
+	stored   map[quarantiner.Crash]bool      // crashes whose row is in the table
 }
 
 // Crashed implements driver.Quarantine.
@@ -36,7 +36,7 @@
 	for d, ran := range requests {
 		words = append(words, quarantiner.Word{Digest: d, Runner: engine, Ran: ran})
 	}
-	s.spread(s.takeWords(words, "self"))
+	s.publishCrashReports(s.applyCrashReports(words, "self"))
 }
 
 // Held implements driver.Quarantine and dispatcher.Quarantine.
@@ -56,30 +56,30 @@
 	if s.quarantine.ledger.Empty() {
 		return
 	}
-	s.spread(s.quarantine.ledger.Clear(call.Digest(), time.Now()))
+	s.publishCrashReports(s.quarantine.ledger.Clear(call.Digest(), time.Now()))
 }
 
 // HeardCrashes implements relayer.Suspecter.
 func (s *Server) HeardCrashes(from heartbeater.Instance, c relayer.Crashes) {
-	news := s.takeWords(c.Words, from.ID)
+	news := s.applyCrashReports(c.Words, from.ID)
 	if from.Domain != s.Config.Domain {
-		s.spread(news)
+		s.publishCrashReports(news)
 	}
 }
 
-// held returns the quarantined requests.
-func (q *quarantine) held(now time.Time) []HeldStatus {
-	held := []HeldStatus{}
+// quarantined returns the quarantined requests.
+func (q *quarantine) quarantined(now time.Time) []QuarantineStatus {
+	held := []QuarantineStatus{}
 	for _, c := range q.ledger.Cases() {
 		if now.Before(c.Until) {
-			held = append(held, HeldStatus{Digest: string(c.Digest), Crashes: c.Crashes, Until: c.Until})
+			held = append(held, QuarantineStatus{Digest: string(c.Digest), Crashes: c.Crashes, Until: c.Until})
 		}
 	}
 	return held
 }
 
-// takeWords applies crash reports and returns those that were new.
-func (s *Server) takeWords(words []quarantiner.Word, from string) []quarantiner.Word {
+// applyCrashReports applies crash reports and returns those that were new.
+func (s *Server) applyCrashReports(words []quarantiner.Word, from string) []quarantiner.Word {
 	news := s.quarantine.ledger.Take(words, time.Now())
 	for _, w := range news {
 		left, held := s.quarantine.ledger.Held(w.Digest, time.Now())
@@ -90,40 +90,40 @@
 	return news
 }
 
-// spread publishes and stores crash reports that were observed here or come from another
+// publishCrashReports publishes and stores crash reports that were observed here or come from another
 // failure domain, whose rows are not read here. Reports from a peer of this domain or
 // from the table reach the other instances directly; if each instance relayed them, one
 // crash would cost a number of messages quadratic in the number of instances.
-func (s *Server) spread(news []quarantiner.Word) {
+func (s *Server) publishCrashReports(news []quarantiner.Word) {
 	if len(news) == 0 {
 		return
 	}
-	s.quarantine.tell(news)
-	s.keepWords(news)
-	go s.tellCrashes(context.Background(), time.Now())
+	s.quarantine.scheduleReports(news)
+	s.storeCrashReports(news)
+	go s.sendCrashReports(context.Background(), time.Now())
 }
 
-// tell schedules crash reports for the next heartbeats.
-func (q *quarantine) tell(words []quarantiner.Word) {
+// scheduleReports schedules crash reports for the next heartbeats.
+func (q *quarantine) scheduleReports(words []quarantiner.Word) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.recent == nil {
-		q.recent = make(map[quarantiner.Crash]time.Time)
+	if q.repeatedSince == nil {
+		q.repeatedSince = make(map[quarantiner.Crash]time.Time)
 	}
 	for _, w := range words {
-		q.recent[w.Crash()] = time.Now()
+		q.repeatedSince[w.Crash()] = time.Now()
 	}
 }
 
-// words returns the crash reports to send now.
-func (q *quarantine) words(now time.Time) []quarantiner.Word {
+// scheduledReports returns the crash reports to send now.
+func (q *quarantine) scheduledReports(now time.Time) []quarantiner.Word {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var words []quarantiner.Word
-	for c, since := range q.recent {
+	for c, since := range q.repeatedSince {
 		w, ok := q.ledger.Word(c, now)
-		if !ok || now.Sub(since) > retellFor {
-			delete(q.recent, c)
+		if !ok || now.Sub(since) > crashReportRepeat {
+			delete(q.repeatedSince, c)
 			continue
 		}
 		words = append(words, w)
@@ -131,16 +131,16 @@
 	return words
 }
 
-// tellCrashes sends the scheduled crash reports to the instances that receive heartbeats.
-func (s *Server) tellCrashes(ctx context.Context, now time.Time) {
+// sendCrashReports sends the scheduled crash reports to the instances that receive heartbeats.
+func (s *Server) sendCrashReports(ctx context.Context, now time.Time) {
 	for _, old := range s.quarantine.ledger.Expire(now) {
-		s.quarantine.want(old, true)
+		s.quarantine.queueRow(old, true)
 	}
-	words := s.quarantine.words(now)
+	words := s.quarantine.scheduledReports(now)
 	if len(words) == 0 {
 		return
 	}
-	for _, peer := range append(s.peers(now), s.neighbours(now)...) {
+	for _, peer := range append(s.peers(now), s.remotePeers(now)...) {
 		go func() { _ = s.Mesh.Tell(ctx, peer.Address, relayer.Crashes{Words: words}) }() // the next beat tries again
 	}
 }
--- a/internal/instance/server/quarantine_test.go
+++ b/internal/instance/server/quarantine_test.go
@@ -17,7 +17,7 @@
 // each of them relayed it to all others with each heartbeat for ten seconds, one crash
 // would cost 16,000 messages. So only the instance that observed the crash, or received
 // the report from another domain, sends it to its own domain.
-func TestWordsOfCrashesAreRetoldOnce(t *testing.T) {
+func TestCrashReportsAreRelayedOnce(t *testing.T) {
 	word := quarantiner.Word{Digest: "d", Runner: "engine-1"}
 	for _, tc := range []struct {
 		name string
@@ -31,13 +31,13 @@
 		{"received from another domain", func(s *Server) {
 			s.HeardCrashes(heartbeater.Instance{ID: "b-1", Domain: "b"}, relayer.Crashes{Words: []quarantiner.Word{word}})
 		}, 1},
-		{"read from the table", func(s *Server) { s.takeWords([]quarantiner.Word{word}, fromTable) }, 0},
+		{"read from the table", func(s *Server) { s.applyCrashReports([]quarantiner.Word{word}, sourceTable) }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &Server{Logger: log.NewNopLogger(), Metrics: metrics.NewSet(), Monitor: &heartbeater.Monitor{}}
 			s.Config.Domain = "a"
 			tc.hear(s)
-			if diff := cmp.Diff(tc.want, len(s.quarantine.words(time.Now()))); diff != "" {
+			if diff := cmp.Diff(tc.want, len(s.quarantine.scheduledReports(time.Now()))); diff != "" {
 				t.Error(diff)
 			}
 			if s.quarantine.ledger.Empty() {
--- a/internal/instance/server/server.go
+++ b/internal/instance/server/server.go
@@ -53,15 +53,15 @@
 	Token       func() string // operator token; empty for none
 	Watcher     *watcher.Watcher
 
-	declared   atomic.Uint64 // revision whose upstreams are declared to the fleet
+	declaredRevision   atomic.Uint64 // revision whose upstreams are declared to the fleet
 	drains     map[string]bool
 	leases     map[string]tabler.Row // by incarnation, as last scanned; guarded by mu
-	links      map[string]linkState  // by address
-	looked     time.Time             // last check for unresponsive peers; used by the heartbeat loop only
+	linkStates      map[string]linkState  // by address
+	unresponsiveChecked     time.Time             // last check for unresponsive peers; used by the heartbeat loop only
 	mu         sync.Mutex
-	outage     atomic.Int64 // Unix nanoseconds of the last failed call to the table service; 0 after a successful one
-	permits    permits      // guarded by mu
-	peerBeats  map[string]relayer.Beat
+	tableFailedAt     atomic.Int64 // Unix nanoseconds of the last failed call to the table service; 0 after a successful one
+	permits    permitAllocator      // guarded by mu
+	peerHeartbeats  map[string]relayer.Beat
 	pollNow    chan struct{}
 	quarantine quarantine
 	rosterRow  tabler.Row // as last scanned; guarded by mu
@@ -75,21 +75,21 @@
 	Peer     net.Listener
 }
 
-// driveEvery is how often the runners are updated.
-const driveEvery = 200 * time.Millisecond
+// driveInterval is how often the runners are updated.
+const driveInterval = 200 * time.Millisecond
 
 // Run serves until ctx ends, then stops gracefully: requests that end within the
 // drain time are not interrupted.
 func (s *Server) Run(ctx context.Context) error {
 	s.pollNow = make(chan struct{}, 1)
-	s.links = make(map[string]linkState)
+	s.linkStates = make(map[string]linkState)
 	s.leases = make(map[string]tabler.Row)
-	s.peerBeats = make(map[string]relayer.Beat)
-	s.gauges()
+	s.peerHeartbeats = make(map[string]relayer.Beat)
+	s.registerGauges()
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var loops sync.WaitGroup
-	for _, loop := range []func(context.Context){s.pollLoop, s.listLoop, s.beatLoop, s.driveLoop, s.Claimer.Run} {
+	for _, loop := range []func(context.Context){s.pollLoop, s.listLoop, s.heartbeatLoop, s.driveLoop, s.Claimer.Run} {
 		loops.Go(func() { loop(work) })
 	}
 	failed := s.listen(work, &loops)
@@ -99,24 +99,24 @@
 	select {
 	case err = <-failed:
 	case <-ctx.Done():
-		s.leave(work)
+		s.stopGracefully(work)
 	}
 	cancel()
 	loops.Wait()
-	s.farewell()
+	s.announceStop()
 	_ = level.Info(s.Logger).Log("msg", "stopped")
 	return err
 }
 
-// farewellTime bounds the announcement to the platform that the instance has
+// announceStopTimeout bounds the announcement to the platform that the instance has
 // stopped. If it fails, the list learns of the stop from the end of the process.
-const farewellTime = time.Second
+const announceStopTimeout = time.Second
 
-func (s *Server) farewell() {
-	ctx, cancel := context.WithTimeout(context.Background(), farewellTime)
+func (s *Server) announceStop() {
+	ctx, cancel := context.WithTimeout(context.Background(), announceStopTimeout)
 	defer cancel()
 	if err := s.announce(ctx, true); err != nil {
-		s.count("sardinetiller_platform_failures_total", "list")
+		s.countReason("sardinetiller_platform_failures_total", "list")
 	}
 }
 
@@ -132,7 +132,7 @@
 	for _, server := range []listener.Server{
 		{Handler: s.Answerer.Handler(), Listener: s.Listeners.Caller, Refuse: s.Answerer.Unreadable},
 		{Handler: peers.Handler, Listener: peerListener},
-		{Handler: s.operate(), Listener: s.Listeners.Operator},
+		{Handler: s.operatorHandler(), Listener: s.Listeners.Operator},
 	} {
 		loops.Go(func() {
 			if err := server.Run(ctx); err != nil {
@@ -163,10 +163,10 @@
 }
 
 func (s *Server) driveLoop(ctx context.Context) {
-	repeater.Now(ctx, driveEvery, nil, func() {
+	repeater.Now(ctx, driveInterval, nil, func() {
 		now := time.Now()
-		s.share(now)
-		s.tidyBids()
+		s.updateShare(now)
+		s.grantExpiredPermits()
 		s.Driver.Tick(ctx, now)
 	})
 }
--- a/internal/instance/server/settings.go
+++ b/internal/instance/server/settings.go
@@ -18,22 +18,22 @@
 func (s *Server) pollSettings(ctx context.Context) {
 	row, err := s.Table.Get(ctx, publisher.KeyHead)
 	if err != nil || row.Version == 0 {
-		s.declare()
+		s.declareUpstreams()
 		return
 	}
 	var head publisher.Head
 	if err := encoder.Unmarshal(row.Value, &head); err != nil {
-		s.warnIf("settings head", err)
+		s.warnUndecodable("settings head", err)
 		return
 	}
-	s.offer(ctx, head)
-	s.declare()
+	s.offerSettings(ctx, head)
+	s.declareUpstreams()
 }
 
-func (s *Server) offer(ctx context.Context, head publisher.Head) {
+func (s *Server) offerSettings(ctx context.Context, head publisher.Head) {
 	taken, err := s.Watcher.Offer(ctx, head)
 	if err != nil {
-		s.count("sardinetiller_settings_failures_total", "offer")
+		s.countReason("sardinetiller_settings_failures_total", "offer")
 		_ = level.Warn(s.Logger).Log("msg", "settings not applied", "revision", head.Revision, "err", err)
 		return
 	}
@@ -42,10 +42,10 @@
 	}
 }
 
-// declare passes the upstreams of the settings in force to the driver and the
+// declareUpstreams passes the upstreams of the settings in force to the driver and the
 // fleet, and the runners that can be owned to the holder. The driver calls this
 // server while it holds its own lock, so it must not be called under the server's.
-func (s *Server) declare() {
+func (s *Server) declareUpstreams() {
 	force := s.Watcher.Force()
 	if force == nil {
 		return
@@ -53,7 +53,7 @@
 	r := force.Resolver
 	values := r.Values("", "", "", "")
 	s.Driver.Declare(r.Services(), values.Queue, values.Share)
-	if s.declared.Swap(force.Head.Revision) == force.Head.Revision {
+	if s.declaredRevision.Swap(force.Head.Revision) == force.Head.Revision {
 		return
 	}
 	s.Fleet.Declare(r.Services())
@@ -63,8 +63,8 @@
 	s.Holder.SetRunners(names)
 }
 
-// share sets the driver's share of the weight store's rate.
-func (s *Server) share(now time.Time) {
+// updateShare sets the driver's share of the weight store's rate.
+func (s *Server) updateShare(now time.Time) {
 	force := s.Watcher.Force()
 	if force == nil {
 		return
@@ -91,10 +91,10 @@
 	s.Driver.Share(force.Resolver.Weights(), part)
 }
 
-// askSettings fetches the head of the settings from a peer. A failure domain that is
+// fetchSettings fetches the head of the settings from a peer. A failure domain that is
 // partitioned from the platform, but not from other domains, gets a later revision
 // this way.
-func (s *Server) askSettings(ctx context.Context, address string) {
+func (s *Server) fetchSettings(ctx context.Context, address string) {
 	c, err := s.Mesh.Open(ctx, address, relayer.Inquire{})
 	if err != nil {
 		return
@@ -102,8 +102,8 @@
 	defer c.Close()
 	answer, err := c.Next(ctx)
 	if told, ok := answer.(relayer.Told); ok && err == nil {
-		s.offer(ctx, told.Head)
-		s.declare()
+		s.offerSettings(ctx, told.Head)
+		s.declareUpstreams()
 	}
 }
 
@@ -123,7 +123,7 @@
 		return data, nil
 	}
 	for _, address := range c.Peers() {
-		if data, ok := c.ask(ctx, address, key); ok {
+		if data, ok := c.fetch(ctx, address, key); ok {
 			return data, nil
 		}
 	}
@@ -135,15 +135,15 @@
 	return c.Store.Put(ctx, key, data)
 }
 
-// objectTime bounds a request for an object to one peer, which answers from memory
+// objectTimeout bounds a request for an object to one peer, which answers from memory
 // within milliseconds. Links to other failure domains are not checked for
 // unresponsive peers, and the loop that sends the request renews the lease as well:
 // without the limit one unresponsive peer made an instance keep its old settings and
 // lose its runners.
-const objectTime = time.Second
+const objectTimeout = time.Second
 
-func (c *ChainStore) ask(ctx context.Context, address, key string) ([]byte, bool) {
-	ctx, cancel := context.WithTimeout(ctx, objectTime)
+func (c *ChainStore) fetch(ctx context.Context, address, key string) ([]byte, bool) {
+	ctx, cancel := context.WithTimeout(ctx, objectTimeout)
 	defer cancel()
 	conversation, err := c.Mesh.Open(ctx, address, relayer.Fetch{Key: key})
 	if err != nil {
--- a/internal/instance/server/settings_test.go
+++ b/internal/instance/server/settings_test.go
@@ -36,7 +36,7 @@
 // The platform is unavailable, and a peer of another failure domain accepts requests
 // but never answers. The loop that polls the settings requests an object from that
 // peer; since it also renews the lease of this instance, it must not block.
-func TestSilentPeerDoesNotHoldUpWhoeverAsksForAnObject(t *testing.T) {
+func TestUnresponsivePeerDoesNotBlockObjectRequest(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/instance/server/stop.go
+++ b/internal/instance/server/stop.go
@@ -32,26 +32,26 @@
 // Stopping reports whether new requests are rejected.
 func (s *Server) Stopping() bool { return s.stop.draining() }
 
-// leave stops the instance gracefully. The order matters: the load balancer and the
+// stopGracefully stops the instance gracefully. The order matters: the load balancer and the
 // peers stop sending first, then other instances take over the runners with their
 // resident and pinned adapters, then the requests in flight run to completion.
-func (s *Server) leave(ctx context.Context) {
+func (s *Server) stopGracefully(ctx context.Context) {
 	_ = level.Info(s.Logger).Log("msg", "leaving")
 	s.stop.phase.Store(phaseNotice)
 	s.mu.Lock()
 	s.Holder.Leave()
 	s.mu.Unlock()
 	s.pollSoon()
-	wait(ctx, s.Config.Notice, func() bool { return false })
+	waitUntil(ctx, s.Config.Notice, func() bool { return false })
 	s.stop.phase.Store(phaseDrain)
-	done := wait(ctx, s.Config.Drain, func() bool { return s.Answerer.Idle() && s.Driver.Idle() })
+	done := waitUntil(ctx, s.Config.Drain, func() bool { return s.Answerer.Idle() && s.Driver.Idle() })
 	if !done {
 		_ = level.Warn(s.Logger).Log("msg", "drain time exceeded; aborting requests in flight", "drain", s.Config.Drain)
 	}
 }
 
-// wait polls until and reports whether it became true within the bound.
-func wait(ctx context.Context, bound time.Duration, until func() bool) bool {
+// waitUntil polls until and reports whether it became true within the bound.
+func waitUntil(ctx context.Context, bound time.Duration, until func() bool) bool {
 	deadline := time.Now().Add(bound)
 	for !until() {
 		if ctx.Err() != nil || time.Now().After(deadline) {
