--- a/internal/instance/composer/composer.go
+++ b/internal/instance/composer/composer.go
@@ -141,7 +141,7 @@
 	}
 	return &driver.Driver{
 		Domain: p.Config.Domain, Engine: &caller.Client{Timeout: orderTimeout}, Evictor: evictor,
-		Logger: p.Logger, Metrics: m, Permits: s, Quarantine: s, Self: string(i), Tenancy: s,
+		Logger: p.Logger, Metrics: m, Permits: s, Quarantine: s, Self: string(i), Ownership: s,
 	}
 }
 
--- a/internal/instance/server/answer.go
+++ b/internal/instance/server/answer.go
@@ -63,7 +63,7 @@
 	}
 	s.mu.Unlock()
 	if same {
-		s.Fleet.Hear(from.Incarnation, beat, now)
+		s.Fleet.Apply(from.Incarnation, beat, now)
 	}
 	if later {
 		s.pollSoon()
@@ -180,27 +180,27 @@
 	return i.Address, ok
 }
 
-// Acts implements driver.Tenancy.
-func (s *Server) Acts(runner string) (uint64, bool) {
+// FencingToken implements driver.Ownership.
+func (s *Server) FencingToken(runner string) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Holder.Acts(runner, time.Now())
 }
 
-// Owns implements driver.Tenancy.
+// Owns implements driver.Ownership.
 func (s *Server) Owns(runner string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Holder.Owns(runner)
 }
 
-// May implements driver.Tenancy. Orders may be sent under a valid lease. Without
+// MayOrder implements driver.Ownership. Orders may be sent under a valid lease. Without
 // one they may be sent only if the table service has just failed to answer: no
 // other instance can have taken over through it, and the adapters that this
 // instance loaded under its own handles stay its own even if one did
 // (docs/design/custody.md). A process that resumes after a pause meets neither
 // condition and has to poll the table first.
-func (s *Server) May(runner string) bool {
+func (s *Server) MayOrder(runner string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -214,15 +214,15 @@
 	return failed != 0 && now.Sub(time.Unix(0, failed)) < 4*s.Config.Poll
 }
 
-// Parties implements driver.Tenancy.
-func (s *Server) Parties() []string {
+// PreviousOwners implements driver.Ownership.
+func (s *Server) PreviousOwners() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Holder.Parties()
 }
 
-// Cleared implements driver.Tenancy.
-func (s *Server) Cleared(ctx context.Context, party, runner string) (keeper.Surrender, bool) {
+// RequestRelease implements driver.Ownership.
+func (s *Server) RequestRelease(ctx context.Context, party, runner string) (keeper.Surrender, bool) {
 	s.mu.Lock()
 	epoch := s.Holder.Epoch()
 	_, member := s.Holder.Roster().Member(party)
--- a/internal/instance/server/beat.go
+++ b/internal/instance/server/beat.go
@@ -59,7 +59,7 @@
 // revision of the settings spreads further, as the instances there adopt it.
 func (s *Server) sendHeartbeats(ctx context.Context, now time.Time) {
 	loads, states, version := s.Driver.Loads(0)
-	s.Fleet.Hear(s.Incarnation, relayer.Beat{Loads: loads, States: states}, now)
+	s.Fleet.Apply(s.Incarnation, relayer.Beat{Loads: loads, States: states}, now)
 	bare := s.baseHeartbeat()
 	for _, peer := range s.peers(now) {
 		go s.sendHeartbeat(ctx, peer, bare, loads, version)
@@ -95,7 +95,7 @@
 
 // baseHeartbeat returns a heartbeat without the state of runners.
 func (s *Server) baseHeartbeat() relayer.Beat {
-	line := s.Driver.Line()
+	line := s.Driver.LoadQueueLen()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return relayer.Beat{Epoch: s.Holder.Epoch(), Revision: s.Watcher.Revision(), Leaving: s.stop.leaving(), Line: line}
--- a/internal/instance/server/gauges.go
+++ b/internal/instance/server/gauges.go
@@ -25,7 +25,7 @@
 			defer s.mu.Unlock()
 			return boolGauge(s.Holder.Valid(time.Now()))
 		},
-		"sardinetiller_load_line":         func() float64 { return float64(s.Driver.Line()) },
+		"sardinetiller_load_line":         func() float64 { return float64(s.Driver.LoadQueueLen()) },
 		"sardinetiller_peer_bytes":        func() float64 { return float64(s.Mesh.Bytes()) },
 		"sardinetiller_platform_away":     func() float64 { return boolGauge(s.tableFailedAt.Load() != 0) },
 		"sardinetiller_settings_revision": func() float64 { return float64(s.Watcher.Revision()) },
--- a/internal/instance/server/operate.go
+++ b/internal/instance/server/operate.go
@@ -41,7 +41,7 @@
 	Sent        int64          `json:"sent" yaml:"sent"`       // bytes to peers so far
 	Memory      uint64         `json:"memory" yaml:"memory"`   // bytes of heap in use
 	Peers       []PeerStatus   `json:"peers" yaml:"peers"`
-	Runners     []monitor.View `json:"runners" yaml:"runners"`
+	Runners     []monitor.RunnerStatus `json:"runners" yaml:"runners"`
 	Quarantine  []QuarantineStatus   `json:"quarantine" yaml:"quarantine"` // quarantined requests
 }
 
--- a/internal/instance/server/settings.go
+++ b/internal/instance/server/settings.go
@@ -69,7 +69,7 @@
 	if force == nil {
 		return
 	}
-	line := s.Driver.Line()
+	line := s.Driver.LoadQueueLen()
 	engines := make(map[string]float64)
 	total := 0.0
 	for _, service := range force.Resolver.Services() {
@@ -88,7 +88,7 @@
 	own := loader.Stake{Fixed: float64(len(s.Holder.Owned())) / max(1, total), Line: line}
 	part := s.Sharer.Part(own, engines, now)
 	s.mu.Unlock()
-	s.Driver.Share(force.Resolver.Weights(), part)
+	s.Driver.SetShare(force.Resolver.Weights(), part)
 }
 
 // fetchSettings fetches the head of the settings from a peer. A failure domain that is
--- a/internal/upstream/caller/caller.go
+++ b/internal/upstream/caller/caller.go
@@ -19,9 +19,9 @@
 	Cancel(ctx context.Context, address, request string) bool
 	// Order sends one order and returns its outcome as far as it is known.
 	Order(ctx context.Context, address string, action keeper.Action) Answer
-	// Raise raises the engine's fencing token. It returns whether the engine has
+	// RaiseFence raises the engine's fencing token. It returns whether the engine has
 	// confirmed it.
-	Raise(ctx context.Context, address string, fence uint64) bool
+	RaiseFence(ctx context.Context, address string, fence uint64) bool
 	// Report requests the engine's state.
 	Report(ctx context.Context, address string) (Report, error)
 }
@@ -87,8 +87,8 @@
 	}
 }
 
-// Raise implements Engine.
-func (c *Client) Raise(ctx context.Context, address string, fence uint64) bool {
+// RaiseFence implements Engine.
+func (c *Client) RaiseFence(ctx context.Context, address string, fence uint64) bool {
 	return c.order(ctx, address, pathFence, order{Fence: fence}).Outcome == keeper.Done
 }
 
@@ -101,7 +101,7 @@
 	request.SetRequestURI("http://" + address + pathReport)
 	var r requester.Requester
 	status, body, seen := r.Whole(ctx, address, request)
-	if err := unexpected(status, seen); err != nil {
+	if err := statusError(status, seen); err != nil {
 		return Report{}, err
 	}
 	var report Report
@@ -114,7 +114,7 @@
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
 	status, seen := post(ctx, address, path, o)
-	return judgeOrder(path, status, seen)
+	return orderOutcome(path, status, seen)
 }
 
 // post sends a value as JSON and returns the status of the response.
--- a/internal/upstream/caller/run.go
+++ b/internal/upstream/caller/run.go
@@ -25,22 +25,22 @@
 	headerRequest  = "X-Request-Id"
 )
 
-// wholeLimit bounds a response that is not streamed, and one line of a stream, in bytes.
-const wholeLimit = 8 << 20
+// maxResponseSize bounds a response that is not streamed, and one line of a stream, in bytes.
+const maxResponseSize = 8 << 20
 
-// done is the data of the event that ends a complete stream.
-const done = "[DONE]"
+// doneEvent is the data of the event that ends a complete stream.
+const doneEvent = "[DONE]"
 
 // Run sends a call to an engine with the handle as the model and forwards the
 // response. The adapter of the response is checked before its first byte goes to the
 // sink, so that a response of the wrong adapter never reaches a caller.
 func Run(ctx context.Context, address, handle string, call *streamer.Call, head streamer.Head, sink streamer.Sink) error {
-	return ended(ctx, run(ctx, address, handle, call, head, sink))
+	return withContextReason(ctx, run(ctx, address, handle, call, head, sink))
 }
 
-// ended replaces the reason of an error by the deadline or the cancellation if ctx
+// withContextReason replaces the reason of an error by the deadline or the cancellation if ctx
 // has ended. The verdict stays as observed.
-func ended(ctx context.Context, err error) error {
+func withContextReason(ctx context.Context, err error) error {
 	if err == nil || ctx.Err() == nil {
 		return err
 	}
@@ -75,16 +75,16 @@
 	head.Status = answer.Status
 	head.Type = string(answer.Header.ContentType())
 	head.Adapter = call.Adapter
-	p := &pass{answer: answer, call: call, handle: handle, head: head, sink: sink}
+	p := &responseCopier{answer: answer, call: call, handle: handle, head: head, sink: sink}
 	if call.Stream {
-		return p.stream()
+		return p.copyStream()
 	}
-	return p.whole()
+	return p.copyComplete()
 }
 
 // Plain sends a call to a plain service and forwards the response unchanged.
 func Plain(ctx context.Context, address string, call *streamer.Call, sink streamer.Sink) error {
-	return ended(ctx, plain(ctx, address, call, sink))
+	return withContextReason(ctx, plain(ctx, address, call, sink))
 }
 
 func plain(ctx context.Context, address string, call *streamer.Call, sink streamer.Sink) error {
@@ -102,7 +102,7 @@
 		return judge.Judge(seen)
 	}
 	defer answer.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, wholeLimit))
+	body, err := io.ReadAll(io.LimitReader(answer.Body, maxResponseSize))
 	if err != nil {
 		return judge.Judge(answer.Broken(err))
 	}
@@ -145,7 +145,7 @@
 }
 
 // A pass copies one response from the engine to the sink.
-type pass struct {
+type responseCopier struct {
 	answer *requester.Answer
 	call   *streamer.Call
 	handle string
@@ -153,8 +153,8 @@
 	sink   streamer.Sink
 }
 
-// check verifies that the model named in a response or an event of it is the handle.
-func (p *pass) check(data []byte) error {
+// checkModel verifies that the model named in a response or an event of it is the handle.
+func (p *responseCopier) checkModel(data []byte) error {
 	var part struct {
 		Model string `json:"model"`
 	}
@@ -167,25 +167,25 @@
 	return nil
 }
 
-// rename replaces the handle in the response by the adapter name that the caller requested.
-func (p *pass) rename(data []byte) []byte {
+// restoreModel replaces the handle in the response by the adapter name that the caller requested.
+func (p *responseCopier) restoreModel(data []byte) []byte {
 	return bytes.Replace(data, []byte(strconv.Quote(p.handle)), []byte(strconv.Quote(p.call.Adapter)), 1)
 }
 
-func (p *pass) stream() error {
+func (p *responseCopier) copyStream() error {
 	scanner := bufio.NewScanner(p.answer.Body)
-	scanner.Buffer(nil, wholeLimit)
+	scanner.Buffer(nil, maxResponseSize)
 	first := true
 	for scanner.Scan() {
 		data, isEvent := strings.CutPrefix(scanner.Text(), "data: ")
 		if !isEvent {
 			continue
 		}
-		if data == done {
+		if data == doneEvent {
 			return nil
 		}
 		if first {
-			if err := p.check([]byte(data)); err != nil {
+			if err := p.checkModel([]byte(data)); err != nil {
 				return err
 			}
 			if err := p.sink.Head(p.head); err != nil {
@@ -193,7 +193,7 @@
 			}
 			first = false
 		}
-		if err := p.sink.Data(p.rename([]byte(data))); err != nil {
+		if err := p.sink.Data(p.restoreModel([]byte(data))); err != nil {
 			return cancelled(err)
 		}
 	}
@@ -204,13 +204,13 @@
 	return judge.Judge(p.answer.Broken(err))
 }
 
-func (p *pass) whole() error {
-	body, err := io.ReadAll(io.LimitReader(p.answer.Body, wholeLimit))
+func (p *responseCopier) copyComplete() error {
+	body, err := io.ReadAll(io.LimitReader(p.answer.Body, maxResponseSize))
 	if err != nil {
 		return judge.Judge(p.answer.Broken(err))
 	}
-	if err := p.check(body); err != nil {
+	if err := p.checkModel(body); err != nil {
 		return err
 	}
-	return deliver(p.sink, p.head, p.rename(body))
+	return deliver(p.sink, p.head, p.restoreModel(body))
 }
--- a/internal/upstream/caller/verdict.go
+++ b/internal/upstream/caller/verdict.go
@@ -7,10 +7,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// judgeOrder derives the outcome of an order from the response. If the connection
+// orderOutcome derives the outcome of an order from the response. If the connection
 // failed after bytes were sent, the outcome is unknown: the engine may still execute
 // the order later.
-func judgeOrder(path string, status int, seen judge.Observation) Answer {
+func orderOutcome(path string, status int, seen judge.Observation) Answer {
 	if seen != nil {
 		if judge.Judge(seen).Verdict == judge.NotRun {
 			return Answer{Outcome: keeper.Failed}
@@ -34,7 +34,7 @@
 	}
 }
 
-func unexpected(status int, seen judge.Observation) error {
+func statusError(status int, seen judge.Observation) error {
 	if seen != nil {
 		return judge.Judge(seen)
 	}
--- a/internal/upstream/driver/crash.go
+++ b/internal/upstream/driver/crash.go
@@ -19,35 +19,35 @@
 }
 
 // A broken records a response that broke off.
-type broken struct {
+type brokenResponse struct {
 	at  time.Time
 	ran time.Duration
 }
 
-// broke records that a response broke off, unless this instance ended it. The next
+// recordBroken records that a response broke off, unless this instance ended it. The next
 // report shows whether the engine crashed: a restarted engine has a new incarnation.
-func (d *Driver) broke(ctx context.Context, e *engine, call *streamer.Call, began time.Time) {
+func (d *Driver) recordBroken(ctx context.Context, e *engine, call *streamer.Call, began time.Time) {
 	if ctx.Err() != nil {
 		return
 	}
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if e.broke == nil {
-		e.broke = make(map[quarantiner.Digest]broken)
+	if e.brokenResponses == nil {
+		e.brokenResponses = make(map[quarantiner.Digest]brokenResponse)
 	}
-	e.broke[call.Digest()] = broken{at: now, ran: now.Sub(began)}
-	e.asked = time.Time{} // request a report at once
+	e.brokenResponses[call.Digest()] = brokenResponse{at: now, ran: now.Sub(began)}
+	e.reportRequested = time.Time{} // request a report at once
 }
 
 // suspects removes and returns the requests that broke off before a report was
 // requested. The caller holds the lock.
 func (e *engine) suspects(asked time.Time) map[quarantiner.Digest]time.Duration {
 	suspects := make(map[quarantiner.Digest]time.Duration)
-	for d, b := range e.broke {
+	for d, b := range e.brokenResponses {
 		if b.at.Before(asked) {
 			suspects[d] = b.ran
-			delete(e.broke, d)
+			delete(e.brokenResponses, d)
 		}
 	}
 	return suspects
--- a/internal/upstream/driver/driver.go
+++ b/internal/upstream/driver/driver.go
@@ -20,21 +20,21 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/orderer"
 )
 
-// A Tenancy decides which runners this instance may act on.
-type Tenancy interface {
-	// Acts returns the fencing token of the ownership if this instance may start
+// A Ownership decides which runners this instance may act on.
+type Ownership interface {
+	// FencingToken returns the fencing token of the ownership if this instance may start
 	// or continue to act on the runner.
-	Acts(runner string) (uint64, bool)
+	FencingToken(runner string) (uint64, bool)
 	// Owns reports whether the roster assigns the runner to this instance.
 	Owns(runner string) bool
-	// May reports whether an order may be sent to the runner now.
-	May(runner string) bool
-	// Parties returns the incarnations that may have owned a runner before.
-	Parties() []string
-	// Cleared asks a previous owner to release the runner. It returns false until
+	// MayOrder reports whether an order may be sent to the runner now.
+	MayOrder(runner string) bool
+	// PreviousOwners returns the incarnations that may have owned a runner before.
+	PreviousOwners() []string
+	// RequestRelease asks a previous owner to release the runner. It returns false until
 	// that owner has released it, and an empty surrender if its process has
 	// terminated.
-	Cleared(ctx context.Context, party, runner string) (keeper.Surrender, bool)
+	RequestRelease(ctx context.Context, party, runner string) (keeper.Surrender, bool)
 }
 
 // Permits grants permits to load from the weight store.
@@ -58,22 +58,22 @@
 	Permits    Permits // nil to load within the share of the rate only
 	Quarantine Quarantine
 	Self       string // incarnation
-	Tenancy    Tenancy
+	Ownership    Ownership
 
-	bids    int // permit requests in flight
+	permitRequests    int // permit requests in flight
 	budget  *loader.Budget
 	mu      sync.Mutex
-	loads   ewma // duration of a load
+	loadTime   ewma // duration of a load
 	names   []string
-	runs    ewma // duration of a run
+	runTime    ewma // duration of a run
 	runners map[string]*engine
 	version uint64 // incremented when the state of any runner changes
 }
 
 // Initial estimates, in seconds, before any load or run was observed.
 const (
-	firstLoad = 0.5
-	firstRun  = 0.5
+	initialLoadTime = 0.5
+	initialRunTime  = 0.5
 )
 
 // Declare applies the engines of the settings and the limits of their queues.
@@ -94,7 +94,7 @@
 		if !declared[name] && !e.dropped {
 			e.dropped = true
 			e.Leave() // it completes its requests and accepts no new ones
-			d.changed(e)
+			d.markChanged(e)
 		}
 	}
 }
@@ -106,19 +106,19 @@
 	return slices.DeleteFunc(slices.Clone(d.names), func(name string) bool { return d.runners[name].dropped })
 }
 
-// Line returns the length of the load queue, in adapters.
-func (d *Driver) Line() int {
+// LoadQueueLen returns the length of the load queue, in adapters.
+func (d *Driver) LoadQueueLen() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.line()
+	return d.loadQueueLen()
 }
 
-// Share sets this instance's share of the weight store's rate.
-func (d *Driver) Share(weights parser.Weights, part float64) {
+// SetShare sets this instance's share of the weight store's rate.
+func (d *Driver) SetShare(weights parser.Weights, part float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.init()
-	d.grant(weights, part)
+	d.setLimits(weights, part)
 }
 
 // Estimates returns the average duration of a load and of a run.
@@ -126,7 +126,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.init()
-	return d.loads.duration(), d.runs.duration()
+	return d.loadTime.duration(), d.runTime.duration()
 }
 
 // Tick updates every runner, including those that were removed from the settings:
@@ -137,7 +137,7 @@
 	names := slices.Clone(d.names)
 	d.mu.Unlock()
 	for _, name := range names {
-		d.look(ctx, name, now)
+		d.check(ctx, name, now)
 	}
 	d.Pump(ctx, now)
 }
@@ -149,7 +149,7 @@
 	defer d.mu.Unlock()
 	var loads []relayer.Load
 	var states []relayer.State
-	wait := d.backlog()
+	wait := d.loadQueueWait()
 	for number, name := range d.names {
 		e := d.runners[name]
 		if e.version > version {
@@ -168,7 +168,7 @@
 	defer d.mu.Unlock()
 	if e, ok := d.runners[name]; ok && !e.Leaving() {
 		e.Leave()
-		d.changed(e)
+		d.markChanged(e)
 	}
 }
 
@@ -181,8 +181,8 @@
 	if !ok {
 		return keeper.Surrender{}, true // never known here
 	}
-	if e.Keeper.Owned() && !d.Tenancy.Owns(name) {
-		d.abandon(e)
+	if e.Keeper.Owned() && !d.Ownership.Owns(name) {
+		d.abandonOwnership(e)
 	}
 	return e.Keeper.Surrender()
 }
@@ -217,22 +217,22 @@
 	return blocked, slots
 }
 
-// abandon ends the ownership and refuses the queued requests, so that they go elsewhere.
-func (d *Driver) abandon(e *engine) {
+// abandonOwnership ends the ownership and refuses the queued requests, so that they go elsewhere.
+func (d *Driver) abandonOwnership(e *engine) {
 	e.Keeper.Abandon()
-	e.turnAway(ownerRefusal(), everything)
-	d.changed(e)
+	e.rejectQueued(ownerRefusal(), anyItem)
+	d.markChanged(e)
 }
 
-// backlog estimates how long another load would be queued.
-func (d *Driver) backlog() time.Duration {
+// loadQueueWait estimates how long another load would be queued.
+func (d *Driver) loadQueueWait() time.Duration {
 	if d.budget == nil {
 		return 0
 	}
-	return d.budget.Wait(d.line())
+	return d.budget.Wait(d.loadQueueLen())
 }
 
-func (d *Driver) line() int {
+func (d *Driver) loadQueueLen() int {
 	line := 0
 	for _, e := range d.runners {
 		line += len(e.Needs())
@@ -240,12 +240,12 @@
 	return line
 }
 
-func (d *Driver) changed(e *engine) {
+func (d *Driver) markChanged(e *engine) {
 	d.version++
 	e.version = d.version
 }
 
-func (d *Driver) count(name, reason string) {
+func (d *Driver) countReason(name, reason string) {
 	d.Metrics.GetOrCreateCounter(name + `{reason="` + reason + `"}`).Inc()
 }
 
@@ -264,9 +264,9 @@
 	if e.dropped {
 		e.dropped = false
 		e.Stay()
-		d.changed(e)
+		d.markChanged(e)
 	}
-	e.at.Store(&u.Address)
+	e.addr.Store(&u.Address)
 	e.fencing = u.Fencing
 	e.Batch = u.Batch
 	e.Keeper.Capacity = u.Slots
@@ -274,8 +274,8 @@
 	e.Queue.Share = share
 }
 
-// grant sets the limits of loads to this instance's share of the weight store's rate.
-func (d *Driver) grant(w parser.Weights, part float64) {
+// setLimits sets the limits of loads to this instance's share of the weight store's rate.
+func (d *Driver) setLimits(w parser.Weights, part float64) {
 	limit := rate.Inf
 	if w.Rate > 0 {
 		limit = rate.Limit(w.Rate * part)
@@ -291,8 +291,8 @@
 func (d *Driver) init() {
 	if d.runners == nil {
 		d.runners = make(map[string]*engine)
-		d.loads = ewma{value: firstLoad}
-		d.runs = ewma{value: firstRun}
+		d.loadTime = ewma{value: initialLoadTime}
+		d.runTime = ewma{value: initialRunTime}
 	}
 }
 
--- a/internal/upstream/driver/driver_test.go
+++ b/internal/upstream/driver/driver_test.go
@@ -42,7 +42,7 @@
 	return caller.Answer{Outcome: f.outcome}
 }
 
-func (f *fakeEngine) Raise(context.Context, string, uint64) bool { return true }
+func (f *fakeEngine) RaiseFence(context.Context, string, uint64) bool { return true }
 
 func (f *fakeEngine) Report(context.Context, string) (caller.Report, error) {
 	if f.silent.Load() {
@@ -51,34 +51,34 @@
 	return caller.Report{Engine: "e-1", Leaving: f.leaving.Load()}, nil
 }
 
-// A fakeTenancy owns every runner while owns is set.
-type fakeTenancy struct{ may, owns atomic.Bool }
+// A fakeOwnership owns every runner while owns is set.
+type fakeOwnership struct{ may, owns atomic.Bool }
 
-var _ driver.Tenancy = (*fakeTenancy)(nil)
+var _ driver.Ownership = (*fakeOwnership)(nil)
 
-func (f *fakeTenancy) Acts(string) (uint64, bool) { return 1, f.owns.Load() }
+func (f *fakeOwnership) FencingToken(string) (uint64, bool) { return 1, f.owns.Load() }
 
-func (f *fakeTenancy) Cleared(context.Context, string, string) (keeper.Surrender, bool) {
+func (f *fakeOwnership) RequestRelease(context.Context, string, string) (keeper.Surrender, bool) {
 	return keeper.Surrender{}, true
 }
 
-func (f *fakeTenancy) May(string) bool { return f.may.Load() }
+func (f *fakeOwnership) MayOrder(string) bool { return f.may.Load() }
 
-func (f *fakeTenancy) Owns(string) bool { return f.owns.Load() }
+func (f *fakeOwnership) Owns(string) bool { return f.owns.Load() }
 
-func (f *fakeTenancy) Parties() []string { return nil }
+func (f *fakeOwnership) PreviousOwners() []string { return nil }
 
 // newDriver returns a driver of one engine, with Tick called until the test ends.
-func newDriver(t *testing.T, e *fakeEngine, tenancy *fakeTenancy) *driver.Driver {
+func newDriver(t *testing.T, e *fakeEngine, tenancy *fakeOwnership) *driver.Driver {
 	tenancy.may.Store(true)
 	tenancy.owns.Store(true)
 	d := &driver.Driver{
 		Quarantine: noQuarantine{},
 		Domain:     "a", Engine: e, Evictor: func() keeper.Evictor { return keeper.LRU{} }, Logger: log.NewNopLogger(),
-		Metrics: metrics.NewSet(), Self: "i-1", Tenancy: tenancy,
+		Metrics: metrics.NewSet(), Self: "i-1", Ownership: tenancy,
 	}
 	d.Declare(declared(), 8, 1)
-	d.Share(parser.Weights{}, 1)
+	d.SetShare(parser.Weights{}, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		cancel()
@@ -102,9 +102,9 @@
 
 // An operator removes an engine from the settings and adds it again. It accepts no
 // new requests in between, and accepts them afterwards without a restart.
-func TestEngineComesBackIntoTheSettings(t *testing.T) {
+func TestEngineIsRemovedFromSettingsAndAddedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDriver(t, &fakeEngine{}, &fakeTenancy{})
+		d := newDriver(t, &fakeEngine{}, &fakeOwnership{})
 		for _, services := range [][]parser.Service{declared(), nil, declared()} {
 			d.Declare(services, 8, 1)
 			time.Sleep(10 * time.Second)
@@ -126,33 +126,33 @@
 	return judge.As(err), time.Since(began)
 }
 
-func TestServeGivesUp(t *testing.T) {
+func TestServeRefuses(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		spoil  func(e *fakeEngine, tenancy *fakeTenancy)
+		spoil  func(e *fakeEngine, tenancy *fakeOwnership)
 		reason judge.Reason
 		within time.Duration
 	}{
 		// Loads keep failing. The request is refused after the third failure, long
 		// before its deadline, and with the time to retry after.
-		{"loads fail", func(e *fakeEngine, _ *fakeTenancy) { e.outcome = keeper.Failed }, judge.ReasonLoad, 5 * time.Second},
+		{"loads fail", func(e *fakeEngine, _ *fakeOwnership) { e.outcome = keeper.Failed }, judge.ReasonLoad, 5 * time.Second},
 		// The engine reports that it is draining while a request is queued: the
 		// request is refused at once, so that another runner can serve it.
-		{"engine drains", func(e *fakeEngine, tenancy *fakeTenancy) {
+		{"engine drains", func(e *fakeEngine, tenancy *fakeOwnership) {
 			tenancy.may.Store(false)
 			time.AfterFunc(time.Second, func() { e.leaving.Store(true) })
 		}, judge.ReasonUpstream, 5 * time.Second},
 		// The runner is reassigned to another instance while a request is queued.
-		{"runner reassigned", func(_ *fakeEngine, tenancy *fakeTenancy) {
+		{"runner reassigned", func(_ *fakeEngine, tenancy *fakeOwnership) {
 			tenancy.may.Store(false)
 			time.AfterFunc(time.Second, func() { tenancy.owns.Store(false) })
 		}, judge.ReasonOwner, 2 * time.Second},
 		// No order may be sent: the request is refused at its deadline, without a run.
-		{"deadline", func(_ *fakeEngine, tenancy *fakeTenancy) { tenancy.may.Store(false) }, judge.ReasonDeadline, time.Minute},
+		{"deadline", func(_ *fakeEngine, tenancy *fakeOwnership) { tenancy.may.Store(false) }, judge.ReasonDeadline, time.Minute},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e, tenancy := &fakeEngine{}, &fakeTenancy{}
+				e, tenancy := &fakeEngine{}, &fakeOwnership{}
 				d := newDriver(t, e, tenancy)
 				tc.spoil(e, tenancy)
 				err, took := serve(d, time.Minute)
@@ -170,7 +170,7 @@
 // Without a valid lease no order is sent, even if requests wait for an adapter.
 func TestNoOrderWithoutLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e, tenancy := &fakeEngine{}, &fakeTenancy{}
+		e, tenancy := &fakeEngine{}, &fakeOwnership{}
 		d := newDriver(t, e, tenancy)
 		tenancy.may.Store(false)
 		err, _ := serve(d, 10*time.Second)
@@ -182,10 +182,10 @@
 
 // An engine stops responding. Its published state says that it accepts no new
 // requests, and that it does again once the engine answers.
-func TestSilentEngineTakesNoNewWork(t *testing.T) {
+func TestUnresponsiveEngineIsPublishedAsLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngine{}
-		d := newDriver(t, e, &fakeTenancy{})
+		d := newDriver(t, e, &fakeOwnership{})
 		leaving := func() bool {
 			_, states, _ := d.Loads(0)
 			return len(states) == 1 && states[0].Leaving
--- a/internal/upstream/driver/engine.go
+++ b/internal/upstream/driver/engine.go
@@ -13,21 +13,21 @@
 type engine struct {
 	*orderer.Runner
 
-	at        atomic.Pointer[string]        // address, read without the lock when a request or an order is sent
-	asked     time.Time                     // when the last report was requested; zero to request one at once
+	addr        atomic.Pointer[string]        // address, read without the lock when a request or an order is sent
+	reportRequested     time.Time                     // when the last report was requested; zero to request one at once
 	dropped   bool                          // removed from the settings
-	broke     map[quarantiner.Digest]broken // requests whose responses broke off since the last report
-	asking    bool                          // a check of the engine is in flight
+	brokenResponses     map[quarantiner.Digest]brokenResponse // requests whose responses broke off since the last report
+	checking    bool                          // a check of the engine is in flight
 	fencing   bool
 	releasing int    // requests that ended here but perhaps not in the engine
-	silent    int    // consecutive reports that failed
+	missedReports    int    // consecutive reports that failed
 	reported  bool   // a report was applied since the ownership began
 	version   uint64 // Driver.version at the last change of the state
 	waiters   map[string]*waiter
 }
 
 // address returns the address of the engine from the latest settings.
-func (e *engine) address() string { return *e.at.Load() }
+func (e *engine) address() string { return *e.addr.Load() }
 
 func (e *engine) load(number int, wait time.Duration) relayer.Load {
 	return relayer.Load{
@@ -38,14 +38,14 @@
 
 func (e *engine) state(number int, name string) relayer.State {
 	return relayer.State{
-		Number: number, Name: name, Owned: e.Keeper.Owned(), Leaving: e.Leaving() || e.silent >= silentReports,
-		Resident: e.Keeper.Resident(), Loading: e.coming(),
+		Number: number, Name: name, Owned: e.Keeper.Owned(), Leaving: e.Leaving() || e.missedReports >= maxMissedReports,
+		Resident: e.Keeper.Resident(), Loading: e.pendingAdapters(),
 	}
 }
 
-// coming returns the adapters that are being loaded or queued for a load. Further
+// pendingAdapters returns the adapters that are being loaded or queued for a load. Further
 // requests for one of them are best sent here too.
-func (e *engine) coming() []string {
+func (e *engine) pendingAdapters() []string {
 	adapters := e.Keeper.Coming()
 	for _, n := range e.Needs() {
 		adapters = append(adapters, n.Adapter)
--- a/internal/upstream/driver/permit.go
+++ b/internal/upstream/driver/permit.go
@@ -8,23 +8,23 @@
 	"github.com/sardinetiller/sardinetiller/internal/adapter/loader"
 )
 
-// permitTime bounds the wait for one permit. After that a new bid is made with the
+// permitTimeout bounds the wait for one permit. After that a new bid is made with the
 // value it has then.
-const permitTime = 5 * time.Second
+const permitTimeout = 5 * time.Second
 
-// bidFor requests permits, at most as many at once as the weight store serves
+// requestPermits requests permits, at most as many at once as the weight store serves
 // loads. The caller holds the lock.
-func (d *Driver) bidFor(ctx context.Context, needs []loader.Need, now time.Time) {
-	for d.bids < min(d.budget.Together, len(needs)) {
-		value := loader.Saved(needs[d.bids], now)
-		d.bids++
-		go d.permitted(context.WithoutCancel(ctx), value)
+func (d *Driver) requestPermits(ctx context.Context, needs []loader.Need, now time.Time) {
+	for d.permitRequests < min(d.budget.Together, len(needs)) {
+		value := loader.Saved(needs[d.permitRequests], now)
+		d.permitRequests++
+		go d.loadWithPermit(context.WithoutCancel(ctx), value)
 	}
 }
 
-// permitted waits for a permit and uses it for the most valuable load of that moment.
-func (d *Driver) permitted(ctx context.Context, value float64) {
-	waited, cancel := context.WithTimeout(ctx, permitTime)
+// loadWithPermit waits for a permit and uses it for the most valuable load of that moment.
+func (d *Driver) loadWithPermit(ctx context.Context, value float64) {
+	waited, cancel := context.WithTimeout(ctx, permitTimeout)
 	release, ok := d.Permits.Acquire(waited, value)
 	if release != nil {
 		d.loadOne(ctx)
@@ -32,10 +32,10 @@
 	}
 	cancel()
 	d.mu.Lock()
-	d.bids--
+	d.permitRequests--
 	if !ok {
-		d.count("sardinetiller_permit_failures_total", "allocator")
-		d.withoutPermit(ctx)
+		d.countReason("sardinetiller_permit_failures_total", "allocator")
+		d.loadWithoutPermit(ctx)
 	}
 	d.mu.Unlock()
 	if ok {
@@ -43,11 +43,11 @@
 	}
 }
 
-// withoutPermit loads within this instance's share of the rate, for when the
+// loadWithoutPermit loads within this instance's share of the rate, for when the
 // allocator of permits cannot be reached. The caller holds the lock.
-func (d *Driver) withoutPermit(ctx context.Context) {
+func (d *Driver) loadWithoutPermit(ctx context.Context) {
 	now := time.Now()
-	d.budget.Grant(d.needs(), now, func(n loader.Need) bool { return d.begin(ctx, n, now) })
+	d.budget.Grant(d.needs(), now, func(n loader.Need) bool { return d.sendNextOrder(ctx, n, now) })
 }
 
 // loadOne loads the adapter that removes the most stall now, after an eviction if
@@ -55,7 +55,7 @@
 func (d *Driver) loadOne(ctx context.Context) {
 	const orders = 2 // an eviction and the load
 	for range orders {
-		e, n, action := d.best()
+		e, n, action := d.nextOrder()
 		if action == nil {
 			return
 		}
@@ -66,13 +66,13 @@
 	}
 }
 
-// best returns the next order for the most valuable load, or nil.
-func (d *Driver) best() (*engine, loader.Need, keeper.Action) {
+// nextOrder returns the next order for the most valuable load, or nil.
+func (d *Driver) nextOrder() (*engine, loader.Need, keeper.Action) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	for _, n := range d.budget.Order(d.needs(), now) {
-		e, action := d.decide(n, now)
+		e, action := d.orderFor(n, now)
 		if action == nil {
 			continue
 		}
--- a/internal/upstream/driver/preload.go
+++ b/internal/upstream/driver/preload.go
@@ -8,14 +8,14 @@
 // Preload queues a load of an adapter on a runner that this instance owns, before
 // any request needs it.
 func (d *Driver) Preload(ctx context.Context, runner, adapter string) error {
-	if err := d.wantAhead(runner, adapter); err != nil {
+	if err := d.queuePreload(runner, adapter); err != nil {
 		return err
 	}
 	d.Pump(ctx, time.Now())
 	return nil
 }
 
-func (d *Driver) wantAhead(runner, adapter string) error {
+func (d *Driver) queuePreload(runner, adapter string) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e, ok := d.runners[runner]
@@ -23,6 +23,6 @@
 		return ownerRefusal()
 	}
 	e.Ahead(adapter, time.Now())
-	d.changed(e)
+	d.markChanged(e)
 	return nil
 }
--- a/internal/upstream/driver/serve.go
+++ b/internal/upstream/driver/serve.go
@@ -25,7 +25,7 @@
 // request failed.
 func (d *Driver) Serve(ctx context.Context, call *streamer.Call, sink streamer.Sink) error {
 	arrived := time.Now()
-	w, e, err := d.enter(call, arrived)
+	w, e, err := d.enqueue(call, arrived)
 	if err != nil {
 		return err
 	}
@@ -33,7 +33,7 @@
 	select {
 	case handle := <-w.start:
 		if held := d.Quarantine.Held(call); held != nil {
-			d.unstart(ctx, e, handle)
+			d.releaseUnsent(ctx, e, handle)
 			return held
 		}
 		return d.run(ctx, e, handle, call, sink, arrived)
@@ -60,40 +60,40 @@
 		return
 	}
 	if d.Permits == nil {
-		d.budget.Grant(needs, now, func(n loader.Need) bool { return d.begin(ctx, n, now) })
+		d.budget.Grant(needs, now, func(n loader.Need) bool { return d.sendNextOrder(ctx, n, now) })
 		return
 	}
-	d.bidFor(ctx, d.budget.Order(needs, now), now)
+	d.requestPermits(ctx, d.budget.Order(needs, now), now)
 }
 
-// begin sends the next order for a needed adapter. It returns whether that order is
+// sendNextOrder sends the next order for a needed adapter. It returns whether that order is
 // a load.
-func (d *Driver) begin(ctx context.Context, n loader.Need, now time.Time) bool {
-	e, action := d.decide(n, now)
+func (d *Driver) sendNextOrder(ctx context.Context, n loader.Need, now time.Time) bool {
+	e, action := d.orderFor(n, now)
 	if action == nil {
 		return false
 	}
 	_, isLoad := action.(keeper.Load)
-	go d.carryOut(ctx, e, n, action)
+	go d.sendAndPump(ctx, e, n, action)
 	return isLoad
 }
 
-// decide returns the next order for a needed adapter, an eviction or the load, or nil
+// orderFor returns the next order for a needed adapter, an eviction or the load, or nil
 // if none may be sent. The caller holds the lock.
-func (d *Driver) decide(n loader.Need, now time.Time) (*engine, keeper.Action) {
+func (d *Driver) orderFor(n loader.Need, now time.Time) (*engine, keeper.Action) {
 	e := d.runners[n.Runner]
-	if !d.Tenancy.May(n.Runner) {
+	if !d.Ownership.MayOrder(n.Runner) {
 		return e, nil
 	}
 	action := e.Keeper.Want(n.Adapter, now)
 	if action != nil {
-		d.changed(e)
+		d.markChanged(e)
 	}
 	return e, action
 }
 
-// carryOut sends an order, records its outcome and starts what is possible next.
-func (d *Driver) carryOut(ctx context.Context, e *engine, n loader.Need, action keeper.Action) {
+// sendAndPump sends an order, records its outcome and starts what is possible next.
+func (d *Driver) sendAndPump(ctx context.Context, e *engine, n loader.Need, action keeper.Action) {
 	d.send(ctx, e, n, action)
 	d.Pump(ctx, time.Now())
 }
@@ -104,22 +104,22 @@
 	answer := caller.Answer{Outcome: keeper.Failed}
 	// Checked immediately before the order is sent: a process that was paused after
 	// the decision may have lost the runner.
-	if d.Tenancy.May(e.Name) {
+	if d.Ownership.MayOrder(e.Name) {
 		answer = d.Engine.Order(context.WithoutCancel(ctx), e.address(), action)
 	} else {
-		d.count("sardinetiller_orders_withheld_total", "lease")
+		d.countReason("sardinetiller_orders_withheld_total", "lease")
 	}
 	now := time.Now()
 	d.mu.Lock()
 	if err := e.Keeper.Finish(action, answer.Outcome, now); err != nil {
 		d.warn("order is inconsistent with the slots", e.Name, err)
 	}
-	d.finish(n, action, answer, now, now.Sub(began))
-	d.changed(e)
+	d.recordOutcome(n, action, answer, now, now.Sub(began))
+	d.markChanged(e)
 	d.mu.Unlock()
 }
 
-func (d *Driver) finish(n loader.Need, action keeper.Action, answer caller.Answer, now time.Time, took time.Duration) {
+func (d *Driver) recordOutcome(n loader.Need, action keeper.Action, answer caller.Answer, now time.Time, took time.Duration) {
 	outcome := "done"
 	switch {
 	case answer.Fenced:
@@ -131,35 +131,35 @@
 	}
 	switch action.(type) {
 	case keeper.Evict:
-		d.count("sardinetiller_evictions_total", outcome)
+		d.countReason("sardinetiller_evictions_total", outcome)
 	case keeper.Load:
-		d.count("sardinetiller_loads_total", outcome)
+		d.countReason("sardinetiller_loads_total", outcome)
 		d.budget.Finish(n, answer.Outcome == keeper.Done, now)
 		if answer.Outcome == keeper.Done {
-			d.loads.add(took)
+			d.loadTime.add(took)
 			return
 		}
-		d.giveUp(n, now)
+		d.rejectUnloadable(n, now)
 	}
 }
 
-// hopeless is the number of consecutive failed loads of an adapter after which the
+// maxLoadFailures is the number of consecutive failed loads of an adapter after which the
 // requests that wait for it are refused at once, not near their deadline.
-const hopeless = 3
+const maxLoadFailures = 3
 
-// giveUp refuses the requests that wait for an adapter whose loads keep failing.
+// rejectUnloadable refuses the requests that wait for an adapter whose loads keep failing.
 // Another runner may serve them; a new request causes another load after the
 // backoff.
-func (d *Driver) giveUp(n loader.Need, now time.Time) {
-	if d.budget.Failures(n.Adapter) < hopeless {
+func (d *Driver) rejectUnloadable(n loader.Need, now time.Time) {
+	if d.budget.Failures(n.Adapter) < maxLoadFailures {
 		return
 	}
 	retry := max(0, d.budget.Backoff(n.Adapter).Sub(now))
-	refusal := judge.Refuse(judge.ReasonLoad, "the adapter could not be loaded %d times in a row", hopeless).After(retry)
-	d.runners[n.Runner].turnAway(refusal, func(i admitter.Item) bool { return i.Adapter == n.Adapter })
+	refusal := judge.Refuse(judge.ReasonLoad, "the adapter could not be loaded %d times in a row", maxLoadFailures).After(retry)
+	d.runners[n.Runner].rejectQueued(refusal, func(i admitter.Item) bool { return i.Adapter == n.Adapter })
 }
 
-func (d *Driver) enter(call *streamer.Call, now time.Time) (*waiter, *engine, error) {
+func (d *Driver) enqueue(call *streamer.Call, now time.Time) (*waiter, *engine, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e, ok := d.runners[call.Runner]
@@ -169,10 +169,10 @@
 	if e.Leaving() {
 		return nil, nil, leavingRefusal(e)
 	}
-	if !e.Keeper.Servable(call.Adapter) && !slices.Contains(e.coming(), call.Adapter) {
-		d.changed(e) // one more adapter is queued for a load
+	if !e.Keeper.Servable(call.Adapter) && !slices.Contains(e.pendingAdapters(), call.Adapter) {
+		d.markChanged(e) // one more adapter is queued for a load
 	}
-	if err := d.inTime(e, call, now); err != nil {
+	if err := d.checkDeadline(e, call, now); err != nil {
 		return nil, nil, err
 	}
 	displaced, err := e.Queue.Offer(admitter.Item{
@@ -190,15 +190,15 @@
 	return w, e, nil
 }
 
-// inTime refuses a request at once if it would not start before its deadline. The
+// checkDeadline refuses a request at once if it would not start before its deadline. The
 // owner can tell because it has the queue and knows that an account with few queued
 // requests does not wait behind one with many.
-func (d *Driver) inTime(e *engine, call *streamer.Call, now time.Time) error {
+func (d *Driver) checkDeadline(e *engine, call *streamer.Call, now time.Time) error {
 	if call.Deadline.IsZero() {
 		return nil
 	}
 	turns := float64(e.Queue.Ahead(call.Account)) / float64(e.Batch)
-	wait := time.Duration(turns * float64(d.runs.duration()))
+	wait := time.Duration(turns * float64(d.runTime.duration()))
 	if left := call.Deadline.Sub(now); wait > left {
 		return judge.Refuse(judge.ReasonDeadline, "the queue takes about %s and %s is left",
 			wait.Round(time.Millisecond), left.Round(time.Millisecond)).After(wait - left)
@@ -206,17 +206,17 @@
 	return nil
 }
 
-// leastRun is the divisor of the average duration of a run that gives the minimum:
+// minRunDivisor is the divisor of the average duration of a run that gives the minimum:
 // hardly any run is shorter, so a request with less time left cannot complete.
-const leastRun = 4
+const minRunDivisor = 4
 
-// expire refuses the queued requests that cannot complete before their deadlines.
-func (d *Driver) expire(e *engine, now time.Time) {
-	for _, item := range e.Queue.Expired(now, d.runs.duration()/leastRun) {
+// refuseExpired refuses the queued requests that cannot complete before their deadlines.
+func (d *Driver) refuseExpired(e *engine, now time.Time) {
+	for _, item := range e.Queue.Expired(now, d.runTime.duration()/minRunDivisor) {
 		e.refuse(item.ID, judge.Refuse(judge.ReasonDeadline, "the deadline passed while the request waited"))
 	}
 	if e.Leaving() {
-		e.turnAway(leavingRefusal(e), everything)
+		e.rejectQueued(leavingRefusal(e), anyItem)
 	}
 }
 
@@ -226,8 +226,8 @@
 	delete(e.waiters, id)
 }
 
-// turnAway removes the matching requests from the queue and refuses them.
-func (e *engine) turnAway(refusal *judge.Error, match func(admitter.Item) bool) {
+// rejectQueued removes the matching requests from the queue and refuses them.
+func (e *engine) rejectQueued(refusal *judge.Error, match func(admitter.Item) bool) {
 	for _, item := range slices.Clone(e.Queue.Items()) {
 		if match(item) {
 			e.Queue.Remove(item.ID)
@@ -236,10 +236,10 @@
 	}
 }
 
-func everything(admitter.Item) bool { return true }
+func anyItem(admitter.Item) bool { return true }
 
-// unstart releases the slot and the pin of a started request that is not sent.
-func (d *Driver) unstart(ctx context.Context, e *engine, handle keeper.Handle) {
+// releaseUnsent releases the slot and the pin of a started request that is not sent.
+func (d *Driver) releaseUnsent(ctx context.Context, e *engine, handle keeper.Handle) {
 	d.mu.Lock()
 	e.Finish(handle)
 	d.mu.Unlock()
@@ -249,41 +249,41 @@
 func (d *Driver) run(ctx context.Context, e *engine, handle keeper.Handle, call *streamer.Call, sink streamer.Sink, arrived time.Time) error {
 	began := time.Now()
 	head := streamer.Head{Runner: e.Name, Queued: began.Sub(arrived)}
-	head.Stall = d.stall(e, call.Adapter, arrived, began)
+	head.Stall = d.stallTime(e, call.Adapter, arrived, began)
 	err := caller.Run(ctx, e.address(), handle.String(), call, head, sink)
 	if err != nil && judge.As(err).Verdict != judge.NotRun {
 		d.mu.Lock()
 		e.releasing++
 		d.mu.Unlock()
-		d.broke(ctx, e, call, began)
-		go d.release(context.WithoutCancel(ctx), e, handle, call)
+		d.recordBroken(ctx, e, call, began)
+		go d.cancelAndRelease(context.WithoutCancel(ctx), e, handle, call)
 		return err
 	}
 	now := time.Now()
 	d.mu.Lock()
 	e.Finish(handle)
 	if err == nil {
-		d.runs.add(now.Sub(began))
+		d.runTime.add(now.Sub(began))
 	} else {
-		e.asked = time.Time{} // it refused: request a report at once
+		e.reportRequested = time.Time{} // it refused: request a report at once
 	}
 	d.mu.Unlock()
 	d.Pump(context.WithoutCancel(ctx), now)
 	return err
 }
 
-// cancelEvery is the interval between attempts to cancel a request.
-const cancelEvery = 100 * time.Millisecond
+// cancelInterval is the interval between attempts to cancel a request.
+const cancelInterval = 100 * time.Millisecond
 
-// release releases the pin of a request that may still run after a failure. The
+// cancelAndRelease releases the pin of a request that may still run after a failure. The
 // engine may not have noticed the closed connection, and an eviction would then hit
 // the running request; so the pin is kept until the engine confirms that the request
 // does not run. While the engine cannot be reached the pin stays: no eviction can be
 // sent to it either.
-func (d *Driver) release(ctx context.Context, e *engine, handle keeper.Handle, call *streamer.Call) {
+func (d *Driver) cancelAndRelease(ctx context.Context, e *engine, handle keeper.Handle, call *streamer.Call) {
 	for !d.Engine.Cancel(ctx, e.address(), call.ID) {
-		d.count("sardinetiller_cancel_failures_total", "cancel")
-		time.Sleep(cancelEvery)
+		d.countReason("sardinetiller_cancel_failures_total", "cancel")
+		time.Sleep(cancelInterval)
 	}
 	d.mu.Lock()
 	e.releasing--
@@ -292,8 +292,8 @@
 	d.Pump(ctx, time.Now())
 }
 
-// stall returns the share of the queueing time during which the adapter was not resident.
-func (d *Driver) stall(e *engine, adapter string, arrived, began time.Time) time.Duration {
+// stallTime returns the share of the queueing time during which the adapter was not resident.
+func (d *Driver) stallTime(e *engine, adapter string, arrived, began time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	since := e.Keeper.Since(adapter)
--- a/internal/upstream/monitor/fleet.go
+++ b/internal/upstream/monitor/fleet.go
@@ -29,7 +29,7 @@
 	declared parser.Upstream
 	drained  bool
 	free     int
-	heard    time.Time
+	loadUpdated    time.Time
 	leaving  bool
 	loading  map[string]bool
 	owner    string // incarnation; empty if unknown
@@ -42,8 +42,8 @@
 	waiting  int
 }
 
-// A View is the status of a runner.
-type View struct {
+// A RunnerStatus is the status of a runner.
+type RunnerStatus struct {
 	Runner   string   `json:"runner" yaml:"runner"`
 	Service  string   `json:"service" yaml:"service"`
 	Owner    string   `json:"owner" yaml:"owner"` // incarnation
@@ -61,7 +61,7 @@
 // Calling it under the fleet's lock deadlocked with a call to the fleet under the
 // server's lock; this occurred in the demo.
 func (f *Fleet) Candidates(service, adapter string, tried []string, alive func(owner string) bool) []router.Candidate {
-	candidates, owners := f.owned(service, adapter, tried)
+	candidates, owners := f.ownedCandidates(service, adapter, tried)
 	living := make(map[string]bool)
 	for _, owner := range owners {
 		if _, asked := living[owner]; !asked {
@@ -77,9 +77,9 @@
 	return kept
 }
 
-// owned returns the runners of a service that have an owner and accept new
+// ownedCandidates returns the runners of a service that have an owner and accept new
 // requests, and the owner of each.
-func (f *Fleet) owned(service, adapter string, tried []string) (candidates []router.Candidate, owners []string) {
+func (f *Fleet) ownedCandidates(service, adapter string, tried []string) (candidates []router.Candidate, owners []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, r := range f.runners {
@@ -159,8 +159,8 @@
 	return ok && r.drained
 }
 
-// Hear applies an owner's heartbeat to its runners.
-func (f *Fleet) Hear(owner string, beat relayer.Beat, now time.Time) {
+// Apply applies an owner's heartbeat to its runners.
+func (f *Fleet) Apply(owner string, beat relayer.Beat, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.numbers == nil {
@@ -171,11 +171,11 @@
 	}
 	for _, s := range beat.States {
 		f.numbers[owner][s.Number] = s.Name
-		f.hearState(owner, s)
+		f.applyState(owner, s)
 	}
 	for _, l := range beat.Loads {
 		if r, ok := f.runners[f.numbers[owner][l.Number]]; ok && r.owner == owner {
-			r.hearLoad(l, now)
+			r.applyLoad(l, now)
 		}
 	}
 }
@@ -231,12 +231,12 @@
 }
 
 // Views returns the runners, sorted by name.
-func (f *Fleet) Views() []View {
+func (f *Fleet) Views() []RunnerStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	views := make([]View, 0, len(f.runners))
+	views := make([]RunnerStatus, 0, len(f.runners))
 	for name, r := range f.runners {
-		v := View{
+		v := RunnerStatus{
 			Runner: name, Service: r.service, Owner: r.owner, Resident: []string{},
 			Running: r.running, Waiting: r.waiting, Leaving: r.leaving, Drained: r.drained,
 		}
@@ -246,11 +246,11 @@
 		slices.Sort(v.Resident)
 		views = append(views, v)
 	}
-	slices.SortFunc(views, func(a, b View) int { return strings.Compare(a.Runner, b.Runner) })
+	slices.SortFunc(views, func(a, b RunnerStatus) int { return strings.Compare(a.Runner, b.Runner) })
 	return views
 }
 
-func (f *Fleet) hearState(owner string, s relayer.State) {
+func (f *Fleet) applyState(owner string, s relayer.State) {
 	r, ok := f.runners[s.Name]
 	if !ok {
 		return
@@ -263,21 +263,21 @@
 	}
 	r.owner = owner
 	r.leaving = s.Leaving
-	r.resident = set(s.Resident)
-	r.loading = set(s.Loading)
+	r.resident = toSet(s.Resident)
+	r.loading = toSet(s.Loading)
 }
 
-func (r *runner) hearLoad(l relayer.Load, now time.Time) {
+func (r *runner) applyLoad(l relayer.Load, now time.Time) {
 	r.wait = time.Duration(l.Wait) * time.Second / relayer.Hundredths
 	r.running = l.Running
 	r.waiting = l.Waiting
 	r.free = l.Free
 	r.ramp = float64(l.Ramp) / relayer.Hundredths
 	r.sent = 0
-	r.heard = now
+	r.loadUpdated = now
 }
 
-func set(names []string) map[string]bool {
+func toSet(names []string) map[string]bool {
 	s := make(map[string]bool, len(names))
 	for _, n := range names {
 		s[n] = true
