--- a/internal/instance/assembler/assembler.go
+++ b/internal/instance/assembler/assembler.go
@@ -7,16 +7,16 @@
 // those it takes, and returns the value of type T. The error for a missing
 // dependency names it.
 func Assemble[T any](assemble any, constructors ...any) (T, error) {
-	var made T
+	var result T
 	c := dig.New()
 	for _, constructor := range constructors {
 		if err := c.Provide(constructor); err != nil {
-			return made, err
+			return result, err
 		}
 	}
 	if err := c.Invoke(assemble); err != nil {
-		return made, dig.RootCause(err)
+		return result, dig.RootCause(err)
 	}
-	err := c.Invoke(func(t T) { made = t })
-	return made, err
+	err := c.Invoke(func(t T) { result = t })
+	return result, err
 }
--- a/internal/instance/composer/composer.go
+++ b/internal/instance/composer/composer.go
@@ -1,4 +1,5 @@
-// Package composer constructs an instance and injects its dependencies.
+// Package composer constructs an instance. It is the only package in which the
+// components of an instance are wired together.
 package composer
 
 import (
@@ -38,7 +39,7 @@
 	Keys      Keys
 	Listeners server.Listeners
 	Logger    log.Logger
-	LRU       bool // evict the least recently used adapter, not the one with the lowest heat; a baseline for comparison
+	LRU       bool // evict by last use instead of by heat; a baseline for comparison
 }
 
 // Keys are the secrets of an instance. They may change while it runs.
@@ -51,9 +52,9 @@
 
 // Time limits that are not settings of a daemon.
 const (
-	platformTimeout = 2 * time.Second
-	orderTimeout    = 30 * time.Second
-	silentBeats     = 4 // heartbeats missed before an instance is suspect
+	platformTimeout  = 2 * time.Second
+	orderTimeout     = 30 * time.Second
+	missedHeartbeats = 4 // heartbeats missed before an instance is suspect
 )
 
 // incarnation identifies one run of an instance.
@@ -62,7 +63,7 @@
 // Compose returns an instance that is ready to run.
 func Compose(parts Parts) (*server.Server, error) {
 	return assembler.Assemble[*server.Server](
-		assemble,
+		setDependencies,
 		func() Parts { return parts },
 		func() *server.Server { return &server.Server{} },
 		newIncarnation, newTable, newStore, newLister, newMetrics, newMonitor, newHolder,
@@ -70,8 +71,8 @@
 	)
 }
 
-// An assembly holds the dependencies of a server.
-type assembly struct {
+// dependencies are the values that a server is constructed from.
+type dependencies struct {
 	dig.In
 
 	Answerer    *answerer.Answerer
@@ -92,8 +93,8 @@
 	Watcher     *watcher.Watcher
 }
 
-// assemble sets the fields of the server, to which several of its dependencies refer back.
-func assemble(a assembly) {
+// setDependencies sets the fields of the server, to which several of its dependencies refer back.
+func setDependencies(a dependencies) {
 	s := a.Server
 	s.Answerer = a.Answerer
 	s.Claimer = a.Claimer
@@ -175,11 +176,11 @@
 }
 
 func newMonitor(p Parts) *heartbeater.Monitor {
-	return &heartbeater.Monitor{Silence: silentBeats * p.Config.Beat, Patience: p.Config.Lease}
+	return &heartbeater.Monitor{Silence: missedHeartbeats * p.Config.Beat, Patience: p.Config.Lease}
 }
 
 func newSharer(p Parts) *loader.Sharer {
-	return &loader.Sharer{Fresh: silentBeats * p.Config.Beat}
+	return &loader.Sharer{Fresh: missedHeartbeats * p.Config.Beat}
 }
 
 func newStore(p Parts) storer.Store {
--- a/internal/instance/server/answer.go
+++ b/internal/instance/server/answer.go
@@ -52,20 +52,20 @@
 	s.mu.Lock()
 	s.Monitor.Beat(from, now)
 	s.peerHeartbeats[from.Incarnation] = relayer.Beat{Epoch: beat.Epoch, Revision: beat.Revision, Leaving: beat.Leaving}
-	same := from.Domain == s.Config.Domain
-	later := false
-	if same {
+	sameDomain := from.Domain == s.Config.Domain
+	newerEpoch := false
+	if sameDomain {
 		s.Holder.Adopted(from.Incarnation, beat.Epoch)
 		s.Sharer.Peer(from.Incarnation, beat.Line, now)
-		later = beat.Epoch > s.Holder.Epoch()
+		newerEpoch = beat.Epoch > s.Holder.Epoch()
 	} else {
 		s.Sharer.Domain(from.Domain, beat.Line, now)
 	}
 	s.mu.Unlock()
-	if same {
+	if sameDomain {
 		s.Fleet.Apply(from.Incarnation, beat, now)
 	}
-	if later {
+	if newerEpoch {
 		s.pollSoon()
 	}
 	if beat.Revision > s.Watcher.Revision() {
@@ -222,16 +222,16 @@
 }
 
 // RequestRelease implements driver.Ownership.
-func (s *Server) RequestRelease(ctx context.Context, party, runner string) (keeper.Surrender, bool) {
+func (s *Server) RequestRelease(ctx context.Context, owner, runner string) (keeper.Surrender, bool) {
 	s.mu.Lock()
 	epoch := s.Holder.Epoch()
-	_, member := s.Holder.Roster().Member(party)
-	gone := !member && s.Monitor.Gone(party, time.Now())
+	_, onRoster := s.Holder.Roster().Member(owner)
+	terminated := !onRoster && s.Monitor.Gone(owner, time.Now())
 	s.mu.Unlock()
-	if gone {
+	if terminated {
 		return keeper.Surrender{}, true
 	}
-	address, ok := s.address(party)
+	address, ok := s.address(owner)
 	if !ok {
 		return keeper.Surrender{}, false
 	}
@@ -243,11 +243,11 @@
 	}
 	defer c.Close()
 	m, err := c.Next(ctx)
-	surrendered, ok := m.(relayer.Surrendered)
-	if err != nil || !ok || !surrendered.Given {
+	released, ok := m.(relayer.Surrendered)
+	if err != nil || !ok || !released.Given {
 		return keeper.Surrender{}, false
 	}
-	return surrendered.Surrender(), true
+	return released.Surrender(), true
 }
 
 // PeerAddresses returns the peer addresses of the other instances, those of this
--- a/internal/instance/server/beat.go
+++ b/internal/instance/server/beat.go
@@ -17,9 +17,9 @@
 // A linkState records what was sent on one link, so that a heartbeat carries only
 // changes.
 type linkState struct {
-	identity any // of the link; a new link is sent the full state
-	sentLoads    map[int]relayer.Load
-	sentVersion  uint64
+	identity    any // of the link; a new link is sent the full state
+	sentLoads   map[int]relayer.Load
+	sentVersion uint64
 }
 
 // maxCheckDelay is the number of heartbeat intervals without a check for
@@ -34,21 +34,21 @@
 // otherwise. The epoch is urgent because a new owner of a runner waits until all
 // the others have adopted it.
 func (s *Server) heartbeatLoop(ctx context.Context) {
-	var told, toldEpoch uint64
-	var last time.Time
+	var sentVersion, sentEpoch uint64
+	var lastHeartbeat time.Time
 	repeater.Now(ctx, min(changeInterval, s.Config.Beat), nil, func() {
 		now := time.Now()
-		_, states, version := s.Driver.Loads(told)
+		_, states, version := s.Driver.Loads(sentVersion)
 		epoch := s.epoch()
-		due := now.Sub(last) >= s.Config.Beat
-		if !due && len(states) == 0 && epoch == toldEpoch {
+		due := now.Sub(lastHeartbeat) >= s.Config.Beat
+		if !due && len(states) == 0 && epoch == sentEpoch {
 			return
 		}
-		told = version
-		toldEpoch = epoch
+		sentVersion = version
+		sentEpoch = epoch
 		s.sendHeartbeats(ctx, now)
 		if due {
-			last = now
+			lastHeartbeat = now
 			s.closeUnresponsive(now)
 		}
 	})
@@ -60,20 +60,20 @@
 func (s *Server) sendHeartbeats(ctx context.Context, now time.Time) {
 	loads, states, version := s.Driver.Loads(0)
 	s.Fleet.Apply(s.Incarnation, relayer.Beat{Loads: loads, States: states}, now)
-	bare := s.baseHeartbeat()
+	base := s.baseHeartbeat()
 	for _, peer := range s.peers(now) {
-		go s.sendHeartbeat(ctx, peer, bare, loads, version)
+		go s.sendHeartbeat(ctx, peer, base, loads, version)
 	}
-	away := bare
+	remote := base
 	s.mu.Lock()
-	away.Line = s.Sharer.Total(away.Line, now)
+	remote.Line = s.Sharer.Total(remote.Line, now)
 	s.mu.Unlock()
 	for _, peer := range s.remotePeers(now) {
-		go func() { _ = s.Mesh.Tell(ctx, peer.Address, away) }() // the next beat tries again
+		go func() { _ = s.Mesh.Tell(ctx, peer.Address, remote) }() // retried with the next heartbeat
 	}
 	s.sendCrashReports(ctx, now)
 	if s.Watcher.Force() == nil {
-		s.contactSeeds(ctx, bare)
+		s.contactSeeds(ctx, base)
 	}
 }
 
@@ -81,9 +81,9 @@
 // the platform is unavailable has no instance list and would find no peers; a
 // contactSeeds that receives its heartbeat answers with its own, which carry the revision
 // of the settings in force.
-func (s *Server) contactSeeds(ctx context.Context, bare relayer.Beat) {
+func (s *Server) contactSeeds(ctx context.Context, base relayer.Beat) {
 	for _, address := range s.Config.Seeds {
-		go func() { _ = s.Mesh.Tell(ctx, address, bare) }() // the next beat tries again
+		go func() { _ = s.Mesh.Tell(ctx, address, base) }() // retried with the next heartbeat
 	}
 }
 
@@ -95,10 +95,10 @@
 
 // baseHeartbeat returns a heartbeat without the state of runners.
 func (s *Server) baseHeartbeat() relayer.Beat {
-	line := s.Driver.LoadQueueLen()
+	queued := s.Driver.LoadQueueLen()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return relayer.Beat{Epoch: s.Holder.Epoch(), Revision: s.Watcher.Revision(), Leaving: s.stop.leaving(), Line: line}
+	return relayer.Beat{Epoch: s.Holder.Epoch(), Revision: s.Watcher.Revision(), Leaving: s.stop.leaving(), Line: queued}
 }
 
 // sendHeartbeat sends a heartbeat with the changes since the last one on the same link.
@@ -143,20 +143,20 @@
 // arrived meanwhile and would take its peers for unresponsive, so it skips the
 // check until the next heartbeat.
 func (s *Server) closeUnresponsive(now time.Time) {
-	heldUp := now.Sub(s.unresponsiveChecked) > maxCheckDelay*s.Config.Beat
+	stalled := now.Sub(s.unresponsiveChecked) > maxCheckDelay*s.Config.Beat
 	s.unresponsiveChecked = now
-	if heldUp {
+	if stalled {
 		return
 	}
 	s.mu.Lock()
-	var silent []string
+	var unresponsive []string
 	for _, i := range s.Monitor.Instances(now) {
 		if i.Domain == s.Config.Domain && s.Monitor.Health(i.Incarnation, now) == heartbeater.Suspect {
-			silent = append(silent, i.Address)
+			unresponsive = append(unresponsive, i.Address)
 		}
 	}
 	s.mu.Unlock()
-	for _, address := range silent {
+	for _, address := range unresponsive {
 		s.Mesh.CutSilent(address, s.Monitor.Silence, now)
 	}
 }
@@ -200,7 +200,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := s.Monitor.Instances(now)
-	place := slices.IndexFunc(all, func(i heartbeater.Instance) bool { return i.Incarnation == s.Incarnation })
+	index := slices.IndexFunc(all, func(i heartbeater.Instance) bool { return i.Incarnation == s.Incarnation })
 	byDomain := make(map[string][]heartbeater.Instance)
 	var domains []string
 	for _, i := range all {
@@ -214,7 +214,7 @@
 	}
 	var chosen []heartbeater.Instance
 	for _, d := range domains {
-		chosen = append(chosen, byDomain[d][max(0, place)%len(byDomain[d])])
+		chosen = append(chosen, byDomain[d][max(0, index)%len(byDomain[d])])
 	}
 	return chosen
 }
--- a/internal/instance/server/gather.go
+++ b/internal/instance/server/gather.go
@@ -30,11 +30,11 @@
 	if err != nil {
 		return &tabler.UnknownError{Err: err} // the peer may have written it
 	}
-	answer, ok := m.(relayer.Committed)
+	result, ok := m.(relayer.Committed)
 	if !ok {
 		return &tabler.UnknownError{Err: errors.New("the peer gave no answer to a commit")}
 	}
-	return answer.Err()
+	return result.Err()
 }
 
 // batcherAddress returns the address of the peer that batches writes, or false if that
--- a/internal/instance/server/keep.go
+++ b/internal/instance/server/keep.go
@@ -26,44 +26,44 @@
 
 // applyCrashRows applies crash rows. Rows past the retention period are marked for deletion.
 func (s *Server) applyCrashRows(rows []tabler.Row, now time.Time) {
-	var words []quarantiner.Word
+	var reports []quarantiner.Word
 	for _, row := range rows {
 		_, rest, ok := strings.Cut(row.Key, crashInfix)
 		if !ok {
 			continue
 		}
 		digest, engine, _ := strings.Cut(rest, "/")
-		var kept quarantiner.Row
-		if err := encoder.Unmarshal(row.Value, &kept); err != nil {
+		var storedRow quarantiner.Row
+		if err := encoder.Unmarshal(row.Value, &storedRow); err != nil {
 			s.warnUndecodable("crash row", err)
 			continue
 		}
-		w := kept.Word(quarantiner.Crash{Digest: quarantiner.Digest(digest), Runner: engine}, now)
+		w := storedRow.Word(quarantiner.Crash{Digest: quarantiner.Digest(digest), Runner: engine}, now)
 		s.quarantine.recordStored(w.Crash(), true)
 		if w.Age >= quarantiner.Memory {
 			s.quarantine.queueRow(w.Crash(), true)
 		}
-		words = append(words, w)
+		reports = append(reports, w)
 	}
-	s.applyCrashReports(words, sourceTable)
+	s.applyCrashReports(reports, sourceTable)
 }
 
 // storeCrashReports queues rows for new crash reports. A crash is stored once its request
 // has reached KeptFrom crashes; a cleared one only if it is stored or queued already.
-func (s *Server) storeCrashReports(news []quarantiner.Word) {
+func (s *Server) storeCrashReports(reports []quarantiner.Word) {
 	now := time.Now()
-	for _, w := range news {
+	for _, w := range reports {
 		if w.Cleared {
 			if s.quarantine.isStoredOrQueued(w.Crash()) {
 				s.quarantine.queueRow(w.Crash(), false)
 			}
 			continue
 		}
-		open := s.quarantine.ledger.Open(w.Digest, now)
-		if len(open) < quarantiner.KeptFrom {
+		crashes := s.quarantine.ledger.Open(w.Digest, now)
+		if len(crashes) < quarantiner.KeptFrom {
 			continue
 		}
-		for _, o := range open {
+		for _, o := range crashes {
 			s.quarantine.queueRow(o.Crash(), false)
 		}
 		s.pollSoon()
@@ -123,7 +123,7 @@
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for c, drop := range rows {
-		if now, ok := q.queuedRows[c]; ok && now == drop {
+		if queued, ok := q.queuedRows[c]; ok && queued == drop {
 			delete(q.queuedRows, c)
 		}
 		q.setStored(c, !drop)
@@ -134,22 +134,22 @@
 func (q *quarantine) isStoredOrQueued(c quarantiner.Crash) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	_, wanted := q.queuedRows[c]
-	return wanted || q.stored[c]
+	_, queued := q.queuedRows[c]
+	return queued || q.stored[c]
 }
 
 // recordStored records whether the table holds a crash.
-func (q *quarantine) recordStored(c quarantiner.Crash, kept bool) {
+func (q *quarantine) recordStored(c quarantiner.Crash, stored bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.setStored(c, kept)
+	q.setStored(c, stored)
 }
 
-func (q *quarantine) setStored(c quarantiner.Crash, kept bool) {
+func (q *quarantine) setStored(c quarantiner.Crash, stored bool) {
 	if q.stored == nil {
 		q.stored = make(map[quarantiner.Crash]bool)
 	}
-	if kept {
+	if stored {
 		q.stored[c] = true
 	} else {
 		delete(q.stored, c)
--- a/internal/instance/server/operate.go
+++ b/internal/instance/server/operate.go
@@ -27,22 +27,22 @@
 
 // A Status describes an instance and its failure domain.
 type Status struct {
-	Instance    string         `json:"instance" yaml:"instance"`
-	Incarnation string         `json:"incarnation" yaml:"incarnation"`
-	Domain      string         `json:"domain" yaml:"domain"`
-	Ready       bool           `json:"ready" yaml:"ready"`
-	Leaving     bool           `json:"leaving" yaml:"leaving"`
-	Lease       bool           `json:"lease" yaml:"lease"` // whether the lease is valid now
-	Epoch       uint64         `json:"epoch" yaml:"epoch"`
-	Revision    uint64         `json:"revision" yaml:"revision"`
-	Since       time.Time      `json:"since" yaml:"since"`     // when the revision took effect here
-	Outage      bool           `json:"outage" yaml:"outage"`   // the table service does not answer
-	Blocked     int            `json:"blocked" yaml:"blocked"` // slots reserved for a previous owner
-	Sent        int64          `json:"sent" yaml:"sent"`       // bytes to peers so far
-	Memory      uint64         `json:"memory" yaml:"memory"`   // bytes of heap in use
-	Peers       []PeerStatus   `json:"peers" yaml:"peers"`
+	Instance    string                 `json:"instance" yaml:"instance"`
+	Incarnation string                 `json:"incarnation" yaml:"incarnation"`
+	Domain      string                 `json:"domain" yaml:"domain"`
+	Ready       bool                   `json:"ready" yaml:"ready"`
+	Leaving     bool                   `json:"leaving" yaml:"leaving"`
+	Lease       bool                   `json:"lease" yaml:"lease"` // whether the lease is valid now
+	Epoch       uint64                 `json:"epoch" yaml:"epoch"`
+	Revision    uint64                 `json:"revision" yaml:"revision"`
+	Since       time.Time              `json:"since" yaml:"since"`     // when the revision took effect here
+	Outage      bool                   `json:"outage" yaml:"outage"`   // the table service does not answer
+	Blocked     int                    `json:"blocked" yaml:"blocked"` // slots reserved for a previous owner
+	Sent        int64                  `json:"sent" yaml:"sent"`       // bytes to peers so far
+	Memory      uint64                 `json:"memory" yaml:"memory"`   // bytes of heap in use
+	Peers       []PeerStatus           `json:"peers" yaml:"peers"`
 	Runners     []monitor.RunnerStatus `json:"runners" yaml:"runners"`
-	Quarantine  []QuarantineStatus   `json:"quarantine" yaml:"quarantine"` // quarantined requests
+	Quarantine  []QuarantineStatus     `json:"quarantine" yaml:"quarantine"` // quarantined requests
 }
 
 // A QuarantineStatus describes a request that is quarantined because engines that ran it crashed.
--- a/internal/instance/server/permit.go
+++ b/internal/instance/server/permit.go
@@ -17,8 +17,8 @@
 type permitAllocator struct {
 	loader.Allocator
 
-	pending map[uint64]chan struct{} // of pending bids
-	lastID    uint64
+	pending map[uint64]chan struct{} // by request ID; closed when the permit is granted
+	lastID  uint64
 }
 
 // permitLifetimeLoads is the lifetime of a permit in multiples of the expected load time.
@@ -26,15 +26,15 @@
 
 // Acquire implements driver.Permits.
 func (s *Server) Acquire(ctx context.Context, value float64) (release func(), ok bool) {
-	bid, limited := s.permitRequest(value)
+	request, limited := s.permitRequest(value)
 	if !limited {
 		return func() {}, true
 	}
 	address, remote := s.allocatorAddress(time.Now())
 	if !remote {
-		return s.acquireLocal(ctx, bid), true
+		return s.acquireLocal(ctx, request), true
 	}
-	c, err := s.Mesh.Open(ctx, address, bid)
+	c, err := s.Mesh.Open(ctx, address, request)
 	if err != nil {
 		return nil, false
 	}
@@ -46,8 +46,8 @@
 	return c.Close, true
 }
 
-// permitRequest returns a permit request with the limits of the settings in force, or false
-// if there are none.
+// permitRequest returns a permit request with the limits of the settings in force, or
+// false if there are none.
 func (s *Server) permitRequest(value float64) (relayer.Permit, bool) {
 	force := s.Watcher.Force()
 	if force == nil {
@@ -57,9 +57,9 @@
 	if w.Rate <= 0 {
 		return relayer.Permit{}, false
 	}
-	together := max(1, w.Together)
-	usual := time.Duration(float64(together) / w.Rate * float64(time.Second))
-	return relayer.Permit{Value: value, Together: together, Time: permitLifetimeLoads*usual + s.Config.Beat}, true
+	concurrent := max(1, w.Together)
+	loadTime := time.Duration(float64(concurrent) / w.Rate * float64(time.Second))
+	return relayer.Permit{Value: value, Together: concurrent, Time: permitLifetimeLoads*loadTime + s.Config.Beat}, true
 }
 
 // allocatorAddress returns the address of the instance that grants permits, or false if
@@ -81,8 +81,8 @@
 
 // acquireLocal waits for a permit of the local allocator. It returns nil if ctx ends
 // first.
-func (s *Server) acquireLocal(ctx context.Context, bid relayer.Permit) func() {
-	id, granted := s.enqueuePermit(bid)
+func (s *Server) acquireLocal(ctx context.Context, request relayer.Permit) func() {
+	id, granted := s.enqueuePermit(request)
 	select {
 	case <-granted:
 		return func() { s.releasePermit(id) }
@@ -93,8 +93,8 @@
 }
 
 // answerPermit grants a permit to a peer for as long as its conversation is open.
-func (s *Server) answerPermit(ctx context.Context, bid relayer.Permit, reply *relayer.Reply) error {
-	release := s.acquireLocal(ctx, bid)
+func (s *Server) answerPermit(ctx context.Context, request relayer.Permit, reply *relayer.Reply) error {
+	release := s.acquireLocal(ctx, request)
 	if release == nil {
 		return ctx.Err()
 	}
@@ -106,19 +106,19 @@
 	return nil
 }
 
-func (s *Server) enqueuePermit(bid relayer.Permit) (uint64, <-chan struct{}) {
+func (s *Server) enqueuePermit(request relayer.Permit) (uint64, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := &s.permits
 	if p.pending == nil {
 		p.pending = make(map[uint64]chan struct{})
 	}
-	p.Together = bid.Together
-	p.Time = bid.Time
+	p.Together = request.Together
+	p.Time = request.Time
 	p.lastID++
 	p.pending[p.lastID] = make(chan struct{})
 	granted := p.pending[p.lastID]
-	p.Bid(p.lastID, bid.Value, time.Now())
+	p.Bid(p.lastID, request.Value, time.Now())
 	s.grantPermits()
 	return p.lastID, granted
 }
@@ -131,7 +131,7 @@
 	s.grantPermits()
 }
 
-// grantPermits wakes the bids that are granted now.
+// grantPermits signals the permit requests that are granted now.
 func (s *Server) grantPermits() {
 	for _, id := range s.permits.Grant(time.Now()) {
 		close(s.permits.pending[id])
@@ -139,8 +139,8 @@
 	}
 }
 
-// grantExpiredPermits grants again what expired permits have freed.
-func (s *Server) grantExpiredPermits() {
+// grantFreedPermits grants the permits that were freed by the expiry of others.
+func (s *Server) grantFreedPermits() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.grantPermits()
--- a/internal/instance/server/poll.go
+++ b/internal/instance/server/poll.go
@@ -66,8 +66,8 @@
 	}
 }
 
-// recordTableCall records whether the table service answered. While it does not, an expired
-// lease does not mean that another instance has taken over.
+// recordTableCall records whether the table service answered. While it does not, an
+// expired lease does not mean that another instance has taken over.
 func (s *Server) recordTableCall(err error) {
 	if err == nil {
 		s.tableFailedAt.Store(0)
@@ -115,7 +115,7 @@
 		s.confirmRenewal(ctx, a, time.Now())
 		return
 	}
-	asked := time.Now()
+	sent := time.Now()
 	value, err := encoder.Marshal(a.Lease)
 	if err != nil {
 		return
@@ -126,14 +126,14 @@
 	})
 	if err == nil {
 		s.mu.Lock()
-		s.Holder.Renewed(asked)
+		s.Holder.Renewed(sent)
 		s.mu.Unlock()
 		return
 	}
-	s.confirmRenewal(ctx, a, asked)
+	s.confirmRenewal(ctx, a, sent)
 }
 
-func (s *Server) confirmRenewal(ctx context.Context, a leaser.Renew, asked time.Time) {
+func (s *Server) confirmRenewal(ctx context.Context, a leaser.Renew, sent time.Time) {
 	row, err := s.Table.Get(ctx, s.leaseKey(s.Incarnation))
 	s.recordTableCall(err)
 	if err != nil {
@@ -147,7 +147,7 @@
 		_ = level.Warn(s.Logger).Log("msg", "removed from the roster; rejoining")
 		s.Holder.Removed()
 	case encoder.Unmarshal(row.Value, &stored) == nil && stored.Serial == a.Lease.Serial:
-		s.Holder.Renewed(asked)
+		s.Holder.Renewed(sent)
 	}
 }
 
@@ -158,14 +158,14 @@
 	if err != nil {
 		return
 	}
-	asked := time.Now()
+	sent := time.Now()
 	err = s.Table.Commit(ctx, txn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
 		s.Holder.See(a.Roster, time.Now())
 		if a.Lease != nil {
-			s.Holder.Renewed(asked)
+			s.Holder.Renewed(sent)
 		}
 		s.pollSoon()
 		return
@@ -197,8 +197,8 @@
 		if d.Incarnation == s.Incarnation {
 			continue
 		}
-		var seen leaser.Lease
-		if row.Version != 0 && (encoder.Unmarshal(row.Value, &seen) != nil || seen.Serial != d.Serial) {
+		var current leaser.Lease
+		if row.Version != 0 && (encoder.Unmarshal(row.Value, &current) != nil || current.Serial != d.Serial) {
 			return tabler.Txn{}, errors.New("a member renewed its lease after the proposal was made")
 		}
 		txn.Checks = append(txn.Checks, tabler.Check{Key: s.leaseKey(d.Incarnation), Version: row.Version})
--- a/internal/instance/server/quarantine.go
+++ b/internal/instance/server/quarantine.go
@@ -14,8 +14,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/streamer"
 )
 
-// crashReportRepeat is how long a crash report is repeated with each heartbeat, for peers that
-// were temporarily unreachable.
+// crashReportRepeat is how long a crash report is repeated with each heartbeat, for peers
+// that were temporarily unreachable.
 const crashReportRepeat = 10 * time.Second
 
 // A quarantine holds this instance's records of requests that crash engines. An instance
@@ -24,19 +24,19 @@
 type quarantine struct {
 	ledger quarantiner.Ledger
 
-	mu     sync.Mutex
+	mu            sync.Mutex
 	repeatedSince map[quarantiner.Crash]time.Time // reports repeated with each heartbeat, and since when
-	queuedRows   map[quarantiner.Crash]bool      // rows to be written or, if true, deleted
-	stored   map[quarantiner.Crash]bool      // crashes whose row is in the table
+	queuedRows    map[quarantiner.Crash]bool      // rows to be written or, if true, deleted
+	stored        map[quarantiner.Crash]bool      // crashes whose row is in the table
 }
 
 // Crashed implements driver.Quarantine.
 func (s *Server) Crashed(engine string, requests map[quarantiner.Digest]time.Duration) {
-	var words []quarantiner.Word
+	var reports []quarantiner.Word
 	for d, ran := range requests {
-		words = append(words, quarantiner.Word{Digest: d, Runner: engine, Ran: ran})
+		reports = append(reports, quarantiner.Word{Digest: d, Runner: engine, Ran: ran})
 	}
-	s.publishCrashReports(s.applyCrashReports(words, "self"))
+	s.publishCrashReports(s.applyCrashReports(reports, "self"))
 }
 
 // Held implements driver.Quarantine and dispatcher.Quarantine.
@@ -61,56 +61,56 @@
 
 // HeardCrashes implements relayer.Suspecter.
 func (s *Server) HeardCrashes(from heartbeater.Instance, c relayer.Crashes) {
-	news := s.applyCrashReports(c.Words, from.ID)
+	reports := s.applyCrashReports(c.Words, from.ID)
 	if from.Domain != s.Config.Domain {
-		s.publishCrashReports(news)
+		s.publishCrashReports(reports)
 	}
 }
 
 // quarantined returns the quarantined requests.
 func (q *quarantine) quarantined(now time.Time) []QuarantineStatus {
-	held := []QuarantineStatus{}
+	list := []QuarantineStatus{}
 	for _, c := range q.ledger.Cases() {
 		if now.Before(c.Until) {
-			held = append(held, QuarantineStatus{Digest: string(c.Digest), Crashes: c.Crashes, Until: c.Until})
+			list = append(list, QuarantineStatus{Digest: string(c.Digest), Crashes: c.Crashes, Until: c.Until})
 		}
 	}
-	return held
+	return list
 }
 
 // applyCrashReports applies crash reports and returns those that were new.
-func (s *Server) applyCrashReports(words []quarantiner.Word, from string) []quarantiner.Word {
-	news := s.quarantine.ledger.Take(words, time.Now())
-	for _, w := range news {
+func (s *Server) applyCrashReports(reports []quarantiner.Word, from string) []quarantiner.Word {
+	newReports := s.quarantine.ledger.Take(reports, time.Now())
+	for _, w := range newReports {
 		left, held := s.quarantine.ledger.Held(w.Digest, time.Now())
 		_ = level.Info(s.Logger).Log("msg", "request suspected", "digest", w.Digest, "engine", w.Runner, "cleared", w.Cleared,
 			"from", from, "held", held, "for", left)
 	}
-	s.Metrics.GetOrCreateCounter("sardinetiller_suspected_total").Add(len(news))
-	return news
+	s.Metrics.GetOrCreateCounter("sardinetiller_suspected_total").Add(len(newReports))
+	return newReports
 }
 
-// publishCrashReports publishes and stores crash reports that were observed here or come from another
-// failure domain, whose rows are not read here. Reports from a peer of this domain or
-// from the table reach the other instances directly; if each instance relayed them, one
-// crash would cost a number of messages quadratic in the number of instances.
-func (s *Server) publishCrashReports(news []quarantiner.Word) {
-	if len(news) == 0 {
+// publishCrashReports publishes and stores crash reports that were observed here or come
+// from another failure domain, whose rows are not read here. Reports from a peer of this
+// domain or from the table reach the other instances directly; if each instance relayed
+// them, one crash would cost a number of messages quadratic in the number of instances.
+func (s *Server) publishCrashReports(reports []quarantiner.Word) {
+	if len(reports) == 0 {
 		return
 	}
-	s.quarantine.scheduleReports(news)
-	s.storeCrashReports(news)
+	s.quarantine.scheduleReports(reports)
+	s.storeCrashReports(reports)
 	go s.sendCrashReports(context.Background(), time.Now())
 }
 
 // scheduleReports schedules crash reports for the next heartbeats.
-func (q *quarantine) scheduleReports(words []quarantiner.Word) {
+func (q *quarantine) scheduleReports(reports []quarantiner.Word) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.repeatedSince == nil {
 		q.repeatedSince = make(map[quarantiner.Crash]time.Time)
 	}
-	for _, w := range words {
+	for _, w := range reports {
 		q.repeatedSince[w.Crash()] = time.Now()
 	}
 }
@@ -119,28 +119,28 @@
 func (q *quarantine) scheduledReports(now time.Time) []quarantiner.Word {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var words []quarantiner.Word
+	var reports []quarantiner.Word
 	for c, since := range q.repeatedSince {
 		w, ok := q.ledger.Word(c, now)
 		if !ok || now.Sub(since) > crashReportRepeat {
 			delete(q.repeatedSince, c)
 			continue
 		}
-		words = append(words, w)
+		reports = append(reports, w)
 	}
-	return words
+	return reports
 }
 
 // sendCrashReports sends the scheduled crash reports to the instances that receive heartbeats.
 func (s *Server) sendCrashReports(ctx context.Context, now time.Time) {
-	for _, old := range s.quarantine.ledger.Expire(now) {
-		s.quarantine.queueRow(old, true)
+	for _, expired := range s.quarantine.ledger.Expire(now) {
+		s.quarantine.queueRow(expired, true)
 	}
-	words := s.quarantine.scheduledReports(now)
-	if len(words) == 0 {
+	reports := s.quarantine.scheduledReports(now)
+	if len(reports) == 0 {
 		return
 	}
 	for _, peer := range append(s.peers(now), s.remotePeers(now)...) {
-		go func() { _ = s.Mesh.Tell(ctx, peer.Address, relayer.Crashes{Words: words}) }() // the next beat tries again
+		go func() { _ = s.Mesh.Tell(ctx, peer.Address, relayer.Crashes{Words: reports}) }() // retried with the next heartbeat
 	}
 }
--- a/internal/instance/server/quarantine_test.go
+++ b/internal/instance/server/quarantine_test.go
@@ -18,25 +18,25 @@
 // would cost 16,000 messages. So only the instance that observed the crash, or received
 // the report from another domain, sends it to its own domain.
 func TestCrashReportsAreRelayedOnce(t *testing.T) {
-	word := quarantiner.Word{Digest: "d", Runner: "engine-1"}
+	report := quarantiner.Word{Digest: "d", Runner: "engine-1"}
 	for _, tc := range []struct {
-		name string
-		hear func(s *Server)
-		want int // crash reports sent with the next heartbeat
+		name    string
+		receive func(s *Server)
+		want    int // crash reports sent with the next heartbeat
 	}{
-		{"observed here", func(s *Server) { s.Crashed(word.Runner, map[quarantiner.Digest]time.Duration{word.Digest: 0}) }, 1},
+		{"observed here", func(s *Server) { s.Crashed(report.Runner, map[quarantiner.Digest]time.Duration{report.Digest: 0}) }, 1},
 		{"received from a peer of the domain", func(s *Server) {
-			s.HeardCrashes(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Crashes{Words: []quarantiner.Word{word}})
+			s.HeardCrashes(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Crashes{Words: []quarantiner.Word{report}})
 		}, 0},
 		{"received from another domain", func(s *Server) {
-			s.HeardCrashes(heartbeater.Instance{ID: "b-1", Domain: "b"}, relayer.Crashes{Words: []quarantiner.Word{word}})
+			s.HeardCrashes(heartbeater.Instance{ID: "b-1", Domain: "b"}, relayer.Crashes{Words: []quarantiner.Word{report}})
 		}, 1},
-		{"read from the table", func(s *Server) { s.applyCrashReports([]quarantiner.Word{word}, sourceTable) }, 0},
+		{"read from the table", func(s *Server) { s.applyCrashReports([]quarantiner.Word{report}, sourceTable) }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &Server{Logger: log.NewNopLogger(), Metrics: metrics.NewSet(), Monitor: &heartbeater.Monitor{}}
 			s.Config.Domain = "a"
-			tc.hear(s)
+			tc.receive(s)
 			if diff := cmp.Diff(tc.want, len(s.quarantine.scheduledReports(time.Now()))); diff != "" {
 				t.Error(diff)
 			}
--- a/internal/instance/server/server.go
+++ b/internal/instance/server/server.go
@@ -53,19 +53,19 @@
 	Token       func() string // operator token; empty for none
 	Watcher     *watcher.Watcher
 
-	declaredRevision   atomic.Uint64 // revision whose upstreams are declared to the fleet
-	drains     map[string]bool
-	leases     map[string]tabler.Row // by incarnation, as last scanned; guarded by mu
-	linkStates      map[string]linkState  // by address
-	unresponsiveChecked     time.Time             // last check for unresponsive peers; used by the heartbeat loop only
-	mu         sync.Mutex
-	tableFailedAt     atomic.Int64 // Unix nanoseconds of the last failed call to the table service; 0 after a successful one
-	permits    permitAllocator      // guarded by mu
-	peerHeartbeats  map[string]relayer.Beat
-	pollNow    chan struct{}
-	quarantine quarantine
-	rosterRow  tabler.Row // as last scanned; guarded by mu
-	stop       stopState
+	declaredRevision    atomic.Uint64 // revision whose upstreams are declared to the fleet
+	drains              map[string]bool
+	leases              map[string]tabler.Row // by incarnation, as last scanned; guarded by mu
+	linkStates          map[string]linkState  // by address
+	unresponsiveChecked time.Time             // last check for unresponsive peers; used by the heartbeat loop only
+	mu                  sync.Mutex
+	tableFailedAt       atomic.Int64    // Unix nanoseconds of the last failed call to the table service; 0 after a successful one
+	permits             permitAllocator // guarded by mu
+	peerHeartbeats      map[string]relayer.Beat
+	pollNow             chan struct{}
+	quarantine          quarantine
+	rosterRow           tabler.Row // as last scanned; guarded by mu
+	stop                stopState
 }
 
 // Listeners are the listening sockets of an instance.
@@ -166,7 +166,7 @@
 	repeater.Now(ctx, driveInterval, nil, func() {
 		now := time.Now()
 		s.updateShare(now)
-		s.grantExpiredPermits()
+		s.grantFreedPermits()
 		s.Driver.Tick(ctx, now)
 	})
 }
--- a/internal/instance/server/settings.go
+++ b/internal/instance/server/settings.go
@@ -69,26 +69,26 @@
 	if force == nil {
 		return
 	}
-	line := s.Driver.LoadQueueLen()
-	engines := make(map[string]float64)
+	queued := s.Driver.LoadQueueLen()
+	shares := make(map[string]float64)
 	total := 0.0
 	for _, service := range force.Resolver.Services() {
 		for _, u := range service.Upstreams {
 			if service.Type == parser.TypeEngine {
-				engines[u.Domain]++
+				shares[u.Domain]++
 				total++
 			}
 		}
 	}
-	delete(engines, s.Config.Domain)
-	for domain := range engines {
-		engines[domain] /= total
+	delete(shares, s.Config.Domain)
+	for domain := range shares {
+		shares[domain] /= total
 	}
 	s.mu.Lock()
-	own := loader.Stake{Fixed: float64(len(s.Holder.Owned())) / max(1, total), Line: line}
-	part := s.Sharer.Part(own, engines, now)
+	own := loader.Stake{Fixed: float64(len(s.Holder.Owned())) / max(1, total), Line: queued}
+	share := s.Sharer.Part(own, shares, now)
 	s.mu.Unlock()
-	s.Driver.SetShare(force.Resolver.Weights(), part)
+	s.Driver.SetShare(force.Resolver.Weights(), share)
 }
 
 // fetchSettings fetches the head of the settings from a peer. A failure domain that is
@@ -100,8 +100,8 @@
 		return
 	}
 	defer c.Close()
-	answer, err := c.Next(ctx)
-	if told, ok := answer.(relayer.Told); ok && err == nil {
+	response, err := c.Next(ctx)
+	if told, ok := response.(relayer.Told); ok && err == nil {
 		s.offerSettings(ctx, told.Head)
 		s.declareUpstreams()
 	}
@@ -150,10 +150,10 @@
 		return nil, false
 	}
 	defer conversation.Close()
-	answer, err := conversation.Next(ctx)
+	response, err := conversation.Next(ctx)
 	if ctx.Err() != nil {
 		c.Mesh.Cut(address) // the next request opens a new link
 	}
-	data, ok := answer.(relayer.Data)
+	data, ok := response.(relayer.Data)
 	return data.Data, ok && err == nil
 }
--- a/internal/instance/server/settings_test.go
+++ b/internal/instance/server/settings_test.go
@@ -16,22 +16,22 @@
 	"github.com/sardinetiller/sardinetiller/internal/platform/storer"
 )
 
-// silent is a handler that receives requests of peers and never answers.
-type silent struct{}
+// unresponsiveHandler is a handler that receives requests of peers and never answers.
+type unresponsiveHandler struct{}
 
-func (silent) Answer(ctx context.Context, _ heartbeater.Instance, _ relayer.Message, _ *relayer.Reply) error {
+func (unresponsiveHandler) Answer(ctx context.Context, _ heartbeater.Instance, _ relayer.Message, _ *relayer.Reply) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func (silent) Heard(heartbeater.Instance, relayer.Beat) {}
+func (unresponsiveHandler) Heard(heartbeater.Instance, relayer.Beat) {}
 
-// away is a store that does not answer.
-type away struct{ storer.Store }
+// unavailableStore is a store that does not answer.
+type unavailableStore struct{ storer.Store }
 
-var errAway = errors.New("away")
+var errUnavailable = errors.New("unavailable")
 
-func (away) Get(context.Context, string) ([]byte, error) { return nil, errAway }
+func (unavailableStore) Get(context.Context, string) ([]byte, error) { return nil, errUnavailable }
 
 // The platform is unavailable, and a peer of another failure domain accepts requests
 // but never answers. The loop that polls the settings requests an object from that
@@ -41,18 +41,18 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer := &relayer.Mesh{Handler: silent{}, Secret: func() string { return "" }}
+	peer := &relayer.Mesh{Handler: unresponsiveHandler{}, Secret: func() string { return "" }}
 	r := router.New()
 	r.GET(relayer.Path, peer.Serve)
 	served := &fasthttp.Server{Handler: r.Handler}
 	go func() { _ = served.Serve(l) }()
 	t.Cleanup(func() { _ = l.Close() })
 	mesh := &relayer.Mesh{
-		Handler: silent{}, Secret: func() string { return "" },
+		Handler: unresponsiveHandler{}, Secret: func() string { return "" },
 		Self: func() heartbeater.Instance { return heartbeater.Instance{ID: "a"} },
 	}
 	address := l.Addr().String()
-	store := &server.ChainStore{Peers: func() []string { return []string{address} }, Mesh: mesh, Store: away{}}
+	store := &server.ChainStore{Peers: func() []string { return []string{address} }, Mesh: mesh, Store: unavailableStore{}}
 	got := make(chan error, 1)
 	go func() {
 		_, err := store.Get(t.Context(), "key")
@@ -60,7 +60,7 @@
 	}()
 	select {
 	case err := <-got:
-		if !errors.Is(err, errAway) {
+		if !errors.Is(err, errUnavailable) {
 			t.Errorf("got %v, want the error of the unavailable store", err)
 		}
 	case <-time.After(20 * time.Second):
--- a/internal/instance/server/stop.go
+++ b/internal/instance/server/stop.go
@@ -32,9 +32,10 @@
 // Stopping reports whether new requests are rejected.
 func (s *Server) Stopping() bool { return s.stop.draining() }
 
-// stopGracefully stops the instance gracefully. The order matters: the load balancer and the
-// peers stop sending first, then other instances take over the runners with their
-// resident and pinned adapters, then the requests in flight run to completion.
+// stopGracefully ends the instance without aborting requests. The order matters: the
+// load balancer and the peers stop sending first, then other instances take over the
+// runners with their resident and pinned adapters, then the requests in flight run to
+// completion.
 func (s *Server) stopGracefully(ctx context.Context) {
 	_ = level.Info(s.Logger).Log("msg", "leaving")
 	s.stop.phase.Store(phaseNotice)
@@ -50,10 +51,10 @@
 	}
 }
 
-// waitUntil polls until and reports whether it became true within the bound.
-func waitUntil(ctx context.Context, bound time.Duration, until func() bool) bool {
-	deadline := time.Now().Add(bound)
-	for !until() {
+// waitUntil polls the condition and reports whether it became true before the timeout.
+func waitUntil(ctx context.Context, timeout time.Duration, condition func() bool) bool {
+	deadline := time.Now().Add(timeout)
+	for !condition() {
 		if ctx.Err() != nil || time.Now().After(deadline) {
 			return false
 		}
--- a/internal/upstream/caller/caller.go
+++ b/internal/upstream/caller/caller.go
@@ -71,8 +71,8 @@
 func (c *Client) Cancel(ctx context.Context, address, request string) bool {
 	ctx, stop := context.WithTimeout(ctx, reportTimeout)
 	defer stop()
-	status, seen := post(ctx, address, pathCancel, map[string]string{"request": request})
-	return seen == nil && status == fasthttp.StatusOK
+	status, observed := post(ctx, address, pathCancel, map[string]string{"request": request})
+	return observed == nil && status == fasthttp.StatusOK
 }
 
 // Order implements Engine.
@@ -100,8 +100,8 @@
 	defer fasthttp.ReleaseRequest(request)
 	request.SetRequestURI("http://" + address + pathReport)
 	var r requester.Requester
-	status, body, seen := r.Whole(ctx, address, request)
-	if err := statusError(status, seen); err != nil {
+	status, body, observed := r.Whole(ctx, address, request)
+	if err := statusError(status, observed); err != nil {
 		return Report{}, err
 	}
 	var report Report
@@ -113,8 +113,8 @@
 func (c *Client) order(ctx context.Context, address, path string, o order) Answer {
 	ctx, cancel := context.WithTimeout(ctx, c.Timeout)
 	defer cancel()
-	status, seen := post(ctx, address, path, o)
-	return orderOutcome(path, status, seen)
+	status, observed := post(ctx, address, path, o)
+	return orderOutcome(path, status, observed)
 }
 
 // post sends a value as JSON and returns the status of the response.
@@ -130,6 +130,6 @@
 	request.SetRequestURI("http://" + address + path)
 	request.SetBody(body)
 	var r requester.Requester
-	status, _, seen := r.Whole(ctx, address, request)
-	return status, seen
+	status, _, observed := r.Whole(ctx, address, request)
+	return status, observed
 }
--- a/internal/upstream/caller/run.go
+++ b/internal/upstream/caller/run.go
@@ -38,8 +38,8 @@
 	return withContextReason(ctx, run(ctx, address, handle, call, head, sink))
 }
 
-// withContextReason replaces the reason of an error by the deadline or the cancellation if ctx
-// has ended. The verdict stays as observed.
+// withContextReason replaces the reason of an error by the deadline or the
+// cancellation if ctx has ended. The verdict stays as observed.
 func withContextReason(ctx context.Context, err error) error {
 	if err == nil || ctx.Err() == nil {
 		return err
@@ -58,24 +58,24 @@
 		return judge.Refuse(judge.ReasonBody, "%v", err)
 	}
 	var r requester.Requester
-	answer, seen := r.Do(ctx, address, request)
-	if seen != nil {
-		return judge.Judge(seen)
+	response, observed := r.Do(ctx, address, request)
+	if observed != nil {
+		return judge.Judge(observed)
 	}
-	defer answer.Close()
-	if answer.Status == fasthttp.StatusConflict || answer.Status == fasthttp.StatusTooManyRequests {
-		return judge.Judge(judge.Refused{Status: answer.Status})
+	defer response.Close()
+	if response.Status == fasthttp.StatusConflict || response.Status == fasthttp.StatusTooManyRequests {
+		return judge.Judge(judge.Refused{Status: response.Status})
 	}
-	if answer.Status != fasthttp.StatusOK {
-		return judge.Judge(judge.Failed{Status: answer.Status})
+	if response.Status != fasthttp.StatusOK {
+		return judge.Judge(judge.Failed{Status: response.Status})
 	}
-	if got := string(answer.Header.Peek(headerAdapter)); got != call.Adapter {
+	if got := string(response.Header.Peek(headerAdapter)); got != call.Adapter {
 		return judge.Judge(judge.Mismatched{Want: call.Adapter, Got: got})
 	}
-	head.Status = answer.Status
-	head.Type = string(answer.Header.ContentType())
+	head.Status = response.Status
+	head.Type = string(response.Header.ContentType())
 	head.Adapter = call.Adapter
-	p := &responseCopier{answer: answer, call: call, handle: handle, head: head, sink: sink}
+	p := &responseCopier{response: response, call: call, handle: handle, head: head, sink: sink}
 	if call.Stream {
 		return p.copyStream()
 	}
@@ -97,16 +97,16 @@
 	request.SetRequestURI("http://" + address + call.Path)
 	request.SetBody(call.Body)
 	var r requester.Requester
-	answer, seen := r.Do(ctx, address, request)
-	if seen != nil {
-		return judge.Judge(seen)
+	response, observed := r.Do(ctx, address, request)
+	if observed != nil {
+		return judge.Judge(observed)
 	}
-	defer answer.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, maxResponseSize))
+	defer response.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err != nil {
-		return judge.Judge(answer.Broken(err))
+		return judge.Judge(response.Broken(err))
 	}
-	head := streamer.Head{Status: answer.Status, Type: string(answer.Header.ContentType()), Runner: call.Runner}
+	head := streamer.Head{Status: response.Status, Type: string(response.Header.ContentType()), Runner: call.Runner}
 	return deliver(sink, head, body)
 }
 
@@ -144,13 +144,13 @@
 	return request, nil
 }
 
-// A pass copies one response from the engine to the sink.
+// A responseCopier copies one response from the engine to the sink.
 type responseCopier struct {
-	answer *requester.Answer
-	call   *streamer.Call
-	handle string
-	head   streamer.Head
-	sink   streamer.Sink
+	response *requester.Answer
+	call     *streamer.Call
+	handle   string
+	head     streamer.Head
+	sink     streamer.Sink
 }
 
 // checkModel verifies that the model named in a response or an event of it is the handle.
@@ -159,7 +159,7 @@
 		Model string `json:"model"`
 	}
 	if err := json.Unmarshal(data, &part); err != nil {
-		return judge.Judge(p.answer.Broken(err))
+		return judge.Judge(p.response.Broken(err))
 	}
 	if part.Model != p.handle {
 		return judge.Judge(judge.Mismatched{Want: p.handle, Got: part.Model})
@@ -173,7 +173,7 @@
 }
 
 func (p *responseCopier) copyStream() error {
-	scanner := bufio.NewScanner(p.answer.Body)
+	scanner := bufio.NewScanner(p.response.Body)
 	scanner.Buffer(nil, maxResponseSize)
 	first := true
 	for scanner.Scan() {
@@ -201,13 +201,13 @@
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return judge.Judge(p.answer.Broken(err))
+	return judge.Judge(p.response.Broken(err))
 }
 
 func (p *responseCopier) copyComplete() error {
-	body, err := io.ReadAll(io.LimitReader(p.answer.Body, maxResponseSize))
+	body, err := io.ReadAll(io.LimitReader(p.response.Body, maxResponseSize))
 	if err != nil {
-		return judge.Judge(p.answer.Broken(err))
+		return judge.Judge(p.response.Broken(err))
 	}
 	if err := p.checkModel(body); err != nil {
 		return err
--- a/internal/upstream/caller/verdict.go
+++ b/internal/upstream/caller/verdict.go
@@ -10,9 +10,9 @@
 // orderOutcome derives the outcome of an order from the response. If the connection
 // failed after bytes were sent, the outcome is unknown: the engine may still execute
 // the order later.
-func orderOutcome(path string, status int, seen judge.Observation) Answer {
-	if seen != nil {
-		if judge.Judge(seen).Verdict == judge.NotRun {
+func orderOutcome(path string, status int, observed judge.Observation) Answer {
+	if observed != nil {
+		if judge.Judge(observed).Verdict == judge.NotRun {
 			return Answer{Outcome: keeper.Failed}
 		}
 		return Answer{Outcome: keeper.Lost}
@@ -34,9 +34,9 @@
 	}
 }
 
-func statusError(status int, seen judge.Observation) error {
-	if seen != nil {
-		return judge.Judge(seen)
+func statusError(status int, observed judge.Observation) error {
+	if observed != nil {
+		return judge.Judge(observed)
 	}
 	if status != fasthttp.StatusOK {
 		return judge.Judge(judge.Failed{Status: status})
--- a/internal/upstream/driver/crash.go
+++ b/internal/upstream/driver/crash.go
@@ -18,7 +18,7 @@
 	Held(call *streamer.Call) *judge.Error
 }
 
-// A broken records a response that broke off.
+// A brokenResponse records a response that broke off.
 type brokenResponse struct {
 	at  time.Time
 	ran time.Duration
@@ -42,10 +42,10 @@
 
 // suspects removes and returns the requests that broke off before a report was
 // requested. The caller holds the lock.
-func (e *engine) suspects(asked time.Time) map[quarantiner.Digest]time.Duration {
+func (e *engine) suspects(requested time.Time) map[quarantiner.Digest]time.Duration {
 	suspects := make(map[quarantiner.Digest]time.Duration)
 	for d, b := range e.brokenResponses {
-		if b.at.Before(asked) {
+		if b.at.Before(requested) {
 			suspects[d] = b.ran
 			delete(e.brokenResponses, d)
 		}
--- a/internal/upstream/driver/driver.go
+++ b/internal/upstream/driver/driver.go
@@ -20,7 +20,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/orderer"
 )
 
-// A Ownership decides which runners this instance may act on.
+// An Ownership decides which runners this instance may act on.
 type Ownership interface {
 	// FencingToken returns the fencing token of the ownership if this instance may start
 	// or continue to act on the runner.
@@ -34,7 +34,7 @@
 	// RequestRelease asks a previous owner to release the runner. It returns false until
 	// that owner has released it, and an empty surrender if its process has
 	// terminated.
-	RequestRelease(ctx context.Context, party, runner string) (keeper.Surrender, bool)
+	RequestRelease(ctx context.Context, owner, runner string) (keeper.Surrender, bool)
 }
 
 // Permits grants permits to load from the weight store.
@@ -58,16 +58,16 @@
 	Permits    Permits // nil to load within the share of the rate only
 	Quarantine Quarantine
 	Self       string // incarnation
-	Ownership    Ownership
+	Ownership  Ownership
 
-	permitRequests    int // permit requests in flight
-	budget  *loader.Budget
-	mu      sync.Mutex
-	loadTime   ewma // duration of a load
-	names   []string
-	runTime    ewma // duration of a run
-	runners map[string]*engine
-	version uint64 // incremented when the state of any runner changes
+	permitRequests int // permit requests in flight
+	budget         *loader.Budget
+	mu             sync.Mutex
+	loadTime       ewma // duration of a load
+	names          []string
+	runTime        ewma // duration of a run
+	runners        map[string]*engine
+	version        uint64 // incremented when the state of any runner changes
 }
 
 // Initial estimates, in seconds, before any load or run was observed.
@@ -114,11 +114,11 @@
 }
 
 // SetShare sets this instance's share of the weight store's rate.
-func (d *Driver) SetShare(weights parser.Weights, part float64) {
+func (d *Driver) SetShare(weights parser.Weights, share float64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.init()
-	d.setLimits(weights, part)
+	d.setLimits(weights, share)
 }
 
 // Estimates returns the average duration of a load and of a run.
@@ -233,11 +233,11 @@
 }
 
 func (d *Driver) loadQueueLen() int {
-	line := 0
+	length := 0
 	for _, e := range d.runners {
-		line += len(e.Needs())
+		length += len(e.Needs())
 	}
-	return line
+	return length
 }
 
 func (d *Driver) markChanged(e *engine) {
@@ -275,17 +275,17 @@
 }
 
 // setLimits sets the limits of loads to this instance's share of the weight store's rate.
-func (d *Driver) setLimits(w parser.Weights, part float64) {
+func (d *Driver) setLimits(w parser.Weights, share float64) {
 	limit := rate.Inf
 	if w.Rate > 0 {
-		limit = rate.Limit(w.Rate * part)
+		limit = rate.Limit(w.Rate * share)
 	}
-	together := max(1, w.Together)
+	concurrent := max(1, w.Together)
 	if d.budget == nil {
-		d.budget = &loader.Budget{Rate: rate.NewLimiter(limit, together)}
+		d.budget = &loader.Budget{Rate: rate.NewLimiter(limit, concurrent)}
 	}
 	d.budget.Rate.SetLimit(limit)
-	d.budget.Together = together
+	d.budget.Together = concurrent
 }
 
 func (d *Driver) init() {
--- a/internal/upstream/driver/driver_test.go
+++ b/internal/upstream/driver/driver_test.go
@@ -21,10 +21,10 @@
 
 // A fakeEngine answers orders with a set outcome and counts them.
 type fakeEngine struct {
-	leaving atomic.Bool
-	orders  atomic.Int64
-	outcome keeper.Outcome
-	silent  atomic.Bool
+	leaving      atomic.Bool
+	orders       atomic.Int64
+	outcome      keeper.Outcome
+	unresponsive atomic.Bool
 }
 
 var _ caller.Engine = (*fakeEngine)(nil)
@@ -45,14 +45,14 @@
 func (f *fakeEngine) RaiseFence(context.Context, string, uint64) bool { return true }
 
 func (f *fakeEngine) Report(context.Context, string) (caller.Report, error) {
-	if f.silent.Load() {
+	if f.unresponsive.Load() {
 		return caller.Report{}, judge.Judge(judge.Dialed{})
 	}
 	return caller.Report{Engine: "e-1", Leaving: f.leaving.Load()}, nil
 }
 
 // A fakeOwnership owns every runner while owns is set.
-type fakeOwnership struct{ may, owns atomic.Bool }
+type fakeOwnership struct{ mayOrder, owns atomic.Bool }
 
 var _ driver.Ownership = (*fakeOwnership)(nil)
 
@@ -62,20 +62,20 @@
 	return keeper.Surrender{}, true
 }
 
-func (f *fakeOwnership) MayOrder(string) bool { return f.may.Load() }
+func (f *fakeOwnership) MayOrder(string) bool { return f.mayOrder.Load() }
 
 func (f *fakeOwnership) Owns(string) bool { return f.owns.Load() }
 
 func (f *fakeOwnership) PreviousOwners() []string { return nil }
 
 // newDriver returns a driver of one engine, with Tick called until the test ends.
-func newDriver(t *testing.T, e *fakeEngine, tenancy *fakeOwnership) *driver.Driver {
-	tenancy.may.Store(true)
-	tenancy.owns.Store(true)
+func newDriver(t *testing.T, e *fakeEngine, ownership *fakeOwnership) *driver.Driver {
+	ownership.mayOrder.Store(true)
+	ownership.owns.Store(true)
 	d := &driver.Driver{
 		Quarantine: noQuarantine{},
 		Domain:     "a", Engine: e, Evictor: func() keeper.Evictor { return keeper.LRU{} }, Logger: log.NewNopLogger(),
-		Metrics: metrics.NewSet(), Self: "i-1", Ownership: tenancy,
+		Metrics: metrics.NewSet(), Self: "i-1", Ownership: ownership,
 	}
 	d.Declare(declared(), 8, 1)
 	d.SetShare(parser.Weights{}, 1)
@@ -129,7 +129,7 @@
 func TestServeRefuses(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		spoil  func(e *fakeEngine, tenancy *fakeOwnership)
+		fault  func(e *fakeEngine, ownership *fakeOwnership)
 		reason judge.Reason
 		within time.Duration
 	}{
@@ -138,23 +138,23 @@
 		{"loads fail", func(e *fakeEngine, _ *fakeOwnership) { e.outcome = keeper.Failed }, judge.ReasonLoad, 5 * time.Second},
 		// The engine reports that it is draining while a request is queued: the
 		// request is refused at once, so that another runner can serve it.
-		{"engine drains", func(e *fakeEngine, tenancy *fakeOwnership) {
-			tenancy.may.Store(false)
+		{"engine drains", func(e *fakeEngine, ownership *fakeOwnership) {
+			ownership.mayOrder.Store(false)
 			time.AfterFunc(time.Second, func() { e.leaving.Store(true) })
 		}, judge.ReasonUpstream, 5 * time.Second},
 		// The runner is reassigned to another instance while a request is queued.
-		{"runner reassigned", func(_ *fakeEngine, tenancy *fakeOwnership) {
-			tenancy.may.Store(false)
-			time.AfterFunc(time.Second, func() { tenancy.owns.Store(false) })
+		{"runner reassigned", func(_ *fakeEngine, ownership *fakeOwnership) {
+			ownership.mayOrder.Store(false)
+			time.AfterFunc(time.Second, func() { ownership.owns.Store(false) })
 		}, judge.ReasonOwner, 2 * time.Second},
 		// No order may be sent: the request is refused at its deadline, without a run.
-		{"deadline", func(_ *fakeEngine, tenancy *fakeOwnership) { tenancy.may.Store(false) }, judge.ReasonDeadline, time.Minute},
+		{"deadline", func(_ *fakeEngine, ownership *fakeOwnership) { ownership.mayOrder.Store(false) }, judge.ReasonDeadline, time.Minute},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e, tenancy := &fakeEngine{}, &fakeOwnership{}
-				d := newDriver(t, e, tenancy)
-				tc.spoil(e, tenancy)
+				e, ownership := &fakeEngine{}, &fakeOwnership{}
+				d := newDriver(t, e, ownership)
+				tc.fault(e, ownership)
 				err, took := serve(d, time.Minute)
 				if err.Verdict != judge.NotRun || err.Reason != tc.reason || took > tc.within {
 					t.Errorf("%v after %s, want %s within %s", err, took, tc.reason, tc.within)
@@ -170,9 +170,9 @@
 // Without a valid lease no order is sent, even if requests wait for an adapter.
 func TestNoOrderWithoutLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e, tenancy := &fakeEngine{}, &fakeOwnership{}
-		d := newDriver(t, e, tenancy)
-		tenancy.may.Store(false)
+		e, ownership := &fakeEngine{}, &fakeOwnership{}
+		d := newDriver(t, e, ownership)
+		ownership.mayOrder.Store(false)
 		err, _ := serve(d, 10*time.Second)
 		if n := e.orders.Load(); n != 0 || err.Verdict != judge.NotRun {
 			t.Errorf("%d orders were sent, and the request ended with %v", n, err)
@@ -190,11 +190,11 @@
 			_, states, _ := d.Loads(0)
 			return len(states) == 1 && states[0].Leaving
 		}
-		for _, silent := range []bool{false, true, false} {
-			e.silent.Store(silent)
+		for _, unresponsive := range []bool{false, true, false} {
+			e.unresponsive.Store(unresponsive)
 			time.Sleep(10 * time.Second)
-			if leaving() != silent {
-				t.Errorf("silent %v: published as leaving %v", silent, leaving())
+			if leaving() != unresponsive {
+				t.Errorf("unresponsive %v: published as leaving %v", unresponsive, leaving())
 			}
 		}
 	})
--- a/internal/upstream/driver/engine.go
+++ b/internal/upstream/driver/engine.go
@@ -13,17 +13,17 @@
 type engine struct {
 	*orderer.Runner
 
-	addr        atomic.Pointer[string]        // address, read without the lock when a request or an order is sent
-	reportRequested     time.Time                     // when the last report was requested; zero to request one at once
-	dropped   bool                          // removed from the settings
-	brokenResponses     map[quarantiner.Digest]brokenResponse // requests whose responses broke off since the last report
-	checking    bool                          // a check of the engine is in flight
-	fencing   bool
-	releasing int    // requests that ended here but perhaps not in the engine
-	missedReports    int    // consecutive reports that failed
-	reported  bool   // a report was applied since the ownership began
-	version   uint64 // Driver.version at the last change of the state
-	waiters   map[string]*waiter
+	addr            atomic.Pointer[string]                // address, read without the lock when a request or an order is sent
+	reportRequested time.Time                             // when the last report was requested; zero to request one at once
+	dropped         bool                                  // removed from the settings
+	brokenResponses map[quarantiner.Digest]brokenResponse // requests whose responses broke off since the last report
+	checking        bool                                  // a check of the engine is in flight
+	fencing         bool
+	releasing       int    // requests that ended here but perhaps not in the engine
+	missedReports   int    // consecutive reports that failed
+	reported        bool   // a report was applied since the ownership began
+	version         uint64 // Driver.version at the last change of the state
+	waiters         map[string]*waiter
 }
 
 // address returns the address of the engine from the latest settings.
@@ -43,8 +43,8 @@
 	}
 }
 
-// pendingAdapters returns the adapters that are being loaded or queued for a load. Further
-// requests for one of them are best sent here too.
+// pendingAdapters returns the adapters that are being loaded or queued for a load.
+// Further requests for one of them are best sent here too.
 func (e *engine) pendingAdapters() []string {
 	adapters := e.Keeper.Coming()
 	for _, n := range e.Needs() {
--- a/internal/upstream/driver/look.go
+++ b/internal/upstream/driver/look.go
@@ -18,11 +18,11 @@
 	// Read under the lock: ownership that starts from an older value could follow
 	// this instance's own surrender. It would then serve copies that the next owner,
 	// which has this instance's confirmation of the release, evicts.
-	fence, acts := d.Ownership.FencingToken(name)
+	fence, mayAct := d.Ownership.FencingToken(name)
 	owns := d.Ownership.Owns(name)
 	e := d.runners[name]
 	switch {
-	case acts && (!e.Keeper.Owned() || e.Keeper.Fence() != fence):
+	case mayAct && (!e.Keeper.Owned() || e.Keeper.Fence() != fence):
 		d.acquire(e, fence)
 	case !owns && e.Keeper.Owned():
 		d.abandonOwnership(e)
@@ -51,16 +51,16 @@
 	d.mu.Lock()
 	raise := e.fencing && !e.Keeper.Raised()
 	fence := e.Keeper.Fence()
-	parties := e.Keeper.Uncleared()
+	owners := e.Keeper.Uncleared()
 	address := e.address()
 	d.mu.Unlock()
 	if raise {
 		d.raiseFence(ctx, e, address, fence)
 	}
-	for _, party := range parties {
-		d.requestRelease(ctx, e, party, fence)
+	for _, owner := range owners {
+		d.requestRelease(ctx, e, owner, fence)
 	}
-	asked := time.Now()
+	requested := time.Now()
 	report, err := d.Engine.Report(ctx, address)
 	d.mu.Lock()
 	e.checking = false
@@ -73,7 +73,7 @@
 		d.markChanged(e)
 	}
 	e.missedReports = 0
-	d.reconcile(e, asked, report)
+	d.reconcile(e, requested, report)
 	d.mu.Unlock()
 	d.Pump(ctx, time.Now())
 }
@@ -96,15 +96,15 @@
 	}
 }
 
-func (d *Driver) requestRelease(ctx context.Context, e *engine, party string, fence uint64) {
-	surrender, ok := d.Ownership.RequestRelease(ctx, party, e.Name)
+func (d *Driver) requestRelease(ctx context.Context, e *engine, owner string, fence uint64) {
+	surrender, ok := d.Ownership.RequestRelease(ctx, owner, e.Name)
 	if !ok {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e.Keeper.Fence() == fence { // otherwise the answer belongs to an earlier ownership
-		e.Keeper.Clear(party, surrender)
+		e.Keeper.Clear(owner, surrender)
 		d.markChanged(e)
 	}
 }
@@ -119,16 +119,16 @@
 	d.markChanged(e)
 }
 
-func (d *Driver) reconcile(e *engine, asked time.Time, report caller.Report) {
+func (d *Driver) reconcile(e *engine, requested time.Time, report caller.Report) {
 	before := len(e.Keeper.Resident())
-	fence, acts := d.Ownership.FencingToken(e.Name)
+	fence, mayAct := d.Ownership.FencingToken(e.Name)
 	restarted, err := e.Reconcile(keeper.Report{
-		Asked: asked, Held: acts && fence == e.Keeper.Fence(), Engine: report.Engine, Resident: report.Resident, Loading: report.Loading,
+		Asked: requested, Held: mayAct && fence == e.Keeper.Fence(), Engine: report.Engine, Resident: report.Resident, Loading: report.Loading,
 	}, report.Leaving)
 	if err != nil {
 		d.warn("report is inconsistent with the slots", e.Name, err)
 	}
-	suspects := e.suspects(asked)
+	suspects := e.suspects(requested)
 	if restarted {
 		d.Quarantine.Crashed(report.Engine, suspects)
 		_ = level.Warn(d.Logger).Log("msg", "engine restarted", "runner", e.Name)
--- a/internal/upstream/driver/permit.go
+++ b/internal/upstream/driver/permit.go
@@ -8,8 +8,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/adapter/loader"
 )
 
-// permitTimeout bounds the wait for one permit. After that a new bid is made with the
-// value it has then.
+// permitTimeout bounds the wait for one permit. After it a new request is made with the
+// value of that time.
 const permitTimeout = 5 * time.Second
 
 // requestPermits requests permits, at most as many at once as the weight store serves
@@ -24,8 +24,8 @@
 
 // loadWithPermit waits for a permit and uses it for the most valuable load of that moment.
 func (d *Driver) loadWithPermit(ctx context.Context, value float64) {
-	waited, cancel := context.WithTimeout(ctx, permitTimeout)
-	release, ok := d.Permits.Acquire(waited, value)
+	waitCtx, cancel := context.WithTimeout(ctx, permitTimeout)
+	release, ok := d.Permits.Acquire(waitCtx, value)
 	if release != nil {
 		d.loadOne(ctx)
 		release()
--- a/internal/upstream/driver/serve.go
+++ b/internal/upstream/driver/serve.go
@@ -32,9 +32,9 @@
 	d.Pump(ctx, arrived)
 	select {
 	case handle := <-w.start:
-		if held := d.Quarantine.Held(call); held != nil {
+		if refusal := d.Quarantine.Held(call); refusal != nil {
 			d.releaseUnsent(ctx, e, handle)
-			return held
+			return refusal
 		}
 		return d.run(ctx, e, handle, call, sink, arrived)
 	case refusal := <-w.failed:
@@ -66,8 +66,8 @@
 	d.requestPermits(ctx, d.budget.Order(needs, now), now)
 }
 
-// sendNextOrder sends the next order for a needed adapter. It returns whether that order is
-// a load.
+// sendNextOrder sends the next order for a needed adapter. It returns whether that
+// order is a load.
 func (d *Driver) sendNextOrder(ctx context.Context, n loader.Need, now time.Time) bool {
 	e, action := d.orderFor(n, now)
 	if action == nil {
@@ -197,8 +197,8 @@
 	if call.Deadline.IsZero() {
 		return nil
 	}
-	turns := float64(e.Queue.Ahead(call.Account)) / float64(e.Batch)
-	wait := time.Duration(turns * float64(d.runTime.duration()))
+	turnsAhead := float64(e.Queue.Ahead(call.Account)) / float64(e.Batch)
+	wait := time.Duration(turnsAhead * float64(d.runTime.duration()))
 	if left := call.Deadline.Sub(now); wait > left {
 		return judge.Refuse(judge.ReasonDeadline, "the queue takes about %s and %s is left",
 			wait.Round(time.Millisecond), left.Round(time.Millisecond)).After(wait - left)
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// minRunDivisor is the divisor of the average duration of a run that gives the minimum:
-// hardly any run is shorter, so a request with less time left cannot complete.
+// minRunDivisor divides the average duration of a run to give a minimum: hardly any run
+// is shorter, so a request with less time left cannot complete.
 const minRunDivisor = 4
 
 // refuseExpired refuses the queued requests that cannot complete before their deadlines.
@@ -292,7 +292,7 @@
 	d.Pump(ctx, time.Now())
 }
 
-// stallTime returns the share of the queueing time during which the adapter was not resident.
+// stallTime returns the time in the queue during which the adapter was not resident.
 func (d *Driver) stallTime(e *engine, adapter string, arrived, began time.Time) time.Duration {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/upstream/monitor/fleet.go
+++ b/internal/upstream/monitor/fleet.go
@@ -26,20 +26,20 @@
 
 // A runner is one engine of the failure domain.
 type runner struct {
-	declared parser.Upstream
-	drained  bool
-	free     int
-	loadUpdated    time.Time
-	leaving  bool
-	loading  map[string]bool
-	owner    string // incarnation; empty if unknown
-	ramp     float64
-	resident map[string]bool
-	running  int
-	sent     int
-	service  string
-	wait     time.Duration
-	waiting  int
+	declared    parser.Upstream
+	drained     bool
+	free        int
+	loadUpdated time.Time
+	leaving     bool
+	loading     map[string]bool
+	owner       string // incarnation; empty if unknown
+	ramp        float64
+	resident    map[string]bool
+	running     int
+	sent        int
+	service     string
+	wait        time.Duration
+	waiting     int
 }
 
 // A RunnerStatus is the status of a runner.
@@ -62,15 +62,15 @@
 // server's lock; this occurred in the demo.
 func (f *Fleet) Candidates(service, adapter string, tried []string, alive func(owner string) bool) []router.Candidate {
 	candidates, owners := f.ownedCandidates(service, adapter, tried)
-	living := make(map[string]bool)
+	ownerAlive := make(map[string]bool)
 	for _, owner := range owners {
-		if _, asked := living[owner]; !asked {
-			living[owner] = alive(owner)
+		if _, asked := ownerAlive[owner]; !asked {
+			ownerAlive[owner] = alive(owner)
 		}
 	}
 	kept := candidates[:0]
 	for i, c := range candidates {
-		if living[owners[i]] {
+		if ownerAlive[owners[i]] {
 			kept = append(kept, c)
 		}
 	}
