--- a/internal/instance/server/poll.go
+++ b/internal/instance/server/poll.go
@@ -235,7 +235,7 @@
 
 func (s *Server) warnUndecodable(what string, err error) {
 	if err != nil {
-		_ = level.Warn(s.Logger).Log("msg", "cannot decode", "what", what, "err", err)
+		_ = level.Warn(s.Logger).Log("msg", "unreadable", "what", what, "err", err)
 	}
 }
 
--- a/internal/instance/server/settings_test.go
+++ b/internal/instance/server/settings_test.go
@@ -29,7 +29,7 @@
 // unavailableStore is a store that does not answer.
 type unavailableStore struct{ storer.Store }
 
-var errUnavailable = errors.New("unavailable")
+var errUnavailable = errors.New("store is unavailable")
 
 func (unavailableStore) Get(context.Context, string) ([]byte, error) { return nil, errUnavailable }
 
--- a/internal/upstream/driver/look.go
+++ b/internal/upstream/driver/check.go
@@ -58,7 +58,7 @@
 		d.raiseFence(ctx, e, address, fence)
 	}
 	for _, owner := range owners {
-		d.requestRelease(ctx, e, owner, fence)
+		d.clear(ctx, e, owner, fence)
 	}
 	requested := time.Now()
 	report, err := d.Engine.Report(ctx, address)
@@ -96,7 +96,8 @@
 	}
 }
 
-func (d *Driver) requestRelease(ctx context.Context, e *engine, owner string, fence uint64) {
+// clear asks a previous owner to release the runner and records the release.
+func (d *Driver) clear(ctx context.Context, e *engine, owner string, fence uint64) {
 	surrender, ok := d.Ownership.RequestRelease(ctx, owner, e.Name)
 	if !ok {
 		return
