--- a/internal/instance/server/heartbeat.go
+++ b/internal/instance/server/heartbeat.go
@@ -54,8 +54,8 @@
 	})
 }
 
-// sendHeartbeats sends a heartbeat to every peer of the failure domain and to one instance
-// of each other domain, without loads and residency. Of the latter only the
+// sendHeartbeats sends a heartbeat to every peer of the failure domain, and one without
+// loads and residency to one instance of each other domain. Of the latter only the
 // revision of the settings spreads further, as the instances there adopt it.
 func (s *Server) sendHeartbeats(ctx context.Context, now time.Time) {
 	loads, states, version := s.Driver.Loads(0)
@@ -78,9 +78,9 @@
 }
 
 // contactSeeds sends a heartbeat to the configured seeds. An instance that starts while
-// the platform is unavailable has no instance list and would find no peers; a
-// contactSeeds that receives its heartbeat answers with its own, which carry the revision
-// of the settings in force.
+// the platform is unavailable has no instance list and would find no peers; a seed that
+// receives its heartbeat answers with its own, which carry the revision of the settings
+// in force.
 func (s *Server) contactSeeds(ctx context.Context, base relayer.Beat) {
 	for _, address := range s.Config.Seeds {
 		go func() { _ = s.Mesh.Tell(ctx, address, base) }() // retried with the next heartbeat
--- a/internal/upstream/driver/check.go
+++ b/internal/upstream/driver/check.go
@@ -46,7 +46,7 @@
 	return !e.reported || e.Keeper.Unsettled() || now.Sub(e.reportRequested) >= reportInterval
 }
 
-// queryEngine makes the network calls of look, outside the lock.
+// queryEngine makes the network calls of check, outside the lock.
 func (d *Driver) queryEngine(ctx context.Context, e *engine) {
 	d.mu.Lock()
 	raise := e.fencing && !e.Keeper.Raised()
