--- a/internal/instance/assembler/assembler_test.go
+++ b/internal/instance/assembler/assembler_test.go
@@ -7,11 +7,11 @@
 )
 
 func ExampleAssemble() {
-	type desk struct{ name string }
-	assemble := func(d *desk, name string) { d.name = name }
-	d, err := assembler.Assemble[*desk](assemble, func() *desk { return &desk{} }, func() string { return "exit" })
+	type component struct{ name string }
+	assemble := func(d *component, name string) { d.name = name }
+	d, err := assembler.Assemble[*component](assemble, func() *component { return &component{} }, func() string { return "exit" })
 	fmt.Println(d.name, err)
-	_, err = assembler.Assemble[*desk](assemble, func() *desk { return &desk{} })
+	_, err = assembler.Assemble[*component](assemble, func() *component { return &component{} })
 	fmt.Println(err != nil)
 	// Output:
 	// exit <nil>
