--- a/internal/instance/composer/composer.go
+++ b/internal/instance/composer/composer.go
@@ -1,5 +1,5 @@
-// Package composer wires an entry instance together. It is the only place
-// where the parts meet by construction.
+// Package composer constructs an instance. It is the only package in which the
+// components of an instance are wired together.
 package composer
 
 import (
@@ -33,38 +33,37 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/monitor"
 )
 
-// Parts are what an instance is made of that does not follow from its
-// settings.
+// Parts are the inputs from which an instance is constructed.
 type Parts struct {
 	Config    configurer.Daemon
 	Keys      Keys
 	Listeners server.Listeners
 	Logger    log.Logger
-	LRU       bool // evict by last use instead of by heat, as a baseline
+	LRU       bool // evict by last use instead of by heat; a baseline for comparison
 }
 
 // Keys are the secrets of an instance. They may change while it runs.
 type Keys struct {
 	Secret func() string // shared by the instances
-	Token  func() string // of operators; empty for none
-	Dial   *tls.Config   // for links that are dialled; nil for none
-	Take   *tls.Config   // for links that peers dial; nil for none
+	Token  func() string // operator token; empty for none
+	Dial   *tls.Config   // for outgoing links to peers; nil for none
+	Take   *tls.Config   // for incoming links from peers; nil for none
 }
 
-// The times that follow from the settings of a daemon.
+// Time limits that are not settings of a daemon.
 const (
-	platformTimeout = 2 * time.Second
-	orderTimeout    = 30 * time.Second
-	silentBeats     = 4 // heartbeats missed before an instance is suspect
+	platformTimeout  = 2 * time.Second
+	orderTimeout     = 30 * time.Second
+	missedHeartbeats = 4 // heartbeats missed before an instance is suspect
 )
 
-// incarnation is the name of one run of an instance.
+// incarnation identifies one run of an instance.
 type incarnation string
 
 // Compose returns an instance that is ready to run.
 func Compose(parts Parts) (*server.Server, error) {
 	return assembler.Assemble[*server.Server](
-		assemble,
+		setDependencies,
 		func() Parts { return parts },
 		func() *server.Server { return &server.Server{} },
 		newIncarnation, newTable, newStore, newLister, newMetrics, newMonitor, newHolder,
@@ -72,8 +71,8 @@
 	)
 }
 
-// An assembly is every part of a server.
-type assembly struct {
+// dependencies are the values that a server is constructed from.
+type dependencies struct {
 	dig.In
 
 	Answerer    *answerer.Answerer
@@ -94,8 +93,8 @@
 	Watcher     *watcher.Watcher
 }
 
-// assemble fills the server, which several of its parts refer back to.
-func assemble(a assembly) {
+// setDependencies sets the fields of the server, to which several of its dependencies refer back.
+func setDependencies(a dependencies) {
 	s := a.Server
 	s.Answerer = a.Answerer
 	s.Claimer = a.Claimer
@@ -126,7 +125,7 @@
 }
 
 func newClaimer(i incarnation, s *server.Server, store storer.Store, table tabler.Table) *claimer.Claimer {
-	return &claimer.Claimer{Gone: s.Gone, Route: s.Route, Self: string(i), Store: store, Table: table, Token: token}
+	return &claimer.Claimer{Gone: s.Gone, Route: s.CommitBatched, Self: string(i), Store: store, Table: table, Token: token}
 }
 
 func newDispatcher(p Parts, i incarnation, s *server.Server, d *driver.Driver, f *monitor.Fleet, m *metrics.Set) *dispatcher.Dispatcher {
@@ -143,7 +142,7 @@
 	}
 	return &driver.Driver{
 		Domain: p.Config.Domain, Engine: &caller.Client{Timeout: orderTimeout}, Evictor: evictor,
-		Logger: p.Logger, Metrics: m, Permits: s, Quarantine: s, Self: string(i), Tenancy: s,
+		Logger: p.Logger, Metrics: m, Permits: s, Quarantine: s, Self: string(i), Ownership: s,
 	}
 }
 
@@ -163,9 +162,9 @@
 	return &relayer.Mesh{Handler: s, Secret: p.Keys.Secret, Self: s.Self, TLS: p.Keys.Dial}
 }
 
-// newMetrics returns the counters of an instance. Those of refusals and retries
-// are there from the start, so that a reason that has not occurred shows as 0
-// and an alert on its growth works the first time.
+// newMetrics returns the metrics of an instance. The counters of refusals and retries
+// are registered at the start, so that a reason that has not occurred yet reads 0
+// and an alert on its increase fires on the first occurrence.
 func newMetrics() *metrics.Set {
 	set := metrics.NewSet()
 	for _, reason := range judge.Reasons {
@@ -177,11 +176,11 @@
 }
 
 func newMonitor(p Parts) *heartbeater.Monitor {
-	return &heartbeater.Monitor{Silence: silentBeats * p.Config.Beat, Patience: p.Config.Lease}
+	return &heartbeater.Monitor{Silence: missedHeartbeats * p.Config.Beat, Patience: p.Config.Lease}
 }
 
 func newSharer(p Parts) *loader.Sharer {
-	return &loader.Sharer{Fresh: silentBeats * p.Config.Beat}
+	return &loader.Sharer{Fresh: missedHeartbeats * p.Config.Beat}
 }
 
 func newStore(p Parts) storer.Store {
@@ -193,10 +192,10 @@
 }
 
 func newWatcher(s *server.Server, m *relayer.Mesh, store storer.Store) *watcher.Watcher {
-	return &watcher.Watcher{Store: &server.ChainStore{Peers: s.Addresses, Mesh: m, Store: store}}
+	return &watcher.Watcher{Store: &server.ChainStore{Peers: s.PeerAddresses, Mesh: m, Store: store}}
 }
 
-// token returns a fresh name.
+// token returns a random identifier.
 func token() string {
 	var b [6]byte
 	_, _ = rand.Read(b[:]) // never fails
--- a/internal/instance/server/operate.go
+++ b/internal/instance/server/operator.go
@@ -14,7 +14,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// The paths of operators.
+// The paths of the operator API.
 const (
 	PathDrain   = "/drain"
 	PathExplain = "/explain/"
@@ -25,34 +25,34 @@
 	PathStatus  = "/status"
 )
 
-// A Status is what an instance says of itself and of its domain.
+// A Status describes an instance and its failure domain.
 type Status struct {
-	Instance    string         `json:"instance" yaml:"instance"`
-	Incarnation string         `json:"incarnation" yaml:"incarnation"`
-	Domain      string         `json:"domain" yaml:"domain"`
-	Ready       bool           `json:"ready" yaml:"ready"`
-	Leaving     bool           `json:"leaving" yaml:"leaving"`
-	Lease       bool           `json:"lease" yaml:"lease"` // whether it can be trusted now
-	Epoch       uint64         `json:"epoch" yaml:"epoch"`
-	Revision    uint64         `json:"revision" yaml:"revision"`
-	Since       time.Time      `json:"since" yaml:"since"`     // when the revision came into force here
-	Outage      bool           `json:"outage" yaml:"outage"`   // the table service does not answer
-	Blocked     int            `json:"blocked" yaml:"blocked"` // slots kept for an earlier owner
-	Sent        int64          `json:"sent" yaml:"sent"`       // bytes to peers so far
-	Memory      uint64         `json:"memory" yaml:"memory"`   // bytes of heap in use
-	Peers       []PeerStatus   `json:"peers" yaml:"peers"`
-	Runners     []monitor.View `json:"runners" yaml:"runners"`
-	Quarantine  []HeldStatus   `json:"quarantine" yaml:"quarantine"` // requests that are not run now
+	Instance    string                 `json:"instance" yaml:"instance"`
+	Incarnation string                 `json:"incarnation" yaml:"incarnation"`
+	Domain      string                 `json:"domain" yaml:"domain"`
+	Ready       bool                   `json:"ready" yaml:"ready"`
+	Leaving     bool                   `json:"leaving" yaml:"leaving"`
+	Lease       bool                   `json:"lease" yaml:"lease"` // whether the lease is valid now
+	Epoch       uint64                 `json:"epoch" yaml:"epoch"`
+	Revision    uint64                 `json:"revision" yaml:"revision"`
+	Since       time.Time              `json:"since" yaml:"since"`     // when the revision took effect here
+	Outage      bool                   `json:"outage" yaml:"outage"`   // the table service does not answer
+	Blocked     int                    `json:"blocked" yaml:"blocked"` // slots reserved for a previous owner
+	Sent        int64                  `json:"sent" yaml:"sent"`       // bytes to peers so far
+	Memory      uint64                 `json:"memory" yaml:"memory"`   // bytes of heap in use
+	Peers       []PeerStatus           `json:"peers" yaml:"peers"`
+	Runners     []monitor.RunnerStatus `json:"runners" yaml:"runners"`
+	Quarantine  []QuarantineStatus     `json:"quarantine" yaml:"quarantine"` // quarantined requests
 }
 
-// A HeldStatus is a request that is not run, as engines crashed that ran it.
-type HeldStatus struct {
+// A QuarantineStatus describes a request that is quarantined because engines that ran it crashed.
+type QuarantineStatus struct {
 	Digest  string    `json:"digest" yaml:"digest"`
 	Crashes int       `json:"crashes" yaml:"crashes"`
-	Until   time.Time `json:"until" yaml:"until"` // it is tried again then
+	Until   time.Time `json:"until" yaml:"until"` // end of the quarantine
 }
 
-// A PeerStatus is what an instance knows of another one.
+// A PeerStatus describes another instance as this one sees it.
 type PeerStatus struct {
 	Instance    string `json:"instance" yaml:"instance"`
 	Incarnation string `json:"incarnation" yaml:"incarnation"`
@@ -62,26 +62,26 @@
 	Revision    uint64 `json:"revision" yaml:"revision"`
 }
 
-// An Explanation is the way of one request.
+// An Explanation lists the routing steps of one request.
 type Explanation struct {
 	Request string            `json:"request" yaml:"request"`
 	Steps   []dispatcher.Step `json:"steps" yaml:"steps"`
 }
 
-// operate returns the operators' API.
-func (s *Server) operate() fasthttp.RequestHandler {
+// operatorHandler returns the handler of the operator API.
+func (s *Server) operatorHandler() fasthttp.RequestHandler {
 	r := router.New()
 	r.GET(PathLive, func(c *fasthttp.RequestCtx) { c.SetBodyString("live\n") })
 	r.GET(PathReady, s.ready)
 	r.GET(PathMetrics, s.metrics)
-	r.GET(PathStatus, s.guarded(func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, s.Status()) }))
-	r.GET(PathExplain+"{id}", s.guarded(s.explain))
-	r.POST(PathPreload+"{adapter}", s.guarded(s.preload))
-	r.POST(PathDrain, s.guarded(func(*fasthttp.RequestCtx) { s.Drain() }))
+	r.GET(PathStatus, s.requireOperator(func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, s.Status()) }))
+	r.GET(PathExplain+"{id}", s.requireOperator(s.explain))
+	r.POST(PathPreload+"{adapter}", s.requireOperator(s.preload))
+	r.POST(PathDrain, s.requireOperator(func(*fasthttp.RequestCtx) { s.Drain() }))
 	return r.Handler
 }
 
-// Ready reports whether the balancer should send requests here, and why not.
+// Ready reports whether the load balancer should send requests here, and the reason.
 func (s *Server) Ready() (bool, string) {
 	switch {
 	case s.stop.leaving():
@@ -93,7 +93,7 @@
 	}
 }
 
-// Status returns what this instance says of itself and its domain.
+// Status returns the status of this instance and its failure domain.
 func (s *Server) Status() Status {
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
@@ -105,8 +105,8 @@
 	status := Status{
 		Instance: s.Config.ID, Incarnation: s.Incarnation, Domain: s.Config.Domain, Ready: ready,
 		Leaving: s.stop.leaving(), Lease: s.Holder.Valid(now), Epoch: s.Holder.Epoch(),
-		Outage: s.outage.Load() != 0, Blocked: blocked, Sent: s.Mesh.Bytes(), Memory: memory.HeapInuse,
-		Runners: s.Fleet.Views(), Peers: []PeerStatus{}, Quarantine: s.quarantine.held(now),
+		Outage: s.tableFailedAt.Load() != 0, Blocked: blocked, Sent: s.Mesh.Bytes(), Memory: memory.HeapInuse,
+		Runners: s.Fleet.Views(), Peers: []PeerStatus{}, Quarantine: s.quarantine.quarantined(now),
 	}
 	if f := s.Watcher.Force(); f != nil {
 		status.Revision = f.Head.Revision
@@ -116,7 +116,7 @@
 		if i.Incarnation == s.Incarnation {
 			continue
 		}
-		beat := s.peerBeats[i.Incarnation]
+		beat := s.peerHeartbeats[i.Incarnation]
 		status.Peers = append(status.Peers, PeerStatus{
 			Instance: i.ID, Incarnation: i.Incarnation, Domain: i.Domain, Epoch: beat.Epoch, Revision: beat.Revision,
 			Health: string(s.Monitor.Health(i.Incarnation, now)),
@@ -135,8 +135,8 @@
 	listener.JSON(c, fasthttp.StatusOK, Explanation{Request: id, Steps: steps})
 }
 
-// guarded lets only operators in.
-func (s *Server) guarded(next fasthttp.RequestHandler) fasthttp.RequestHandler {
+// requireOperator rejects requests without the operator token.
+func (s *Server) requireOperator(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		want := "Bearer " + s.Token()
 		given := c.Request.Header.Peek(fasthttp.HeaderAuthorization)
--- a/internal/instance/server/answer.go
+++ b/internal/instance/server/peer.go
@@ -22,7 +22,7 @@
 	case relayer.Ask:
 		return s.answerAsk(ctx, &m.Call, reply)
 	case relayer.Commit:
-		return reply.Send(committed(s.Claimer.Gather(ctx, m.Txn)))
+		return reply.Send(commitResult(s.Claimer.Gather(ctx, m.Txn)))
 	case relayer.Fetch:
 		data, ok := s.Watcher.Object(m.Key)
 		if !ok {
@@ -40,7 +40,7 @@
 	case relayer.Preload:
 		return s.Driver.Preload(context.WithoutCancel(ctx), m.Runner, m.Adapter)
 	case relayer.Yield:
-		return reply.Send(s.yield(m))
+		return reply.Send(s.releaseRunner(m))
 	default:
 		return errors.Errorf("%s does not open a conversation: %T", from.ID, m)
 	}
@@ -51,39 +51,39 @@
 	now := time.Now()
 	s.mu.Lock()
 	s.Monitor.Beat(from, now)
-	s.peerBeats[from.Incarnation] = relayer.Beat{Epoch: beat.Epoch, Revision: beat.Revision, Leaving: beat.Leaving}
-	same := from.Domain == s.Config.Domain
-	later := false
-	if same {
+	s.peerHeartbeats[from.Incarnation] = relayer.Beat{Epoch: beat.Epoch, Revision: beat.Revision, Leaving: beat.Leaving}
+	sameDomain := from.Domain == s.Config.Domain
+	newerEpoch := false
+	if sameDomain {
 		s.Holder.Adopted(from.Incarnation, beat.Epoch)
 		s.Sharer.Peer(from.Incarnation, beat.Line, now)
-		later = beat.Epoch > s.Holder.Epoch()
+		newerEpoch = beat.Epoch > s.Holder.Epoch()
 	} else {
 		s.Sharer.Domain(from.Domain, beat.Line, now)
 	}
 	s.mu.Unlock()
-	if same {
-		s.Fleet.Hear(from.Incarnation, beat, now)
+	if sameDomain {
+		s.Fleet.Apply(from.Incarnation, beat, now)
 	}
-	if later {
+	if newerEpoch {
 		s.pollSoon()
 	}
 	if beat.Revision > s.Watcher.Revision() {
-		go s.catchUp(from.Address)
+		go s.syncSettings(from.Address)
 	}
 }
 
-// catchUpTime bounds how long one peer is asked for the settings.
-const catchUpTime = 5 * time.Second
+// syncSettingsTimeout bounds a request for the settings to one peer.
+const syncSettingsTimeout = 5 * time.Second
 
-func (s *Server) catchUp(address string) {
-	ctx, cancel := context.WithTimeout(context.Background(), catchUpTime)
+func (s *Server) syncSettings(address string) {
+	ctx, cancel := context.WithTimeout(context.Background(), syncSettingsTimeout)
 	defer cancel()
-	s.askSettings(ctx, address)
+	s.fetchSettings(ctx, address)
 }
 
-// answerAsk serves a call that a peer passed on: on the named runner, or
-// wherever this domain can.
+// answerAsk serves a call that a peer forwarded, on the named runner or, if none
+// is named, on any runner of this failure domain.
 func (s *Server) answerAsk(ctx context.Context, call *streamer.Call, reply *relayer.Reply) error {
 	call.Deadline = time.Now().Add(call.Left)
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
@@ -94,9 +94,10 @@
 	return s.Driver.Serve(ctx, call, replySink{reply})
 }
 
-// yield answers a later owner. Until this instance has adopted the roster epoch
-// that took the runner from it, it may still order.
-func (s *Server) yield(m relayer.Yield) relayer.Surrendered {
+// releaseRunner answers the next owner's request to release a runner. Until this
+// instance has adopted the roster epoch that reassigned the runner, it may still
+// send orders to it, so it does not confirm the release.
+func (s *Server) releaseRunner(m relayer.Yield) relayer.Surrendered {
 	s.mu.Lock()
 	adopted := s.Holder.Epoch() >= m.Epoch
 	s.mu.Unlock()
@@ -108,7 +109,7 @@
 	return relayer.Surrendered{Given: given, Pins: surrender.Pins, Doom: surrender.Doomed}
 }
 
-// A replySink passes an answer on to the instance that asked.
+// A replySink forwards a response to the instance that sent the call.
 type replySink struct{ reply *relayer.Reply }
 
 var _ streamer.Sink = replySink{}
@@ -166,7 +167,7 @@
 // Elsewhere implements dispatcher.Peers.
 func (s *Server) Elsewhere() []string {
 	var incarnations []string
-	for _, i := range s.neighbours(time.Now()) {
+	for _, i := range s.remotePeers(time.Now()) {
 		incarnations = append(incarnations, i.Incarnation)
 	}
 	return incarnations
@@ -179,26 +180,27 @@
 	return i.Address, ok
 }
 
-// Acts implements driver.Tenancy.
-func (s *Server) Acts(runner string) (uint64, bool) {
+// FencingToken implements driver.Ownership.
+func (s *Server) FencingToken(runner string) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Holder.Acts(runner, time.Now())
 }
 
-// Owns implements driver.Tenancy.
+// Owns implements driver.Ownership.
 func (s *Server) Owns(runner string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Holder.Owns(runner)
 }
 
-// May implements driver.Tenancy. With a lease that can be trusted an order may
-// go out. Without one it may only if the table has just been found not to
-// answer: nobody can have taken over through it, and what this instance holds
-// by handles stays its own even if somebody did (docs/design/custody.md). A
-// process that wakes from a pause fails both and looks at the table first.
-func (s *Server) May(runner string) bool {
+// MayOrder implements driver.Ownership. Orders may be sent under a valid lease. Without
+// one they may be sent only if the table service has just failed to answer: no
+// other instance can have taken over through it, and the adapters that this
+// instance loaded under its own handles stay its own even if one did
+// (docs/design/custody.md). A process that resumes after a pause meets neither
+// condition and has to poll the table first.
+func (s *Server) MayOrder(runner string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
@@ -208,28 +210,28 @@
 	if s.Holder.Valid(now) {
 		return true
 	}
-	failed := s.outage.Load()
+	failed := s.tableFailedAt.Load()
 	return failed != 0 && now.Sub(time.Unix(0, failed)) < 4*s.Config.Poll
 }
 
-// Parties implements driver.Tenancy.
-func (s *Server) Parties() []string {
+// PreviousOwners implements driver.Ownership.
+func (s *Server) PreviousOwners() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Holder.Parties()
 }
 
-// Cleared implements driver.Tenancy.
-func (s *Server) Cleared(ctx context.Context, party, runner string) (keeper.Surrender, bool) {
+// RequestRelease implements driver.Ownership.
+func (s *Server) RequestRelease(ctx context.Context, owner, runner string) (keeper.Surrender, bool) {
 	s.mu.Lock()
 	epoch := s.Holder.Epoch()
-	_, member := s.Holder.Roster().Member(party)
-	gone := !member && s.Monitor.Gone(party, time.Now())
+	_, onRoster := s.Holder.Roster().Member(owner)
+	terminated := !onRoster && s.Monitor.Gone(owner, time.Now())
 	s.mu.Unlock()
-	if gone {
+	if terminated {
 		return keeper.Surrender{}, true
 	}
-	address, ok := s.address(party)
+	address, ok := s.address(owner)
 	if !ok {
 		return keeper.Surrender{}, false
 	}
@@ -241,25 +243,25 @@
 	}
 	defer c.Close()
 	m, err := c.Next(ctx)
-	surrendered, ok := m.(relayer.Surrendered)
-	if err != nil || !ok || !surrendered.Given {
+	released, ok := m.(relayer.Surrendered)
+	if err != nil || !ok || !released.Given {
 		return keeper.Surrender{}, false
 	}
-	return surrendered.Surrender(), true
+	return released.Surrender(), true
 }
 
-// Addresses returns the peer addresses of the other instances, those of this
-// domain first.
-func (s *Server) Addresses() []string {
+// PeerAddresses returns the peer addresses of the other instances, those of this
+// failure domain first.
+func (s *Server) PeerAddresses() []string {
 	now := time.Now()
 	var addresses []string
-	for _, i := range append(s.peers(now), s.neighbours(now)...) {
+	for _, i := range append(s.peers(now), s.remotePeers(now)...) {
 		addresses = append(addresses, i.Address)
 	}
 	return addresses
 }
 
-// Gone reports whether an incarnation's process runs no more.
+// Gone reports whether the process of an incarnation has terminated.
 func (s *Server) Gone(incarnation string) bool {
 	if incarnation == s.Incarnation {
 		return false
--- a/internal/instance/server/permit.go
+++ b/internal/instance/server/permit.go
@@ -12,43 +12,43 @@
 
 var _ driver.Permits = (*Server)(nil)
 
-// permits is the allocator of the deployment, as far as this instance is the
-// one that runs it. It is guarded by the server's lock.
-type permits struct {
+// permitAllocator is the load permit allocator of the deployment. It is used only while
+// this instance is the one that grants permits, and is guarded by the server's lock.
+type permitAllocator struct {
 	loader.Allocator
 
-	granted map[uint64]chan struct{} // of bids that wait
-	next    uint64
+	pending map[uint64]chan struct{} // by request ID; closed when the permit is granted
+	lastID  uint64
 }
 
-// loadsOut is after how many times a load's usual time a permit runs out.
-const loadsOut = 5
+// permitLifetimeLoads is the lifetime of a permit in multiples of the expected load time.
+const permitLifetimeLoads = 5
 
 // Acquire implements driver.Permits.
 func (s *Server) Acquire(ctx context.Context, value float64) (release func(), ok bool) {
-	bid, limited := s.bid(value)
+	request, limited := s.permitRequest(value)
 	if !limited {
 		return func() {}, true
 	}
-	address, remote := s.allocating(time.Now())
+	address, remote := s.allocatorAddress(time.Now())
 	if !remote {
-		return s.acquireHere(ctx, bid), true
+		return s.acquireLocal(ctx, request), true
 	}
-	c, err := s.Mesh.Open(ctx, address, bid)
+	c, err := s.Mesh.Open(ctx, address, request)
 	if err != nil {
 		return nil, false
 	}
 	m, err := c.Next(ctx)
 	if _, granted := m.(relayer.Granted); err != nil || !granted {
 		c.Close()
-		return nil, ctx.Err() != nil // still in line, or the allocator has gone
+		return nil, ctx.Err() != nil // still queued, or the allocator has failed
 	}
 	return c.Close, true
 }
 
-// bid returns a bid with the limits of the settings in force, or false if there
-// are none.
-func (s *Server) bid(value float64) (relayer.Permit, bool) {
+// permitRequest returns a permit request with the limits of the settings in force, or
+// false if there are none.
+func (s *Server) permitRequest(value float64) (relayer.Permit, bool) {
 	force := s.Watcher.Force()
 	if force == nil {
 		return relayer.Permit{}, false
@@ -57,14 +57,14 @@
 	if w.Rate <= 0 {
 		return relayer.Permit{}, false
 	}
-	together := max(1, w.Together)
-	usual := time.Duration(float64(together) / w.Rate * float64(time.Second))
-	return relayer.Permit{Value: value, Together: together, Time: loadsOut*usual + s.Config.Beat}, true
+	concurrent := max(1, w.Together)
+	loadTime := time.Duration(float64(concurrent) / w.Rate * float64(time.Second))
+	return relayer.Permit{Value: value, Together: concurrent, Time: permitLifetimeLoads*loadTime + s.Config.Beat}, true
 }
 
-// allocating returns the address of the instance that hands out permits, or
-// false if that is this one: the first live one by its ID.
-func (s *Server) allocating(now time.Time) (string, bool) {
+// allocatorAddress returns the address of the instance that grants permits, or false if
+// that is this instance. It is the first by ID that is neither suspect nor draining.
+func (s *Server) allocatorAddress(now time.Time) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, i := range s.Monitor.Instances(now) {
@@ -79,22 +79,22 @@
 	return "", false
 }
 
-// acquireHere waits for a permit of the own allocator. It returns nil if there
-// was none within ctx.
-func (s *Server) acquireHere(ctx context.Context, bid relayer.Permit) func() {
-	id, granted := s.enterBid(bid)
+// acquireLocal waits for a permit of the local allocator. It returns nil if ctx ends
+// first.
+func (s *Server) acquireLocal(ctx context.Context, request relayer.Permit) func() {
+	id, granted := s.enqueuePermit(request)
 	select {
 	case <-granted:
-		return func() { s.endBid(id) }
+		return func() { s.releasePermit(id) }
 	case <-ctx.Done():
-		s.endBid(id)
+		s.releasePermit(id)
 		return nil
 	}
 }
 
-// answerPermit hands a permit to a peer for as long as its conversation lasts.
-func (s *Server) answerPermit(ctx context.Context, bid relayer.Permit, reply *relayer.Reply) error {
-	release := s.acquireHere(ctx, bid)
+// answerPermit grants a permit to a peer for as long as its conversation is open.
+func (s *Server) answerPermit(ctx context.Context, request relayer.Permit, reply *relayer.Reply) error {
+	release := s.acquireLocal(ctx, request)
 	if release == nil {
 		return ctx.Err()
 	}
@@ -102,46 +102,46 @@
 	if err := reply.Send(relayer.Granted{}); err != nil {
 		return err
 	}
-	<-ctx.Done() // the peer has closed the conversation, or its link has failed
+	<-ctx.Done() // the peer closes the conversation, or its link fails
 	return nil
 }
 
-func (s *Server) enterBid(bid relayer.Permit) (uint64, <-chan struct{}) {
+func (s *Server) enqueuePermit(request relayer.Permit) (uint64, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	p := &s.permits
-	if p.granted == nil {
-		p.granted = make(map[uint64]chan struct{})
+	if p.pending == nil {
+		p.pending = make(map[uint64]chan struct{})
 	}
-	p.Together = bid.Together
-	p.Time = bid.Time
-	p.next++
-	p.granted[p.next] = make(chan struct{})
-	granted := p.granted[p.next]
-	p.Bid(p.next, bid.Value, time.Now())
-	s.grantBids()
-	return p.next, granted
+	p.Together = request.Together
+	p.Time = request.Time
+	p.lastID++
+	p.pending[p.lastID] = make(chan struct{})
+	granted := p.pending[p.lastID]
+	p.Bid(p.lastID, request.Value, time.Now())
+	s.grantPermits()
+	return p.lastID, granted
 }
 
-func (s *Server) endBid(id uint64) {
+func (s *Server) releasePermit(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.permits.Done(id)
-	delete(s.permits.granted, id)
-	s.grantBids()
+	delete(s.permits.pending, id)
+	s.grantPermits()
 }
 
-// grantBids tells the bids that are granted now.
-func (s *Server) grantBids() {
+// grantPermits signals the permit requests that are granted now.
+func (s *Server) grantPermits() {
 	for _, id := range s.permits.Grant(time.Now()) {
-		close(s.permits.granted[id])
-		delete(s.permits.granted, id)
+		close(s.permits.pending[id])
+		delete(s.permits.pending, id)
 	}
 }
 
-// tidyBids grants what permits that ran out have left.
-func (s *Server) tidyBids() {
+// grantFreedPermits grants the permits that were freed by the expiry of others.
+func (s *Server) grantFreedPermits() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.grantBids()
+	s.grantPermits()
 }
--- a/internal/instance/server/poll.go
+++ b/internal/instance/server/poll.go
@@ -14,7 +14,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// The rows of a failure domain. All are under one prefix, so that one scan
+// The keys of the rows of a failure domain. All have one prefix, so that one scan
 // reads the roster, the leases and the drains.
 const (
 	drainInfix  = "/drain/"
@@ -25,7 +25,7 @@
 // DomainPrefix returns the prefix of a failure domain's rows.
 func DomainPrefix(domain string) string { return "domain/" + domain }
 
-// DrainKey returns the row that drains an upstream.
+// DrainKey returns the key of the row that drains an upstream.
 func DrainKey(domain, upstream string) string { return DomainPrefix(domain) + drainInfix + upstream }
 
 func (s *Server) pollLoop(ctx context.Context) {
@@ -35,7 +35,7 @@
 	})
 }
 
-// pollSoon makes the poll loop look at the table at once.
+// pollSoon wakes the poll loop.
 func (s *Server) pollSoon() {
 	select {
 	case s.pollNow <- struct{}{}:
@@ -43,13 +43,13 @@
 	}
 }
 
-// poll reads the domain's rows and carries out what the lease needs.
+// poll reads the rows of the failure domain and executes the actions that keep the lease.
 func (s *Server) poll(ctx context.Context) {
 	rows, err := s.Table.Scan(ctx, DomainPrefix(s.Config.Domain)+"/")
-	s.reached(err)
+	s.recordTableCall(err)
 	if err == nil {
-		s.takeRows(rows, time.Now())
-		s.takeKept(rows, time.Now())
+		s.applyRows(rows, time.Now())
+		s.applyCrashRows(rows, time.Now())
 		s.writeCrashes(ctx)
 	}
 	s.mu.Lock()
@@ -66,18 +66,18 @@
 	}
 }
 
-// reached notes whether the table answers. While it does not, a lease that
-// lapses is no sign that another instance took over.
-func (s *Server) reached(err error) {
+// recordTableCall records whether the table service answered. While it does not, an
+// expired lease does not mean that another instance has taken over.
+func (s *Server) recordTableCall(err error) {
 	if err == nil {
-		s.outage.Store(0)
+		s.tableFailedAt.Store(0)
 		return
 	}
-	s.outage.Store(time.Now().UnixNano())
-	s.count("sardinetiller_platform_failures_total", "table")
+	s.tableFailedAt.Store(time.Now().UnixNano())
+	s.countReason("sardinetiller_platform_failures_total", "table")
 }
 
-func (s *Server) takeRows(rows []tabler.Row, now time.Time) {
+func (s *Server) applyRows(rows []tabler.Row, now time.Time) {
 	var leases []leaser.Lease
 	drains := make(map[string]bool)
 	s.mu.Lock()
@@ -89,10 +89,10 @@
 		switch {
 		case strings.HasSuffix(row.Key, rosterInfix):
 			s.rosterRow = row
-			s.warnIf("roster row", encoder.Unmarshal(row.Value, &roster))
+			s.warnUndecodable("roster row", encoder.Unmarshal(row.Value, &roster))
 		case strings.Contains(row.Key, leaseInfix):
 			var l leaser.Lease
-			s.warnIf("lease row", encoder.Unmarshal(row.Value, &l))
+			s.warnUndecodable("lease row", encoder.Unmarshal(row.Value, &l))
 			s.leases[l.Incarnation] = row
 			leases = append(leases, l)
 		case strings.Contains(row.Key, drainInfix):
@@ -101,20 +101,21 @@
 	}
 	s.Holder.See(roster, now)
 	s.Holder.Observe(leases, now)
-	s.takeDrains(drains)
+	s.applyDrains(drains)
 }
 
-// renew writes the own lease row if it is as last written. A lost answer is
-// settled by reading the row back: only this instance writes its serial.
+// renew writes this instance's lease row if it has not changed since the last scan.
+// If the commit fails or its response is lost, the row is read back: only this
+// instance writes that serial number.
 func (s *Server) renew(ctx context.Context, a leaser.Renew) {
 	s.mu.Lock()
 	row, ok := s.leases[s.Incarnation]
 	s.mu.Unlock()
 	if !ok {
-		s.settleRenewal(ctx, a, time.Now())
+		s.confirmRenewal(ctx, a, time.Now())
 		return
 	}
-	asked := time.Now()
+	sent := time.Now()
 	value, err := encoder.Marshal(a.Lease)
 	if err != nil {
 		return
@@ -125,16 +126,16 @@
 	})
 	if err == nil {
 		s.mu.Lock()
-		s.Holder.Renewed(asked)
+		s.Holder.Renewed(sent)
 		s.mu.Unlock()
 		return
 	}
-	s.settleRenewal(ctx, a, asked)
+	s.confirmRenewal(ctx, a, sent)
 }
 
-func (s *Server) settleRenewal(ctx context.Context, a leaser.Renew, asked time.Time) {
+func (s *Server) confirmRenewal(ctx context.Context, a leaser.Renew, sent time.Time) {
 	row, err := s.Table.Get(ctx, s.leaseKey(s.Incarnation))
-	s.reached(err)
+	s.recordTableCall(err)
 	if err != nil {
 		return
 	}
@@ -143,41 +144,41 @@
 	var stored leaser.Lease
 	switch {
 	case row.Version == 0:
-		_ = level.Warn(s.Logger).Log("msg", "taken off the roster; joining anew")
+		_ = level.Warn(s.Logger).Log("msg", "removed from the roster; rejoining")
 		s.Holder.Removed()
 	case encoder.Unmarshal(row.Value, &stored) == nil && stored.Serial == a.Lease.Serial:
-		s.Holder.Renewed(asked)
+		s.Holder.Renewed(sent)
 	}
 }
 
-// propose writes the next roster. One that lost a race, or whose answer was
-// lost, changes nothing here: the next scan shows what is in force.
+// propose writes the next roster. If the commit conflicts or its response is lost,
+// nothing changes here: the next scan reads the roster in force.
 func (s *Server) propose(ctx context.Context, a leaser.Propose) {
 	txn, err := s.proposal(a)
 	if err != nil {
 		return
 	}
-	asked := time.Now()
+	sent := time.Now()
 	err = s.Table.Commit(ctx, txn)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
 		s.Holder.See(a.Roster, time.Now())
 		if a.Lease != nil {
-			s.Holder.Renewed(asked)
+			s.Holder.Renewed(sent)
 		}
 		s.pollSoon()
 		return
 	}
 	var conflict *tabler.ConflictError
 	if errors.As(err, &conflict) {
-		s.count("sardinetiller_roster_conflicts_total", "race")
+		s.countReason("sardinetiller_roster_conflicts_total", "race")
 		s.pollSoon()
 	}
 }
 
-// proposal returns the transaction of a proposal. It fails if a row that it
-// depends on is not as the decision saw it.
+// proposal returns the transaction of a proposal. It fails if a lease that the
+// proposal drops has been renewed since the decision.
 func (s *Server) proposal(a leaser.Propose) (tabler.Txn, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -196,9 +197,9 @@
 		if d.Incarnation == s.Incarnation {
 			continue
 		}
-		var seen leaser.Lease
-		if row.Version != 0 && (encoder.Unmarshal(row.Value, &seen) != nil || seen.Serial != d.Serial) {
-			return tabler.Txn{}, errors.New("a member has renewed its lease meanwhile")
+		var current leaser.Lease
+		if row.Version != 0 && (encoder.Unmarshal(row.Value, &current) != nil || current.Serial != d.Serial) {
+			return tabler.Txn{}, errors.New("a member renewed its lease after the proposal was made")
 		}
 		txn.Checks = append(txn.Checks, tabler.Check{Key: s.leaseKey(d.Incarnation), Version: row.Version})
 	}
@@ -216,7 +217,7 @@
 	return DomainPrefix(s.Config.Domain) + leaseInfix + incarnation
 }
 
-func (s *Server) takeDrains(drains map[string]bool) {
+func (s *Server) applyDrains(drains map[string]bool) {
 	s.drains = drains
 	names := make([]string, 0, len(drains))
 	for name := range drains {
@@ -225,19 +226,19 @@
 	s.Fleet.Drain(names)
 }
 
-// Drained reports whether operators drain an upstream.
+// Drained reports whether an operator drains the upstream.
 func (s *Server) Drained(upstream string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.drains[upstream]
 }
 
-func (s *Server) warnIf(what string, err error) {
+func (s *Server) warnUndecodable(what string, err error) {
 	if err != nil {
 		_ = level.Warn(s.Logger).Log("msg", "unreadable", "what", what, "err", err)
 	}
 }
 
-func (s *Server) count(name, reason string) {
+func (s *Server) countReason(name, reason string) {
 	s.Metrics.GetOrCreateCounter(name + `{reason="` + reason + `"}`).Inc()
 }
--- a/internal/instance/server/preload.go
+++ b/internal/instance/server/preload.go
@@ -9,14 +9,14 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A Preloaded says on which runner an adapter is being loaded ahead.
+// A Preloaded names the runner on which an adapter is preloaded.
 type Preloaded struct {
 	Adapter string `json:"adapter" yaml:"adapter"`
 	Runner  string `json:"runner" yaml:"runner"`
 }
 
-// preload answers an operator who wants an adapter loaded before it is asked
-// for, on the runner that a request for it would go to.
+// preload handles an operator's request to preload an adapter, on the runner to
+// which a request for it would be routed.
 func (s *Server) preload(c *fasthttp.RequestCtx) {
 	adapter, _ := c.UserValue("adapter").(string)
 	force := s.Force()
@@ -34,14 +34,14 @@
 		c.Error("no runner of service "+declared.Service+" can serve here", fasthttp.StatusServiceUnavailable)
 		return
 	}
-	if err := s.loadAhead(c, step.Owner, step.Runner, adapter); err != nil {
+	if err := s.preloadOn(c, step.Owner, step.Runner, adapter); err != nil {
 		c.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 		return
 	}
 	listener.JSON(c, fasthttp.StatusOK, Preloaded{Adapter: adapter, Runner: step.Runner})
 }
 
-func (s *Server) loadAhead(ctx context.Context, owner, runner, adapter string) error {
+func (s *Server) preloadOn(ctx context.Context, owner, runner, adapter string) error {
 	ctx = context.WithoutCancel(ctx)
 	if owner == s.Incarnation {
 		return s.Driver.Preload(ctx, runner, adapter)
--- a/internal/instance/server/quarantine.go
+++ b/internal/instance/server/quarantine.go
@@ -14,28 +14,29 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/streamer"
 )
 
-// retellFor is how long what is known of a crash is told with each beat: a peer that was
-// not reached may be reached again.
-const retellFor = 10 * time.Second
+// crashReportRepeat is how long a crash report is repeated with each heartbeat, for peers
+// that were temporarily unreachable.
+const crashReportRepeat = 10 * time.Second
 
-// A quarantine is what this instance knows of requests that crash engines. All instances
-// of a domain tell each other, and one of each other domain, which tells its own.
+// A quarantine holds this instance's records of requests that crash engines. An instance
+// sends its crash reports to all instances of its failure domain and to one of each other
+// domain, which relays them in its own.
 type quarantine struct {
 	ledger quarantiner.Ledger
 
-	mu     sync.Mutex
-	recent map[quarantiner.Crash]time.Time // told with each beat, and since when
-	rows   map[quarantiner.Crash]bool      // of the table, to be written or (true) dropped
-	kept   map[quarantiner.Crash]bool      // in the table
+	mu            sync.Mutex
+	repeatedSince map[quarantiner.Crash]time.Time // reports repeated with each heartbeat, and since when
+	queuedRows    map[quarantiner.Crash]bool      // rows to be written or, if true, deleted
+	stored        map[quarantiner.Crash]bool      // crashes whose row is in the table
 }
 
 // Crashed implements driver.Quarantine.
 func (s *Server) Crashed(engine string, requests map[quarantiner.Digest]time.Duration) {
-	var words []quarantiner.Word
+	var reports []quarantiner.Word
 	for d, ran := range requests {
-		words = append(words, quarantiner.Word{Digest: d, Runner: engine, Ran: ran})
+		reports = append(reports, quarantiner.Word{Digest: d, Runner: engine, Ran: ran})
 	}
-	s.spread(s.takeWords(words, "self"))
+	s.publishCrashReports(s.applyCrashReports(reports, "self"))
 }
 
 // Held implements driver.Quarantine and dispatcher.Quarantine.
@@ -55,91 +56,91 @@
 	if s.quarantine.ledger.Empty() {
 		return
 	}
-	s.spread(s.quarantine.ledger.Clear(call.Digest(), time.Now()))
+	s.publishCrashReports(s.quarantine.ledger.Clear(call.Digest(), time.Now()))
 }
 
 // HeardCrashes implements relayer.Suspecter.
 func (s *Server) HeardCrashes(from heartbeater.Instance, c relayer.Crashes) {
-	news := s.takeWords(c.Words, from.ID)
+	reports := s.applyCrashReports(c.Words, from.ID)
 	if from.Domain != s.Config.Domain {
-		s.spread(news)
+		s.publishCrashReports(reports)
 	}
 }
 
-// held returns the requests in quarantine.
-func (q *quarantine) held(now time.Time) []HeldStatus {
-	held := []HeldStatus{}
+// quarantined returns the quarantined requests.
+func (q *quarantine) quarantined(now time.Time) []QuarantineStatus {
+	list := []QuarantineStatus{}
 	for _, c := range q.ledger.Cases() {
 		if now.Before(c.Until) {
-			held = append(held, HeldStatus{Digest: string(c.Digest), Crashes: c.Crashes, Until: c.Until})
+			list = append(list, QuarantineStatus{Digest: string(c.Digest), Crashes: c.Crashes, Until: c.Until})
 		}
 	}
-	return held
+	return list
 }
 
-// takeWords takes in words and returns those that were news.
-func (s *Server) takeWords(words []quarantiner.Word, from string) []quarantiner.Word {
-	news := s.quarantine.ledger.Take(words, time.Now())
-	for _, w := range news {
+// applyCrashReports applies crash reports and returns those that were new.
+func (s *Server) applyCrashReports(reports []quarantiner.Word, from string) []quarantiner.Word {
+	newReports := s.quarantine.ledger.Take(reports, time.Now())
+	for _, w := range newReports {
 		left, held := s.quarantine.ledger.Held(w.Digest, time.Now())
 		_ = level.Info(s.Logger).Log("msg", "request suspected", "digest", w.Digest, "engine", w.Runner, "cleared", w.Cleared,
 			"from", from, "held", held, "for", left)
 	}
-	s.Metrics.GetOrCreateCounter("sardinetiller_suspected_total").Add(len(news))
-	return news
+	s.Metrics.GetOrCreateCounter("sardinetiller_suspected_total").Add(len(newReports))
+	return newReports
 }
 
-// spread tells and keeps what was seen here, or comes from another failure domain, whose
-// rows nobody reads here. What a peer of the domain tells or the table has is known to
-// the others by the same way; told on by each, one crash would cost messages with the
-// square of the instances.
-func (s *Server) spread(news []quarantiner.Word) {
-	if len(news) == 0 {
+// publishCrashReports publishes and stores crash reports that were observed here or come
+// from another failure domain, whose rows are not read here. Reports from a peer of this
+// domain or from the table reach the other instances directly; if each instance relayed
+// them, one crash would cost a number of messages quadratic in the number of instances.
+func (s *Server) publishCrashReports(reports []quarantiner.Word) {
+	if len(reports) == 0 {
 		return
 	}
-	s.quarantine.tell(news)
-	s.keepWords(news)
-	go s.tellCrashes(context.Background(), time.Now())
+	s.quarantine.scheduleReports(reports)
+	s.storeCrashReports(reports)
+	go s.sendCrashReports(context.Background(), time.Now())
 }
 
-// tell has words told with the beats to come.
-func (q *quarantine) tell(words []quarantiner.Word) {
+// scheduleReports schedules crash reports for the next heartbeats.
+func (q *quarantine) scheduleReports(reports []quarantiner.Word) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.recent == nil {
-		q.recent = make(map[quarantiner.Crash]time.Time)
+	if q.repeatedSince == nil {
+		q.repeatedSince = make(map[quarantiner.Crash]time.Time)
 	}
-	for _, w := range words {
-		q.recent[w.Crash()] = time.Now()
+	for _, w := range reports {
+		q.repeatedSince[w.Crash()] = time.Now()
 	}
 }
 
-// words returns what is to be told now.
-func (q *quarantine) words(now time.Time) []quarantiner.Word {
+// scheduledReports returns the crash reports to send now.
+func (q *quarantine) scheduledReports(now time.Time) []quarantiner.Word {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var words []quarantiner.Word
-	for c, since := range q.recent {
+	var reports []quarantiner.Word
+	for c, since := range q.repeatedSince {
 		w, ok := q.ledger.Word(c, now)
-		if !ok || now.Sub(since) > retellFor {
-			delete(q.recent, c)
+		if !ok || now.Sub(since) > crashReportRepeat {
+			delete(q.repeatedSince, c)
 			continue
 		}
-		words = append(words, w)
+		reports = append(reports, w)
 	}
-	return words
+	return reports
 }
 
-// tellCrashes tells peers and neighbours what is known of crashes.
-func (s *Server) tellCrashes(ctx context.Context, now time.Time) {
-	for _, old := range s.quarantine.ledger.Expire(now) {
-		s.quarantine.want(old, true)
+// sendCrashReports sends the scheduled crash reports to the instances that receive heartbeats.
+func (s *Server) sendCrashReports(ctx context.Context, now time.Time) {
+	for _, expired := range s.quarantine.ledger.Expire(now) {
+		s.quarantine.queueRow(expired, true)
 	}
-	words := s.quarantine.words(now)
-	if len(words) == 0 {
+	reports := s.quarantine.scheduledReports(now)
+	if len(reports) == 0 {
 		return
 	}
-	for _, peer := range append(s.peers(now), s.neighbours(now)...) {
-		go func() { _ = s.Mesh.Tell(ctx, peer.Address, relayer.Crashes{Words: words}) }() // the next beat tries again
+	for _, peer := range append(s.peers(now), s.remotePeers(now)...) {
+		go func() { _ = s.Mesh.Tell(ctx, peer.Address, relayer.Crashes{Words: reports}) }() // retried with the next heartbeat
 	}
 }
--- a/internal/instance/server/quarantine_test.go
+++ b/internal/instance/server/quarantine_test.go
@@ -13,34 +13,35 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
 )
 
-// An engine crashes and its owner tells all 41 instances of the domain. If each of them
-// told all others in turn, with each beat for ten seconds, one crash would be 16,000
-// messages. Only who saw it tells its domain, and who was told from another one.
-func TestWordsOfCrashesAreRetoldOnce(t *testing.T) {
-	word := quarantiner.Word{Digest: "d", Runner: "engine-1"}
+// The owner of an engine reports its crash to all 41 instances of the failure domain. If
+// each of them relayed it to all others with each heartbeat for ten seconds, one crash
+// would cost 16,000 messages. So only the instance that observed the crash, or received
+// the report from another domain, sends it to its own domain.
+func TestCrashReportsAreRelayedOnce(t *testing.T) {
+	report := quarantiner.Word{Digest: "d", Runner: "engine-1"}
 	for _, tc := range []struct {
-		name string
-		hear func(s *Server)
-		want int // words to be told with the next beat
+		name    string
+		receive func(s *Server)
+		want    int // crash reports sent with the next heartbeat
 	}{
-		{"seen here", func(s *Server) { s.Crashed(word.Runner, map[quarantiner.Digest]time.Duration{word.Digest: 0}) }, 1},
-		{"told by a peer of the domain", func(s *Server) {
-			s.HeardCrashes(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Crashes{Words: []quarantiner.Word{word}})
+		{"observed here", func(s *Server) { s.Crashed(report.Runner, map[quarantiner.Digest]time.Duration{report.Digest: 0}) }, 1},
+		{"received from a peer of the domain", func(s *Server) {
+			s.HeardCrashes(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Crashes{Words: []quarantiner.Word{report}})
 		}, 0},
-		{"told from another domain", func(s *Server) {
-			s.HeardCrashes(heartbeater.Instance{ID: "b-1", Domain: "b"}, relayer.Crashes{Words: []quarantiner.Word{word}})
+		{"received from another domain", func(s *Server) {
+			s.HeardCrashes(heartbeater.Instance{ID: "b-1", Domain: "b"}, relayer.Crashes{Words: []quarantiner.Word{report}})
 		}, 1},
-		{"read in the table", func(s *Server) { s.takeWords([]quarantiner.Word{word}, fromTable) }, 0},
+		{"read from the table", func(s *Server) { s.applyCrashReports([]quarantiner.Word{report}, sourceTable) }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &Server{Logger: log.NewNopLogger(), Metrics: metrics.NewSet(), Monitor: &heartbeater.Monitor{}}
 			s.Config.Domain = "a"
-			tc.hear(s)
-			if diff := cmp.Diff(tc.want, len(s.quarantine.words(time.Now()))); diff != "" {
+			tc.receive(s)
+			if diff := cmp.Diff(tc.want, len(s.quarantine.scheduledReports(time.Now()))); diff != "" {
 				t.Error(diff)
 			}
 			if s.quarantine.ledger.Empty() {
-				t.Error("the word was not taken in")
+				t.Error("the crash report was not recorded")
 			}
 		})
 	}
--- a/internal/instance/server/server.go
+++ b/internal/instance/server/server.go
@@ -31,8 +31,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A Server is one entry instance. Its fields are set before Run; the composer
-// package does that.
+// A Server is one instance. The composer package sets its fields before Run.
 type Server struct {
 	Answerer    *answerer.Answerer
 	Claimer     *claimer.Claimer
@@ -50,47 +49,47 @@
 	Monitor     *heartbeater.Monitor // guarded by mu
 	Sharer      *loader.Sharer       // guarded by mu
 	Table       tabler.Table
-	TLS         *tls.Config   // for links that peers dial; nil for none
-	Token       func() string // operators' key; empty for none
+	TLS         *tls.Config   // for incoming links from peers; nil for none
+	Token       func() string // operator token; empty for none
 	Watcher     *watcher.Watcher
 
-	declared   atomic.Uint64 // revision whose upstreams the driver has
-	drains     map[string]bool
-	leases     map[string]tabler.Row // by incarnation, as last scanned; guarded by mu
-	links      map[string]linkState  // by address
-	looked     time.Time             // for silent peers; of the loop of beats
-	mu         sync.Mutex
-	outage     atomic.Int64 // unix nanoseconds of the last failed look at the table; 0 after a good one
-	permits    permits      // guarded by mu
-	peerBeats  map[string]relayer.Beat
-	pollNow    chan struct{}
-	quarantine quarantine
-	rosterRow  tabler.Row // as last scanned; guarded by mu
-	stop       stopState
+	declaredRevision    atomic.Uint64 // revision whose upstreams are declared to the fleet
+	drains              map[string]bool
+	leases              map[string]tabler.Row // by incarnation, as last scanned; guarded by mu
+	linkStates          map[string]linkState  // by address
+	unresponsiveChecked time.Time             // last check for unresponsive peers; used by the heartbeat loop only
+	mu                  sync.Mutex
+	tableFailedAt       atomic.Int64    // Unix nanoseconds of the last failed call to the table service; 0 after a successful one
+	permits             permitAllocator // guarded by mu
+	peerHeartbeats      map[string]relayer.Beat
+	pollNow             chan struct{}
+	quarantine          quarantine
+	rosterRow           tabler.Row // as last scanned; guarded by mu
+	stop                stopState
 }
 
-// Listeners are the sockets of an instance.
+// Listeners are the listening sockets of an instance.
 type Listeners struct {
 	Caller   net.Listener
 	Operator net.Listener
 	Peer     net.Listener
 }
 
-// driveEvery is how often the owned runners are looked after.
-const driveEvery = 200 * time.Millisecond
+// driveInterval is how often the runners are updated.
+const driveInterval = 200 * time.Millisecond
 
-// Run serves until ctx ends, then leaves gracefully: it cuts off no request
-// that ends within the drain time.
+// Run serves until ctx ends, then stops gracefully: requests that end within the
+// drain time are not interrupted.
 func (s *Server) Run(ctx context.Context) error {
 	s.pollNow = make(chan struct{}, 1)
-	s.links = make(map[string]linkState)
+	s.linkStates = make(map[string]linkState)
 	s.leases = make(map[string]tabler.Row)
-	s.peerBeats = make(map[string]relayer.Beat)
-	s.gauges()
+	s.peerHeartbeats = make(map[string]relayer.Beat)
+	s.registerGauges()
 	work, cancel := context.WithCancel(context.WithoutCancel(ctx))
 	defer cancel()
 	var loops sync.WaitGroup
-	for _, loop := range []func(context.Context){s.pollLoop, s.listLoop, s.beatLoop, s.driveLoop, s.Claimer.Run} {
+	for _, loop := range []func(context.Context){s.pollLoop, s.listLoop, s.heartbeatLoop, s.driveLoop, s.Claimer.Run} {
 		loops.Go(func() { loop(work) })
 	}
 	failed := s.listen(work, &loops)
@@ -100,28 +99,28 @@
 	select {
 	case err = <-failed:
 	case <-ctx.Done():
-		s.leave(work)
+		s.stopGracefully(work)
 	}
 	cancel()
 	loops.Wait()
-	s.farewell()
+	s.announceStop()
 	_ = level.Info(s.Logger).Log("msg", "stopped")
 	return err
 }
 
-// farewellTime bounds how long the platform is told that the instance has
-// ended. Without it the list finds out from the end of the process.
-const farewellTime = time.Second
+// announceStopTimeout bounds the announcement to the platform that the instance has
+// stopped. If it fails, the list learns of the stop from the end of the process.
+const announceStopTimeout = time.Second
 
-func (s *Server) farewell() {
-	ctx, cancel := context.WithTimeout(context.Background(), farewellTime)
+func (s *Server) announceStop() {
+	ctx, cancel := context.WithTimeout(context.Background(), announceStopTimeout)
 	defer cancel()
 	if err := s.announce(ctx, true); err != nil {
-		s.count("sardinetiller_platform_failures_total", "list")
+		s.countReason("sardinetiller_platform_failures_total", "list")
 	}
 }
 
-// listen serves the three sockets until ctx ends.
+// listen serves the caller, peer and operator sockets until ctx ends.
 func (s *Server) listen(ctx context.Context, loops *sync.WaitGroup) <-chan error {
 	peers := router.New()
 	peers.GET(relayer.Path, s.Mesh.Serve)
@@ -133,7 +132,7 @@
 	for _, server := range []listener.Server{
 		{Handler: s.Answerer.Handler(), Listener: s.Listeners.Caller, Refuse: s.Answerer.Unreadable},
 		{Handler: peers.Handler, Listener: peerListener},
-		{Handler: s.operate(), Listener: s.Listeners.Operator},
+		{Handler: s.operatorHandler(), Listener: s.Listeners.Operator},
 	} {
 		loops.Go(func() {
 			if err := server.Run(ctx); err != nil {
@@ -144,7 +143,7 @@
 	return failed
 }
 
-// Self returns this instance as its peers know it.
+// Self describes this instance to its peers.
 func (s *Server) Self() heartbeater.Instance {
 	address := s.Config.Advertise
 	if address == "" {
@@ -164,10 +163,10 @@
 }
 
 func (s *Server) driveLoop(ctx context.Context) {
-	repeater.Now(ctx, driveEvery, nil, func() {
+	repeater.Now(ctx, driveInterval, nil, func() {
 		now := time.Now()
-		s.share(now)
-		s.tidyBids()
+		s.updateShare(now)
+		s.grantFreedPermits()
 		s.Driver.Tick(ctx, now)
 	})
 }
--- a/internal/instance/server/settings.go
+++ b/internal/instance/server/settings.go
@@ -14,27 +14,27 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// pollSettings looks at the head in the table service.
+// pollSettings reads the head of the settings from the table service.
 func (s *Server) pollSettings(ctx context.Context) {
 	row, err := s.Table.Get(ctx, publisher.KeyHead)
 	if err != nil || row.Version == 0 {
-		s.declare()
+		s.declareUpstreams()
 		return
 	}
 	var head publisher.Head
 	if err := encoder.Unmarshal(row.Value, &head); err != nil {
-		s.warnIf("settings head", err)
+		s.warnUndecodable("settings head", err)
 		return
 	}
-	s.offer(ctx, head)
-	s.declare()
+	s.offerSettings(ctx, head)
+	s.declareUpstreams()
 }
 
-func (s *Server) offer(ctx context.Context, head publisher.Head) {
+func (s *Server) offerSettings(ctx context.Context, head publisher.Head) {
 	taken, err := s.Watcher.Offer(ctx, head)
 	if err != nil {
-		s.count("sardinetiller_settings_failures_total", "offer")
-		_ = level.Warn(s.Logger).Log("msg", "settings not taken", "revision", head.Revision, "err", err)
+		s.countReason("sardinetiller_settings_failures_total", "offer")
+		_ = level.Warn(s.Logger).Log("msg", "settings not applied", "revision", head.Revision, "err", err)
 		return
 	}
 	if taken {
@@ -42,11 +42,10 @@
 	}
 }
 
-// declare tells the driver and the fleet which upstreams the settings in force
-// name, and the holder which runners there are to own. The driver asks this
-// instance about its lease while it holds its own lock, so it is never called
-// under ours.
-func (s *Server) declare() {
+// declareUpstreams passes the upstreams of the settings in force to the driver and the
+// fleet, and the runners that can be owned to the holder. The driver calls this
+// server while it holds its own lock, so it must not be called under the server's.
+func (s *Server) declareUpstreams() {
 	force := s.Watcher.Force()
 	if force == nil {
 		return
@@ -54,7 +53,7 @@
 	r := force.Resolver
 	values := r.Values("", "", "", "")
 	s.Driver.Declare(r.Services(), values.Queue, values.Share)
-	if s.declared.Swap(force.Head.Revision) == force.Head.Revision {
+	if s.declaredRevision.Swap(force.Head.Revision) == force.Head.Revision {
 		return
 	}
 	s.Fleet.Declare(r.Services())
@@ -64,51 +63,51 @@
 	s.Holder.SetRunners(names)
 }
 
-// share gives the driver its part of the weight store's rate.
-func (s *Server) share(now time.Time) {
+// updateShare sets the driver's share of the weight store's rate.
+func (s *Server) updateShare(now time.Time) {
 	force := s.Watcher.Force()
 	if force == nil {
 		return
 	}
-	line := s.Driver.Line()
-	engines := make(map[string]float64)
+	queued := s.Driver.LoadQueueLen()
+	shares := make(map[string]float64)
 	total := 0.0
 	for _, service := range force.Resolver.Services() {
 		for _, u := range service.Upstreams {
 			if service.Type == parser.TypeEngine {
-				engines[u.Domain]++
+				shares[u.Domain]++
 				total++
 			}
 		}
 	}
-	delete(engines, s.Config.Domain)
-	for domain := range engines {
-		engines[domain] /= total
+	delete(shares, s.Config.Domain)
+	for domain := range shares {
+		shares[domain] /= total
 	}
 	s.mu.Lock()
-	own := loader.Stake{Fixed: float64(len(s.Holder.Owned())) / max(1, total), Line: line}
-	part := s.Sharer.Part(own, engines, now)
+	own := loader.Stake{Fixed: float64(len(s.Holder.Owned())) / max(1, total), Line: queued}
+	share := s.Sharer.Part(own, shares, now)
 	s.mu.Unlock()
-	s.Driver.Share(force.Resolver.Weights(), part)
+	s.Driver.SetShare(force.Resolver.Weights(), share)
 }
 
-// askSettings takes a higher revision from a peer. It is how a domain that is
-// cut off from the platform, but not from its neighbours, still gets it.
-func (s *Server) askSettings(ctx context.Context, address string) {
+// fetchSettings fetches the head of the settings from a peer. A failure domain that is
+// partitioned from the platform, but not from other domains, gets a later revision
+// this way.
+func (s *Server) fetchSettings(ctx context.Context, address string) {
 	c, err := s.Mesh.Open(ctx, address, relayer.Inquire{})
 	if err != nil {
 		return
 	}
 	defer c.Close()
-	answer, err := c.Next(ctx)
-	if told, ok := answer.(relayer.Told); ok && err == nil {
-		s.offer(ctx, told.Head)
-		s.declare()
+	response, err := c.Next(ctx)
+	if told, ok := response.(relayer.Told); ok && err == nil {
+		s.offerSettings(ctx, told.Head)
+		s.declareUpstreams()
 	}
 }
 
-// A ChainStore reads objects from the platform and, when it does not answer,
-// from peers.
+// A ChainStore reads objects from the platform and, if that fails, from peers.
 type ChainStore struct {
 	Peers func() []string // addresses
 	Mesh  *relayer.Mesh
@@ -124,7 +123,7 @@
 		return data, nil
 	}
 	for _, address := range c.Peers() {
-		if data, ok := c.ask(ctx, address, key); ok {
+		if data, ok := c.fetch(ctx, address, key); ok {
 			return data, nil
 		}
 	}
@@ -136,24 +135,25 @@
 	return c.Store.Put(ctx, key, data)
 }
 
-// objectTime bounds how long one peer is asked for an object; it answers within
-// milliseconds from what it holds. Links to other failure domains are not watched
-// for silence, and the loop that asks renews the lease as well: with a peer that
-// had fallen silent an instance kept its old settings and lost its runners.
-const objectTime = time.Second
+// objectTimeout bounds a request for an object to one peer, which answers from memory
+// within milliseconds. Links to other failure domains are not checked for
+// unresponsive peers, and the loop that sends the request renews the lease as well:
+// without the limit one unresponsive peer made an instance keep its old settings and
+// lose its runners.
+const objectTimeout = time.Second
 
-func (c *ChainStore) ask(ctx context.Context, address, key string) ([]byte, bool) {
-	ctx, cancel := context.WithTimeout(ctx, objectTime)
+func (c *ChainStore) fetch(ctx context.Context, address, key string) ([]byte, bool) {
+	ctx, cancel := context.WithTimeout(ctx, objectTimeout)
 	defer cancel()
 	conversation, err := c.Mesh.Open(ctx, address, relayer.Fetch{Key: key})
 	if err != nil {
 		return nil, false
 	}
 	defer conversation.Close()
-	answer, err := conversation.Next(ctx)
+	response, err := conversation.Next(ctx)
 	if ctx.Err() != nil {
-		c.Mesh.Cut(address) // the next one who asks dials anew
+		c.Mesh.Cut(address) // the next request opens a new link
 	}
-	data, ok := answer.(relayer.Data)
+	data, ok := response.(relayer.Data)
 	return data.Data, ok && err == nil
 }
--- a/internal/upstream/caller/run.go
+++ b/internal/upstream/caller/run.go
@@ -18,29 +18,29 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// The headers between the system and an engine.
+// Headers of requests to and responses from an engine.
 const (
 	headerAdapter  = "X-Adapter"
 	headerPriority = "X-Priority"
 	headerRequest  = "X-Request-Id"
 )
 
-// wholeLimit bounds an answer that is not a stream, in bytes.
-const wholeLimit = 8 << 20
+// maxResponseSize bounds a response that is not streamed, and one line of a stream, in bytes.
+const maxResponseSize = 8 << 20
 
-// done is the last event of a stream that is whole.
-const done = "[DONE]"
+// doneEvent is the data of the event that ends a complete stream.
+const doneEvent = "[DONE]"
 
-// Run sends a call to an engine under the handle and passes the answer on. The
-// answer's adapter is checked before its first byte goes to the sink, so that a
-// mismatch never reaches a caller.
+// Run sends a call to an engine with the handle as the model and forwards the
+// response. The adapter of the response is checked before its first byte goes to the
+// sink, so that a response of the wrong adapter never reaches a caller.
 func Run(ctx context.Context, address, handle string, call *streamer.Call, head streamer.Head, sink streamer.Sink) error {
-	return ended(ctx, run(ctx, address, handle, call, head, sink))
+	return withContextReason(ctx, run(ctx, address, handle, call, head, sink))
 }
 
-// ended names the deadline or the caller as the reason of a connection that was
-// closed for them. The verdict stays what was observed.
-func ended(ctx context.Context, err error) error {
+// withContextReason replaces the reason of an error by the deadline or the
+// cancellation if ctx has ended. The verdict stays as observed.
+func withContextReason(ctx context.Context, err error) error {
 	if err == nil || ctx.Err() == nil {
 		return err
 	}
@@ -58,33 +58,33 @@
 		return judge.Refuse(judge.ReasonBody, "%v", err)
 	}
 	var r requester.Requester
-	answer, seen := r.Do(ctx, address, request)
-	if seen != nil {
-		return judge.Judge(seen)
+	response, observed := r.Do(ctx, address, request)
+	if observed != nil {
+		return judge.Judge(observed)
 	}
-	defer answer.Close()
-	if answer.Status == fasthttp.StatusConflict || answer.Status == fasthttp.StatusTooManyRequests {
-		return judge.Judge(judge.Refused{Status: answer.Status})
+	defer response.Close()
+	if response.Status == fasthttp.StatusConflict || response.Status == fasthttp.StatusTooManyRequests {
+		return judge.Judge(judge.Refused{Status: response.Status})
 	}
-	if answer.Status != fasthttp.StatusOK {
-		return judge.Judge(judge.Failed{Status: answer.Status})
+	if response.Status != fasthttp.StatusOK {
+		return judge.Judge(judge.Failed{Status: response.Status})
 	}
-	if got := string(answer.Header.Peek(headerAdapter)); got != call.Adapter {
+	if got := string(response.Header.Peek(headerAdapter)); got != call.Adapter {
 		return judge.Judge(judge.Mismatched{Want: call.Adapter, Got: got})
 	}
-	head.Status = answer.Status
-	head.Type = string(answer.Header.ContentType())
+	head.Status = response.Status
+	head.Type = string(response.Header.ContentType())
 	head.Adapter = call.Adapter
-	p := &pass{answer: answer, call: call, handle: handle, head: head, sink: sink}
+	p := &responseCopier{response: response, call: call, handle: handle, head: head, sink: sink}
 	if call.Stream {
-		return p.stream()
+		return p.copyStream()
 	}
-	return p.whole()
+	return p.copyComplete()
 }
 
-// Plain sends a call to a plain service and passes the answer on as it is.
+// Plain sends a call to a plain service and forwards the response unchanged.
 func Plain(ctx context.Context, address string, call *streamer.Call, sink streamer.Sink) error {
-	return ended(ctx, plain(ctx, address, call, sink))
+	return withContextReason(ctx, plain(ctx, address, call, sink))
 }
 
 func plain(ctx context.Context, address string, call *streamer.Call, sink streamer.Sink) error {
@@ -97,16 +97,16 @@
 	request.SetRequestURI("http://" + address + call.Path)
 	request.SetBody(call.Body)
 	var r requester.Requester
-	answer, seen := r.Do(ctx, address, request)
-	if seen != nil {
-		return judge.Judge(seen)
+	response, observed := r.Do(ctx, address, request)
+	if observed != nil {
+		return judge.Judge(observed)
 	}
-	defer answer.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, wholeLimit))
+	defer response.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err != nil {
-		return judge.Judge(answer.Broken(err))
+		return judge.Judge(response.Broken(err))
 	}
-	head := streamer.Head{Status: answer.Status, Type: string(answer.Header.ContentType()), Runner: call.Runner}
+	head := streamer.Head{Status: response.Status, Type: string(response.Header.ContentType()), Runner: call.Runner}
 	return deliver(sink, head, body)
 }
 
@@ -144,22 +144,22 @@
 	return request, nil
 }
 
-// A pass moves one answer from the engine to the sink.
-type pass struct {
-	answer *requester.Answer
-	call   *streamer.Call
-	handle string
-	head   streamer.Head
-	sink   streamer.Sink
+// A responseCopier copies one response from the engine to the sink.
+type responseCopier struct {
+	response *requester.Answer
+	call     *streamer.Call
+	handle   string
+	head     streamer.Head
+	sink     streamer.Sink
 }
 
-// check compares the model that a part of the answer names with the handle.
-func (p *pass) check(data []byte) error {
+// checkModel verifies that the model named in a response or an event of it is the handle.
+func (p *responseCopier) checkModel(data []byte) error {
 	var part struct {
 		Model string `json:"model"`
 	}
 	if err := json.Unmarshal(data, &part); err != nil {
-		return judge.Judge(p.answer.Broken(err))
+		return judge.Judge(p.response.Broken(err))
 	}
 	if part.Model != p.handle {
 		return judge.Judge(judge.Mismatched{Want: p.handle, Got: part.Model})
@@ -167,25 +167,25 @@
 	return nil
 }
 
-// rename gives the answer the name that the caller asked for.
-func (p *pass) rename(data []byte) []byte {
+// restoreModel replaces the handle in the response by the adapter name that the caller requested.
+func (p *responseCopier) restoreModel(data []byte) []byte {
 	return bytes.Replace(data, []byte(strconv.Quote(p.handle)), []byte(strconv.Quote(p.call.Adapter)), 1)
 }
 
-func (p *pass) stream() error {
-	scanner := bufio.NewScanner(p.answer.Body)
-	scanner.Buffer(nil, wholeLimit)
+func (p *responseCopier) copyStream() error {
+	scanner := bufio.NewScanner(p.response.Body)
+	scanner.Buffer(nil, maxResponseSize)
 	first := true
 	for scanner.Scan() {
 		data, isEvent := strings.CutPrefix(scanner.Text(), "data: ")
 		if !isEvent {
 			continue
 		}
-		if data == done {
+		if data == doneEvent {
 			return nil
 		}
 		if first {
-			if err := p.check([]byte(data)); err != nil {
+			if err := p.checkModel([]byte(data)); err != nil {
 				return err
 			}
 			if err := p.sink.Head(p.head); err != nil {
@@ -193,7 +193,7 @@
 			}
 			first = false
 		}
-		if err := p.sink.Data(p.rename([]byte(data))); err != nil {
+		if err := p.sink.Data(p.restoreModel([]byte(data))); err != nil {
 			return cancelled(err)
 		}
 	}
@@ -201,16 +201,16 @@
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return judge.Judge(p.answer.Broken(err))
+	return judge.Judge(p.response.Broken(err))
 }
 
-func (p *pass) whole() error {
-	body, err := io.ReadAll(io.LimitReader(p.answer.Body, wholeLimit))
+func (p *responseCopier) copyComplete() error {
+	body, err := io.ReadAll(io.LimitReader(p.response.Body, maxResponseSize))
 	if err != nil {
-		return judge.Judge(p.answer.Broken(err))
+		return judge.Judge(p.response.Broken(err))
 	}
-	if err := p.check(body); err != nil {
+	if err := p.checkModel(body); err != nil {
 		return err
 	}
-	return deliver(p.sink, p.head, p.rename(body))
+	return deliver(p.sink, p.head, p.restoreModel(body))
 }
--- a/internal/upstream/driver/driver_test.go
+++ b/internal/upstream/driver/driver_test.go
@@ -19,17 +19,17 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/driver"
 )
 
-// A fakeEngine answers orders as it is told and counts them.
+// A fakeEngine answers orders with a set outcome and counts them.
 type fakeEngine struct {
-	leaving atomic.Bool
-	orders  atomic.Int64
-	outcome keeper.Outcome
-	silent  atomic.Bool
+	leaving      atomic.Bool
+	orders       atomic.Int64
+	outcome      keeper.Outcome
+	unresponsive atomic.Bool
 }
 
 var _ caller.Engine = (*fakeEngine)(nil)
 
-// A noQuarantine holds nothing.
+// A noQuarantine quarantines no request.
 type noQuarantine struct{}
 
 func (noQuarantine) Crashed(string, map[quarantiner.Digest]time.Duration) {}
@@ -42,47 +42,47 @@
 	return caller.Answer{Outcome: f.outcome}
 }
 
-func (f *fakeEngine) Raise(context.Context, string, uint64) bool { return true }
+func (f *fakeEngine) RaiseFence(context.Context, string, uint64) bool { return true }
 
 func (f *fakeEngine) Report(context.Context, string) (caller.Report, error) {
-	if f.silent.Load() {
+	if f.unresponsive.Load() {
 		return caller.Report{}, judge.Judge(judge.Dialed{})
 	}
 	return caller.Report{Engine: "e-1", Leaving: f.leaving.Load()}, nil
 }
 
-// A fakeTenancy owns everything for as long as it is told.
-type fakeTenancy struct{ may, owns atomic.Bool }
+// A fakeOwnership owns every runner while owns is set.
+type fakeOwnership struct{ mayOrder, owns atomic.Bool }
 
-var _ driver.Tenancy = (*fakeTenancy)(nil)
+var _ driver.Ownership = (*fakeOwnership)(nil)
 
-func (f *fakeTenancy) Acts(string) (uint64, bool) { return 1, f.owns.Load() }
+func (f *fakeOwnership) FencingToken(string) (uint64, bool) { return 1, f.owns.Load() }
 
-func (f *fakeTenancy) Cleared(context.Context, string, string) (keeper.Surrender, bool) {
+func (f *fakeOwnership) RequestRelease(context.Context, string, string) (keeper.Surrender, bool) {
 	return keeper.Surrender{}, true
 }
 
-func (f *fakeTenancy) May(string) bool { return f.may.Load() }
+func (f *fakeOwnership) MayOrder(string) bool { return f.mayOrder.Load() }
 
-func (f *fakeTenancy) Owns(string) bool { return f.owns.Load() }
+func (f *fakeOwnership) Owns(string) bool { return f.owns.Load() }
 
-func (f *fakeTenancy) Parties() []string { return nil }
+func (f *fakeOwnership) PreviousOwners() []string { return nil }
 
-// newDriver returns a driver of one engine that ticks until the test ends.
-func newDriver(t *testing.T, e *fakeEngine, tenancy *fakeTenancy) *driver.Driver {
-	tenancy.may.Store(true)
-	tenancy.owns.Store(true)
+// newDriver returns a driver of one engine, with Tick called until the test ends.
+func newDriver(t *testing.T, e *fakeEngine, ownership *fakeOwnership) *driver.Driver {
+	ownership.mayOrder.Store(true)
+	ownership.owns.Store(true)
 	d := &driver.Driver{
 		Quarantine: noQuarantine{},
 		Domain:     "a", Engine: e, Evictor: func() keeper.Evictor { return keeper.LRU{} }, Logger: log.NewNopLogger(),
-		Metrics: metrics.NewSet(), Self: "i-1", Tenancy: tenancy,
+		Metrics: metrics.NewSet(), Self: "i-1", Ownership: ownership,
 	}
 	d.Declare(declared(), 8, 1)
-	d.Share(parser.Weights{}, 1)
+	d.SetShare(parser.Weights{}, 1)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(func() {
 		cancel()
-		time.Sleep(time.Minute) // what is under way ends by itself
+		time.Sleep(time.Minute) // lets work in flight finish
 	})
 	go func() {
 		for ctx.Err() == nil {
@@ -100,11 +100,11 @@
 	}}
 }
 
-// An operator takes an engine out of the settings and puts it back. It takes no
-// new work in between, and does afterwards without a restart.
-func TestEngineComesBackIntoTheSettings(t *testing.T) {
+// An operator removes an engine from the settings and adds it again. It accepts no
+// new requests in between, and accepts them afterwards without a restart.
+func TestEngineIsRemovedFromSettingsAndAddedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		d := newDriver(t, &fakeEngine{}, &fakeTenancy{})
+		d := newDriver(t, &fakeEngine{}, &fakeOwnership{})
 		for _, services := range [][]parser.Service{declared(), nil, declared()} {
 			d.Declare(services, 8, 1)
 			time.Sleep(10 * time.Second)
@@ -116,7 +116,7 @@
 	})
 }
 
-// serve runs one request and returns how it failed and after how long.
+// serve runs one request and returns its error and its duration.
 func serve(d *driver.Driver, deadline time.Duration) (*judge.Error, time.Duration) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), deadline)
@@ -126,75 +126,75 @@
 	return judge.As(err), time.Since(began)
 }
 
-func TestServeGivesUp(t *testing.T) {
+func TestServeRefuses(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		spoil  func(e *fakeEngine, tenancy *fakeTenancy)
+		fault  func(e *fakeEngine, ownership *fakeOwnership)
 		reason judge.Reason
 		within time.Duration
 	}{
-		// Loads keep failing. The caller is told after the third, long before its
-		// deadline, and when to come back.
-		{"loads fail", func(e *fakeEngine, _ *fakeTenancy) { e.outcome = keeper.Failed }, judge.ReasonLoad, 5 * time.Second},
-		// The engine says that it leaves while a request waits there: the request
-		// is sent back at once, so that another runner can take it.
-		{"engine leaves", func(e *fakeEngine, tenancy *fakeTenancy) {
-			tenancy.may.Store(false)
+		// Loads keep failing. The request is refused after the third failure, long
+		// before its deadline, and with the time to retry after.
+		{"loads fail", func(e *fakeEngine, _ *fakeOwnership) { e.outcome = keeper.Failed }, judge.ReasonLoad, 5 * time.Second},
+		// The engine reports that it is draining while a request is queued: the
+		// request is refused at once, so that another runner can serve it.
+		{"engine drains", func(e *fakeEngine, ownership *fakeOwnership) {
+			ownership.mayOrder.Store(false)
 			time.AfterFunc(time.Second, func() { e.leaving.Store(true) })
 		}, judge.ReasonUpstream, 5 * time.Second},
-		// The runner passes to another instance while a request waits.
-		{"runner passes on", func(_ *fakeEngine, tenancy *fakeTenancy) {
-			tenancy.may.Store(false)
-			time.AfterFunc(time.Second, func() { tenancy.owns.Store(false) })
+		// The runner is reassigned to another instance while a request is queued.
+		{"runner reassigned", func(_ *fakeEngine, ownership *fakeOwnership) {
+			ownership.mayOrder.Store(false)
+			time.AfterFunc(time.Second, func() { ownership.owns.Store(false) })
 		}, judge.ReasonOwner, 2 * time.Second},
-		// Nothing can be ordered: the deadline ends the wait, without a run.
-		{"deadline", func(_ *fakeEngine, tenancy *fakeTenancy) { tenancy.may.Store(false) }, judge.ReasonDeadline, time.Minute},
+		// No order may be sent: the request is refused at its deadline, without a run.
+		{"deadline", func(_ *fakeEngine, ownership *fakeOwnership) { ownership.mayOrder.Store(false) }, judge.ReasonDeadline, time.Minute},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e, tenancy := &fakeEngine{}, &fakeTenancy{}
-				d := newDriver(t, e, tenancy)
-				tc.spoil(e, tenancy)
+				e, ownership := &fakeEngine{}, &fakeOwnership{}
+				d := newDriver(t, e, ownership)
+				tc.fault(e, ownership)
 				err, took := serve(d, time.Minute)
 				if err.Verdict != judge.NotRun || err.Reason != tc.reason || took > tc.within {
 					t.Errorf("%v after %s, want %s within %s", err, took, tc.reason, tc.within)
 				}
 				if !d.Idle() {
-					t.Error("the request was left behind")
+					t.Error("the driver is not idle after the request was refused")
 				}
 			})
 		})
 	}
 }
 
-// The lease cannot be trusted: no order goes out, however much is waited for.
+// Without a valid lease no order is sent, even if requests wait for an adapter.
 func TestNoOrderWithoutLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e, tenancy := &fakeEngine{}, &fakeTenancy{}
-		d := newDriver(t, e, tenancy)
-		tenancy.may.Store(false)
+		e, ownership := &fakeEngine{}, &fakeOwnership{}
+		d := newDriver(t, e, ownership)
+		ownership.mayOrder.Store(false)
 		err, _ := serve(d, 10*time.Second)
 		if n := e.orders.Load(); n != 0 || err.Verdict != judge.NotRun {
-			t.Errorf("%d orders went out, and the caller was told %v", n, err)
+			t.Errorf("%d orders were sent, and the request ended with %v", n, err)
 		}
 	})
 }
 
-// An engine goes down. Peers are told that it takes no new work, and that it
-// does again when it answers.
-func TestSilentEngineTakesNoNewWork(t *testing.T) {
+// An engine stops responding. Its published state says that it accepts no new
+// requests, and that it does again once the engine answers.
+func TestUnresponsiveEngineIsPublishedAsLeaving(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &fakeEngine{}
-		d := newDriver(t, e, &fakeTenancy{})
+		d := newDriver(t, e, &fakeOwnership{})
 		leaving := func() bool {
 			_, states, _ := d.Loads(0)
 			return len(states) == 1 && states[0].Leaving
 		}
-		for _, silent := range []bool{false, true, false} {
-			e.silent.Store(silent)
+		for _, unresponsive := range []bool{false, true, false} {
+			e.unresponsive.Store(unresponsive)
 			time.Sleep(10 * time.Second)
-			if leaving() != silent {
-				t.Errorf("silent %v: told as leaving %v", silent, leaving())
+			if leaving() != unresponsive {
+				t.Errorf("unresponsive %v: published as leaving %v", unresponsive, leaving())
 			}
 		}
 	})
--- a/internal/upstream/driver/engine.go
+++ b/internal/upstream/driver/engine.go
@@ -9,26 +9,25 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/orderer"
 )
 
-// An engine is one runner with what the driver knows of it beside the
-// decisions.
+// An engine is one runner with the driver's own state of it.
 type engine struct {
 	*orderer.Runner
 
-	at        atomic.Pointer[string]        // address, read without the lock while a request or an order goes out
-	asked     time.Time                     // when the last report was asked for
-	dropped   bool                          // the settings name it no more
-	broke     map[quarantiner.Digest]broken // requests whose answers broke off here since the last report
-	asking    bool                          // a report, a fencing number or a clearing is under way
-	fencing   bool
-	releasing int    // requests that ended here and perhaps not in the engine
-	silent    int    // reports in a row that it did not give
-	reported  bool   // a report was taken in since the tenure began
-	version   uint64 // of what is resident
-	waiters   map[string]*waiter
+	addr            atomic.Pointer[string]                // address, read without the lock when a request or an order is sent
+	reportRequested time.Time                             // when the last report was requested; zero to request one at once
+	dropped         bool                                  // removed from the settings
+	brokenResponses map[quarantiner.Digest]brokenResponse // requests whose responses broke off since the last report
+	checking        bool                                  // a check of the engine is in flight
+	fencing         bool
+	releasing       int    // requests that ended here but perhaps not in the engine
+	missedReports   int    // consecutive reports that failed
+	reported        bool   // a report was applied since the ownership began
+	version         uint64 // Driver.version at the last change of the state
+	waiters         map[string]*waiter
 }
 
-// address returns where the engine is reached, as the settings said last.
-func (e *engine) address() string { return *e.at.Load() }
+// address returns the address of the engine from the latest settings.
+func (e *engine) address() string { return *e.addr.Load() }
 
 func (e *engine) load(number int, wait time.Duration) relayer.Load {
 	return relayer.Load{
@@ -39,14 +38,14 @@
 
 func (e *engine) state(number int, name string) relayer.State {
 	return relayer.State{
-		Number: number, Name: name, Owned: e.Keeper.Owned(), Leaving: e.Leaving() || e.silent >= silentReports,
-		Resident: e.Keeper.Resident(), Loading: e.coming(),
+		Number: number, Name: name, Owned: e.Keeper.Owned(), Leaving: e.Leaving() || e.missedReports >= maxMissedReports,
+		Resident: e.Keeper.Resident(), Loading: e.pendingAdapters(),
 	}
 }
 
-// coming returns the adapters that are being loaded or stand in line for it.
-// Others that want one of them do best to join.
-func (e *engine) coming() []string {
+// pendingAdapters returns the adapters that are being loaded or queued for a load.
+// Further requests for one of them are best sent here too.
+func (e *engine) pendingAdapters() []string {
 	adapters := e.Keeper.Coming()
 	for _, n := range e.Needs() {
 		adapters = append(adapters, n.Adapter)
--- a/internal/upstream/driver/permit.go
+++ b/internal/upstream/driver/permit.go
@@ -8,34 +8,34 @@
 	"github.com/sardinetiller/sardinetiller/internal/adapter/loader"
 )
 
-// permitTime bounds the wait for one permit. A bid that has waited that long is
-// made anew with what it is worth then.
-const permitTime = 5 * time.Second
+// permitTimeout bounds the wait for one permit. After it a new request is made with the
+// value of that time.
+const permitTimeout = 5 * time.Second
 
-// bidFor bids for permits, as many at once as the weight store takes loads.
-// Called with the lock held.
-func (d *Driver) bidFor(ctx context.Context, needs []loader.Need, now time.Time) {
-	for d.bids < min(d.budget.Together, len(needs)) {
-		value := loader.Saved(needs[d.bids], now)
-		d.bids++
-		go d.permitted(context.WithoutCancel(ctx), value)
+// requestPermits requests permits, at most as many at once as the weight store serves
+// loads. The caller holds the lock.
+func (d *Driver) requestPermits(ctx context.Context, needs []loader.Need, now time.Time) {
+	for d.permitRequests < min(d.budget.Together, len(needs)) {
+		value := loader.Saved(needs[d.permitRequests], now)
+		d.permitRequests++
+		go d.loadWithPermit(context.WithoutCancel(ctx), value)
 	}
 }
 
-// permitted waits for a permit and uses it on the best need of that moment.
-func (d *Driver) permitted(ctx context.Context, value float64) {
-	waited, cancel := context.WithTimeout(ctx, permitTime)
-	release, ok := d.Permits.Acquire(waited, value)
+// loadWithPermit waits for a permit and uses it for the most valuable load of that moment.
+func (d *Driver) loadWithPermit(ctx context.Context, value float64) {
+	waitCtx, cancel := context.WithTimeout(ctx, permitTimeout)
+	release, ok := d.Permits.Acquire(waitCtx, value)
 	if release != nil {
 		d.loadOne(ctx)
 		release()
 	}
 	cancel()
 	d.mu.Lock()
-	d.bids--
+	d.permitRequests--
 	if !ok {
-		d.count("sardinetiller_permit_failures_total", "allocator")
-		d.withoutPermit(ctx)
+		d.countReason("sardinetiller_permit_failures_total", "allocator")
+		d.loadWithoutPermit(ctx)
 	}
 	d.mu.Unlock()
 	if ok {
@@ -43,19 +43,19 @@
 	}
 }
 
-// withoutPermit loads within the own part of the rate, as when the instance
-// that hands out permits cannot be reached. Called with the lock held.
-func (d *Driver) withoutPermit(ctx context.Context) {
+// loadWithoutPermit loads within this instance's share of the rate, for when the
+// allocator of permits cannot be reached. The caller holds the lock.
+func (d *Driver) loadWithoutPermit(ctx context.Context) {
 	now := time.Now()
-	d.budget.Grant(d.needs(), now, func(n loader.Need) bool { return d.begin(ctx, n, now) })
+	d.budget.Grant(d.needs(), now, func(n loader.Need) bool { return d.sendNextOrder(ctx, n, now) })
 }
 
-// loadOne loads the adapter that removes the most stall now, after making room
-// for it if need be.
+// loadOne loads the adapter that removes the most stall now, after an eviction if
+// no slot is free.
 func (d *Driver) loadOne(ctx context.Context) {
 	const orders = 2 // an eviction and the load
 	for range orders {
-		e, n, action := d.best()
+		e, n, action := d.nextOrder()
 		if action == nil {
 			return
 		}
@@ -66,13 +66,13 @@
 	}
 }
 
-// best decides on the next order.
-func (d *Driver) best() (*engine, loader.Need, keeper.Action) {
+// nextOrder returns the next order for the most valuable load, or nil.
+func (d *Driver) nextOrder() (*engine, loader.Need, keeper.Action) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := time.Now()
 	for _, n := range d.budget.Order(d.needs(), now) {
-		e, action := d.decide(n, now)
+		e, action := d.orderFor(n, now)
 		if action == nil {
 			continue
 		}
@@ -84,8 +84,8 @@
 	return nil, loader.Need{}, nil
 }
 
-// needs returns what requests wait for on the runners whose state is known.
-// Called with the lock held.
+// needs returns the adapters that requests wait for on the runners whose state is
+// known. The caller holds the lock.
 func (d *Driver) needs() []loader.Need {
 	var needs []loader.Need
 	for _, name := range d.names {
