--- a/internal/chart/interpreter/chart.go
+++ b/internal/chart/interpreter/chart.go
@@ -8,8 +8,8 @@
 	"github.com/goccy/go-yaml"
 )
 
-// A Chart is one life cycle: named states and the events that lead from one
-// to another.
+// A Chart is a state machine definition: named states and the events that cause
+// transitions between them.
 type Chart struct {
 	Name   string  `yaml:"name"`
 	Start  string  `yaml:"start"`
@@ -19,13 +19,13 @@
 // A State is one state of a Chart.
 type State struct {
 	Name string            `yaml:"name"`
-	On   map[string]string `yaml:"on"`  // event to the state it leads to
-	End  bool              `yaml:"end"` // no transition leaves an end state
+	On   map[string]string `yaml:"on"`  // event to target state
+	End  bool              `yaml:"end"` // a final state; it has no transitions
 }
 
-// Load decodes and checks a chart. It fails on unknown fields, on a transition
-// to a state that does not exist, on a state that cannot be reached, and on a
-// state that is neither an end nor has a way out.
+// Load decodes and validates a chart. It fails on unknown fields, on a
+// transition to an unknown state, on an unreachable state, on a final state with
+// transitions, and on any other state without.
 func Load(data []byte) (*Chart, error) {
 	var chart Chart
 	if err := yaml.UnmarshalWithOptions(data, &chart, yaml.Strict()); err != nil {
@@ -37,8 +37,8 @@
 	return &chart, nil
 }
 
-// MustLoad is Load for charts that are embedded in the program: it panics on
-// a chart that is not valid, which any test of the package shows.
+// MustLoad is like Load but panics if the chart is invalid. It is meant for
+// embedded charts, where any test of the embedding package shows the panic.
 func MustLoad(data []byte) *Chart {
 	chart, err := Load(data)
 	if err != nil {
@@ -47,13 +47,13 @@
 	return chart
 }
 
-// Machine returns a machine in the chart's start state.
+// Machine returns a new machine in the chart's start state.
 func (c *Chart) Machine() *Machine {
 	return &Machine{Chart: c, State: c.Start}
 }
 
-// Next returns the state that event leads to from state, and whether the chart
-// has that transition.
+// Next returns the target state of event in state, and whether the chart has
+// such a transition.
 func (c *Chart) Next(state, event string) (string, bool) {
 	s, ok := c.state(state)
 	if !ok {
@@ -65,7 +65,7 @@
 
 func (c *Chart) check() error {
 	if _, ok := c.state(c.Start); !ok {
-		return fmt.Errorf("start: state %q is not in states", c.Start)
+		return fmt.Errorf("start: state %q is not declared", c.Start)
 	}
 	for _, s := range c.States {
 		if err := c.checkState(s); err != nil {
@@ -75,7 +75,7 @@
 	reached := c.reachable()
 	for _, s := range c.States {
 		if !slices.Contains(reached, s.Name) {
-			return fmt.Errorf("state %q cannot be reached", s.Name)
+			return fmt.Errorf("state %q is unreachable", s.Name)
 		}
 	}
 	return nil
@@ -83,10 +83,10 @@
 
 func (c *Chart) checkState(s State) error {
 	if s.End && len(s.On) > 0 {
-		return fmt.Errorf("state %q: an end state has transitions", s.Name)
+		return fmt.Errorf("state %q: an end state must not have transitions", s.Name)
 	}
 	if !s.End && len(s.On) == 0 {
-		return fmt.Errorf("state %q: no way out; mark it end: true", s.Name)
+		return fmt.Errorf("state %q: no outgoing transition; add one or mark the state end: true", s.Name)
 	}
 	for event, next := range s.On {
 		if _, ok := c.state(next); !ok {
--- a/internal/chart/interpreter/chart_test.go
+++ b/internal/chart/interpreter/chart_test.go
@@ -49,13 +49,13 @@
 		{"unknown start", "name: x\nstart: a\nstates: []\n"},
 		{"unknown target", "name: x\nstart: a\nstates: [{name: a, on: {go: b}}]\n"},
 		{"unreachable", "name: x\nstart: a\nstates: [{name: a, end: true}, {name: b, end: true}]\n"},
-		{"no way out", "name: x\nstart: a\nstates: [{name: a}]\n"},
-		{"end with way out", "name: x\nstart: a\nstates: [{name: a, end: true, on: {go: a}}]\n"},
+		{"no outgoing transition", "name: x\nstart: a\nstates: [{name: a}]\n"},
+		{"end state with a transition", "name: x\nstart: a\nstates: [{name: a, end: true, on: {go: a}}]\n"},
 		{"unknown field", "name: x\nstart: a\nspeed: 3\nstates: [{name: a, end: true}]\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			if _, err := interpreter.Load([]byte(tc.text)); err == nil {
-				t.Error("Load accepted a bad chart")
+				t.Error("Load accepted an invalid chart")
 			}
 		})
 	}
--- a/internal/chart/interpreter/doc.go
+++ b/internal/chart/interpreter/doc.go
@@ -1,7 +1,8 @@
-// Package interpreter loads state charts from YAML and runs them.
+// Package interpreter loads state machine definitions (charts) from YAML and
+// runs them.
 //
-// A life cycle (an adapter slot, a request, a lease, an instance) is a file
-// beside the package that uses it. The code only fires events: an event that
-// has no transition in the present state is an UnexpectedError, so a step that
-// nobody thought of is seen and counted instead of being carried out.
+// The life cycles of adapter slots and leases are YAML files beside the packages
+// that use them. The code only fires events. An event without a transition in
+// the current state is an UnexpectedError, so that an unforeseen sequence of
+// events is detected and counted instead of being carried out.
 package interpreter
--- a/internal/chart/interpreter/machine.go
+++ b/internal/chart/interpreter/machine.go
@@ -2,14 +2,15 @@
 
 import "fmt"
 
-// A Machine is one run through a Chart. It is not safe for concurrent use.
+// A Machine is an instance of a Chart with its current state. It is not safe for
+// concurrent use.
 type Machine struct {
 	Chart *Chart
 	State string
 }
 
-// An UnexpectedError is an event that the chart does not allow in the present
-// state. The machine stays where it is.
+// An UnexpectedError reports an event that the chart does not allow in the
+// current state. The machine keeps its state.
 type UnexpectedError struct {
 	Chart string
 	State string
@@ -21,7 +22,7 @@
 	return fmt.Sprintf("chart %s: event %s is not allowed in state %s", e.Chart, e.Event, e.State)
 }
 
-// Fire takes the transition that event names, or returns an *UnexpectedError.
+// Fire performs the transition for event, or returns an *UnexpectedError.
 func (m *Machine) Fire(event string) error {
 	next, ok := m.Chart.Next(m.State, event)
 	if !ok {
--- a/internal/check/seeder/seeder.go
+++ b/internal/check/seeder/seeder.go
@@ -1,5 +1,5 @@
-// Package seeder fixes the seeds and the number of random tests, so that every
-// run reaches the same verdict. What is given on the command line is kept.
+// Package seeder sets a fixed seed and run count for property-based tests, so
+// that their results are reproducible. Flags on the command line take precedence.
 package seeder
 
 import (
@@ -10,12 +10,12 @@
 	_ "pgregory.net/rapid" // registers the rapid.seed flag
 )
 
-// defaults are the flags of random tests unless others are given. The library's
-// own 100 runs were too few: an owner that adopts its successor's copies was
-// found after 155.
+// defaults are the flags of package rapid that are set unless given. Its default
+// of 100 runs is too few: it took 155 runs to find a fault in which an owner
+// adopts copies of its successor.
 var defaults = map[string]string{"rapid.checks": "500", "rapid.seed": "20260101"}
 
-// Main runs a package's tests with the fixed flags. Call it from TestMain.
+// Main runs a package's tests with the default flags. Call it from TestMain.
 func Main(m *testing.M) {
 	flag.Parse()
 	for name, value := range defaults {
--- a/internal/check/walker/walker.go
+++ b/internal/check/walker/walker.go
@@ -1,4 +1,4 @@
-// Package walker takes every transition of a state chart once.
+// Package walker tests every pair of state and event of a state chart.
 package walker
 
 import (
@@ -7,8 +7,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/chart/interpreter"
 )
 
-// Walk fails the test if a transition does not lead where the chart says, or an
-// event that a state does not name is taken there.
+// Walk fails the test if a transition does not lead to the state in the chart,
+// or if a state accepts an event for which it has no transition.
 func Walk(t *testing.T, chart *interpreter.Chart) {
 	t.Helper()
 	events := make(map[string]bool)
--- a/internal/clock/repeater/repeater.go
+++ b/internal/clock/repeater/repeater.go
@@ -1,4 +1,4 @@
-// Package repeater does something again and again until a context ends.
+// Package repeater runs a function periodically until a context ends.
 package repeater
 
 import (
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Every calls do after each period, and whenever now is signalled, until ctx
-// ends. A nil now is never signalled.
+// Every calls do after each period, and whenever now receives a value, until ctx
+// ends. now may be nil.
 func Every(ctx context.Context, period time.Duration, now <-chan struct{}, do func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
@@ -22,7 +22,7 @@
 	}
 }
 
-// Now calls do at once, and from then on as Every does.
+// Now calls do immediately and then like Every.
 func Now(ctx context.Context, period time.Duration, now <-chan struct{}, do func()) {
 	do()
 	Every(ctx, period, now, do)
--- a/internal/platform/lister/lister.go
+++ b/internal/platform/lister/lister.go
@@ -1,5 +1,5 @@
-// Package lister reaches the platform's list of live and leaving instances.
-// The list lags: what it says was true some seconds ago.
+// Package lister is the client of the platform's list of live and draining
+// instances. The list is eventually consistent and lags by some seconds.
 package lister
 
 import (
@@ -17,20 +17,20 @@
 
 // A Lister is the platform's list.
 type Lister interface {
-	// Announce tells the platform that this instance runs, leaves or has ended.
-	// It is repeated while the instance runs.
+	// Announce reports to the platform that this instance runs, drains or has
+	// stopped. It is repeated while the instance runs.
 	Announce(ctx context.Context, a Announcement) error
-	// List returns the instances that the platform lists.
+	// List returns the instances on the platform's list.
 	List(ctx context.Context) ([]heartbeater.Instance, error)
 }
 
-// An Announcement is what an instance tells the platform of itself. The
+// An Announcement is an instance's report of itself to the platform. The
 // platform lists an instance for as long as its process exists: one that is
-// paused or cut off stays listed, one that has ended or died drops off.
+// paused or partitioned stays listed, one that has stopped or crashed is removed.
 type Announcement struct {
 	Instance heartbeater.Instance `cbor:"1,keyasint"`
-	Process  int                  `cbor:"2,keyasint"` // by which the platform's agent knows the process
-	Ended    bool                 `cbor:"3,keyasint"` // the instance runs no more although its process may
+	Process  int                  `cbor:"2,keyasint"` // process ID, by which the platform's agent identifies the process
+	Ended    bool                 `cbor:"3,keyasint"` // the instance has stopped, even if its process still exists
 }
 
 // The paths of the instance list.
@@ -39,11 +39,11 @@
 	PathList     = "/instance/list"
 )
 
-// A Client reaches the list over HTTP with CBOR bodies. Its fields are set
-// before use.
+// A Client is a Lister over HTTP with CBOR bodies. Its fields are set before
+// use.
 type Client struct {
 	Address string        // host:port
-	Timeout time.Duration // for one call
+	Timeout time.Duration // of one call
 }
 
 var _ Lister = (*Client)(nil)
--- a/internal/platform/storer/store.go
+++ b/internal/platform/storer/store.go
@@ -1,6 +1,6 @@
-// Package storer reaches the platform's object store. Objects are written once
-// under a name derived from their content, so that a write repeated after a
-// lost answer changes nothing.
+// Package storer is the client of the platform's object store. Objects are
+// written once under a key derived from their content, so that retrying a write
+// whose response was lost is idempotent.
 package storer
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// A Store is the object store. Client is the real one, Memory a complete one
-// in this process, and Dry one that only pretends to write.
+// A Store is an object store. Client accesses the platform's store, Memory keeps
+// objects in memory, and Dry discards writes.
 type Store interface {
 	// Get returns an object, or ErrAbsent.
 	Get(ctx context.Context, key string) ([]byte, error)
@@ -31,10 +31,10 @@
 // PathObject is the path under which the object store keeps objects.
 const PathObject = "/object/"
 
-// A Client reaches the object store over HTTP. Its fields are set before use.
+// A Client is a Store over HTTP. Its fields are set before use.
 type Client struct {
 	Address string        // host:port
-	Timeout time.Duration // for one call
+	Timeout time.Duration // of one call
 }
 
 var _ Store = (*Client)(nil)
@@ -73,7 +73,7 @@
 	return status, body, nil
 }
 
-// A Dry store reads from another Store and writes nothing.
+// A Dry store reads from another Store and discards writes, for dry runs.
 type Dry struct{ Store Store }
 
 var _ Store = (*Dry)(nil)
@@ -84,7 +84,7 @@
 // Put implements Store.
 func (d *Dry) Put(context.Context, string, []byte) error { return nil }
 
-// A Memory is a Store in this process. Its zero value is ready; it is safe for
+// A Memory is an in-memory Store. Its zero value is ready to use; it is safe for
 // concurrent use.
 type Memory struct {
 	mu      sync.Mutex
--- a/internal/platform/tabler/client.go
+++ b/internal/platform/tabler/client.go
@@ -19,11 +19,10 @@
 	PathScan   = "/table/scan"
 )
 
-// A Client reaches the table service over HTTP with CBOR bodies. Its fields
-// are set before use.
+// A Client is a Table over HTTP with CBOR bodies. Its fields are set before use.
 type Client struct {
 	Address string        // host:port
-	Timeout time.Duration // for one call
+	Timeout time.Duration // of one call
 }
 
 var _ Table = (*Client)(nil)
--- a/internal/platform/tabler/dry.go
+++ b/internal/platform/tabler/dry.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// A Dry table reads from another Table and writes nothing. It keeps the
-// transactions it was given, for a dry run to show.
+// A Dry table reads from another Table and writes nothing. It verifies the
+// checks of each transaction and records it in Committed, for dry runs.
 type Dry struct {
 	Table Table
 
--- a/internal/platform/tabler/memory.go
+++ b/internal/platform/tabler/memory.go
@@ -8,8 +8,8 @@
 	"sync"
 )
 
-// A Memory is a Table in this process. It backs the platform's stand-in and
-// serves tests. Its zero value is ready; it is safe for concurrent use.
+// A Memory is an in-memory Table for tests and for the simulated platform. Its
+// zero value is ready to use; it is safe for concurrent use.
 type Memory struct {
 	mu      sync.Mutex
 	rows    map[string]Row
--- a/internal/platform/tabler/table.go
+++ b/internal/platform/tabler/table.go
@@ -1,10 +1,10 @@
-// Package tabler reaches the platform's transactional table service.
+// Package tabler is the client of the platform's transactional table service.
 //
 // A Table holds rows by key; each write gives a row a new version. A Txn is
-// carried out whole if every Check holds, else not at all. The answer to a
-// commit can be lost after the write took effect: that is an UnknownError, and
-// the caller settles it by reading back what only its own attempt can have
-// written.
+// atomic and is committed only if all its checks hold. The response to a commit
+// can be lost after the write took effect. Commit then returns an UnknownError,
+// and the caller finds out by reading back a value that only its own attempt can
+// have written.
 package tabler
 
 import (
@@ -13,12 +13,12 @@
 	"fmt"
 )
 
-// A Table is the table service. Client is the real one, Memory a complete one
-// in this process, and Dry one that only pretends to write.
+// A Table is a table service. Client accesses the platform's service, Memory
+// keeps rows in memory, and Dry does not write.
 type Table interface {
-	// Commit carries a transaction out. It returns a *ConflictError if a check
-	// did not hold, an *UnknownError if it may or may not have taken effect,
-	// and an *UnavailableError if it did not.
+	// Commit commits a transaction. It returns a *ConflictError if a check did
+	// not hold, an *UnknownError if the transaction may have taken effect, and
+	// an *UnavailableError if it certainly did not.
 	Commit(ctx context.Context, txn Txn) error
 	// Get returns a row; its Version is 0 if the row does not exist.
 	Get(ctx context.Context, key string) (Row, error)
@@ -31,13 +31,15 @@
 	Key     string `cbor:"1,keyasint"`
 	Value   []byte `cbor:"2,keyasint"`
 	Version uint64 `cbor:"3,keyasint"`           // 0: no such row
-	Removed bool   `cbor:"4,keyasint,omitempty"` // told by a Feed: the row is gone
+	Removed bool   `cbor:"4,keyasint,omitempty"` // reported by Feed.Watch: the row was deleted
 }
 
-// ErrForgotten is a Feed that no longer knows the changes that were asked for.
+// ErrForgotten is returned by Feed.Watch if the requested changes have been
+// compacted.
 var ErrForgotten = errors.New("the table service has forgotten these changes")
 
-// A Check is a condition: the row has the version, or does not exist for 0.
+// A Check is a precondition of a transaction: the row has this version, or does
+// not exist if the version is 0.
 type Check struct {
 	Key     string `cbor:"1,keyasint"`
 	Version uint64 `cbor:"2,keyasint"`
@@ -49,14 +51,14 @@
 	Value []byte `cbor:"2,keyasint"`
 }
 
-// A Txn is a transaction.
+// A Txn is an atomic transaction.
 type Txn struct {
 	Checks  []Check  `cbor:"1,keyasint"`
 	Puts    []Put    `cbor:"2,keyasint"`
 	Deletes []string `cbor:"3,keyasint"`
 }
 
-// A ConflictError is a transaction that was refused because a check failed.
+// A ConflictError reports that a transaction was rejected because a check failed.
 type ConflictError struct{ Key string }
 
 // Error implements error.
@@ -64,7 +66,7 @@
 	return fmt.Sprintf("row %s is not as it was read", e.Key)
 }
 
-// An UnavailableError is a call that certainly had no effect.
+// An UnavailableError reports a failed call that certainly had no effect.
 type UnavailableError struct{ Err error }
 
 // Error implements error.
@@ -73,7 +75,8 @@
 // Unwrap returns the cause.
 func (e *UnavailableError) Unwrap() error { return e.Err }
 
-// An UnknownError is a commit whose answer was lost: it may have taken effect.
+// An UnknownError reports a commit without a conclusive response. It may have
+// taken effect.
 type UnknownError struct{ Err error }
 
 // Error implements error.
--- a/internal/wire/encoder/encoder.go
+++ b/internal/wire/encoder/encoder.go
@@ -1,5 +1,5 @@
-// Package encoder is the one place that sets how messages become bytes: CBOR
-// with bounds, the same for peers, platform rows and stored objects.
+// Package encoder defines the serialization of messages to peers, platform rows
+// and stored objects: deterministic CBOR with size limits on decoding.
 package encoder
 
 import (
@@ -7,8 +7,8 @@
 	"github.com/go-faster/errors"
 )
 
-// The bounds of a decoded message. They keep a broken or hostile peer from
-// making this process allocate without limit.
+// Limits of a decoded message. They keep a faulty or hostile peer from making
+// this process allocate without bound.
 const (
 	maxElements = 1 << 17
 	maxNesting  = 16
@@ -24,7 +24,7 @@
 	}.DecMode())
 )
 
-// Marshal encodes a value. The same value always gives the same bytes.
+// Marshal encodes a value deterministically: equal values give equal bytes.
 func Marshal(value any) ([]byte, error) {
 	data, err := encode.Marshal(value)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return data, nil
 }
 
-// Unmarshal decodes a value and refuses what follows it.
+// Unmarshal decodes a value and fails on trailing data.
 func Unmarshal(data []byte, into any) error {
 	if err := decode.Unmarshal(data, into); err != nil {
 		return errors.Wrap(err, "decode")
--- a/internal/wire/listener/conn.go
+++ b/internal/wire/listener/conn.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A Listener accepts connections that can be watched.
+// A Listener accepts connections of type *Conn.
 type Listener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -20,22 +20,22 @@
 	return &Conn{Conn: c}, nil
 }
 
-// A Conn is a connection whose other side can be watched while its request is
-// worked on. The HTTP library reads nothing in that time, so without this a
-// caller that leaves would be noticed only when an answer is written.
+// A Conn is a connection that can detect a disconnect of the client while its
+// request is being handled. The HTTP library does not read during that time, so
+// without this a disconnect would be noticed only when the response is written.
 type Conn struct {
 	net.Conn
 
 	mu    sync.Mutex
-	ended chan struct{} // of the watch that runs; nil for none
-	early []byte        // came while the watch ran: the start of the next request
+	ended chan struct{} // closed when the running watch ends; nil if none runs
+	early []byte        // read by the watch: the start of the next request
 }
 
-// earlySize is how much of a next request a watch takes, in bytes. What comes
-// after stays with the kernel.
+// earlySize is how much of a pipelined request a watch reads at most, in bytes.
+// The rest stays in the kernel's receive buffer.
 const earlySize = 512
 
-// Watch calls gone if the other side closes the connection before Unwatch.
+// Watch calls gone if the client closes the connection before Unwatch.
 func (c *Conn) Watch(gone func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -69,7 +69,7 @@
 	if ended == nil {
 		return
 	}
-	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // fails on a closed connection, whose read has ended
+	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // fails on a closed connection, whose read has already returned
 	<-ended
 	_ = c.Conn.SetReadDeadline(time.Time{})
 	c.mu.Lock()
--- a/internal/wire/listener/listener.go
+++ b/internal/wire/listener/listener.go
@@ -10,27 +10,28 @@
 	"github.com/valyala/fasthttp"
 )
 
-// A Server is an HTTP server with bounds. Its fields are set before Run.
+// A Server is an HTTP server with size limits and timeouts. Its fields are set
+// before Run.
 type Server struct {
-	Body     int           // largest request body in bytes; 0 is bodyLimit
-	Drain    time.Duration // how long open requests may go on after the end; 0 is drainTimeout
+	Body     int           // maximum request body in bytes; 0 means bodyLimit
+	Drain    time.Duration // time for in-flight requests after shutdown begins; 0 means drainTimeout
 	Handler  fasthttp.RequestHandler
-	Header   int           // largest request header in bytes; 0 is headerLimit
-	Idle     time.Duration // that a kept connection may stay unused; 0 is idleTimeout
+	Header   int           // maximum request header in bytes; 0 means headerLimit
+	Idle     time.Duration // idle timeout of keep-alive connections; 0 means idleTimeout
 	Listener net.Listener
-	Plain    bool                                      // add no header fields to answers
-	Refuse   func(ctx *fasthttp.RequestCtx, err error) // answers a request that could not be read; nil for plain text
+	Plain    bool                                      // add no default Date and Content-Type header to responses
+	Refuse   func(ctx *fasthttp.RequestCtx, err error) // responds to a request that could not be parsed; nil for plain text
 }
 
 const (
 	bodyLimit    = 8 << 20
 	drainTimeout = 2 * time.Second
 	headerLimit  = 16 << 10
-	headTimeout  = 10 * time.Second // for a client to send its request
+	headTimeout  = 10 * time.Second // for a client to send a complete request
 	idleTimeout  = 30 * time.Second
 )
 
-// Run serves until ctx ends, then lets open requests finish within Drain.
+// Run serves until ctx ends, then waits up to Drain for in-flight requests.
 func (s *Server) Run(ctx context.Context) error {
 	server := &fasthttp.Server{
 		Handler:               s.Handler,
@@ -54,11 +55,12 @@
 	}
 	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), orDefault(s.Drain, drainTimeout))
 	defer cancel()
-	_ = server.ShutdownWithContext(bounded) // what is still open ends with the process
+	_ = server.ShutdownWithContext(bounded) // requests still in flight end with the process
 	return nil
 }
 
-// Decode reads the body of a request as JSON, or answers that it is none.
+// Decode decodes the JSON body of a request. On failure it responds with status
+// 400 and returns false.
 func Decode(ctx *fasthttp.RequestCtx, into any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
@@ -67,7 +69,7 @@
 	return true
 }
 
-// JSON answers with a value as JSON.
+// JSON responds with a value encoded as JSON.
 func JSON(ctx *fasthttp.RequestCtx, status int, value any) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("application/json")
@@ -91,8 +93,8 @@
 	return otherwise
 }
 
-// silent drops the library's own log lines: what matters is counted and logged
-// where it is decided.
+// silent discards the log lines of fasthttp: the relevant failures are counted
+// and logged by the handlers.
 type silent struct{}
 
 // Printf implements fasthttp.Logger.
--- a/internal/wire/pooler/exact.go
+++ b/internal/wire/pooler/exact.go
@@ -2,9 +2,9 @@
 
 import "io"
 
-// Exact returns a reader of a body that has to have a length. It fails with
-// io.ErrUnexpectedEOF if the body ends before, so that a cut answer is never
-// taken for a whole one.
+// Exact returns a reader of a body with a known length. It fails with
+// io.ErrUnexpectedEOF if the body ends early, so that a truncated response is
+// never taken for a complete one.
 func Exact(r io.Reader, length int) io.Reader { return &exactReader{reader: r, left: length} }
 
 type exactReader struct {
--- a/internal/wire/pooler/exchange.go
+++ b/internal/wire/pooler/exchange.go
@@ -13,18 +13,18 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// A Call is one request as it goes on the wire.
+// A Call is one request, encoded for the wire.
 type Call struct {
 	Address string // host:port
-	Key     string // of the peer
-	Message []byte // head and body
-	NoBody  bool   // the answer has no body whatever its head says, as to HEAD
+	Key     string // identifies the peer
+	Message []byte // header and body
+	NoBody  bool   // the response has no body whatever its header says, as for HEAD
 
-	// Own reports whether an answer names this request. Nil takes any.
+	// Own reports whether a response names this request. Nil accepts any.
 	Own func(header *fasthttp.ResponseHeader) bool
 }
 
-// An Answer is the head of a response and its body. It must be closed.
+// An Answer is a response whose body may be a stream. It must be closed.
 type Answer struct {
 	Status int
 	Header *fasthttp.ResponseHeader
@@ -37,16 +37,17 @@
 	done bool
 }
 
-// ErrForeign is a connection on which more answers came that do not name the
-// request than a peer sends by mistake.
+// ErrForeign is returned if more responses on a connection name other requests
+// than a peer sends by mistake.
 var ErrForeign = errors.New("the answers on the connection name other requests")
 
-// foreign is how many answers to other requests are passed over before the
-// connection is given up. A peer that repeats an answer sends one.
+// foreign is how many responses to other requests are skipped before the
+// connection is closed. A peer that repeats a response sends one.
 const foreign = 2
 
-// Do sends a request and reads the head of its answer. The request ends with
-// ctx. If there is no answer, the observation tells how far the request got.
+// Do sends a request and reads the header of its response. The request is
+// cancelled when ctx ends. If there is no response, the observation says how far
+// the request got.
 func (p *Pool) Do(ctx context.Context, call Call) (*Answer, judge.Observation) {
 	c := p.get(call.Key, time.Now())
 	if c == nil {
@@ -66,7 +67,7 @@
 	return answer, nil
 }
 
-// exchange writes a request and reads answers until one names it.
+// exchange writes a request and reads responses until one names it.
 func (c *conn) exchange(call Call) (*Answer, error) {
 	if _, err := c.Write(call.Message); err != nil {
 		return nil, err
@@ -94,13 +95,13 @@
 	return nil, ErrForeign
 }
 
-// Broken returns the observation of a body that could not be read to its end.
+// Broken returns the observation for a body that could not be read completely.
 func (a *Answer) Broken(err error) judge.Observation {
 	return judge.Broken{Written: a.conn.count(), Head: true, Err: err}
 }
 
-// Close gives the connection back if the body was read to its end, else ends
-// it, and with it the work of the peer.
+// Close returns the connection to the pool if the body was read completely.
+// Otherwise it closes the connection, which cancels the work of the peer.
 func (a *Answer) Close(whole bool) {
 	if a.done {
 		return
@@ -118,12 +119,12 @@
 	a.pool.put(a.key, a.conn)
 }
 
-// identity is what fasthttp returns as the length of a body that ends with its
-// connection.
+// identity is the content length that fasthttp reports for a body that ends when
+// the connection closes.
 const identity = -2
 
-// keepAlive returns how long the peer keeps an unused connection, less a part
-// for the way: a request must not cross the peer's close.
+// keepAlive returns the idle timeout from the Keep-Alive header, less a margin
+// for the network delay: a request must not cross the peer's close.
 func keepAlive(header *fasthttp.ResponseHeader) (time.Duration, bool) {
 	for part := range strings.SplitSeq(string(header.Peek(fasthttp.HeaderKeepAlive)), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -139,7 +140,7 @@
 	return 0, false
 }
 
-// keepPart of keepWhole of the time that a peer names is used.
+// An idle connection is kept for keepPart/keepWhole of the announced timeout.
 const (
 	keepPart  = 3
 	keepWhole = 4
--- a/internal/wire/pooler/pool.go
+++ b/internal/wire/pooler/pool.go
@@ -1,10 +1,10 @@
-// Package pooler sends requests on connections that are kept for further ones.
+// Package pooler sends HTTP requests on keep-alive connections.
 //
-// A kept connection brings two dangers that a fresh one has not: the other side
-// may be closing it while a request is written, and bytes of an earlier answer
-// may still come. So a connection goes back only after an answer that ended
-// where it said, it is checked before its next use, and an answer that does not
-// name its request is never taken for the answer to it.
+// A reused connection has two hazards that a fresh one does not have: the peer
+// may be closing it while a request is written, and bytes of an earlier response
+// may still arrive. So a connection is returned to the pool only after a
+// response that was complete, it is checked before it is reused, and a response
+// that names another request is skipped.
 package pooler
 
 import (
@@ -17,41 +17,41 @@
 	"time"
 )
 
-// A Pool keeps connections by a key, which is the peer and not only its
-// address: an address may come to belong to another process. Its fields are set
-// before use; it is safe for concurrent use.
+// A Pool keeps idle connections by key. The key identifies the peer and not only
+// its address, as another process may start to listen on that address. Its
+// fields are set before use; it is safe for concurrent use.
 type Pool struct {
-	Dial time.Duration // bound on connecting
-	Idle time.Duration // that a connection may stay unused, unless its peer says less
+	Dial time.Duration // dial timeout
+	Idle time.Duration // idle timeout, unless the peer announces a shorter one
 
 	mu     sync.Mutex
 	idle   map[string][]*conn
 	dialed atomic.Int64
 }
 
-// unacknowledged is how long sent bytes may stay without an acknowledgement. A
-// peer that was cut off or has lost its power answers nothing; without a bound
-// the kernel tries for minutes.
+// unacknowledged is how long sent data may stay unacknowledged. A peer that is
+// partitioned or has lost power acknowledges nothing; without this limit the
+// kernel retransmits for minutes.
 const unacknowledged = 2 * time.Second
 
 // userTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
 const userTimeout = 0x12
 
-// bufferSize holds the head of an answer, which may be long where engines add
-// fields of their own. Bytes.
+// bufferSize is the read buffer in bytes. It must hold the header of a response,
+// which is long where engines add fields of their own.
 const bufferSize = 8 << 10
 
-// A conn is a connection that may be kept.
+// A conn is a connection that may be reused.
 type conn struct {
 	net.Conn
 	reader  *bufio.Reader
-	since   time.Time // last use
-	limit   time.Duration
-	written int
+	since   time.Time     // last use
+	limit   time.Duration // idle timeout
+	written int           // bytes of the current request
 	mu      sync.Mutex
 }
 
-// Write implements net.Conn and counts what the kernel took.
+// Write implements net.Conn and counts the bytes that the kernel accepted.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.mu.Lock()
@@ -66,10 +66,10 @@
 	return c.written
 }
 
-// Dialed returns how many connections were made.
+// Dialed returns how many connections were established.
 func (p *Pool) Dialed() int64 { return p.dialed.Load() }
 
-// Drop closes the unused connections of a peer that is gone.
+// Drop closes the idle connections to a peer that was removed.
 func (p *Pool) Drop(key string) {
 	p.mu.Lock()
 	conns := p.idle[key]
@@ -80,7 +80,7 @@
 	}
 }
 
-// Sweep closes the connections that have been unused for too long.
+// Sweep closes the connections whose idle timeout has passed.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
 	var old []*conn
@@ -104,7 +104,8 @@
 	}
 }
 
-// get returns a kept connection that is fit for use, or nil.
+// get returns an idle connection that can be reused, or nil. It closes those
+// that cannot.
 func (p *Pool) get(key string, now time.Time) *conn {
 	for {
 		p.mu.Lock()
@@ -157,8 +158,8 @@
 	return &conn{Conn: c, reader: bufio.NewReaderSize(c, bufferSize), limit: p.Idle}, nil
 }
 
-// quiet reports whether the connection is open and nothing has come on it since
-// its last answer. What came belongs to no request of ours.
+// quiet reports whether the connection is open and no data has arrived since its
+// last response. Such data belongs to none of our requests.
 func (c *conn) quiet() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/internal/wire/pooler/pool_test.go
+++ b/internal/wire/pooler/pool_test.go
@@ -17,7 +17,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/pooler"
 )
 
-// peer serves each request of each connection with a function.
+// peer starts a server that calls serve for each request of each connection,
+// with the position of the request on its connection, and closes the connection
+// when serve returns false.
 func peer(t *testing.T, serve func(c net.Conn, nth int, r *http.Request) bool) (address string, connections *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -81,20 +83,20 @@
 		serve func(c net.Conn, nth int, r *http.Request) bool
 		want  int64
 	}{
-		{"whole", func(c net.Conn, _ int, r *http.Request) bool {
+		{"complete response", func(c net.Conn, _ int, r *http.Request) bool {
 			answer(c, r.Header.Get("Id"), "x")
 			return true
 		}, 1},
-		{"peer says close", func(c net.Conn, _ int, r *http.Request) bool {
+		{"connection: close", func(c net.Conn, _ int, r *http.Request) bool {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx", r.Header.Get("Id"))
 			return true
 		}, 3},
-		{"bytes after the answer", func(c net.Conn, _ int, r *http.Request) bool {
+		{"bytes after the response", func(c net.Conn, _ int, r *http.Request) bool {
 			answer(c, r.Header.Get("Id"), "x")
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\n")
 			return true
 		}, 3},
-		{"no length", func(c net.Conn, _ int, r *http.Request) bool {
+		{"no content length", func(c net.Conn, _ int, r *http.Request) bool {
 			fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\n\r\nx", r.Header.Get("Id"))
 			return false
 		}, 3},
@@ -106,7 +108,7 @@
 				if got, seen := ask(t, p, call(address, fmt.Sprint(n))); seen != nil || got != "x" {
 					t.Fatalf("got %q, %v", got, seen)
 				}
-				time.Sleep(20 * time.Millisecond) // for what comes after the answer
+				time.Sleep(20 * time.Millisecond) // let bytes after the response arrive
 			}
 			if got := connections.Load(); got != tc.want {
 				t.Errorf("%d connections, want %d", got, tc.want)
@@ -115,9 +117,9 @@
 	}
 }
 
-// A caller's request goes out on a kept connection just as the copy of an
-// earlier answer arrives there. Its own answer comes after it and is the one
-// that is taken.
+// A request is sent on a reused connection just as a duplicate of an earlier
+// response arrives. The duplicate must be skipped and the request's own response,
+// which follows it, returned.
 func TestAnswerThatNamesAnotherRequestIsPassedOver(t *testing.T) {
 	address, _ := peer(t, func(c net.Conn, _ int, r *http.Request) bool {
 		answer(c, "old", "old")
@@ -129,7 +131,7 @@
 	}
 }
 
-// The verdict on a failed request hangs on whether a byte of it went out.
+// The verdict on a failed request depends on whether any byte of it was sent.
 func TestObservations(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -137,14 +139,14 @@
 	}
 	_ = closed.Close()
 	if _, seen := ask(t, newPool(), call(closed.Addr().String(), "q")); judge.Judge(seen).Verdict != judge.NotRun {
-		t.Errorf("nobody listens: %+v", seen)
+		t.Errorf("connection refused: %+v", seen)
 	}
 	for _, tc := range []struct{ name, sent string }{
-		{"no answer", ""},
-		{"half a head", "HTTP/1.1 200 OK\r\nId: q\r\nCont"},
-		{"half a body", "HTTP/1.1 200 OK\r\nId: q\r\nContent-Length: 9\r\n\r\nabc"},
-		{"half a chunk", "HTTP/1.1 200 OK\r\nId: q\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nabc"},
-		{"no answer at all but bytes", "\x00\x01\x02\r\n\r\n"},
+		{"no response", ""},
+		{"truncated header", "HTTP/1.1 200 OK\r\nId: q\r\nCont"},
+		{"truncated body", "HTTP/1.1 200 OK\r\nId: q\r\nContent-Length: 9\r\n\r\nabc"},
+		{"truncated chunk", "HTTP/1.1 200 OK\r\nId: q\r\nTransfer-Encoding: chunked\r\n\r\n9\r\nabc"},
+		{"not HTTP", "\x00\x01\x02\r\n\r\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			address, _ := peer(t, func(c net.Conn, _ int, _ *http.Request) bool {
@@ -169,7 +171,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
 	if _, seen := newPool().Do(ctx, call(address, "q")); seen == nil {
-		t.Error("an answer came")
+		t.Error("got a response after the context ended")
 	}
 	<-ended
 }
--- a/internal/wire/recorder/recorder.go
+++ b/internal/wire/recorder/recorder.go
@@ -1,5 +1,5 @@
-// Package recorder writes the log of decisions: one line for each, bounded in
-// volume, and never in the way of the work that it tells of.
+// Package recorder writes the decision log, one line for each decision. It is
+// rate limited by kind of line and never blocks the code that logs.
 package recorder
 
 import (
@@ -11,33 +11,33 @@
 	"github.com/go-kit/log"
 )
 
-// A Kind is what a line tells of. Each has a bound of its own, so that a flood
-// of one kind does not hide another.
+// A Kind is the category of a log line. Each has its own rate limit, so that a
+// burst of one kind does not suppress another.
 type Kind string
 
 // The kinds.
 const (
-	Answered  Kind = "answered"  // a request that got its whole answer
-	Belief    Kind = "belief"    // a change of what the process believes
-	Config    Kind = "config"    // a version of the configuration in force
-	Failed    Kind = "failed"    // a request that did not
-	Lifecycle Kind = "lifecycle" // start, stop, reload, a dependency lost or back
+	Answered  Kind = "answered"  // a request that received its complete response
+	Belief    Kind = "belief"    // a change in this process's view of the system
+	Config    Kind = "config"    // a configuration version that was put in force
+	Failed    Kind = "failed"    // a request that did not receive a complete response
+	Lifecycle Kind = "lifecycle" // start, stop, reload, a dependency lost or restored
 	Order     Kind = "order"     // an order to a runner
-	Retry     Kind = "retry"     // a request that is sent again
+	Retry     Kind = "retry"     // a request that is retried
 	Suspect   Kind = "suspect"   // a request that may crash runners
 )
 
-// rates bound the lines a second of each kind. Their sum at about 250 bytes a
-// line stays below 100 KB/s, and the failures of a bad second are all there.
+// rates limits the lines per second of each kind. At about 250 bytes a line
+// their sum stays below 100 KB/s, while up to 100 failures a second are logged.
 var rates = map[Kind]float64{
 	Answered: 20, Belief: 50, Config: 20, Failed: 100, Lifecycle: 50, Order: 100, Retry: 50, Suspect: 50,
 }
 
-// queue is how many lines may wait for a slow reader of the log.
+// queue is how many lines are buffered while the log reader is slow.
 const queue = 1024
 
-// A Recorder writes lines. Its fields are set before Run; Log may be called
-// before and from anywhere.
+// A Recorder writes log lines. Its fields are set before use; Log may be called
+// before Run and is safe for concurrent use.
 type Recorder struct {
 	Instance string
 	Metrics  *metrics.Set
@@ -49,6 +49,7 @@
 	budgets map[Kind]*budget
 }
 
+// A budget is the token bucket of one kind.
 type budget struct {
 	left    float64
 	last    time.Time
@@ -68,7 +69,8 @@
 	})
 }
 
-// Log queues a line, or drops and counts it.
+// Log queues a line. If the rate limit or the queue is exhausted, it drops the
+// line and counts it.
 func (r *Recorder) Log(kind Kind, fields ...any) {
 	r.init()
 	now := time.Now()
@@ -97,14 +99,14 @@
 	return true
 }
 
-// Run writes lines until stop is closed, then those that wait.
+// Run writes lines until stop is closed, then flushes the queue.
 func (r *Recorder) Run(stop <-chan struct{}) {
 	r.init()
 	logger := log.NewLogfmtLogger(r.Out)
 	for {
 		select {
 		case line := <-r.lines:
-			_ = logger.Log(line...) // a log that cannot be written has nowhere to say so
+			_ = logger.Log(line...) // there is nowhere else to report a failed write
 		case <-stop:
 			for len(r.lines) > 0 {
 				_ = logger.Log(<-r.lines...)
--- a/internal/wire/recorder/recorder_test.go
+++ b/internal/wire/recorder/recorder_test.go
@@ -20,18 +20,17 @@
 	stop := make(chan struct{})
 	close(stop)
 	r.Run(stop)
-	_, line, _ := strings.Cut(out.String(), " ") // the time comes first
+	_, line, _ := strings.Cut(out.String(), " ") // drop the timestamp
 	fmt.Print(line)
 	// Output: instance=front-1 kind=failed request=q1 reason=load
 }
 
-// Callers are refused by the thousand and whoever reads the log stands still.
-// The requests must not wait for the log, what is dropped is counted, and
-// another kind of line still gets through.
+// Thousands of refusals are logged while the log reader is stalled. Log must not
+// block, dropped lines are counted, and lines of another kind are still queued.
 func TestFloodAndStandingReaderHoldNobodyUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := metrics.NewSet()
-		reader, writer := io.Pipe() // nobody reads
+		reader, writer := io.Pipe() // never read
 		defer func() { _ = reader.Close() }()
 		r := &recorder.Recorder{Instance: "front-1", Metrics: set, Out: writer}
 		stop := make(chan struct{})
@@ -41,15 +40,15 @@
 			r.Log(recorder.Failed, "request", "q")
 		}
 		if took := time.Since(began); took > 0 {
-			t.Errorf("the log held its writers up for %s", took)
+			t.Errorf("Log blocked for %s", took)
 		}
 		dropped := set.GetOrCreateCounter(`sardinetiller_log_dropped_total{kind="failed"}`).Get()
 		if dropped < 9000 {
-			t.Errorf("%d lines are counted as dropped of 10000", dropped)
+			t.Errorf("%d of 10000 lines are counted as dropped, want at least 9000", dropped)
 		}
 		r.Log(recorder.Lifecycle, "msg", "stopping")
 		if n := set.GetOrCreateCounter(`sardinetiller_log_dropped_total{kind="lifecycle"}`).Get(); n != 0 {
-			t.Error("a flood of one kind hid another")
+			t.Error("a burst of one kind suppressed a line of another")
 		}
 		close(stop)
 		_ = reader.Close()
--- a/internal/wire/requester/requester.go
+++ b/internal/wire/requester/requester.go
@@ -1,10 +1,11 @@
-// Package requester sends one HTTP request on a connection of its own and
+// Package requester sends each HTTP request on a connection of its own and
 // reports exactly how far it got.
 //
-// The verdict on a failed request hangs on whether a byte of it was sent. A
-// pool hides that: it retries by itself and reuses connections that the other
-// side may be closing. Here every request dials, writes and reads once, and the
-// connection ends with it, which is also how a request is cancelled.
+// The verdict on a failed request depends on whether any byte of it was sent.
+// The connection pool of an HTTP client hides that: it retries on its own and
+// reuses connections that the peer may be closing. Here every request dials,
+// writes and reads once. The connection is closed with the request, which is
+// also how a request is cancelled.
 package requester
 
 import (
@@ -25,8 +26,8 @@
 // A Requester sends requests. Its fields are set before use; the zero value
 // works.
 type Requester struct {
-	Dial  time.Duration // bound on connecting; 0 is dialTimeout
-	Limit int           // largest body read whole, in bytes; 0 is bodyLimit
+	Dial  time.Duration // dial timeout; 0 means dialTimeout
+	Limit int           // maximum body that Whole and Post read, in bytes; 0 means bodyLimit
 }
 
 const (
@@ -35,7 +36,7 @@
 	bufferSize  = 4096
 )
 
-// An Answer is the head of a response and its body, which may be a stream.
+// An Answer is a response whose body may be a stream.
 type Answer struct {
 	Status int
 	Header *fasthttp.ResponseHeader
@@ -45,16 +46,16 @@
 	written func() int
 }
 
-// Broken returns the observation of a body that could not be read to its end.
+// Broken returns the observation for a body that could not be read completely.
 func (a *Answer) Broken(err error) judge.Observation {
 	return judge.Broken{Written: a.written(), Head: true, Err: err}
 }
 
-// Close ends the connection. It may be called more than once.
+// Close closes the connection. It may be called more than once.
 func (a *Answer) Close() { a.close() }
 
-// Do sends a request to a host:port. The connection ends with ctx. If there is
-// no answer, the observation tells how far the request got.
+// Do sends a request to a host:port. The connection is closed when ctx ends. If
+// there is no response, the observation says how far the request got.
 func (r *Requester) Do(ctx context.Context, address string, request *fasthttp.Request) (*Answer, judge.Observation) {
 	dialer := net.Dialer{Timeout: r.dialTimeout()}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
@@ -77,8 +78,8 @@
 	return answer, nil
 }
 
-// Post sends a value as CBOR to a path and reads the whole answer, all within
-// the timeout.
+// Post sends a value as CBOR to a path and reads the complete response, all
+// within the timeout.
 func (r *Requester) Post(ctx context.Context, timeout time.Duration, address, path string, value any) (int, []byte, judge.Observation) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -94,7 +95,7 @@
 	return r.Whole(ctx, address, request)
 }
 
-// Whole sends a request and reads the whole body.
+// Whole sends a request and reads the complete body, up to Limit.
 func (r *Requester) Whole(ctx context.Context, address string, request *fasthttp.Request) (int, []byte, judge.Observation) {
 	answer, seen := r.Do(ctx, address, request)
 	if seen != nil {
@@ -122,7 +123,7 @@
 	return dialTimeout
 }
 
-// exchange writes the request and reads the head of the response.
+// exchange writes the request and reads the header of the response.
 func exchange(conn net.Conn, request *fasthttp.Request) (*Answer, error) {
 	writer := bufio.NewWriterSize(conn, bufferSize)
 	if err := request.Write(writer); err != nil {
@@ -142,7 +143,7 @@
 	return &Answer{Status: response.StatusCode(), Header: &response.Header, Body: body}, nil
 }
 
-// A countedConn counts the bytes that the kernel took.
+// A countedConn counts the bytes that the kernel accepted.
 type countedConn struct {
 	net.Conn
 	written atomic.Int64
