--- a/internal/setting/configurer/check.go
+++ b/internal/setting/configurer/check.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// A checker tells of faults in one file of settings. Each method returns the
-// first fault with the file, the field and the fix.
+// A checker validates one settings file. Each method returns the first error,
+// which names the file, the field and the fix.
 type checker struct{ file string }
 
-// A field is a setting with its name in the file.
+// A field is the name of a setting and its value.
 type field[V any] struct {
 	name  string
 	value V
@@ -23,7 +23,7 @@
 func (c checker) names(fields ...field[string]) error {
 	for _, f := range fields {
 		if !name.MatchString(f.value) {
-			return c.fault(f.name, "%q is no name; use a-z, 0-9 and -, at most 63", f.value)
+			return c.fault(f.name, "%q is not a valid name; use at most 63 of the characters a-z, 0-9 and -", f.value)
 		}
 	}
 	return nil
@@ -32,20 +32,20 @@
 func (c checker) addresses(fields ...field[string]) error {
 	for _, f := range fields {
 		if _, _, err := net.SplitHostPort(f.value); err != nil {
-			return c.fault(f.name, "%q is no address; write host:port", f.value)
+			return c.fault(f.name, "%q is not a valid address; write host:port", f.value)
 		}
 	}
 	return nil
 }
 
-// optional checks addresses that may be left out.
+// optional checks addresses that may be empty.
 func (c checker) optional(fields ...field[string]) error {
 	for _, f := range fields {
 		if f.value == "" {
 			continue
 		}
 		if _, _, err := net.SplitHostPort(f.value); err != nil {
-			return c.fault(f.name, "%q is no address; write host:port, or leave it out", f.value)
+			return c.fault(f.name, "%q is not a valid address; write host:port, or omit it", f.value)
 		}
 	}
 	return nil
@@ -61,17 +61,17 @@
 	return nil
 }
 
-// times checks that times are above nothing. example is one that would do.
+// times checks that durations are positive. The error suggests example.
 func (c checker) times(example string, fields ...field[time.Duration]) error {
 	for _, f := range fields {
 		if f.value <= 0 {
-			return c.fault(f.name, "%s is too short; write a time such as %s", f.value, example)
+			return c.fault(f.name, "%s is too short; write a duration such as %s", f.value, example)
 		}
 	}
 	return nil
 }
 
-// first returns the first of some errors that is one.
+// first returns the first error that is not nil.
 func first(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
--- a/internal/setting/configurer/configurer.go
+++ b/internal/setting/configurer/configurer.go
@@ -1,5 +1,5 @@
-// Package configurer reads the settings of one daemon: its addresses, its
-// failure domain, its keys and where the platform is.
+// Package configurer reads and validates the settings file of one process, such
+// as its addresses, its failure domain, its secrets and the platform's address.
 package configurer
 
 import (
@@ -17,38 +17,39 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/decoder"
 )
 
-// A Daemon is the settings of one daemon. Each field may be overridden by an
-// environment variable, SARDINETILLER_ and the field's name in capitals, and by
-// a flag of serve.
+// A Daemon holds the settings of the serve command. Each field of type string or
+// time.Duration may be overridden by an environment variable, SARDINETILLER_
+// followed by the field's name in capitals, and by a flag.
 type Daemon struct {
-	ID        string        `yaml:"id"`        // of the instance; kept over restarts
+	ID        string        `yaml:"id"`        // of the instance; stable across restarts
 	Domain    string        `yaml:"domain"`    // failure domain
 	Caller    string        `yaml:"caller"`    // host:port for callers
 	Peer      string        `yaml:"peer"`      // host:port for peers
-	Advertise string        `yaml:"advertise"` // host:port by which peers reach this instance; peer if empty
+	Advertise string        `yaml:"advertise"` // host:port under which peers reach this instance; peer if empty
 	Operator  string        `yaml:"operator"`  // host:port for operators
 	Platform  string        `yaml:"platform"`  // host:port of the platform
-	Seeds     []string      `yaml:"seeds"`     // host:port of instances to ask for settings when the platform is away
-	Secret    string        `yaml:"secret"`    // file with the secret that instances share
-	Token     string        `yaml:"token"`     // file with the operators' key
-	TLS       TLS           `yaml:"tls"`       // for links between instances
-	Lease     time.Duration `yaml:"lease"`     // time of a lease on the roster
-	Beat      time.Duration `yaml:"beat"`      // between heartbeats
-	Poll      time.Duration `yaml:"poll"`      // between looks at the table and the list
-	Notice    time.Duration `yaml:"notice"`    // for the balancer to see that the instance leaves
-	Drain     time.Duration `yaml:"drain"`     // for requests in flight after that
-	Format    string        `yaml:"format"`    // of the log: logfmt or json
-	Level     string        `yaml:"level"`     // of the log: debug, info, warn or error
+	Seeds     []string      `yaml:"seeds"`     // host:port of instances to fetch settings from when the platform is unavailable
+	Secret    string        `yaml:"secret"`    // file with the shared secret of the instances
+	Token     string        `yaml:"token"`     // file with the operators' bearer token
+	TLS       TLS           `yaml:"tls"`       // for connections between instances
+	Lease     time.Duration `yaml:"lease"`     // duration of a membership lease on the roster
+	Beat      time.Duration `yaml:"beat"`      // heartbeat interval
+	Poll      time.Duration `yaml:"poll"`      // poll interval of the table service and the instance list
+	Notice    time.Duration `yaml:"notice"`    // delay before draining, for the load balancer to notice that the instance is not ready
+	Drain     time.Duration `yaml:"drain"`     // time for in-flight requests after Notice
+	Format    string        `yaml:"format"`    // log format: logfmt or json
+	Level     string        `yaml:"level"`     // log level: debug, info, warn or error
 }
 
-// TLS names the files of the mutual TLS between instances. All empty: none.
+// TLS names the files for mutual TLS between instances. If all are empty, TLS is
+// not used.
 type TLS struct {
 	Cert string `yaml:"cert"` // certificate of this instance
-	Key  string `yaml:"key"`  // its private key
-	CA   string `yaml:"ca"`   // certificate that signs all instances'
+	Key  string `yaml:"key"`  // private key of the certificate
+	CA   string `yaml:"ca"`   // CA certificate that issued the certificates of all instances
 }
 
-// Defaults hold for what the file leaves out.
+// Defaults are the values of settings that the file omits.
 var Defaults = Daemon{
 	Caller:   "127.0.0.1:8080",
 	Peer:     "127.0.0.1:8081",
@@ -62,11 +63,12 @@
 	Level:    "info",
 }
 
-// name is what instances and domains may be called.
+// name matches a valid name of an instance or failure domain.
 var name = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// Read reads a file of settings and applies the environment and the overrides
-// of the command line, given by field name. The result has been checked.
+// Read reads a settings file and applies overrides, first those in the
+// environment and then those of the command line, given by field name. It
+// validates the result.
 func Read(file string, environ []string, overrides map[string]string) (Daemon, error) {
 	d := Defaults
 	data, err := os.ReadFile(file)
@@ -85,7 +87,8 @@
 	return d, d.Check(file)
 }
 
-// Check returns the first fault with the file, the field and the fix.
+// Check validates the settings. It returns the first error, which names the file,
+// the field and the fix.
 func (d *Daemon) Check(file string) error {
 	c := checker{file}
 	err := first(
@@ -105,7 +108,7 @@
 		return c.fault("format", "%q is unknown; write logfmt or json", d.Format)
 	}
 	if t := d.TLS; (t.Cert == "") != (t.Key == "") || (t.Cert == "") != (t.CA == "") {
-		return c.fault("tls", "cert, key and ca go together; set all or none")
+		return c.fault("tls", "cert, key and ca must be set together; set all or none")
 	}
 	if d.Secret == "" && d.TLS.Cert == "" {
 		return c.fault("secret", "no secret and no tls; name a file with the secret that all instances share, or set tls")
@@ -113,8 +116,8 @@
 	return nil
 }
 
-// Fields returns the names of the fields that flags and the environment may
-// override, in order.
+// Fields returns the names of the fields that flags and environment variables
+// may override, in order of declaration.
 func Fields() []string {
 	var names []string
 	t := reflect.TypeFor[Daemon]()
@@ -139,11 +142,12 @@
 	return fmt.Errorf("%s:%d: %s: %s; see docs/SETTINGS.md for the fields", file, token.Position.Line, token.Value, known.GetMessage())
 }
 
-// quoted is the value that an error complains of.
+// quoted matches the invalid value that an error message quotes.
 var quoted = regexp.MustCompile(`"([^"]+)"`)
 
-// lineOf returns a colon and the line of the value that an error quotes, or
-// nothing. The library names no line for a value that is not a time.
+// lineOf returns a colon and the line number of the value that an error quotes,
+// or "" if it is not found. The YAML library gives no line number for an invalid
+// duration.
 func lineOf(data []byte, err error) string {
 	value := quoted.FindStringSubmatch(err.Error())
 	if value == nil {
@@ -157,8 +161,8 @@
 	return ""
 }
 
-// fromEnvironment returns the overrides among environment variables. Others
-// with the same prefix are left alone: an orchestrator may set some of its own.
+// fromEnvironment returns the overrides in the environment. Other variables with
+// the prefix are ignored, as an orchestrator may set its own.
 func fromEnvironment(environ []string) map[string]string {
 	const prefix = "SARDINETILLER_"
 	overrides := make(map[string]string)
--- a/internal/setting/configurer/gateway.go
+++ b/internal/setting/configurer/gateway.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// A Gateway is the settings of an instance that sends requests straight to
-// runners and takes routes from the platform.
+// A Gateway holds the settings of the gateway command, an instance that forwards
+// requests directly to runners and gets its routes from the platform.
 type Gateway struct {
-	ID        string   `yaml:"id"`        // of the instance; kept over restarts
+	ID        string   `yaml:"id"`        // of the instance; stable across restarts
 	Domain    string   `yaml:"domain"`    // failure domain
 	Caller    string   `yaml:"caller"`    // host:port for callers
-	Ready     string   `yaml:"ready"`     // host:port where the balancer asks whether to send callers here
+	Ready     string   `yaml:"ready"`     // host:port of the readiness check for the load balancer
 	Peer      string   `yaml:"peer"`      // host:port for peers
-	Advertise string   `yaml:"advertise"` // host:port by which peers reach this instance; peer if empty
-	Metrics   string   `yaml:"metrics"`   // host:port for counters; empty for none
-	Platform  string   `yaml:"platform"`  // host:port of the platform's store
-	Domains   []string `yaml:"domains"`   // every failure domain
-	Link      Link     `yaml:"link"`      // of the instance to the network
-	First     bool     `yaml:"first"`     // the whole deployment starts for the first time: nobody holds anything yet
+	Advertise string   `yaml:"advertise"` // host:port under which peers reach this instance; peer if empty
+	Metrics   string   `yaml:"metrics"`   // host:port of the metrics endpoint; empty for none
+	Platform  string   `yaml:"platform"`  // host:port of the platform's table service
+	Domains   []string `yaml:"domains"`   // all failure domains
+	Link      Link     `yaml:"link"`      // network link of the instance
+	First     bool     `yaml:"first"`     // first start of the whole deployment: no instance holds a lease yet
 	Bounds    Bounds   `yaml:"bounds"`
 }
 
-// A Link is how much a link carries, in Mbit/s; 0 if unknown.
+// A Link is the bandwidth of a network link in Mbit/s; 0 means unknown.
 type Link float64
 
 const (
-	// linkLate is how much later than one without bounds an instance with a link of
-	// 1 Mbit/s takes a tenure over, and mostLate bounds it. Whoever holds a tenure tells
-	// all instances of its domain: of 20 and 200 Mbit/s the larger one comes first, as
-	// others take some 30 ms to hear of it.
+	// linkLate is the delay before an instance with a link of 1 Mbit/s takes over a
+	// lease; it is inversely proportional to the bandwidth and at most mostLate. The
+	// leader publishes to all instances of its failure domain, so that an instance with
+	// a larger link should win: the delays for 20 and 200 Mbit/s are 450 ms apart, and
+	// others observe a takeover after some 30 ms.
 	linkLate = 10 * time.Second
 	mostLate = time.Second
 )
 
-// Late returns how much later than others an instance takes a tenure over that a
-// better placed one could hold.
+// Late returns the delay before an instance with this link takes over a lease, so
+// that an instance with a larger link can take it over first.
 func (l Link) Late() time.Duration {
 	if l <= 0 {
 		return 0
@@ -44,19 +45,19 @@
 	return min(mostLate, time.Duration(float64(linkLate)/float64(l)))
 }
 
-// Bounds are the limits that a deployment sets.
+// Bounds are the limits of a deployment.
 type Bounds struct {
-	Grace  time.Duration `yaml:"grace"`  // from the signal to stop to the end of the process
-	Over   float64       `yaml:"over"`   // part by which the quota of an account may be exceeded
-	Part   float64       `yaml:"part"`   // retries that one request pays for
-	Quota  time.Duration `yaml:"quota"`  // over which the quotas of accounts are judged
-	Quiet  time.Duration `yaml:"quiet"`  // between the orders of two instances to one runner
-	Slack  float64       `yaml:"slack"`  // retries of a service beyond the part, over all instances in a window
-	Spare  float64       `yaml:"spare"`  // units by which the quota of an account may be exceeded beyond that
-	Window time.Duration `yaml:"window"` // in which retries are counted
+	Grace  time.Duration `yaml:"grace"`  // time from the stop signal to the end of the process
+	Over   float64       `yaml:"over"`   // fraction by which an account may exceed its quota
+	Part   float64       `yaml:"part"`   // retry budget ratio: retries allowed per request
+	Quota  time.Duration `yaml:"quota"`  // window over which account quotas are enforced
+	Quiet  time.Duration `yaml:"quiet"`  // minimum time between the orders of two leaders to one runner
+	Slack  float64       `yaml:"slack"`  // retries of a service allowed beyond Part, per window over all instances
+	Spare  float64       `yaml:"spare"`  // units by which an account may exceed its quota in addition to Over
+	Window time.Duration `yaml:"window"` // window of the retry budget
 }
 
-// GatewayDefaults hold for what the file leaves out.
+// GatewayDefaults are the values of settings that the file omits.
 var GatewayDefaults = Gateway{
 	Caller: "127.0.0.1:8080",
 	Ready:  "127.0.0.1:8081",
@@ -67,7 +68,7 @@
 	},
 }
 
-// Reached returns the address by which peers reach the instance.
+// Reached returns the address under which peers reach the instance.
 func (g *Gateway) Reached() string {
 	if g.Advertise != "" {
 		return g.Advertise
@@ -75,7 +76,7 @@
 	return g.Peer
 }
 
-// ReadGateway reads a file of settings. The result has been checked.
+// ReadGateway reads and validates a settings file.
 func ReadGateway(file string) (Gateway, error) {
 	g := GatewayDefaults
 	data, err := os.ReadFile(file)
@@ -88,7 +89,8 @@
 	return g, g.Check(file)
 }
 
-// Check returns the first fault with the file, the field and the fix.
+// Check validates the settings. It returns the first error, which names the file,
+// the field and the fix.
 func (g *Gateway) Check(file string) error {
 	c := checker{file}
 	err := first(
@@ -102,10 +104,10 @@
 		return err
 	}
 	if g.Link < 0 {
-		return c.fault("link", "give the Mbit/s of the link, or leave it out")
+		return c.fault("link", "the bandwidth is negative; write it in Mbit/s, or omit it")
 	}
 	if b := g.Bounds; b.Part < 0 || b.Slack < 0 || b.Over < 0 || b.Spare < 0 {
-		return c.fault("bounds", "part, slack, over and spare cannot be negative")
+		return c.fault("bounds", "part, slack, over and spare must not be negative")
 	}
 	return nil
 }
--- a/internal/setting/configurer/gateway_test.go
+++ b/internal/setting/configurer/gateway_test.go
@@ -11,16 +11,15 @@
 
 const goodGateway = "id: front-1\ndomain: a\ncaller: 127.0.0.1:1\nready: 127.0.0.1:2\npeer: 127.0.0.1:3\nplatform: 127.0.0.1:4\n"
 
-// A fault in the settings is one error that names the file, the field and the
-// way to mend it.
+// Invalid settings give an error that names the file, the field and the fix.
 func TestReadGateway(t *testing.T) {
 	for _, tc := range []struct{ name, text, want string }{
-		{"good", goodGateway, ""},
+		{"valid", goodGateway, ""},
 		{"unknown field", goodGateway + "colour: red\n", "g.yaml:7: colour"},
-		{"no name", strings.Replace(goodGateway, "front-1", "Front 1", 1), "g.yaml: id:"},
-		{"no address", strings.Replace(goodGateway, "127.0.0.1:4", "store", 1), "g.yaml: platform:"},
-		{"time without a unit", goodGateway + "bounds:\n  quiet: fast\n", "g.yaml:8:"},
-		{"time of nothing", goodGateway + "bounds:\n  quiet: 0s\n", "g.yaml: bounds.quiet:"},
+		{"invalid name", strings.Replace(goodGateway, "front-1", "Front 1", 1), "g.yaml: id:"},
+		{"invalid address", strings.Replace(goodGateway, "127.0.0.1:4", "store", 1), "g.yaml: platform:"},
+		{"invalid duration", goodGateway + "bounds:\n  quiet: fast\n", "g.yaml:8:"},
+		{"zero duration", goodGateway + "bounds:\n  quiet: 0s\n", "g.yaml: bounds.quiet:"},
 		{"negative", goodGateway + "bounds:\n  slack: -1\n", "g.yaml: bounds:"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -33,7 +32,7 @@
 			case tc.want == "" && err != nil:
 				t.Error(err)
 			case tc.want != "" && (err == nil || !strings.Contains(err.Error(), tc.want)):
-				t.Errorf("error %v, want %s in it", err, tc.want)
+				t.Errorf("error %v, want one containing %q", err, tc.want)
 			}
 		})
 	}
--- a/internal/setting/decoder/decoder.go
+++ b/internal/setting/decoder/decoder.go
@@ -1,4 +1,4 @@
-// Package decoder decodes YAML that people wrote.
+// Package decoder decodes YAML files written by hand.
 package decoder
 
 import (
@@ -12,18 +12,18 @@
 	return decode(data, into)
 }
 
-// Strict decodes data and refuses unknown fields.
+// Strict decodes data and fails on unknown fields.
 func Strict(data []byte, into any) error {
 	return decode(data, into, yaml.Strict())
 }
 
-// decode turns a panic of the library into an error. Some input makes it panic,
-// such as a bare "!" where a list is expected (found by FuzzParse); an instance
-// that is told of such a tree would end.
+// decode turns a panic of the YAML library into an error. The library panics on
+// some input, such as a bare "!" where a list is expected (found by FuzzParse).
+// An instance that received such a tree would crash.
 func decode(data []byte, into any, options ...yaml.DecodeOption) (err error) {
 	defer func() {
 		if reason := recover(); reason != nil {
-			err = fmt.Errorf("not readable as YAML (%v); look for a stray ! or &", reason)
+			err = fmt.Errorf("invalid YAML (%v); look for a stray ! or &", reason)
 		}
 	}()
 	return yaml.UnmarshalWithOptions(data, into, options...)
--- a/internal/setting/parser/check.go
+++ b/internal/setting/parser/check.go
@@ -7,17 +7,17 @@
 	"slices"
 )
 
-// name is what accounts, services, domains, desks and adapters may be called.
-// Handles and rows use the other signs as separators.
+// name matches a valid name of an account, service, failure domain, desk or
+// adapter. Handles and rows use other characters as separators.
 var name = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
-// hash is a SHA-256 in hexadecimal.
+// hash matches a SHA-256 digest in hexadecimal.
 var hash = regexp.MustCompile(`^[0-9a-f]{64}$`)
 
-// policies are the ways to choose a runner.
+// policies are the routing policies.
 var policies = []string{"cost", "hash", "least"}
 
-// largestGroup bounds a declaration of adapters.
+// largestGroup is the maximum number of adapters in one group.
 const largestGroup = 1_000_000
 
 func (p *parse) check() {
@@ -63,20 +63,20 @@
 func (p *parse) checkKnown(file, path, service string) {
 	known := slices.ContainsFunc(p.tree.Services, func(s Service) bool { return s.Name == service })
 	if !known {
-		p.fault(file, path, "service %q is not declared; add a file of kind service or mend the name", service)
+		p.fault(file, path, "service %q is not declared; add a file of kind service or correct the name", service)
 	}
 }
 
 func (p *parse) checkName(file, path, value string) {
 	if !name.MatchString(value) {
-		p.fault(file, path, "%q is no name; use a-z, 0-9 and -, at most 63", value)
+		p.fault(file, path, "%q is not a valid name; use at most 63 of the characters a-z, 0-9 and -", value)
 	}
 }
 
 func (p *parse) checkRoot(file string) {
 	p.checkValues(file, "$.values", p.tree.Root.Values)
 	if p.tree.Root.Weights.Rate < 0 {
-		p.fault(file, "$.weights.rate", "rate is negative; write loads a second")
+		p.fault(file, "$.weights.rate", "rate is negative; write loads per second")
 	}
 }
 
@@ -91,15 +91,15 @@
 	}
 }
 
-// checkShared finds names that two files use: a key must lead to one account,
-// an adapter and an upstream must be the only one of its name.
+// checkShared reports duplicates across files: an API key must belong to one
+// account, and the names of adapter groups and upstreams must be unique.
 func (p *parse) checkShared() {
 	keys := make(map[string]string)
 	groups := make(map[string]string)
 	upstreams := make(map[string]string)
 	once := func(seen map[string]string, key, file, path, what string) {
 		if other, taken := seen[key]; taken {
-			p.fault(file, path, "%s %q is in %s too; give it to one only", what, key, other)
+			p.fault(file, path, "%s %q is also declared in %s; remove one of them", what, key, other)
 		}
 		seen[key] = file
 	}
@@ -124,13 +124,13 @@
 	p.checkName(file, path+".name", u.Name)
 	p.checkName(file, path+".domain", u.Domain)
 	if _, _, err := net.SplitHostPort(u.Address); err != nil {
-		p.fault(file, path+".address", "%q is no address; write host:port", u.Address)
+		p.fault(file, path+".address", "%q is not a valid address; write host:port", u.Address)
 	}
 	if kind == TypeEngine && u.Slots < 1 {
 		p.fault(file, path+".slots", "slots is %d; write how many adapters the engine holds, at least 1", u.Slots)
 	}
 	if u.Batch < 1 {
-		p.fault(file, path+".batch", "batch is %d; write how many requests it runs at once, at least 1", u.Batch)
+		p.fault(file, path+".batch", "batch is %d; write how many requests it runs concurrently, at least 1", u.Batch)
 	}
 }
 
@@ -158,14 +158,14 @@
 	atLeast(p, file, path+".stall", v.Stall, 0)
 	atLeast(p, file, path+".streams", v.Streams, 1)
 	if v.Share != nil && (*v.Share <= 0 || *v.Share > 1) {
-		p.fault(file, path+".share", "share is %v; write a part above 0 and at most 1", *v.Share)
+		p.fault(file, path+".share", "share is %v; write a fraction above 0 and at most 1", *v.Share)
 	}
 	if v.Policy != nil && !slices.Contains(policies, *v.Policy) {
 		p.fault(file, path+".policy", "policy is %q; write one of %v", *v.Policy, policies)
 	}
 }
 
-// atLeast records a fault if a value is set and below least.
+// atLeast records a fault if a value is set and less than least.
 func atLeast[T int | float64 | ~int64](p *parse, file, path string, value *T, least T) {
 	if value != nil && *value < least {
 		p.fault(file, path, "%v is too small; write at least %v", *value, least)
--- a/internal/setting/parser/doc.go
+++ b/internal/setting/parser/doc.go
@@ -1,8 +1,8 @@
-// Package parser reads the operators' tree of settings.
+// Package parser parses and validates the operators' settings tree.
 //
-// The tree is a set of YAML files kept in version control. Each file is of one
-// kind: root, service or account. Values are inherited from root to account to
-// service to failure domain to desk, each level overriding only what it names.
-// A tree that is not valid is refused whole, with file, line, field and fix for
-// each fault.
+// The tree is a set of YAML files kept in version control. Each file has a kind:
+// root, service or account. Values are inherited from root to service to account,
+// and from there to the account's entries for a service, a failure domain and a
+// desk; each level overrides only the values it sets. An invalid tree is rejected
+// as a whole, and each error names file, line, field and fix.
 package parser
--- a/internal/setting/parser/parse.go
+++ b/internal/setting/parser/parse.go
@@ -11,19 +11,19 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/decoder"
 )
 
-// The kinds of file.
+// The kinds of files.
 const (
 	kindAccount = "account"
 	kindRoot    = "root"
 	kindService = "service"
 )
 
-// A Fault is one thing wrong with a file of settings.
+// A Fault is one validation error in a settings file.
 type Fault struct {
 	File    string
-	Line    int // 0 if it concerns the whole file
+	Line    int // 0 if unknown
 	Field   string
-	Message string // what is wrong and how to mend it
+	Message string // what is wrong and how to fix it
 }
 
 // String returns file:line: field: message.
@@ -38,10 +38,10 @@
 	return fmt.Sprintf("%s: %s: %s", place, f.Field, f.Message)
 }
 
-// An InvalidError is a tree that was refused, with all its faults.
+// An InvalidError reports all faults of an invalid tree.
 type InvalidError struct{ Faults []Fault }
 
-// Error implements error with one line for each fault.
+// Error implements error. It returns one line for each fault.
 func (e *InvalidError) Error() string {
 	lines := make([]string, 0, len(e.Faults))
 	for _, f := range e.Faults {
@@ -50,8 +50,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// Parse reads and checks a tree from the contents of its files by name. It
-// returns an *InvalidError if anything is wrong.
+// Parse parses and validates a tree, given the contents of its files by name. It
+// returns an *InvalidError if there are any faults.
 func Parse(files map[string][]byte) (*Tree, error) {
 	p := &parse{files: files, tree: &Tree{}, sources: make(map[string]string)}
 	for _, name := range slices.Sorted(maps.Keys(files)) {
@@ -64,7 +64,7 @@
 	return p.tree, nil
 }
 
-// A parse is one run over the files of a tree.
+// A parse is the state of one call of Parse.
 type parse struct {
 	faults  []Fault
 	files   map[string][]byte
@@ -90,7 +90,7 @@
 		return
 	}
 	if other, taken := p.sources[head.Kind+"/"+head.Name]; taken {
-		p.fault(name, "$.name", "%s %q is declared in %s already; keep one of them", head.Kind, head.Name, other)
+		p.fault(name, "$.name", "%s %q is already declared in %s; keep one of them", head.Kind, head.Name, other)
 		return
 	}
 	p.sources[head.Kind+"/"+head.Name] = name
@@ -120,7 +120,7 @@
 	return err == nil
 }
 
-// syntax records an error of the YAML library, which knows line and field.
+// syntax records an error of the YAML library, with its line and field if known.
 func (p *parse) syntax(name string, err error) {
 	f := Fault{File: name, Message: yaml.FormatError(err, false, false)}
 	var known yaml.Error
--- a/internal/setting/parser/parse_test.go
+++ b/internal/setting/parser/parse_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// Bad input gets one clear error that names file, line, field and fix.
+// Invalid input gives an error that names file, line, field and fix.
 func TestParseRefuses(t *testing.T) {
 	for _, tc := range []struct{ name, file, from, to, want string }{
 		{"unknown field", "root.yaml", "stall: 1", "stal: 1", "root.yaml:4: stal: unknown field"},
@@ -85,7 +85,7 @@
 				t.Fatalf("Parse = %v, want *InvalidError", err)
 			}
 			if !strings.Contains(invalid.Error(), tc.want) {
-				t.Errorf("got:\n%v\nwant a line with:\n%s", invalid, tc.want)
+				t.Errorf("got:\n%v\nwant a line containing:\n%s", invalid, tc.want)
 			}
 		})
 	}
--- a/internal/setting/parser/tree.go
+++ b/internal/setting/parser/tree.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// A Tree is a whole set of settings.
+// A Tree is a parsed settings tree.
 type Tree struct {
 	Root     Root
 	Services []Service
 	Accounts []Account
 }
 
-// A Root is the topmost level: defaults for everything, and the limits of the
-// platform that all share.
+// A Root is the topmost level: the default values, and the limits of platform
+// resources that all services share.
 type Root struct {
 	Kind    string  `yaml:"kind"`
 	Values  Values  `yaml:"values"`
@@ -19,8 +19,8 @@
 
 // Weights are the limits of the weight store.
 type Weights struct {
-	Rate     float64 `yaml:"rate"`     // loads a second, all domains together
-	Together int     `yaml:"together"` // loads at once at full speed
+	Rate     float64 `yaml:"rate"`     // loads per second over all failure domains
+	Together int     `yaml:"together"` // concurrent loads that do not slow each other down
 }
 
 // A Service is a group of upstreams that do the same work.
@@ -43,12 +43,13 @@
 	Name    string `yaml:"name"`
 	Domain  string `yaml:"domain"`
 	Address string `yaml:"address"` // host:port
-	Slots   int    `yaml:"slots"`   // adapters that an engine holds
-	Batch   int    `yaml:"batch"`   // requests that it runs at once
-	Fencing bool   `yaml:"fencing"` // whether it refuses orders with an old fencing number
+	Slots   int    `yaml:"slots"`   // adapters that the engine can hold
+	Batch   int    `yaml:"batch"`   // requests that it runs concurrently
+	Fencing bool   `yaml:"fencing"` // whether it rejects orders with an outdated fencing token
 }
 
-// An Account is a client account: who may call, what it has, what it needs.
+// An Account is a client account: its API keys, its adapters and its settings for
+// each service.
 type Account struct {
 	Kind     string  `yaml:"kind"`
 	Name     string  `yaml:"name"`
@@ -58,34 +59,34 @@
 	Adapters []Group `yaml:"adapters"`
 }
 
-// A Key is an API key of an account, kept as its SHA-256.
+// A Key is an API key of an account, stored as its SHA-256 digest.
 type Key struct {
 	Hash string `yaml:"hash"` // hexadecimal
-	Desk string `yaml:"desk"` // empty for none
+	Desk string `yaml:"desk"` // the desk that uses the key; empty for none
 }
 
-// A Use is what an account needs of one service.
+// A Use is an account's settings for one service.
 type Use struct {
 	Name    string   `yaml:"name"`
 	Values  Values   `yaml:"values"`
 	Domains []Domain `yaml:"domains"`
 }
 
-// A Domain is what an account needs of a service in one failure domain.
+// A Domain is an account's settings for a service in one failure domain.
 type Domain struct {
 	Name   string `yaml:"name"`
 	Values Values `yaml:"values"`
 	Desks  []Desk `yaml:"desks"`
 }
 
-// A Desk is the last level: one place that calls.
+// A Desk is the innermost level: one source of requests within an account.
 type Desk struct {
 	Name   string `yaml:"name"`
 	Values Values `yaml:"values"`
 }
 
-// A Group declares adapters by the thousand: with a Count they are named
-// name-0 to name-(count-1), without one the group is a single adapter.
+// A Group declares any number of adapters: with a Count they are named name-0 to
+// name-(count-1), without one the group is a single adapter.
 type Group struct {
 	Name     string `yaml:"name"`
 	Count    int    `yaml:"count"`
@@ -94,16 +95,16 @@
 	Base     string `yaml:"base"` // base model
 }
 
-// Values are what every level may set; nil is inherited.
+// Values are the settings that every level may override; nil means inherited.
 type Values struct {
 	Batch    *float64       `yaml:"batch"`    // weight of batch efficiency
 	Body     *int           `yaml:"body"`     // largest request body in bytes
-	Deadline *time.Duration `yaml:"deadline"` // for requests that name none
-	Keep     *time.Duration `yaml:"keep"`     // how long outcomes of keyed requests are kept
-	Policy   *string        `yaml:"policy"`   // choice of runner: cost, hash or least
-	Queue    *int           `yaml:"queue"`    // requests that may wait for a runner
-	Retries  *int           `yaml:"retries"`  // further tries after not_run
-	Share    *float64       `yaml:"share"`    // part of a queue that one account may hold
+	Deadline *time.Duration `yaml:"deadline"` // of requests that do not set one
+	Keep     *time.Duration `yaml:"keep"`     // retention of the outcomes of requests with an idempotency key
+	Policy   *string        `yaml:"policy"`   // routing policy: cost, hash or least
+	Queue    *int           `yaml:"queue"`    // maximum requests that wait for a runner
+	Retries  *int           `yaml:"retries"`  // maximum retries after not_run
+	Share    *float64       `yaml:"share"`    // maximum fraction of a queue that one account may use
 	Stall    *float64       `yaml:"stall"`    // weight of load stalls
-	Streams  *int           `yaml:"streams"`  // requests of an account at one instance at once
+	Streams  *int           `yaml:"streams"`  // maximum concurrent requests of an account at one instance
 }
--- a/internal/setting/publisher/publisher.go
+++ b/internal/setting/publisher/publisher.go
@@ -20,23 +20,23 @@
 type Publisher struct {
 	Store storer.Store
 	Table tabler.Table
-	Token func() string // a fresh name for each attempt
+	Token func() string // returns a unique token for each attempt
 }
 
-// An Edit is a tree that shall come into force.
+// An Edit is a tree to publish as the next revision.
 type Edit struct {
 	Files  map[string][]byte
-	Base   uint64 // revision that the edit was made on
+	Base   uint64 // revision that the edit is based on
 	Author string
 	Note   string
 }
 
-// A ConflictError is an edit that was made on a revision that is no longer in
-// force.
+// A ConflictError reports that an edit is based on a revision that is no longer
+// active.
 type ConflictError struct {
 	Base   uint64
 	Head   uint64
-	Theirs []Change // what came into force since Base
+	Theirs []Change // changes published after Base
 }
 
 // Error implements error.
@@ -48,14 +48,16 @@
 	return fmt.Sprintf("made on revision %d, but revision %d is in force; changed since: %s", e.Base, e.Head, strings.Join(files, ", "))
 }
 
-// settleTries and settleWait bound how long a lost answer is asked after.
+// settleTries and settleWait are the maximum number of read-backs after a lost
+// response and the interval between them.
 const (
 	settleTries = 20
 	settleWait  = 250 * time.Millisecond
 )
 
-// Apply checks an edit and makes it the revision in force. It returns the new
-// revision, a *parser.InvalidError, a *ConflictError, or the platform's error.
+// Apply validates an edit and publishes it as the active revision. It returns the
+// new revision, a *parser.InvalidError, a *ConflictError, or the error of the
+// platform.
 func (p *Publisher) Apply(ctx context.Context, edit Edit) (uint64, error) {
 	if _, err := parser.Parse(edit.Files); err != nil {
 		return 0, err
@@ -97,20 +99,19 @@
 	return Fetch(ctx, p.Store, digest)
 }
 
-// Fetch returns the content of a file from a store and checks it against its
-// digest.
+// Fetch returns the content of a file from a store and verifies its digest.
 func Fetch(ctx context.Context, store storer.Store, digest string) ([]byte, error) {
 	data, err := store.Get(ctx, prefixFile+digest)
 	if err != nil {
 		return nil, err
 	}
 	if Digest(data) != digest {
-		return nil, fmt.Errorf("object %s does not have its digest", digest)
+		return nil, fmt.Errorf("object %s: content does not match the digest", digest)
 	}
 	return data, nil
 }
 
-// Head returns the revision in force and its row.
+// Head returns the head of the active revision and its row.
 func (p *Publisher) Head(ctx context.Context) (Head, tabler.Row, error) {
 	row, err := p.Table.Get(ctx, KeyHead)
 	if err != nil || row.Version == 0 {
@@ -141,7 +142,7 @@
 	return FetchManifest(ctx, p.Store, digest)
 }
 
-// FetchManifest returns a manifest from a store.
+// FetchManifest returns a manifest from a store and verifies its digest.
 func FetchManifest(ctx context.Context, store storer.Store, digest string) (Manifest, error) {
 	manifest := make(Manifest)
 	if digest == "" {
@@ -152,7 +153,7 @@
 		return nil, errors.Wrap(err, "manifest")
 	}
 	if Digest(data) != digest {
-		return nil, fmt.Errorf("manifest %s does not have its digest", digest)
+		return nil, fmt.Errorf("manifest %s: content does not match the digest", digest)
 	}
 	err = encoder.Unmarshal(data, &manifest)
 	return manifest, err
@@ -195,7 +196,7 @@
 	conflict := &ConflictError{Base: base, Head: head.Revision}
 	entries, err := p.History(ctx)
 	if err != nil {
-		return conflict // the conflict is certain, only its details are missing
+		return conflict // the conflict is certain; only the list of changes is missing
 	}
 	for _, e := range entries {
 		if e.Revision > base {
@@ -205,8 +206,8 @@
 	return conflict
 }
 
-// prepare stores the objects and returns the transaction that accepts them.
-// Objects of an edit that is never accepted are harmless: nothing names them.
+// prepare stores the objects and returns the transaction that publishes them.
+// Objects of an edit that is never accepted are harmless: nothing refers to them.
 func (p *Publisher) prepare(ctx context.Context, edit Edit, head Head, row tabler.Row, before Manifest) (Head, tabler.Txn, error) {
 	manifest := ManifestOf(edit.Files)
 	changes := before.Diff(manifest, head.Revision+1)
@@ -231,8 +232,8 @@
 	return next, txn, err
 }
 
-// settle finds out whether a commit whose answer was lost took effect. The
-// head may have moved on since; then the history tells.
+// settle reads back whether a commit whose response was lost took effect. If a
+// later revision is already active, it looks at the history.
 func (p *Publisher) settle(ctx context.Context, edit Edit, next Head, cause error) (uint64, error) {
 	for range settleTries {
 		head, _, err := p.Head(ctx)
--- a/internal/setting/publisher/revision.go
+++ b/internal/setting/publisher/revision.go
@@ -10,7 +10,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// Rows and objects of the settings.
+// Keys of the rows and objects of the settings, and the number of revisions whose
+// changes a Head lists.
 const (
 	KeyHead         = "setting/head"
 	keyRevision     = "setting/revision/"
@@ -19,15 +20,15 @@
 	recentRevisions = 16
 )
 
-// A Change is one file that a revision wrote or removed.
+// A Change is one file that a revision added, changed or removed.
 type Change struct {
 	Revision uint64 `cbor:"1,keyasint" json:"revision" yaml:"revision"`
 	File     string `cbor:"2,keyasint" json:"file" yaml:"file"`
 	Digest   string `cbor:"3,keyasint" json:"digest" yaml:"digest"` // empty if removed
 }
 
-// A Head names the revision in force and how it differs from the latest ones
-// before it.
+// A Head identifies the active revision and lists the changes of the latest
+// revisions.
 type Head struct {
 	Revision uint64   `cbor:"1,keyasint"`
 	Manifest string   `cbor:"2,keyasint"` // digest of the manifest object
@@ -46,10 +47,10 @@
 	Changes  []Change  `cbor:"6,keyasint" json:"changes" yaml:"changes"`
 }
 
-// A Manifest is the digest of each file of a tree.
+// A Manifest maps the files of a tree to their digests.
 type Manifest map[string]string
 
-// Digest names content.
+// Digest returns the SHA-256 of data in hexadecimal.
 func Digest(data []byte) string {
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
@@ -64,16 +65,17 @@
 	return m
 }
 
-// Digest names the manifest.
+// Digest returns the digest of the encoded manifest.
 func (m Manifest) Digest() string {
 	data, err := encoder.Marshal(m)
 	if err != nil {
-		return "" // a map of strings always encodes
+		return "" // unreachable: encoding a map of strings does not fail
 	}
 	return Digest(data)
 }
 
-// Diff returns the changes that lead from m to next, sorted by file.
+// Diff returns the changes from m to next: changed and added files in order of
+// their names, then removed ones.
 func (m Manifest) Diff(next Manifest, revision uint64) []Change {
 	var changes []Change
 	for _, file := range slices.Sorted(maps.Keys(next)) {
@@ -89,7 +91,7 @@
 	return changes
 }
 
-// Patch returns the manifest after the changes with revisions above since.
+// Patch returns a copy of m with the changes of revisions after since applied.
 func (m Manifest) Patch(changes []Change, since uint64) Manifest {
 	next := maps.Clone(m)
 	for _, c := range changes {
@@ -104,7 +106,7 @@
 	return next
 }
 
-// next returns the head after a further revision.
+// next returns the head of the next revision.
 func (h Head) next(manifest, token string, changes []Change) Head {
 	n := Head{Revision: h.Revision + 1, Manifest: manifest, Token: token, Since: h.Since}
 	if n.Revision > recentRevisions {
@@ -118,8 +120,8 @@
 	return n
 }
 
-// Objects returns the objects of a tree by their keys in the store, the
-// manifest among them.
+// Objects returns the objects of a tree, including the manifest, by their keys in
+// the store.
 func Objects(manifest Manifest, files map[string][]byte) map[string][]byte {
 	objects := make(map[string][]byte, len(files)+1)
 	for name, digest := range manifest {
--- a/internal/setting/resolver/doc.go
+++ b/internal/setting/resolver/doc.go
@@ -1,4 +1,4 @@
-// Package resolver answers what holds for one caller: which account a key
-// belongs to, which service an adapter runs on, and which value each setting
-// has after inheritance, with the level that set it.
+// Package resolver looks up what applies to a caller: the account of an API key,
+// the service that runs an adapter, and the value of each setting after
+// inheritance, with the level that set it.
 package resolver
--- a/internal/setting/resolver/effective.go
+++ b/internal/setting/resolver/effective.go
@@ -8,7 +8,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/parser"
 )
 
-// An Effective is every value after inheritance. Its fields are those of
+// An Effective holds all values after inheritance. It has the same fields as
 // parser.Values.
 type Effective struct {
 	Batch    float64
@@ -23,7 +23,7 @@
 	Streams  int
 }
 
-// Defaults hold where no level says otherwise.
+// Defaults are the values of settings that no level sets.
 var Defaults = Effective{
 	Batch:    0.2,
 	Body:     1 << 20,
@@ -37,20 +37,21 @@
 	Streams:  512,
 }
 
-// An Origin tells a value and the level that set it.
+// An Origin is the value of a setting and the level that set it.
 type Origin struct {
 	Field string `json:"field" yaml:"field"`
 	Value any    `json:"value" yaml:"value"`
 	Level string `json:"level" yaml:"level"` // default, root, account NAME, …
 }
 
-// A level is one place that may set values.
+// A level is one position in the tree that may set values.
 type level struct {
 	name   string
 	values parser.Values
 }
 
-// merge overrides the defaults level by level, the last one winning.
+// merge applies the levels to the defaults in order; the last one takes
+// precedence.
 func merge(levels []level) (Effective, []Origin) {
 	effective := Defaults
 	target := reflect.ValueOf(&effective).Elem()
--- a/internal/setting/resolver/resolver.go
+++ b/internal/setting/resolver/resolver.go
@@ -10,9 +10,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/parser"
 )
 
-// A Resolver answers questions about one tree. It never changes after New and
-// is safe for concurrent use. It keeps nothing per adapter: a group of any size
-// costs one entry.
+// A Resolver is an index of one settings tree. It is immutable and safe for
+// concurrent use. Its memory does not grow with the size of adapter groups: each
+// group is one entry.
 type Resolver struct {
 	accounts map[string]*parser.Account
 	groups   map[string]owned
@@ -21,7 +21,7 @@
 	tree     *parser.Tree
 }
 
-// A Caller is who sent a request.
+// A Caller identifies who sent a request.
 type Caller struct {
 	Account string
 	Desk    string
@@ -40,7 +40,7 @@
 	group   parser.Group
 }
 
-// New indexes a tree.
+// New returns a Resolver of a tree.
 func New(tree *parser.Tree) *Resolver {
 	r := &Resolver{
 		accounts: make(map[string]*parser.Account),
@@ -58,7 +58,7 @@
 	return r
 }
 
-// Adapter finds a declared adapter by name@version.
+// Adapter returns the declared adapter version with the name name@version.
 func (r *Resolver) Adapter(model string) (Adapter, bool) {
 	name, version, found := strings.Cut(model, "@")
 	number, err := strconv.Atoi(version)
@@ -90,14 +90,14 @@
 	}
 }
 
-// Caller returns whose key it is.
+// Caller returns the caller that an API key belongs to.
 func (r *Resolver) Caller(key string) (Caller, bool) {
 	sum := sha256.Sum256([]byte(key))
 	c, ok := r.keys[hex.EncodeToString(sum[:])]
 	return c, ok
 }
 
-// Explain returns each value for a place in the tree and the level that set it.
+// Explain returns each value at a position in the tree and the level that set it.
 func (r *Resolver) Explain(account, service, domain, desk string) []Origin {
 	_, origins := merge(r.levels(account, service, domain, desk))
 	return origins
@@ -112,7 +112,7 @@
 // Services returns all services.
 func (r *Resolver) Services() []parser.Service { return r.tree.Services }
 
-// Values returns what holds for a place in the tree.
+// Values returns the effective values at a position in the tree.
 func (r *Resolver) Values(account, service, domain, desk string) Effective {
 	effective, _ := merge(r.levels(account, service, domain, desk))
 	return effective
@@ -121,8 +121,8 @@
 // Weights returns the limits of the weight store.
 func (r *Resolver) Weights() parser.Weights { return r.tree.Root.Weights }
 
-// group finds the group of an adapter name: the name itself, or a numbered
-// member.
+// group returns the group of an adapter name, which is either the group's name or
+// that of one of its numbered adapters.
 func (r *Resolver) group(name string) (owned, bool) {
 	if o, ok := r.groups[name]; ok && o.group.Count == 0 {
 		return o, true
@@ -149,7 +149,7 @@
 	}
 }
 
-// levels returns the levels that hold for a place, the outermost first.
+// levels returns the levels that apply to a position, the outermost first.
 func (r *Resolver) levels(account, service, domain, desk string) []level {
 	levels := []level{{"root", r.tree.Root.Values}}
 	if s, ok := r.services[service]; ok {
--- a/internal/setting/watcher/watcher.go
+++ b/internal/setting/watcher/watcher.go
@@ -1,9 +1,9 @@
-// Package watcher keeps the revision in force on one instance.
+// Package watcher keeps the active settings revision of one instance.
 //
-// A Watcher takes a higher revision, wherever it is heard of, and never a lower
-// one: from the table service, from peers of its domain, from peers of others.
-// It fetches only the files that changed, and a tree that is not valid is never
-// put in force.
+// A Watcher accepts a head from any source: the table service, or peers of its
+// own or another failure domain. It activates only a higher revision than the
+// active one, so that settings never revert, and only a valid tree. It fetches
+// only the files that changed.
 package watcher
 
 import (
@@ -21,29 +21,29 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/resolver"
 )
 
-// A Force is a revision in force.
+// A Force is an active revision.
 type Force struct {
 	Head     publisher.Head
 	Resolver *resolver.Resolver
-	Since    time.Time // when it came into force here
+	Since    time.Time // when this instance activated it
 }
 
-// A Watcher holds the revision in force. It is safe for concurrent use. Store
-// is set before use.
+// A Watcher holds the active revision. It is safe for concurrent use. Store is
+// set before use.
 type Watcher struct {
-	Store storer.Store // where the objects come from; may fall back on peers
+	Store storer.Store // source of the objects; may fall back to peers
 
 	force    atomic.Pointer[Force]
 	mu       sync.Mutex
 	files    map[string][]byte
 	manifest publisher.Manifest
-	objects  map[string][]byte // by digest, for peers that cannot reach the store
+	objects  map[string][]byte // by key, for peers that cannot reach the store
 }
 
-// Force returns the revision in force, or nil if there is none yet.
+// Force returns the active revision, or nil if there is none yet.
 func (w *Watcher) Force() *Force { return w.force.Load() }
 
-// Object returns the content with the digest if this instance holds it.
+// Object returns the object with the key if it belongs to the active revision.
 func (w *Watcher) Object(key string) ([]byte, bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -51,8 +51,8 @@
 	return data, ok
 }
 
-// Offer takes in a head that was heard of. It returns whether the head came
-// into force.
+// Offer handles a head received from any source. It returns whether the head
+// became the active revision.
 func (w *Watcher) Offer(ctx context.Context, head publisher.Head) (bool, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -77,7 +77,7 @@
 	return true, nil
 }
 
-// Revision returns the revision in force, 0 if none.
+// Revision returns the number of the active revision, or 0 if there is none.
 func (w *Watcher) Revision() uint64 {
 	if f := w.Force(); f != nil {
 		return f.Head.Revision
@@ -107,9 +107,9 @@
 	w.objects = publisher.Objects(manifest, files)
 }
 
-// manifestOf works the manifest out from the changes in the head if they reach
-// back to the revision in force, and fetches it otherwise. The digest shows
-// whether the changes were complete.
+// manifestOf returns the manifest of a head. It patches the active manifest if
+// the changes in the head reach back to the active revision and the digest
+// confirms the result; otherwise it fetches the manifest.
 func (w *Watcher) manifestOf(ctx context.Context, head publisher.Head, current *Force) (publisher.Manifest, error) {
 	if current != nil && current.Head.Revision >= head.Since {
 		patched := w.manifest.Patch(head.Recent, current.Head.Revision)
--- a/internal/setting/watcher/watcher_test.go
+++ b/internal/setting/watcher/watcher_test.go
@@ -21,8 +21,8 @@
 
 func TestMain(m *testing.M) { seeder.Main(m) }
 
-// A lossyTable loses the answer of every commit that lose accepts, after it
-// took effect.
+// A lossyTable commits each transaction, and drops the response if lose returns
+// true.
 type lossyTable struct {
 	tabler.Memory
 	lose func() bool
@@ -31,12 +31,12 @@
 func (l *lossyTable) Commit(ctx context.Context, txn tabler.Txn) error {
 	err := l.Memory.Commit(ctx, txn)
 	if err == nil && l.lose() {
-		return &tabler.UnknownError{Err: errors.New("answer lost")}
+		return &tabler.UnknownError{Err: errors.New("response lost")}
 	}
 	return err
 }
 
-// A countingStore counts what is read.
+// A countingStore records the keys of the objects that are read.
 type countingStore struct {
 	storer.Memory
 	gets []string
@@ -63,7 +63,7 @@
 	return b
 }
 
-// tree is a valid tree whose files differ with the seconds.
+// tree returns a valid tree with one account for each deadline, in seconds.
 func tree(seconds ...int) map[string][]byte {
 	files := map[string][]byte{"root.yaml": []byte("kind: root\n")}
 	for i, s := range seconds {
@@ -103,8 +103,9 @@
 	}
 }
 
-// The table takes the revision and its answer is lost. Reading back the own
-// token shows that it is in force: the operator is told so and not "conflict".
+// The table service commits the revision but the response is lost. Reading back
+// the attempt's token shows that it is active: Apply must succeed and not report
+// a conflict.
 func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
 	b := newBench()
 	b.table.lose = func() bool { return true }
@@ -137,14 +138,14 @@
 	}
 	files := slices.DeleteFunc(b.store.gets, func(key string) bool { return !strings.HasPrefix(key, "setting/file/") })
 	if len(b.store.gets) != 1 || len(files) != 1 {
-		t.Errorf("fetched %v, want one file", b.store.gets)
+		t.Errorf("fetched %v, want only the changed file", b.store.gets)
 	}
 }
 
-// Two operators edit at random, answers are lost, and instances hear of heads
-// in any order, old ones again and again. Every accepted revision is seen by
-// the operator as accepted; no instance ever goes back; in the end all have the
-// last one, with exactly its content.
+// Edits are made on current and outdated revisions, responses are lost, and
+// instances receive heads in any order and repeatedly. Apply must succeed exactly
+// for edits of the current revision, no instance may revert to an older revision,
+// and in the end all must have the last one, with matching content.
 func TestSettingsNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newBench()
@@ -167,7 +168,7 @@
 		for _, w := range watchers {
 			offer(t, w, heads[len(heads)-1])
 			if w.Revision() != accepted {
-				t.Fatalf("revision %d is in force, want %d", w.Revision(), accepted)
+				t.Fatalf("revision %d is active, want %d", w.Revision(), accepted)
 			}
 		}
 	})
@@ -176,12 +177,12 @@
 func checkAccepted(t *rapid.T, err error, base, revision, accepted uint64) uint64 {
 	if err != nil {
 		if base == accepted {
-			t.Fatalf("edit on the revision in force was refused: %v", err)
+			t.Fatalf("edit of the current revision was rejected: %v", err)
 		}
 		return accepted
 	}
 	if base != accepted || revision != accepted+1 {
-		t.Fatalf("edit on %d gave %d after %d", base, revision, accepted)
+		t.Fatalf("edit of revision %d gave revision %d after %d", base, revision, accepted)
 	}
 	return revision
 }
@@ -192,7 +193,7 @@
 		t.Fatal(err)
 	}
 	if w.Revision() < before || w.Revision() < head.Revision {
-		t.Fatalf("went from %d to %d on head %d", before, w.Revision(), head.Revision)
+		t.Fatalf("went from revision %d to %d when offered head %d", before, w.Revision(), head.Revision)
 	}
 	if f := w.Force(); f != nil {
 		want, _ := w.Object("setting/manifest/" + f.Head.Manifest)
