--- a/internal/chart/interpreter/chart.go
+++ b/internal/chart/interpreter/chart.go
@@ -72,9 +72,9 @@
 			return err
 		}
 	}
-	reached := c.reachable()
+	reachable := c.reachable()
 	for _, s := range c.States {
-		if !slices.Contains(reached, s.Name) {
+		if !slices.Contains(reachable, s.Name) {
 			return fmt.Errorf("state %q is unreachable", s.Name)
 		}
 	}
--- a/internal/chart/interpreter/chart_test.go
+++ b/internal/chart/interpreter/chart_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestLoadRefusesBadCharts(t *testing.T) {
+func TestLoadRejectsInvalidCharts(t *testing.T) {
 	for _, tc := range []struct{ name, text string }{
 		{"unknown start", "name: x\nstart: a\nstates: []\n"},
 		{"unknown target", "name: x\nstart: a\nstates: [{name: a, on: {go: b}}]\n"},
--- a/internal/check/seeder/seeder.go
+++ b/internal/check/seeder/seeder.go
@@ -19,7 +19,7 @@
 func Main(m *testing.M) {
 	flag.Parse()
 	for name, value := range defaults {
-		if given(name) {
+		if isSet(name) {
 			continue
 		}
 		if err := flag.Set(name, value); err != nil {
@@ -29,7 +29,7 @@
 	os.Exit(m.Run())
 }
 
-func given(name string) bool {
+func isSet(name string) bool {
 	found := false
 	flag.Visit(func(f *flag.Flag) { found = found || f.Name == name })
 	return found
--- a/internal/check/walker/walker.go
+++ b/internal/check/walker/walker.go
@@ -20,12 +20,12 @@
 	for _, s := range chart.States {
 		for event := range events {
 			m := &interpreter.Machine{Chart: chart, State: s.Name}
-			next, allowed := s.On[event]
+			want, allowed := s.On[event]
 			if !allowed {
-				next = s.Name
+				want = s.Name
 			}
-			if err := m.Fire(event); (err == nil) != allowed || m.State != next {
-				t.Errorf("%s in %s: state %s, %v, want %s", event, s.Name, m.State, err, next)
+			if err := m.Fire(event); (err == nil) != allowed || m.State != want {
+				t.Errorf("%s in %s: state %s, %v, want %s", event, s.Name, m.State, err, want)
 			}
 		}
 	}
--- a/internal/clock/repeater/repeater.go
+++ b/internal/clock/repeater/repeater.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// Every calls do after each period, and whenever now receives a value, until ctx
-// ends. now may be nil.
-func Every(ctx context.Context, period time.Duration, now <-chan struct{}, do func()) {
+// Every calls do after each period, and whenever trigger receives a value, until
+// ctx ends. trigger may be nil.
+func Every(ctx context.Context, period time.Duration, trigger <-chan struct{}, do func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-now:
+		case <-trigger:
 		case <-ticker.C:
 		}
 		do()
@@ -23,7 +23,7 @@
 }
 
 // Now calls do immediately and then like Every.
-func Now(ctx context.Context, period time.Duration, now <-chan struct{}, do func()) {
+func Now(ctx context.Context, period time.Duration, trigger <-chan struct{}, do func()) {
 	do()
-	Every(ctx, period, now, do)
+	Every(ctx, period, trigger, do)
 }
--- a/internal/clock/repeater/repeater_test.go
+++ b/internal/clock/repeater/repeater_test.go
@@ -11,7 +11,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/clock/repeater"
 )
 
-func TestRepeats(t *testing.T) {
+func TestEveryAndNowCallPeriodicallyAndOnTrigger(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		repeat func(ctx context.Context, period time.Duration, now <-chan struct{}, do func())
@@ -24,14 +24,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(t.Context(), 2500*time.Millisecond)
 				defer cancel()
-				began := time.Now()
-				now := make(chan struct{})
+				start := time.Now()
+				trigger := make(chan struct{})
 				go func() {
 					time.Sleep(1500 * time.Millisecond)
-					now <- struct{}{}
+					trigger <- struct{}{}
 				}()
 				var got []time.Duration
-				tc.repeat(ctx, time.Second, now, func() { got = append(got, time.Since(began)) })
+				tc.repeat(ctx, time.Second, trigger, func() { got = append(got, time.Since(start)) })
 				if diff := cmp.Diff(tc.want, got); diff != "" {
 					t.Error(diff)
 				}
--- a/internal/platform/lister/lister.go
+++ b/internal/platform/lister/lister.go
@@ -67,12 +67,12 @@
 
 func (c *Client) call(ctx context.Context, path string, body any) ([]byte, error) {
 	var r requester.Requester
-	status, answer, seen := r.Post(ctx, c.Timeout, c.Address, path, body)
-	if seen != nil {
-		return nil, judge.Judge(seen)
+	status, response, observation := r.Post(ctx, c.Timeout, c.Address, path, body)
+	if observation != nil {
+		return nil, judge.Judge(observation)
 	}
 	if status != fasthttp.StatusOK {
 		return nil, fmt.Errorf("instance list: status %d", status)
 	}
-	return answer, nil
+	return response, nil
 }
--- a/internal/platform/storer/store.go
+++ b/internal/platform/storer/store.go
@@ -63,9 +63,9 @@
 	request.SetRequestURI("http://" + c.Address + PathObject + key)
 	request.SetBody(data)
 	var r requester.Requester
-	status, body, seen := r.Whole(ctx, c.Address, request)
-	if seen != nil {
-		return 0, nil, judge.Judge(seen)
+	status, body, observation := r.Whole(ctx, c.Address, request)
+	if observation != nil {
+		return 0, nil, judge.Judge(observation)
 	}
 	if status >= fasthttp.StatusInternalServerError {
 		return status, nil, fmt.Errorf("object store: status %d", status)
--- a/internal/platform/tabler/client.go
+++ b/internal/platform/tabler/client.go
@@ -29,9 +29,9 @@
 
 // Commit implements Table.
 func (c *Client) Commit(ctx context.Context, txn Txn) error {
-	status, body, seen := c.call(ctx, PathCommit, txn)
-	if seen != nil {
-		return commitError(judge.Judge(seen))
+	status, body, observation := c.call(ctx, PathCommit, txn)
+	if observation != nil {
+		return commitError(judge.Judge(observation))
 	}
 	switch status {
 	case fasthttp.StatusOK:
@@ -65,9 +65,9 @@
 }
 
 func (c *Client) read(ctx context.Context, path, key string, into any) error {
-	status, body, seen := c.call(ctx, path, key)
-	if seen != nil {
-		return &UnavailableError{Err: judge.Judge(seen)}
+	status, body, observation := c.call(ctx, path, key)
+	if observation != nil {
+		return &UnavailableError{Err: judge.Judge(observation)}
 	}
 	if status != fasthttp.StatusOK {
 		return &UnavailableError{Err: statusError(status)}
--- a/internal/wire/listener/conn.go
+++ b/internal/wire/listener/conn.go
@@ -26,37 +26,37 @@
 type Conn struct {
 	net.Conn
 
-	mu    sync.Mutex
-	ended chan struct{} // closed when the running watch ends; nil if none runs
-	early []byte        // read by the watch: the start of the next request
+	mu        sync.Mutex
+	watchDone chan struct{} // closed when the running watch ends; nil if none runs
+	lookahead []byte        // read by the watch: the start of the next request
 }
 
-// earlySize is how much of a pipelined request a watch reads at most, in bytes.
-// The rest stays in the kernel's receive buffer.
-const earlySize = 512
+// lookaheadSize is how much of a pipelined request a watch reads at most, in
+// bytes. The rest stays in the kernel's receive buffer.
+const lookaheadSize = 512
 
-// Watch calls gone if the client closes the connection before Unwatch.
-func (c *Conn) Watch(gone func()) {
+// Watch calls onDisconnect if the client closes the connection before Unwatch.
+func (c *Conn) Watch(onDisconnect func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended != nil || len(c.early) > 0 {
+	if c.watchDone != nil || len(c.lookahead) > 0 {
 		return
 	}
 	if c.Conn.SetReadDeadline(time.Time{}) != nil {
-		gone()
+		onDisconnect()
 		return
 	}
-	ended := make(chan struct{})
-	c.ended = ended
+	done := make(chan struct{})
+	c.watchDone = done
 	go func() {
-		defer close(ended)
-		buffer := make([]byte, earlySize)
+		defer close(done)
+		buffer := make([]byte, lookaheadSize)
 		n, err := c.Conn.Read(buffer)
 		c.mu.Lock()
-		c.early = buffer[:n]
+		c.lookahead = buffer[:n]
 		c.mu.Unlock()
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			gone()
+			onDisconnect()
 		}
 	}()
 }
@@ -64,25 +64,25 @@
 // Unwatch ends the watch. The connection can be read again afterwards.
 func (c *Conn) Unwatch() {
 	c.mu.Lock()
-	ended := c.ended
+	done := c.watchDone
 	c.mu.Unlock()
-	if ended == nil {
+	if done == nil {
 		return
 	}
 	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // fails on a closed connection, whose read has already returned
-	<-ended
+	<-done
 	_ = c.Conn.SetReadDeadline(time.Time{})
 	c.mu.Lock()
-	c.ended = nil
+	c.watchDone = nil
 	c.mu.Unlock()
 }
 
 // Read implements net.Conn.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	if len(c.early) > 0 {
-		n := copy(p, c.early)
-		c.early = c.early[n:]
+	if len(c.lookahead) > 0 {
+		n := copy(p, c.lookahead)
+		c.lookahead = c.lookahead[n:]
 		c.mu.Unlock()
 		return n, nil
 	}
--- a/internal/wire/listener/listener.go
+++ b/internal/wire/listener/listener.go
@@ -27,7 +27,7 @@
 	bodyLimit    = 8 << 20
 	drainTimeout = 2 * time.Second
 	headerLimit  = 16 << 10
-	headTimeout  = 10 * time.Second // for a client to send a complete request
+	readTimeout  = 10 * time.Second // for a client to send a complete request
 	idleTimeout  = 30 * time.Second
 )
 
@@ -41,21 +41,21 @@
 		MaxRequestBodySize:    orDefault(s.Body, bodyLimit),
 		NoDefaultServerHeader: true,
 		ReadBufferSize:        orDefault(s.Header, headerLimit),
-		ReadTimeout:           headTimeout,
-		Logger:                silent{},
+		ReadTimeout:           readTimeout,
+		Logger:                discardLogger{},
 		CloseOnShutdown:       true,
 		ErrorHandler:          s.Refuse,
 	}
-	served := make(chan error, 1)
-	go func() { served <- server.Serve(Listener{s.Listener}) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- server.Serve(Listener{s.Listener}) }()
 	select {
-	case err := <-served:
+	case err := <-serveErr:
 		return err
 	case <-ctx.Done():
 	}
-	bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), orDefault(s.Drain, drainTimeout))
+	drainCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orDefault(s.Drain, drainTimeout))
 	defer cancel()
-	_ = server.ShutdownWithContext(bounded) // requests still in flight end with the process
+	_ = server.ShutdownWithContext(drainCtx) // requests still in flight end with the process
 	return nil
 }
 
@@ -86,16 +86,16 @@
 	return net.Listen("tcp", "127.0.0.1:0")
 }
 
-func orDefault[T int | time.Duration](value, otherwise T) T {
+func orDefault[T int | time.Duration](value, fallback T) T {
 	if value > 0 {
 		return value
 	}
-	return otherwise
+	return fallback
 }
 
-// silent discards the log lines of fasthttp: the relevant failures are counted
-// and logged by the handlers.
-type silent struct{}
+// discardLogger discards the log lines of fasthttp: the relevant failures are
+// counted and logged by the handlers.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (silent) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
--- a/internal/wire/pooler/exchange.go
+++ b/internal/wire/pooler/exchange.go
@@ -30,20 +30,20 @@
 	Header *fasthttp.ResponseHeader
 	Body   io.Reader
 
-	pool *Pool
-	conn *conn
-	key  string
-	stop func() bool
-	done bool
+	pool   *Pool
+	conn   *conn
+	key    string
+	detach func() bool
+	closed bool
 }
 
-// ErrForeign is returned if more responses on a connection name other requests
-// than a peer sends by mistake.
-var ErrForeign = errors.New("the answers on the connection name other requests")
+// ErrMismatched is returned if more responses on a connection name other
+// requests than a peer sends by mistake.
+var ErrMismatched = errors.New("the answers on the connection name other requests")
 
-// foreign is how many responses to other requests are skipped before the
+// maxMismatched is how many responses to other requests are skipped before the
 // connection is closed. A peer that repeats a response sends one.
-const foreign = 2
+const maxMismatched = 2
 
 // Do sends a request and reads the header of its response. The request is
 // cancelled when ctx ends. If there is no response, the observation says how far
@@ -56,14 +56,14 @@
 			return nil, judge.Dialed{Err: err}
 		}
 	}
-	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
+	detach := context.AfterFunc(ctx, func() { _ = c.Close() })
 	answer, err := c.exchange(call)
 	if err != nil {
-		stop()
+		detach()
 		_ = c.Close()
-		return nil, judge.Broken{Written: c.count(), Err: err}
+		return nil, judge.Broken{Written: c.bytesWritten(), Err: err}
 	}
-	answer.pool, answer.conn, answer.key, answer.stop = p, c, call.Key, stop
+	answer.pool, answer.conn, answer.key, answer.detach = p, c, call.Key, detach
 	return answer, nil
 }
 
@@ -72,7 +72,7 @@
 	if _, err := c.Write(call.Message); err != nil {
 		return nil, err
 	}
-	for range foreign + 1 {
+	for range maxMismatched + 1 {
 		response := &fasthttp.Response{StreamBody: true, SkipBody: call.NoBody}
 		if err := response.ReadLimitBody(c.reader, 0); err != nil {
 			return nil, err
@@ -92,42 +92,42 @@
 			return nil, err
 		}
 	}
-	return nil, ErrForeign
+	return nil, ErrMismatched
 }
 
 // Broken returns the observation for a body that could not be read completely.
 func (a *Answer) Broken(err error) judge.Observation {
-	return judge.Broken{Written: a.conn.count(), Head: true, Err: err}
+	return judge.Broken{Written: a.conn.bytesWritten(), Head: true, Err: err}
 }
 
 // Close returns the connection to the pool if the body was read completely.
 // Otherwise it closes the connection, which cancels the work of the peer.
-func (a *Answer) Close(whole bool) {
-	if a.done {
+func (a *Answer) Close(complete bool) {
+	if a.closed {
 		return
 	}
-	a.done = true
-	kept := a.stop()
-	framed := a.Header.ContentLength() != identity
-	if !whole || !kept || !framed || a.Header.ConnectionClose() || a.conn.reader.Buffered() > 0 {
+	a.closed = true
+	detached := a.detach()
+	framed := a.Header.ContentLength() != lengthUntilClose
+	if !complete || !detached || !framed || a.Header.ConnectionClose() || a.conn.reader.Buffered() > 0 {
 		_ = a.conn.Close()
 		return
 	}
-	if limit, ok := keepAlive(a.Header); ok {
-		a.conn.limit = min(a.pool.Idle, limit)
+	if limit, ok := keepAliveTimeout(a.Header); ok {
+		a.conn.idleTimeout = min(a.pool.Idle, limit)
 	}
 	a.pool.put(a.key, a.conn)
 }
 
-// identity is the content length that fasthttp reports for a body that ends when
-// the connection closes.
-const identity = -2
+// lengthUntilClose is the content length that fasthttp reports for a body that
+// ends when the connection closes.
+const lengthUntilClose = -2
 
-// keepAlive returns the idle timeout from the Keep-Alive header, less a margin
-// for the network delay: a request must not cross the peer's close.
-func keepAlive(header *fasthttp.ResponseHeader) (time.Duration, bool) {
-	for part := range strings.SplitSeq(string(header.Peek(fasthttp.HeaderKeepAlive)), ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+// keepAliveTimeout returns the idle timeout from the Keep-Alive header, less a
+// margin for the network delay: a request must not cross the peer's close.
+func keepAliveTimeout(header *fasthttp.ResponseHeader) (time.Duration, bool) {
+	for param := range strings.SplitSeq(string(header.Peek(fasthttp.HeaderKeepAlive)), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(param), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
@@ -135,13 +135,14 @@
 		if err != nil {
 			return 0, false
 		}
-		return time.Duration(seconds) * time.Second * keepPart / keepWhole, true
+		return time.Duration(seconds) * time.Second * keepAliveNumerator / keepAliveDenominator, true
 	}
 	return 0, false
 }
 
-// An idle connection is kept for keepPart/keepWhole of the announced timeout.
+// An idle connection is kept for keepAliveNumerator/keepAliveDenominator of the
+// announced timeout.
 const (
-	keepPart  = 3
-	keepWhole = 4
+	keepAliveNumerator   = 3
+	keepAliveDenominator = 4
 )
--- a/internal/wire/pooler/pool.go
+++ b/internal/wire/pooler/pool.go
@@ -29,13 +29,13 @@
 	dialed atomic.Int64
 }
 
-// unacknowledged is how long sent data may stay unacknowledged. A peer that is
+// ackTimeout is how long sent data may stay unacknowledged. A peer that is
 // partitioned or has lost power acknowledges nothing; without this limit the
 // kernel retransmits for minutes.
-const unacknowledged = 2 * time.Second
+const ackTimeout = 2 * time.Second
 
-// userTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
-const userTimeout = 0x12
+// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
+const tcpUserTimeout = 0x12
 
 // bufferSize is the read buffer in bytes. It must hold the header of a response,
 // which is long where engines add fields of their own.
@@ -44,11 +44,11 @@
 // A conn is a connection that may be reused.
 type conn struct {
 	net.Conn
-	reader  *bufio.Reader
-	since   time.Time     // last use
-	limit   time.Duration // idle timeout
-	written int           // bytes of the current request
-	mu      sync.Mutex
+	reader      *bufio.Reader
+	lastUsed    time.Time
+	idleTimeout time.Duration
+	written     int // bytes of the current request
+	mu          sync.Mutex
 }
 
 // Write implements net.Conn and counts the bytes that the kernel accepted.
@@ -60,7 +60,7 @@
 	return n, err
 }
 
-func (c *conn) count() int {
+func (c *conn) bytesWritten() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
@@ -83,23 +83,23 @@
 // Sweep closes the connections whose idle timeout has passed.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
-	var old []*conn
+	var expired []*conn
 	for key, conns := range p.idle {
-		kept := conns[:0]
+		fresh := conns[:0]
 		for _, c := range conns {
-			if now.Sub(c.since) < c.limit {
-				kept = append(kept, c)
+			if now.Sub(c.lastUsed) < c.idleTimeout {
+				fresh = append(fresh, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
-		p.idle[key] = kept
-		if len(kept) == 0 {
+		p.idle[key] = fresh
+		if len(fresh) == 0 {
 			delete(p.idle, key)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		_ = c.Close()
 	}
 }
@@ -117,7 +117,7 @@
 		c := conns[len(conns)-1]
 		p.idle[key] = conns[:len(conns)-1]
 		p.mu.Unlock()
-		if now.Sub(c.since) < c.limit && c.quiet() {
+		if now.Sub(c.lastUsed) < c.idleTimeout && c.reusable() {
 			c.written = 0
 			return c
 		}
@@ -126,7 +126,7 @@
 }
 
 func (p *Pool) put(key string, c *conn) {
-	c.since = time.Now()
+	c.lastUsed = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
@@ -138,16 +138,16 @@
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	dialer := net.Dialer{
 		Timeout:         p.Dial,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: unacknowledged, Interval: unacknowledged / 2, Count: 2},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: ackTimeout, Interval: ackTimeout / 2, Count: 2},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			var failed error
+			var sockErr error
 			err := raw.Control(func(fd uintptr) {
-				failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, userTimeout, int(unacknowledged.Milliseconds()))
+				sockErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(ackTimeout.Milliseconds()))
 			})
 			if err != nil {
 				return err
 			}
-			return failed
+			return sockErr
 		},
 	}
 	c, err := dialer.DialContext(ctx, "tcp", address)
@@ -155,12 +155,12 @@
 		return nil, err
 	}
 	p.dialed.Add(1)
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, bufferSize), limit: p.Idle}, nil
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, bufferSize), idleTimeout: p.Idle}, nil
 }
 
-// quiet reports whether the connection is open and no data has arrived since its
-// last response. Such data belongs to none of our requests.
-func (c *conn) quiet() bool {
+// reusable reports whether the connection is open and no data has arrived since
+// its last response. Such data belongs to none of our requests.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -172,12 +172,12 @@
 	if err != nil {
 		return false
 	}
-	waits := false
+	open := false
 	err = rc.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, errno := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waits = errno == syscall.EAGAIN
+		open = errno == syscall.EAGAIN
 		return true
 	})
-	return err == nil && waits
+	return err == nil && open
 }
--- a/internal/wire/pooler/pool_test.go
+++ b/internal/wire/pooler/pool_test.go
@@ -17,10 +17,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/pooler"
 )
 
-// peer starts a server that calls serve for each request of each connection,
-// with the position of the request on its connection, and closes the connection
-// when serve returns false.
-func peer(t *testing.T, serve func(c net.Conn, nth int, r *http.Request) bool) (address string, connections *atomic.Int64) {
+// startServer starts a server that calls serve for each request, with the
+// position of the request on its connection, and closes the connection when serve
+// returns false. It returns the server's address and its count of connections.
+func startServer(t *testing.T, serve func(c net.Conn, nth int, r *http.Request) bool) (address string, connections *atomic.Int64) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -50,22 +50,22 @@
 	return l.Addr().String(), connections
 }
 
-func call(address, id string) pooler.Call {
+func newCall(address, id string) pooler.Call {
 	return pooler.Call{
 		Address: address, Key: address, Message: []byte("GET / HTTP/1.1\r\nHost: a\r\nId: " + id + "\r\n\r\n"),
 		Own: func(h *fasthttp.ResponseHeader) bool { return string(h.Peek("Id")) == id },
 	}
 }
 
-func answer(c net.Conn, id, body string) {
+func writeResponse(c net.Conn, id, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func ask(t *testing.T, p *pooler.Pool, c pooler.Call) (string, judge.Observation) {
+func send(t *testing.T, p *pooler.Pool, c pooler.Call) (string, judge.Observation) {
 	t.Helper()
-	a, seen := p.Do(t.Context(), c)
-	if seen != nil {
-		return "", seen
+	a, observation := p.Do(t.Context(), c)
+	if observation != nil {
+		return "", observation
 	}
 	data, err := io.ReadAll(a.Body)
 	a.Close(err == nil)
@@ -77,14 +77,14 @@
 
 func newPool() *pooler.Pool { return &pooler.Pool{Dial: time.Second, Idle: time.Minute} }
 
-func TestConnectionIsKeptAfterAWholeAnswerOnly(t *testing.T) {
+func TestConnectionIsReusedOnlyAfterCompleteResponse(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		serve func(c net.Conn, nth int, r *http.Request) bool
 		want  int64
 	}{
 		{"complete response", func(c net.Conn, _ int, r *http.Request) bool {
-			answer(c, r.Header.Get("Id"), "x")
+			writeResponse(c, r.Header.Get("Id"), "x")
 			return true
 		}, 1},
 		{"connection: close", func(c net.Conn, _ int, r *http.Request) bool {
@@ -92,7 +92,7 @@
 			return true
 		}, 3},
 		{"bytes after the response", func(c net.Conn, _ int, r *http.Request) bool {
-			answer(c, r.Header.Get("Id"), "x")
+			writeResponse(c, r.Header.Get("Id"), "x")
 			fmt.Fprint(c, "HTTP/1.1 200 OK\r\n")
 			return true
 		}, 3},
@@ -102,11 +102,11 @@
 		}, 3},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			address, connections := peer(t, tc.serve)
+			address, connections := startServer(t, tc.serve)
 			p := newPool()
 			for n := range 3 {
-				if got, seen := ask(t, p, call(address, fmt.Sprint(n))); seen != nil || got != "x" {
-					t.Fatalf("got %q, %v", got, seen)
+				if got, observation := send(t, p, newCall(address, fmt.Sprint(n))); observation != nil || got != "x" {
+					t.Fatalf("got %q, %v", got, observation)
 				}
 				time.Sleep(20 * time.Millisecond) // let bytes after the response arrive
 			}
@@ -120,26 +120,26 @@
 // A request is sent on a reused connection just as a duplicate of an earlier
 // response arrives. The duplicate must be skipped and the request's own response,
 // which follows it, returned.
-func TestAnswerThatNamesAnotherRequestIsPassedOver(t *testing.T) {
-	address, _ := peer(t, func(c net.Conn, _ int, r *http.Request) bool {
-		answer(c, "old", "old")
-		answer(c, r.Header.Get("Id"), "own")
+func TestResponseToAnotherRequestIsSkipped(t *testing.T) {
+	address, _ := startServer(t, func(c net.Conn, _ int, r *http.Request) bool {
+		writeResponse(c, "old", "old")
+		writeResponse(c, r.Header.Get("Id"), "own")
 		return true
 	})
-	if got, seen := ask(t, newPool(), call(address, "q")); seen != nil || got != "own" {
-		t.Errorf("got %q, %v", got, seen)
+	if got, observation := send(t, newPool(), newCall(address, "q")); observation != nil || got != "own" {
+		t.Errorf("got %q, %v", got, observation)
 	}
 }
 
 // The verdict on a failed request depends on whether any byte of it was sent.
-func TestObservations(t *testing.T) {
+func TestVerdictsOfFailedRequests(t *testing.T) {
 	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = closed.Close()
-	if _, seen := ask(t, newPool(), call(closed.Addr().String(), "q")); judge.Judge(seen).Verdict != judge.NotRun {
-		t.Errorf("connection refused: %+v", seen)
+	if _, observation := send(t, newPool(), newCall(closed.Addr().String(), "q")); judge.Judge(observation).Verdict != judge.NotRun {
+		t.Errorf("connection refused: %+v", observation)
 	}
 	for _, tc := range []struct{ name, sent string }{
 		{"no response", ""},
@@ -149,28 +149,28 @@
 		{"not HTTP", "\x00\x01\x02\r\n\r\n"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			address, _ := peer(t, func(c net.Conn, _ int, _ *http.Request) bool {
+			address, _ := startServer(t, func(c net.Conn, _ int, _ *http.Request) bool {
 				fmt.Fprint(c, tc.sent)
 				return false
 			})
-			got, seen := ask(t, newPool(), call(address, "q"))
-			if seen == nil || judge.Judge(seen).Verdict != judge.MayHaveRun {
-				t.Errorf("got %q, %+v", got, seen)
+			got, observation := send(t, newPool(), newCall(address, "q"))
+			if observation == nil || judge.Judge(observation).Verdict != judge.MayHaveRun {
+				t.Errorf("got %q, %+v", got, observation)
 			}
 		})
 	}
 }
 
-func TestRequestEndsWithItsContext(t *testing.T) {
+func TestRequestIsCancelledWithItsContext(t *testing.T) {
 	ended := make(chan struct{})
-	address, _ := peer(t, func(c net.Conn, _ int, _ *http.Request) bool {
+	address, _ := startServer(t, func(c net.Conn, _ int, _ *http.Request) bool {
 		_, _ = c.Read(make([]byte, 1))
 		close(ended)
 		return false
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(20*time.Millisecond, cancel)
-	if _, seen := newPool().Do(ctx, call(address, "q")); seen == nil {
+	if _, observation := newPool().Do(ctx, newCall(address, "q")); observation == nil {
 		t.Error("got a response after the context ended")
 	}
 	<-ended
--- a/internal/wire/recorder/recorder.go
+++ b/internal/wire/recorder/recorder.go
@@ -27,14 +27,14 @@
 	Suspect   Kind = "suspect"   // a request that may crash runners
 )
 
-// rates limits the lines per second of each kind. At about 250 bytes a line
+// rateLimits limits the lines per second of each kind. At about 250 bytes a line
 // their sum stays below 100 KB/s, while up to 100 failures a second are logged.
-var rates = map[Kind]float64{
+var rateLimits = map[Kind]float64{
 	Answered: 20, Belief: 50, Config: 20, Failed: 100, Lifecycle: 50, Order: 100, Retry: 50, Suspect: 50,
 }
 
-// queue is how many lines are buffered while the log reader is slow.
-const queue = 1024
+// queueSize is how many lines are buffered while the log reader is slow.
+const queueSize = 1024
 
 // A Recorder writes log lines. Its fields are set before use; Log may be called
 // before Run and is safe for concurrent use.
@@ -46,23 +46,23 @@
 	once    sync.Once
 	lines   chan []any
 	mu      sync.Mutex
-	budgets map[Kind]*budget
+	buckets map[Kind]*bucket
 }
 
 // A budget is the token bucket of one kind.
-type budget struct {
-	left    float64
-	last    time.Time
-	dropped *metrics.Counter
+type bucket struct {
+	tokens   float64
+	refilled time.Time
+	dropped  *metrics.Counter
 }
 
 func (r *Recorder) init() {
 	r.once.Do(func() {
-		r.lines = make(chan []any, queue)
-		r.budgets = make(map[Kind]*budget)
-		for kind, rate := range rates {
-			r.budgets[kind] = &budget{
-				left:    rate,
+		r.lines = make(chan []any, queueSize)
+		r.buckets = make(map[Kind]*bucket)
+		for kind, rate := range rateLimits {
+			r.buckets[kind] = &bucket{
+				tokens:  rate,
 				dropped: r.Metrics.GetOrCreateCounter(`sardinetiller_log_dropped_total{kind="` + string(kind) + `"}`),
 			}
 		}
@@ -74,28 +74,28 @@
 func (r *Recorder) Log(kind Kind, fields ...any) {
 	r.init()
 	now := time.Now()
-	if !r.take(kind, now) {
+	if !r.allow(kind, now) {
 		return
 	}
 	line := append([]any{"ts", now.UTC().Format("2006-01-02T15:04:05.000Z"), "instance", r.Instance, "kind", string(kind)}, fields...)
 	select {
 	case r.lines <- line:
 	default:
-		r.budgets[kind].dropped.Inc()
+		r.buckets[kind].dropped.Inc()
 	}
 }
 
-func (r *Recorder) take(kind Kind, now time.Time) bool {
+func (r *Recorder) allow(kind Kind, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	b := r.budgets[kind]
-	b.left = min(rates[kind], b.left+rates[kind]*max(0, now.Sub(b.last).Seconds()))
-	b.last = now
-	if b.left < 1 {
+	b := r.buckets[kind]
+	b.tokens = min(rateLimits[kind], b.tokens+rateLimits[kind]*max(0, now.Sub(b.refilled).Seconds()))
+	b.refilled = now
+	if b.tokens < 1 {
 		b.dropped.Inc()
 		return false
 	}
-	b.left--
+	b.tokens--
 	return true
 }
 
--- a/internal/wire/recorder/recorder_test.go
+++ b/internal/wire/recorder/recorder_test.go
@@ -27,7 +27,7 @@
 
 // Thousands of refusals are logged while the log reader is stalled. Log must not
 // block, dropped lines are counted, and lines of another kind are still queued.
-func TestFloodAndStandingReaderHoldNobodyUp(t *testing.T) {
+func TestLogNeverBlocksOnBurstAndStalledReader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		set := metrics.NewSet()
 		reader, writer := io.Pipe() // never read
@@ -35,12 +35,12 @@
 		r := &recorder.Recorder{Instance: "front-1", Metrics: set, Out: writer}
 		stop := make(chan struct{})
 		go r.Run(stop)
-		began := time.Now()
+		start := time.Now()
 		for range 10000 {
 			r.Log(recorder.Failed, "request", "q")
 		}
-		if took := time.Since(began); took > 0 {
-			t.Errorf("Log blocked for %s", took)
+		if elapsed := time.Since(start); elapsed > 0 {
+			t.Errorf("Log blocked for %s", elapsed)
 		}
 		dropped := set.GetOrCreateCounter(`sardinetiller_log_dropped_total{kind="failed"}`).Get()
 		if dropped < 9000 {
--- a/internal/wire/requester/requester.go
+++ b/internal/wire/requester/requester.go
@@ -42,13 +42,13 @@
 	Header *fasthttp.ResponseHeader
 	Body   io.Reader
 
-	close   func()
-	written func() int
+	close        func()
+	bytesWritten func() int
 }
 
 // Broken returns the observation for a body that could not be read completely.
 func (a *Answer) Broken(err error) judge.Observation {
-	return judge.Broken{Written: a.written(), Head: true, Err: err}
+	return judge.Broken{Written: a.bytesWritten(), Head: true, Err: err}
 }
 
 // Close closes the connection. It may be called more than once.
@@ -62,19 +62,19 @@
 	if err != nil {
 		return nil, judge.Dialed{Err: err}
 	}
-	counted := &countedConn{Conn: conn}
+	counting := &countingConn{Conn: conn}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	closeAll := func() {
 		stop()
 		_ = conn.Close()
 	}
-	answer, err := exchange(counted, request)
+	answer, err := exchange(counting, request)
 	if err != nil {
 		closeAll()
-		return nil, judge.Broken{Written: counted.count(), Err: err}
+		return nil, judge.Broken{Written: counting.bytesWritten(), Err: err}
 	}
 	answer.close = closeAll
-	answer.written = counted.count
+	answer.bytesWritten = counting.bytesWritten
 	return answer, nil
 }
 
@@ -97,9 +97,9 @@
 
 // Whole sends a request and reads the complete body, up to Limit.
 func (r *Requester) Whole(ctx context.Context, address string, request *fasthttp.Request) (int, []byte, judge.Observation) {
-	answer, seen := r.Do(ctx, address, request)
-	if seen != nil {
-		return 0, nil, seen
+	answer, observation := r.Do(ctx, address, request)
+	if observation != nil {
+		return 0, nil, observation
 	}
 	defer answer.Close()
 	body, err := io.ReadAll(io.LimitReader(answer.Body, int64(r.bodyLimit())))
@@ -143,17 +143,17 @@
 	return &Answer{Status: response.StatusCode(), Header: &response.Header, Body: body}, nil
 }
 
-// A countedConn counts the bytes that the kernel accepted.
-type countedConn struct {
+// A countingConn counts the bytes that the kernel accepted.
+type countingConn struct {
 	net.Conn
 	written atomic.Int64
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(p []byte) (int, error) {
+func (c *countingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.written.Add(int64(n))
 	return n, err
 }
 
-func (c *countedConn) count() int { return int(c.written.Load()) }
+func (c *countingConn) bytesWritten() int { return int(c.written.Load()) }
