--- a/internal/setting/configurer/check.go
+++ b/internal/setting/configurer/check.go
@@ -22,7 +22,7 @@
 
 func (c checker) names(fields ...field[string]) error {
 	for _, f := range fields {
-		if !name.MatchString(f.value) {
+		if !namePattern.MatchString(f.value) {
 			return c.fault(f.name, "%q is not a valid name; use at most 63 of the characters a-z, 0-9 and -", f.value)
 		}
 	}
@@ -38,8 +38,8 @@
 	return nil
 }
 
-// optional checks addresses that may be empty.
-func (c checker) optional(fields ...field[string]) error {
+// optionalAddresses checks addresses that may be empty.
+func (c checker) optionalAddresses(fields ...field[string]) error {
 	for _, f := range fields {
 		if f.value == "" {
 			continue
@@ -61,8 +61,8 @@
 	return nil
 }
 
-// times checks that durations are positive. The error suggests example.
-func (c checker) times(example string, fields ...field[time.Duration]) error {
+// durations checks that durations are positive. The error suggests example.
+func (c checker) durations(example string, fields ...field[time.Duration]) error {
 	for _, f := range fields {
 		if f.value <= 0 {
 			return c.fault(f.name, "%s is too short; write a duration such as %s", f.value, example)
@@ -71,8 +71,8 @@
 	return nil
 }
 
-// first returns the first error that is not nil.
-func first(errs ...error) error {
+// firstError returns the first error that is not nil.
+func firstError(errs ...error) error {
 	for _, err := range errs {
 		if err != nil {
 			return err
--- a/internal/setting/configurer/configurer.go
+++ b/internal/setting/configurer/configurer.go
@@ -63,8 +63,8 @@
 	Level:    "info",
 }
 
-// name matches a valid name of an instance or failure domain.
-var name = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
+// namePattern matches a valid name of an instance or failure domain.
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9-]{0,62}$`)
 
 // Read reads a settings file and applies overrides, first those in the
 // environment and then those of the command line, given by field name. It
@@ -91,12 +91,12 @@
 // the field and the fix.
 func (d *Daemon) Check(file string) error {
 	c := checker{file}
-	err := first(
+	err := firstError(
 		c.names(field[string]{"id", d.ID}, field[string]{"domain", d.Domain}),
 		c.addresses(field[string]{"caller", d.Caller}, field[string]{"peer", d.Peer}, field[string]{"operator", d.Operator}, field[string]{"platform", d.Platform}),
-		c.optional(field[string]{"advertise", d.Advertise}),
+		c.optionalAddresses(field[string]{"advertise", d.Advertise}),
 		c.seeds(d.Seeds),
-		c.times("10s", field[time.Duration]{"lease", d.Lease}, field[time.Duration]{"beat", d.Beat}, field[time.Duration]{"poll", d.Poll}),
+		c.durations("10s", field[time.Duration]{"lease", d.Lease}, field[time.Duration]{"beat", d.Beat}, field[time.Duration]{"poll", d.Poll}),
 	)
 	if err != nil {
 		return err
@@ -134,22 +134,22 @@
 	if err == nil {
 		return nil
 	}
-	var known yaml.Error
-	if !errors.As(err, &known) || known.GetToken() == nil {
+	var yamlErr yaml.Error
+	if !errors.As(err, &yamlErr) || yamlErr.GetToken() == nil {
 		return fmt.Errorf("%s%s: %w; write times such as 10s; see docs/SETTINGS.md for the fields", file, lineOf(data, err), err)
 	}
-	token := known.GetToken()
-	return fmt.Errorf("%s:%d: %s: %s; see docs/SETTINGS.md for the fields", file, token.Position.Line, token.Value, known.GetMessage())
+	token := yamlErr.GetToken()
+	return fmt.Errorf("%s:%d: %s: %s; see docs/SETTINGS.md for the fields", file, token.Position.Line, token.Value, yamlErr.GetMessage())
 }
 
-// quoted matches the invalid value that an error message quotes.
-var quoted = regexp.MustCompile(`"([^"]+)"`)
+// quotedValue matches the invalid value that an error message quotes.
+var quotedValue = regexp.MustCompile(`"([^"]+)"`)
 
 // lineOf returns a colon and the line number of the value that an error quotes,
 // or "" if it is not found. The YAML library gives no line number for an invalid
 // duration.
 func lineOf(data []byte, err error) string {
-	value := quoted.FindStringSubmatch(err.Error())
+	value := quotedValue.FindStringSubmatch(err.Error())
 	if value == nil {
 		return ""
 	}
--- a/internal/setting/configurer/gateway.go
+++ b/internal/setting/configurer/gateway.go
@@ -27,22 +27,23 @@
 type Link float64
 
 const (
-	// linkLate is the delay before an instance with a link of 1 Mbit/s takes over a
-	// lease; it is inversely proportional to the bandwidth and at most mostLate. The
-	// leader publishes to all instances of its failure domain, so that an instance with
-	// a larger link should win: the delays for 20 and 200 Mbit/s are 450 ms apart, and
-	// others observe a takeover after some 30 ms.
-	linkLate = 10 * time.Second
-	mostLate = time.Second
+	// takeoverDelayAt1Mbit is the extra delay before an instance with a link of
+	// 1 Mbit/s takes over a lease. The delay is inversely proportional to the
+	// bandwidth and at most maxTakeoverDelay. As the leader publishes to all
+	// instances of its failure domain, one with a larger link should win: the
+	// delays for 20 and 200 Mbit/s are 450 ms apart, and others observe a takeover
+	// after some 30 ms.
+	takeoverDelayAt1Mbit = 10 * time.Second
+	maxTakeoverDelay     = time.Second
 )
 
-// Late returns the delay before an instance with this link takes over a lease, so
-// that an instance with a larger link can take it over first.
+// Late returns the extra delay before an instance with this link takes over a
+// lease, so that one with a larger link can take it over first.
 func (l Link) Late() time.Duration {
 	if l <= 0 {
 		return 0
 	}
-	return min(mostLate, time.Duration(float64(linkLate)/float64(l)))
+	return min(maxTakeoverDelay, time.Duration(float64(takeoverDelayAt1Mbit)/float64(l)))
 }
 
 // Bounds are the limits of a deployment.
@@ -93,11 +94,11 @@
 // the field and the fix.
 func (g *Gateway) Check(file string) error {
 	c := checker{file}
-	err := first(
+	err := firstError(
 		c.names(field[string]{"id", g.ID}, field[string]{"domain", g.Domain}),
 		c.addresses(field[string]{"caller", g.Caller}, field[string]{"ready", g.Ready}, field[string]{"peer", g.Peer}, field[string]{"platform", g.Platform}),
-		c.optional(field[string]{"advertise", g.Advertise}, field[string]{"metrics", g.Metrics}),
-		c.times("3s", field[time.Duration]{"bounds.grace", g.Bounds.Grace}, field[time.Duration]{"bounds.quiet", g.Bounds.Quiet},
+		c.optionalAddresses(field[string]{"advertise", g.Advertise}, field[string]{"metrics", g.Metrics}),
+		c.durations("3s", field[time.Duration]{"bounds.grace", g.Bounds.Grace}, field[time.Duration]{"bounds.quiet", g.Bounds.Quiet},
 			field[time.Duration]{"bounds.quota", g.Bounds.Quota}, field[time.Duration]{"bounds.window", g.Bounds.Window}),
 	)
 	if err != nil {
--- a/internal/setting/configurer/gateway_test.go
+++ b/internal/setting/configurer/gateway_test.go
@@ -9,18 +9,18 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/configurer"
 )
 
-const goodGateway = "id: front-1\ndomain: a\ncaller: 127.0.0.1:1\nready: 127.0.0.1:2\npeer: 127.0.0.1:3\nplatform: 127.0.0.1:4\n"
+const validGateway = "id: front-1\ndomain: a\ncaller: 127.0.0.1:1\nready: 127.0.0.1:2\npeer: 127.0.0.1:3\nplatform: 127.0.0.1:4\n"
 
 // Invalid settings give an error that names the file, the field and the fix.
-func TestReadGateway(t *testing.T) {
+func TestReadGatewayErrorsNameFileAndField(t *testing.T) {
 	for _, tc := range []struct{ name, text, want string }{
-		{"valid", goodGateway, ""},
-		{"unknown field", goodGateway + "colour: red\n", "g.yaml:7: colour"},
-		{"invalid name", strings.Replace(goodGateway, "front-1", "Front 1", 1), "g.yaml: id:"},
-		{"invalid address", strings.Replace(goodGateway, "127.0.0.1:4", "store", 1), "g.yaml: platform:"},
-		{"invalid duration", goodGateway + "bounds:\n  quiet: fast\n", "g.yaml:8:"},
-		{"zero duration", goodGateway + "bounds:\n  quiet: 0s\n", "g.yaml: bounds.quiet:"},
-		{"negative", goodGateway + "bounds:\n  slack: -1\n", "g.yaml: bounds:"},
+		{"valid", validGateway, ""},
+		{"unknown field", validGateway + "colour: red\n", "g.yaml:7: colour"},
+		{"invalid name", strings.Replace(validGateway, "front-1", "Front 1", 1), "g.yaml: id:"},
+		{"invalid address", strings.Replace(validGateway, "127.0.0.1:4", "store", 1), "g.yaml: platform:"},
+		{"invalid duration", validGateway + "bounds:\n  quiet: fast\n", "g.yaml:8:"},
+		{"zero duration", validGateway + "bounds:\n  quiet: 0s\n", "g.yaml: bounds.quiet:"},
+		{"negative", validGateway + "bounds:\n  slack: -1\n", "g.yaml: bounds:"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "g.yaml")
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestExampleOfAGatewayIsGood(t *testing.T) {
+func TestExampleGatewaySettingsAreValid(t *testing.T) {
 	if _, err := configurer.ReadGateway("../../../examples/gateway.yaml"); err != nil {
 		t.Error(err)
 	}
--- a/internal/setting/parser/line.go
+++ b/internal/setting/parser/line.go
@@ -11,8 +11,9 @@
 	return errors.As(err, into)
 }
 
-// line returns the line number of a YAML path, or 0 if the file does not have it.
-func line(data []byte, path string) (line int) {
+// lineOf returns the line number of a YAML path, or 0 if the file does not have
+// it.
+func lineOf(data []byte, path string) (line int) {
 	defer func() { _ = recover() }() // the library may panic; the fault then has no line number
 	p, err := yaml.PathString(path)
 	if err != nil {
--- a/internal/setting/parser/parse.go
+++ b/internal/setting/parser/parse.go
@@ -28,14 +28,14 @@
 
 // String returns file:line: field: message.
 func (f Fault) String() string {
-	place := f.File
+	position := f.File
 	if f.Line > 0 {
-		place = fmt.Sprintf("%s:%d", f.File, f.Line)
+		position = fmt.Sprintf("%s:%d", f.File, f.Line)
 	}
 	if f.Field == "" {
-		return fmt.Sprintf("%s: %s", place, f.Message)
+		return fmt.Sprintf("%s: %s", position, f.Message)
 	}
-	return fmt.Sprintf("%s: %s: %s", place, f.Field, f.Message)
+	return fmt.Sprintf("%s: %s: %s", position, f.Field, f.Message)
 }
 
 // An InvalidError reports all faults of an invalid tree.
@@ -53,9 +53,9 @@
 // Parse parses and validates a tree, given the contents of its files by name. It
 // returns an *InvalidError if there are any faults.
 func Parse(files map[string][]byte) (*Tree, error) {
-	p := &parse{files: files, tree: &Tree{}, sources: make(map[string]string)}
+	p := &parseState{files: files, tree: &Tree{}, sources: make(map[string]string)}
 	for _, name := range slices.Sorted(maps.Keys(files)) {
-		p.file(name)
+		p.parseFile(name)
 	}
 	p.check()
 	if len(p.faults) > 0 {
@@ -65,32 +65,33 @@
 }
 
 // A parse is the state of one call of Parse.
-type parse struct {
+type parseState struct {
 	faults  []Fault
 	files   map[string][]byte
 	sources map[string]string // kind/name to file
 	tree    *Tree
 }
 
-// fault records a fault at a YAML path of a file, such as $.upstreams[0].slots.
-func (p *parse) fault(file, path, format string, args ...any) {
+// addFault records a fault at a YAML path of a file, such as
+// $.upstreams[0].slots.
+func (p *parseState) addFault(file, path, format string, args ...any) {
 	f := Fault{File: file, Field: strings.TrimPrefix(path, "$."), Message: fmt.Sprintf(format, args...)}
-	f.Line = line(p.files[file], path)
+	f.Line = lineOf(p.files[file], path)
 	p.faults = append(p.faults, f)
 }
 
-func (p *parse) file(name string) {
+func (p *parseState) parseFile(name string) {
 	var head struct {
 		Kind string `yaml:"kind"`
 		Name string `yaml:"name"`
 	}
 	data := p.files[name]
 	if err := decoder.Loose(data, &head); err != nil {
-		p.syntax(name, err)
+		p.addSyntaxError(name, err)
 		return
 	}
-	if other, taken := p.sources[head.Kind+"/"+head.Name]; taken {
-		p.fault(name, "$.name", "%s %q is already declared in %s; keep one of them", head.Kind, head.Name, other)
+	if other, exists := p.sources[head.Kind+"/"+head.Name]; exists {
+		p.addFault(name, "$.name", "%s %q is already declared in %s; keep one of them", head.Kind, head.Name, other)
 		return
 	}
 	p.sources[head.Kind+"/"+head.Name] = name
@@ -108,25 +109,26 @@
 			p.tree.Services = append(p.tree.Services, s)
 		}
 	default:
-		p.fault(name, "$.kind", "kind is %q; write root, service or account", head.Kind)
+		p.addFault(name, "$.kind", "kind is %q; write root, service or account", head.Kind)
 	}
 }
 
-func (p *parse) decode(name string, into any) bool {
+func (p *parseState) decode(name string, into any) bool {
 	err := decoder.Strict(p.files[name], into)
 	if err != nil {
-		p.syntax(name, err)
+		p.addSyntaxError(name, err)
 	}
 	return err == nil
 }
 
-// syntax records an error of the YAML library, with its line and field if known.
-func (p *parse) syntax(name string, err error) {
+// addSyntaxError records an error of the YAML library, with its line and field if
+// known.
+func (p *parseState) addSyntaxError(name string, err error) {
 	f := Fault{File: name, Message: yaml.FormatError(err, false, false)}
-	var known yaml.Error
-	if asYAML(err, &known) {
-		f.Message = known.GetMessage() + "; see docs/SETTINGS.md for the fields"
-		if token := known.GetToken(); token != nil {
+	var yamlErr yaml.Error
+	if asYAML(err, &yamlErr) {
+		f.Message = yamlErr.GetMessage() + "; see docs/SETTINGS.md for the fields"
+		if token := yamlErr.GetToken(); token != nil {
 			f.Line = token.Position.Line
 			f.Field = token.Value
 		}
--- a/internal/setting/publisher/publisher.go
+++ b/internal/setting/publisher/publisher.go
@@ -34,25 +34,25 @@
 // A ConflictError reports that an edit is based on a revision that is no longer
 // active.
 type ConflictError struct {
-	Base   uint64
-	Head   uint64
-	Theirs []Change // changes published after Base
+	Base    uint64
+	Head    uint64
+	Changes []Change // changes published after Base
 }
 
 // Error implements error.
 func (e *ConflictError) Error() string {
 	var files []string
-	for _, c := range e.Theirs {
+	for _, c := range e.Changes {
 		files = append(files, fmt.Sprintf("%s (revision %d)", c.File, c.Revision))
 	}
 	return fmt.Sprintf("made on revision %d, but revision %d is in force; changed since: %s", e.Base, e.Head, strings.Join(files, ", "))
 }
 
-// settleTries and settleWait are the maximum number of read-backs after a lost
-// response and the interval between them.
+// confirmAttempts and confirmInterval are the maximum number of read-backs after
+// a lost response and the interval between them.
 const (
-	settleTries = 20
-	settleWait  = 250 * time.Millisecond
+	confirmAttempts = 20
+	confirmInterval = 250 * time.Millisecond
 )
 
 // Apply validates an edit and publishes it as the active revision. It returns the
@@ -186,7 +186,7 @@
 		}
 		return 0, p.conflict(ctx, edit.Base, head)
 	case errors.As(err, &unknown):
-		return p.settle(ctx, edit, next, err)
+		return p.confirm(ctx, edit, next, err)
 	default:
 		return 0, err
 	}
@@ -200,7 +200,7 @@
 	}
 	for _, e := range entries {
 		if e.Revision > base {
-			conflict.Theirs = append(conflict.Theirs, e.Changes...)
+			conflict.Changes = append(conflict.Changes, e.Changes...)
 		}
 	}
 	return conflict
@@ -228,32 +228,32 @@
 		return Head{}, tabler.Txn{}, errors.Wrap(err, "manifest")
 	}
 	next := head.next(digest, p.Token(), changes)
-	txn, err := transaction(edit, next, row, changes)
+	txn, err := newTxn(edit, next, row, changes)
 	return next, txn, err
 }
 
-// settle reads back whether a commit whose response was lost took effect. If a
+// confirm reads back whether a commit whose response was lost took effect. If a
 // later revision is already active, it looks at the history.
-func (p *Publisher) settle(ctx context.Context, edit Edit, next Head, cause error) (uint64, error) {
-	for range settleTries {
+func (p *Publisher) confirm(ctx context.Context, edit Edit, next Head, cause error) (uint64, error) {
+	for range confirmAttempts {
 		head, _, err := p.Head(ctx)
 		switch {
 		case err != nil:
 		case head.Token == next.Token:
 			return next.Revision, nil
 		case head.Revision > edit.Base:
-			return p.settleByHistory(ctx, edit, next, head)
+			return p.confirmByHistory(ctx, edit, next, head)
 		}
 		select {
 		case <-ctx.Done():
 			return 0, cause
-		case <-time.After(settleWait):
+		case <-time.After(confirmInterval):
 		}
 	}
 	return 0, cause
 }
 
-func (p *Publisher) settleByHistory(ctx context.Context, edit Edit, next, head Head) (uint64, error) {
+func (p *Publisher) confirmByHistory(ctx context.Context, edit Edit, next, head Head) (uint64, error) {
 	entry, err := p.Entry(ctx, next.Revision)
 	if err != nil {
 		return 0, err
@@ -268,7 +268,7 @@
 	return fmt.Sprintf("%s%012d", keyRevision, revision)
 }
 
-func transaction(edit Edit, next Head, row tabler.Row, changes []Change) (tabler.Txn, error) {
+func newTxn(edit Edit, next Head, row tabler.Row, changes []Change) (tabler.Txn, error) {
 	head, err := encoder.Marshal(next)
 	if err != nil {
 		return tabler.Txn{}, err
--- a/internal/setting/publisher/revision.go
+++ b/internal/setting/publisher/revision.go
@@ -13,11 +13,11 @@
 // Keys of the rows and objects of the settings, and the number of revisions whose
 // changes a Head lists.
 const (
-	KeyHead         = "setting/head"
-	keyRevision     = "setting/revision/"
-	prefixFile      = "setting/file/"
-	prefixManifest  = "setting/manifest/"
-	recentRevisions = 16
+	KeyHead            = "setting/head"
+	keyRevision        = "setting/revision/"
+	prefixFile         = "setting/file/"
+	prefixManifest     = "setting/manifest/"
+	maxRecentRevisions = 16
 )
 
 // A Change is one file that a revision added, changed or removed.
@@ -109,8 +109,8 @@
 // next returns the head of the next revision.
 func (h Head) next(manifest, token string, changes []Change) Head {
 	n := Head{Revision: h.Revision + 1, Manifest: manifest, Token: token, Since: h.Since}
-	if n.Revision > recentRevisions {
-		n.Since = max(n.Since, n.Revision-recentRevisions)
+	if n.Revision > maxRecentRevisions {
+		n.Since = max(n.Since, n.Revision-maxRecentRevisions)
 	}
 	for _, c := range append(slices.Clone(h.Recent), changes...) {
 		if c.Revision > n.Since {
--- a/internal/setting/resolver/resolver.go
+++ b/internal/setting/resolver/resolver.go
@@ -15,7 +15,7 @@
 // group is one entry.
 type Resolver struct {
 	accounts map[string]*parser.Account
-	groups   map[string]owned
+	groups   map[string]ownedGroup
 	keys     map[string]Caller
 	services map[string]*parser.Service
 	tree     *parser.Tree
@@ -35,7 +35,7 @@
 	Service string
 }
 
-type owned struct {
+type ownedGroup struct {
 	account string
 	group   parser.Group
 }
@@ -44,7 +44,7 @@
 func New(tree *parser.Tree) *Resolver {
 	r := &Resolver{
 		accounts: make(map[string]*parser.Account),
-		groups:   make(map[string]owned),
+		groups:   make(map[string]ownedGroup),
 		keys:     make(map[string]Caller),
 		services: make(map[string]*parser.Service),
 		tree:     tree,
@@ -123,18 +123,18 @@
 
 // group returns the group of an adapter name, which is either the group's name or
 // that of one of its numbered adapters.
-func (r *Resolver) group(name string) (owned, bool) {
+func (r *Resolver) group(name string) (ownedGroup, bool) {
 	if o, ok := r.groups[name]; ok && o.group.Count == 0 {
 		return o, true
 	}
 	i := strings.LastIndexByte(name, '-')
 	if i < 0 {
-		return owned{}, false
+		return ownedGroup{}, false
 	}
 	number, err := strconv.Atoi(name[i+1:])
 	o, ok := r.groups[name[:i]]
 	if err != nil || !ok || number < 0 || number >= o.group.Count || strconv.Itoa(number) != name[i+1:] {
-		return owned{}, false
+		return ownedGroup{}, false
 	}
 	return o, true
 }
@@ -145,7 +145,7 @@
 		r.keys[k.Hash] = Caller{Account: a.Name, Desk: k.Desk}
 	}
 	for _, g := range a.Adapters {
-		r.groups[g.Name] = owned{account: a.Name, group: g}
+		r.groups[g.Name] = ownedGroup{account: a.Name, group: g}
 	}
 }
 
@@ -163,7 +163,7 @@
 	for _, u := range a.Services {
 		if u.Name == service {
 			levels = append(levels, level{"account " + account + " service " + service, u.Values})
-			levels = append(levels, within(u, domain, desk)...)
+			levels = append(levels, domainLevels(u, domain, desk)...)
 		}
 	}
 	return levels
@@ -176,7 +176,7 @@
 	return g.Name + "-" + strconv.Itoa(i)
 }
 
-func within(u parser.Use, domain, desk string) []level {
+func domainLevels(u parser.Use, domain, desk string) []level {
 	var levels []level
 	for _, d := range u.Domains {
 		if d.Name != domain {
--- a/internal/setting/watcher/watcher.go
+++ b/internal/setting/watcher/watcher.go
@@ -21,8 +21,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/resolver"
 )
 
-// A Force is an active revision.
-type Force struct {
+// An ActiveRevision is the revision in use and the index of its tree.
+type ActiveRevision struct {
 	Head     publisher.Head
 	Resolver *resolver.Resolver
 	Since    time.Time // when this instance activated it
@@ -33,7 +33,7 @@
 type Watcher struct {
 	Store storer.Store // source of the objects; may fall back to peers
 
-	force    atomic.Pointer[Force]
+	active   atomic.Pointer[ActiveRevision]
 	mu       sync.Mutex
 	files    map[string][]byte
 	manifest publisher.Manifest
@@ -41,7 +41,7 @@
 }
 
 // Force returns the active revision, or nil if there is none yet.
-func (w *Watcher) Force() *Force { return w.force.Load() }
+func (w *Watcher) Force() *ActiveRevision { return w.active.Load() }
 
 // Object returns the object with the key if it belongs to the active revision.
 func (w *Watcher) Object(key string) ([]byte, bool) {
@@ -72,8 +72,8 @@
 	if err != nil {
 		return false, errors.Wrapf(err, "revision %d", head.Revision)
 	}
-	w.keep(manifest, files)
-	w.force.Store(&Force{Head: head, Resolver: resolver.New(tree), Since: time.Now()})
+	w.setContents(manifest, files)
+	w.active.Store(&ActiveRevision{Head: head, Resolver: resolver.New(tree), Since: time.Now()})
 	return true, nil
 }
 
@@ -101,7 +101,7 @@
 	return files, nil
 }
 
-func (w *Watcher) keep(manifest publisher.Manifest, files map[string][]byte) {
+func (w *Watcher) setContents(manifest publisher.Manifest, files map[string][]byte) {
 	w.manifest = manifest
 	w.files = files
 	w.objects = publisher.Objects(manifest, files)
@@ -110,7 +110,7 @@
 // manifestOf returns the manifest of a head. It patches the active manifest if
 // the changes in the head reach back to the active revision and the digest
 // confirms the result; otherwise it fetches the manifest.
-func (w *Watcher) manifestOf(ctx context.Context, head publisher.Head, current *Force) (publisher.Manifest, error) {
+func (w *Watcher) manifestOf(ctx context.Context, head publisher.Head, current *ActiveRevision) (publisher.Manifest, error) {
 	if current != nil && current.Head.Revision >= head.Since {
 		patched := w.manifest.Patch(head.Recent, current.Head.Revision)
 		if patched.Digest() == head.Manifest {
--- a/internal/setting/watcher/watcher_test.go
+++ b/internal/setting/watcher/watcher_test.go
@@ -21,16 +21,16 @@
 
 func TestMain(m *testing.M) { seeder.Main(m) }
 
-// A lossyTable commits each transaction, and drops the response if lose returns
-// true.
+// A lossyTable commits each transaction, and drops the response if
+// loseResponse returns true.
 type lossyTable struct {
 	tabler.Memory
-	lose func() bool
+	loseResponse func() bool
 }
 
 func (l *lossyTable) Commit(ctx context.Context, txn tabler.Txn) error {
 	err := l.Memory.Commit(ctx, txn)
-	if err == nil && l.lose() {
+	if err == nil && l.loseResponse() {
 		return &tabler.UnknownError{Err: errors.New("response lost")}
 	}
 	return err
@@ -47,24 +47,24 @@
 	return c.Memory.Get(ctx, key)
 }
 
-type bench struct {
+type fixture struct {
 	publisher *publisher.Publisher
 	store     *countingStore
 	table     *lossyTable
 }
 
-func newBench() *bench {
-	b := &bench{store: &countingStore{}, table: &lossyTable{lose: func() bool { return false }}}
+func newFixture() *fixture {
+	f := &fixture{store: &countingStore{}, table: &lossyTable{loseResponse: func() bool { return false }}}
 	tokens := 0
-	b.publisher = &publisher.Publisher{Store: b.store, Table: b.table, Token: func() string {
+	f.publisher = &publisher.Publisher{Store: f.store, Table: f.table, Token: func() string {
 		tokens++
 		return fmt.Sprint("token-", tokens)
 	}}
-	return b
+	return f
 }
 
-// tree returns a valid tree with one account for each deadline, in seconds.
-func tree(seconds ...int) map[string][]byte {
+// newTree returns a valid tree with one account for each deadline, in seconds.
+func newTree(seconds ...int) map[string][]byte {
 	files := map[string][]byte{"root.yaml": []byte("kind: root\n")}
 	for i, s := range seconds {
 		name := fmt.Sprintf("account-%d", i)
@@ -73,72 +73,72 @@
 	return files
 }
 
-func (b *bench) apply(t testing.TB, base uint64, seconds ...int) {
+func (f *fixture) apply(t testing.TB, base uint64, seconds ...int) {
 	t.Helper()
-	if _, err := b.publisher.Apply(t.Context(), publisher.Edit{Files: tree(seconds...), Base: base}); err != nil {
+	if _, err := f.publisher.Apply(t.Context(), publisher.Edit{Files: newTree(seconds...), Base: base}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (b *bench) head(t testing.TB) publisher.Head {
+func (f *fixture) head(t testing.TB) publisher.Head {
 	t.Helper()
-	head, _, err := b.publisher.Head(context.Background())
+	head, _, err := f.publisher.Head(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	return head
 }
 
-func TestRacingEditGetsConflict(t *testing.T) {
-	b := newBench()
-	b.apply(t, 0, 1, 1)
-	b.apply(t, 1, 2, 1)
-	_, err := b.publisher.Apply(t.Context(), publisher.Edit{Files: tree(1, 2), Base: 1})
+func TestConcurrentEditGetsConflict(t *testing.T) {
+	f := newFixture()
+	f.apply(t, 0, 1, 1)
+	f.apply(t, 1, 2, 1)
+	_, err := f.publisher.Apply(t.Context(), publisher.Edit{Files: newTree(1, 2), Base: 1})
 	var conflict *publisher.ConflictError
 	if !errors.As(err, &conflict) {
 		t.Fatalf("Apply = %v, want *ConflictError", err)
 	}
-	if len(conflict.Theirs) != 1 || conflict.Theirs[0].File != "account-0.yaml" {
-		t.Errorf("conflict shows %+v, want account-0.yaml", conflict.Theirs)
+	if len(conflict.Changes) != 1 || conflict.Changes[0].File != "account-0.yaml" {
+		t.Errorf("conflict shows %+v, want account-0.yaml", conflict.Changes)
 	}
 }
 
 // The table service commits the revision but the response is lost. Reading back
 // the attempt's token shows that it is active: Apply must succeed and not report
 // a conflict.
-func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
-	b := newBench()
-	b.table.lose = func() bool { return true }
-	revision, err := b.publisher.Apply(t.Context(), publisher.Edit{Files: tree(1)})
+func TestLostCommitResponseIsConfirmedByReadingBack(t *testing.T) {
+	f := newFixture()
+	f.table.loseResponse = func() bool { return true }
+	revision, err := f.publisher.Apply(t.Context(), publisher.Edit{Files: newTree(1)})
 	if err != nil || revision != 1 {
 		t.Errorf("Apply = %d, %v, want 1", revision, err)
 	}
 }
 
-func TestInvalidTreeIsRefusedBeforeAcceptance(t *testing.T) {
-	b := newBench()
-	_, err := b.publisher.Apply(t.Context(), publisher.Edit{Files: map[string][]byte{"x.yaml": []byte("kind: x\n")}})
+func TestInvalidTreeIsNotPublished(t *testing.T) {
+	f := newFixture()
+	_, err := f.publisher.Apply(t.Context(), publisher.Edit{Files: map[string][]byte{"x.yaml": []byte("kind: x\n")}})
 	var invalid *parser.InvalidError
-	if !errors.As(err, &invalid) || b.head(t).Revision != 0 {
-		t.Errorf("Apply = %v at revision %d", err, b.head(t).Revision)
+	if !errors.As(err, &invalid) || f.head(t).Revision != 0 {
+		t.Errorf("Apply = %v at revision %d", err, f.head(t).Revision)
 	}
 }
 
-func TestOneChangeFetchesOneFile(t *testing.T) {
-	b := newBench()
-	b.apply(t, 0, 1, 1, 1, 1, 1, 1, 1, 1)
-	w := &watcher.Watcher{Store: b.store}
-	if _, err := w.Offer(t.Context(), b.head(t)); err != nil {
+func TestWatcherFetchesOnlyChangedFiles(t *testing.T) {
+	f := newFixture()
+	f.apply(t, 0, 1, 1, 1, 1, 1, 1, 1, 1)
+	w := &watcher.Watcher{Store: f.store}
+	if _, err := w.Offer(t.Context(), f.head(t)); err != nil {
 		t.Fatal(err)
 	}
-	b.apply(t, 1, 1, 1, 1, 9, 1, 1, 1, 1)
-	b.store.gets = nil
-	if _, err := w.Offer(t.Context(), b.head(t)); err != nil {
+	f.apply(t, 1, 1, 1, 1, 9, 1, 1, 1, 1)
+	f.store.gets = nil
+	if _, err := w.Offer(t.Context(), f.head(t)); err != nil {
 		t.Fatal(err)
 	}
-	files := slices.DeleteFunc(b.store.gets, func(key string) bool { return !strings.HasPrefix(key, "setting/file/") })
-	if len(b.store.gets) != 1 || len(files) != 1 {
-		t.Errorf("fetched %v, want only the changed file", b.store.gets)
+	files := slices.DeleteFunc(f.store.gets, func(key string) bool { return !strings.HasPrefix(key, "setting/file/") })
+	if len(f.store.gets) != 1 || len(files) != 1 {
+		t.Errorf("fetched %v, want only the changed file", f.store.gets)
 	}
 }
 
@@ -148,18 +148,18 @@
 // and in the end all must have the last one, with matching content.
 func TestSettingsNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench()
-		b.table.lose = func() bool { return rapid.Bool().Draw(t, "lose") }
+		f := newFixture()
+		f.table.loseResponse = func() bool { return rapid.Bool().Draw(t, "lose") }
 		heads := []publisher.Head{{}}
-		watchers := []*watcher.Watcher{{Store: b.store}, {Store: b.store}, {Store: b.store}}
+		watchers := []*watcher.Watcher{{Store: f.store}, {Store: f.store}, {Store: f.store}}
 		accepted := uint64(0)
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "edit") {
 				base := heads[rapid.IntRange(max(0, len(heads)-2), len(heads)-1).Draw(t, "base")].Revision
-				files := tree(rapid.IntRange(1, 9).Draw(t, "x"), rapid.IntRange(1, 9).Draw(t, "y"))
-				revision, err := b.publisher.Apply(context.Background(), publisher.Edit{Files: files, Base: base})
+				files := newTree(rapid.IntRange(1, 9).Draw(t, "x"), rapid.IntRange(1, 9).Draw(t, "y"))
+				revision, err := f.publisher.Apply(context.Background(), publisher.Edit{Files: files, Base: base})
 				accepted = checkAccepted(t, err, base, revision, accepted)
-				head, _, _ := b.publisher.Head(context.Background())
+				head, _, _ := f.publisher.Head(context.Background())
 				heads = append(heads, head)
 			}
 			w := rapid.SampledFrom(watchers).Draw(t, "watcher")
