--- a/internal/setting/parser/parse.go
+++ b/internal/setting/parser/parse.go
@@ -64,7 +64,7 @@
 	return p.tree, nil
 }
 
-// A parse is the state of one call of Parse.
+// A parseState is the state of one call of Parse.
 type parseState struct {
 	faults  []Fault
 	files   map[string][]byte
--- a/internal/setting/parser/tree.go
+++ b/internal/setting/parser/tree.go
@@ -98,7 +98,7 @@
 // Values are the settings that every level may override; nil means inherited.
 type Values struct {
 	Batch    *float64       `yaml:"batch"`    // weight of batch efficiency
-	Body     *int           `yaml:"body"`     // largest request body in bytes
+	Body     *int           `yaml:"body"`     // maximum request body in bytes
 	Deadline *time.Duration `yaml:"deadline"` // of requests that do not set one
 	Keep     *time.Duration `yaml:"keep"`     // retention of the outcomes of requests with an idempotency key
 	Policy   *string        `yaml:"policy"`   // routing policy: cost, hash or least
