--- a/internal/check/walker/walker.go
+++ b/internal/check/walker/walker.go
@@ -1,4 +1,4 @@
-// Package walker takes every transition of a state chart once.
+// Package walker tests every pair of state and event of a state chart.
 package walker
 
 import (
@@ -7,8 +7,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/chart/interpreter"
 )
 
-// Walk fails the test if a transition does not lead where the chart says, or an
-// event that a state does not name is taken there.
+// Walk fails the test if a transition does not lead to the state in the chart,
+// or if a state accepts an event for which it has no transition.
 func Walk(t *testing.T, chart *interpreter.Chart) {
 	t.Helper()
 	events := make(map[string]bool)
@@ -20,12 +20,12 @@
 	for _, s := range chart.States {
 		for event := range events {
 			m := &interpreter.Machine{Chart: chart, State: s.Name}
-			next, allowed := s.On[event]
+			want, allowed := s.On[event]
 			if !allowed {
-				next = s.Name
+				want = s.Name
 			}
-			if err := m.Fire(event); (err == nil) != allowed || m.State != next {
-				t.Errorf("%s in %s: state %s, %v, want %s", event, s.Name, m.State, err, next)
+			if err := m.Fire(event); (err == nil) != allowed || m.State != want {
+				t.Errorf("%s in %s: state %s, %v, want %s", event, s.Name, m.State, err, want)
 			}
 		}
 	}
--- a/internal/clock/repeater/repeater.go
+++ b/internal/clock/repeater/repeater.go
@@ -1,4 +1,4 @@
-// Package repeater does something again and again until a context ends.
+// Package repeater runs a function periodically until a context ends.
 package repeater
 
 import (
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// Every calls do after each period, and whenever now is signalled, until ctx
-// ends. A nil now is never signalled.
-func Every(ctx context.Context, period time.Duration, now <-chan struct{}, do func()) {
+// Every calls do after each period, and whenever trigger receives a value, until
+// ctx ends. trigger may be nil.
+func Every(ctx context.Context, period time.Duration, trigger <-chan struct{}, do func()) {
 	ticker := time.NewTicker(period)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-now:
+		case <-trigger:
 		case <-ticker.C:
 		}
 		do()
 	}
 }
 
-// Now calls do at once, and from then on as Every does.
-func Now(ctx context.Context, period time.Duration, now <-chan struct{}, do func()) {
+// Now calls do immediately and then like Every.
+func Now(ctx context.Context, period time.Duration, trigger <-chan struct{}, do func()) {
 	do()
-	Every(ctx, period, now, do)
+	Every(ctx, period, trigger, do)
 }
--- a/internal/setting/resolver/resolver.go
+++ b/internal/setting/resolver/resolver.go
@@ -10,18 +10,18 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/parser"
 )
 
-// A Resolver answers questions about one tree. It never changes after New and
-// is safe for concurrent use. It keeps nothing per adapter: a group of any size
-// costs one entry.
+// A Resolver is an index of one settings tree. It is immutable and safe for
+// concurrent use. Its memory does not grow with the size of adapter groups: each
+// group is one entry.
 type Resolver struct {
 	accounts map[string]*parser.Account
-	groups   map[string]owned
+	groups   map[string]ownedGroup
 	keys     map[string]Caller
 	services map[string]*parser.Service
 	tree     *parser.Tree
 }
 
-// A Caller is who sent a request.
+// A Caller identifies who sent a request.
 type Caller struct {
 	Account string
 	Desk    string
@@ -35,16 +35,16 @@
 	Service string
 }
 
-type owned struct {
+type ownedGroup struct {
 	account string
 	group   parser.Group
 }
 
-// New indexes a tree.
+// New returns a Resolver of a tree.
 func New(tree *parser.Tree) *Resolver {
 	r := &Resolver{
 		accounts: make(map[string]*parser.Account),
-		groups:   make(map[string]owned),
+		groups:   make(map[string]ownedGroup),
 		keys:     make(map[string]Caller),
 		services: make(map[string]*parser.Service),
 		tree:     tree,
@@ -58,7 +58,7 @@
 	return r
 }
 
-// Adapter finds a declared adapter by name@version.
+// Adapter returns the declared adapter version with the name name@version.
 func (r *Resolver) Adapter(model string) (Adapter, bool) {
 	name, version, found := strings.Cut(model, "@")
 	number, err := strconv.Atoi(version)
@@ -90,14 +90,14 @@
 	}
 }
 
-// Caller returns whose key it is.
+// Caller returns the caller that an API key belongs to.
 func (r *Resolver) Caller(key string) (Caller, bool) {
 	sum := sha256.Sum256([]byte(key))
 	c, ok := r.keys[hex.EncodeToString(sum[:])]
 	return c, ok
 }
 
-// Explain returns each value for a place in the tree and the level that set it.
+// Explain returns each value at a position in the tree and the level that set it.
 func (r *Resolver) Explain(account, service, domain, desk string) []Origin {
 	_, origins := merge(r.levels(account, service, domain, desk))
 	return origins
@@ -112,7 +112,7 @@
 // Services returns all services.
 func (r *Resolver) Services() []parser.Service { return r.tree.Services }
 
-// Values returns what holds for a place in the tree.
+// Values returns the effective values at a position in the tree.
 func (r *Resolver) Values(account, service, domain, desk string) Effective {
 	effective, _ := merge(r.levels(account, service, domain, desk))
 	return effective
@@ -121,20 +121,20 @@
 // Weights returns the limits of the weight store.
 func (r *Resolver) Weights() parser.Weights { return r.tree.Root.Weights }
 
-// group finds the group of an adapter name: the name itself, or a numbered
-// member.
-func (r *Resolver) group(name string) (owned, bool) {
+// group returns the group of an adapter name, which is either the group's name or
+// that of one of its numbered adapters.
+func (r *Resolver) group(name string) (ownedGroup, bool) {
 	if o, ok := r.groups[name]; ok && o.group.Count == 0 {
 		return o, true
 	}
 	i := strings.LastIndexByte(name, '-')
 	if i < 0 {
-		return owned{}, false
+		return ownedGroup{}, false
 	}
 	number, err := strconv.Atoi(name[i+1:])
 	o, ok := r.groups[name[:i]]
 	if err != nil || !ok || number < 0 || number >= o.group.Count || strconv.Itoa(number) != name[i+1:] {
-		return owned{}, false
+		return ownedGroup{}, false
 	}
 	return o, true
 }
@@ -145,11 +145,11 @@
 		r.keys[k.Hash] = Caller{Account: a.Name, Desk: k.Desk}
 	}
 	for _, g := range a.Adapters {
-		r.groups[g.Name] = owned{account: a.Name, group: g}
+		r.groups[g.Name] = ownedGroup{account: a.Name, group: g}
 	}
 }
 
-// levels returns the levels that hold for a place, the outermost first.
+// levels returns the levels that apply to a position, the outermost first.
 func (r *Resolver) levels(account, service, domain, desk string) []level {
 	levels := []level{{"root", r.tree.Root.Values}}
 	if s, ok := r.services[service]; ok {
@@ -163,7 +163,7 @@
 	for _, u := range a.Services {
 		if u.Name == service {
 			levels = append(levels, level{"account " + account + " service " + service, u.Values})
-			levels = append(levels, within(u, domain, desk)...)
+			levels = append(levels, domainLevels(u, domain, desk)...)
 		}
 	}
 	return levels
@@ -176,7 +176,7 @@
 	return g.Name + "-" + strconv.Itoa(i)
 }
 
-func within(u parser.Use, domain, desk string) []level {
+func domainLevels(u parser.Use, domain, desk string) []level {
 	var levels []level
 	for _, d := range u.Domains {
 		if d.Name != domain {
--- a/internal/setting/watcher/watcher_test.go
+++ b/internal/setting/watcher/watcher_test.go
@@ -21,22 +21,22 @@
 
 func TestMain(m *testing.M) { seeder.Main(m) }
 
-// A lossyTable loses the answer of every commit that lose accepts, after it
-// took effect.
+// A lossyTable commits each transaction, and drops the response if
+// loseResponse returns true.
 type lossyTable struct {
 	tabler.Memory
-	lose func() bool
+	loseResponse func() bool
 }
 
 func (l *lossyTable) Commit(ctx context.Context, txn tabler.Txn) error {
 	err := l.Memory.Commit(ctx, txn)
-	if err == nil && l.lose() {
-		return &tabler.UnknownError{Err: errors.New("answer lost")}
+	if err == nil && l.loseResponse() {
+		return &tabler.UnknownError{Err: errors.New("response lost")}
 	}
 	return err
 }
 
-// A countingStore counts what is read.
+// A countingStore records the keys of the objects that are read.
 type countingStore struct {
 	storer.Memory
 	gets []string
@@ -47,24 +47,24 @@
 	return c.Memory.Get(ctx, key)
 }
 
-type bench struct {
+type fixture struct {
 	publisher *publisher.Publisher
 	store     *countingStore
 	table     *lossyTable
 }
 
-func newBench() *bench {
-	b := &bench{store: &countingStore{}, table: &lossyTable{lose: func() bool { return false }}}
+func newFixture() *fixture {
+	f := &fixture{store: &countingStore{}, table: &lossyTable{loseResponse: func() bool { return false }}}
 	tokens := 0
-	b.publisher = &publisher.Publisher{Store: b.store, Table: b.table, Token: func() string {
+	f.publisher = &publisher.Publisher{Store: f.store, Table: f.table, Token: func() string {
 		tokens++
 		return fmt.Sprint("token-", tokens)
 	}}
-	return b
+	return f
 }
 
-// tree is a valid tree whose files differ with the seconds.
-func tree(seconds ...int) map[string][]byte {
+// newTree returns a valid tree with one account for each deadline, in seconds.
+func newTree(seconds ...int) map[string][]byte {
 	files := map[string][]byte{"root.yaml": []byte("kind: root\n")}
 	for i, s := range seconds {
 		name := fmt.Sprintf("account-%d", i)
@@ -73,92 +73,93 @@
 	return files
 }
 
-func (b *bench) apply(t testing.TB, base uint64, seconds ...int) {
+func (f *fixture) apply(t testing.TB, base uint64, seconds ...int) {
 	t.Helper()
-	if _, err := b.publisher.Apply(t.Context(), publisher.Edit{Files: tree(seconds...), Base: base}); err != nil {
+	if _, err := f.publisher.Apply(t.Context(), publisher.Edit{Files: newTree(seconds...), Base: base}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (b *bench) head(t testing.TB) publisher.Head {
+func (f *fixture) head(t testing.TB) publisher.Head {
 	t.Helper()
-	head, _, err := b.publisher.Head(context.Background())
+	head, _, err := f.publisher.Head(context.Background())
 	if err != nil {
 		t.Fatal(err)
 	}
 	return head
 }
 
-func TestRacingEditGetsConflict(t *testing.T) {
-	b := newBench()
-	b.apply(t, 0, 1, 1)
-	b.apply(t, 1, 2, 1)
-	_, err := b.publisher.Apply(t.Context(), publisher.Edit{Files: tree(1, 2), Base: 1})
+func TestConcurrentEditGetsConflict(t *testing.T) {
+	f := newFixture()
+	f.apply(t, 0, 1, 1)
+	f.apply(t, 1, 2, 1)
+	_, err := f.publisher.Apply(t.Context(), publisher.Edit{Files: newTree(1, 2), Base: 1})
 	var conflict *publisher.ConflictError
 	if !errors.As(err, &conflict) {
 		t.Fatalf("Apply = %v, want *ConflictError", err)
 	}
-	if len(conflict.Theirs) != 1 || conflict.Theirs[0].File != "account-0.yaml" {
-		t.Errorf("conflict shows %+v, want account-0.yaml", conflict.Theirs)
+	if len(conflict.Changes) != 1 || conflict.Changes[0].File != "account-0.yaml" {
+		t.Errorf("conflict shows %+v, want account-0.yaml", conflict.Changes)
 	}
 }
 
-// The table takes the revision and its answer is lost. Reading back the own
-// token shows that it is in force: the operator is told so and not "conflict".
-func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
-	b := newBench()
-	b.table.lose = func() bool { return true }
-	revision, err := b.publisher.Apply(t.Context(), publisher.Edit{Files: tree(1)})
+// The table service commits the revision but the response is lost. Reading back
+// the attempt's token shows that it is active: Apply must succeed and not report
+// a conflict.
+func TestLostCommitResponseIsConfirmedByReadingBack(t *testing.T) {
+	f := newFixture()
+	f.table.loseResponse = func() bool { return true }
+	revision, err := f.publisher.Apply(t.Context(), publisher.Edit{Files: newTree(1)})
 	if err != nil || revision != 1 {
 		t.Errorf("Apply = %d, %v, want 1", revision, err)
 	}
 }
 
-func TestInvalidTreeIsRefusedBeforeAcceptance(t *testing.T) {
-	b := newBench()
-	_, err := b.publisher.Apply(t.Context(), publisher.Edit{Files: map[string][]byte{"x.yaml": []byte("kind: x\n")}})
+func TestInvalidTreeIsNotPublished(t *testing.T) {
+	f := newFixture()
+	_, err := f.publisher.Apply(t.Context(), publisher.Edit{Files: map[string][]byte{"x.yaml": []byte("kind: x\n")}})
 	var invalid *parser.InvalidError
-	if !errors.As(err, &invalid) || b.head(t).Revision != 0 {
-		t.Errorf("Apply = %v at revision %d", err, b.head(t).Revision)
+	if !errors.As(err, &invalid) || f.head(t).Revision != 0 {
+		t.Errorf("Apply = %v at revision %d", err, f.head(t).Revision)
 	}
 }
 
-func TestOneChangeFetchesOneFile(t *testing.T) {
-	b := newBench()
-	b.apply(t, 0, 1, 1, 1, 1, 1, 1, 1, 1)
-	w := &watcher.Watcher{Store: b.store}
-	if _, err := w.Offer(t.Context(), b.head(t)); err != nil {
+func TestWatcherFetchesOnlyChangedFiles(t *testing.T) {
+	f := newFixture()
+	f.apply(t, 0, 1, 1, 1, 1, 1, 1, 1, 1)
+	w := &watcher.Watcher{Store: f.store}
+	if _, err := w.Offer(t.Context(), f.head(t)); err != nil {
 		t.Fatal(err)
 	}
-	b.apply(t, 1, 1, 1, 1, 9, 1, 1, 1, 1)
-	b.store.gets = nil
-	if _, err := w.Offer(t.Context(), b.head(t)); err != nil {
+	f.apply(t, 1, 1, 1, 1, 9, 1, 1, 1, 1)
+	f.store.gets = nil
+	if _, err := w.Offer(t.Context(), f.head(t)); err != nil {
 		t.Fatal(err)
 	}
-	files := slices.DeleteFunc(b.store.gets, func(key string) bool { return !strings.HasPrefix(key, "setting/file/") })
-	if len(b.store.gets) != 1 || len(files) != 1 {
-		t.Errorf("fetched %v, want one file", b.store.gets)
+	files := slices.DeleteFunc(f.store.gets, func(key string) bool { return !strings.HasPrefix(key, "setting/file/") })
+	if len(f.store.gets) != 1 || len(files) != 1 {
+		t.Errorf("fetched %v, want only the changed file", f.store.gets)
 	}
 }
 
-// Two operators edit at random, answers are lost, and instances hear of heads
-// in any order, old ones again and again. Every accepted revision is seen by
-// the operator as accepted; no instance ever goes back; in the end all have the
-// last one, with exactly its content.
+// Edits are made on current and outdated revisions, responses are lost, and
+// instances receive heads in any order and repeatedly. Apply must succeed exactly
+// for edits of the current revision, no instance may revert to an older revision,
+// and in the end all must have the last one, with matching content.
 func TestSettingsNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := newBench()
-		b.table.lose = func() bool { return rapid.Bool().Draw(t, "lose") }
+		f := newFixture()
+		f.table.loseResponse = func() bool { return rapid.Bool().Draw(t, "lose") }
 		heads := []publisher.Head{{}}
-		watchers := []*watcher.Watcher{{Store: b.store}, {Store: b.store}, {Store: b.store}}
+		watchers := []*watcher.Watcher{{Store: f.store}, {Store: f.store}, {Store: f.store}}
 		accepted := uint64(0)
 		for range rapid.IntRange(5, 40).Draw(t, "steps") {
 			if rapid.Bool().Draw(t, "edit") {
 				base := heads[rapid.IntRange(max(0, len(heads)-2), len(heads)-1).Draw(t, "base")].Revision
-				files := tree(rapid.IntRange(1, 9).Draw(t, "x"), rapid.IntRange(1, 9).Draw(t, "y"))
-				revision, err := b.publisher.Apply(context.Background(), publisher.Edit{Files: files, Base: base})
+				files := newTree(rapid.IntRange(1, 9).Draw(t, "x"), rapid.IntRange(1, 9).Draw(t, "y"))
+				revision, err := f.publisher.Apply(context.Background(), publisher.Edit{Files: files, Base: base})
 				accepted = checkAccepted(t, err, base, revision, accepted)
-				head, _, _ := b.publisher.Head(context.Background())
+				head, _, _ := f.publisher.Head(context.Background())
 				heads = append(heads, head)
 			}
 			w := rapid.SampledFrom(watchers).Draw(t, "watcher")
@@ -167,7 +168,7 @@
 		for _, w := range watchers {
 			offer(t, w, heads[len(heads)-1])
 			if w.Revision() != accepted {
-				t.Fatalf("revision %d is in force, want %d", w.Revision(), accepted)
+				t.Fatalf("revision %d is active, want %d", w.Revision(), accepted)
 			}
 		}
 	})
@@ -176,12 +177,12 @@
 func checkAccepted(t *rapid.T, err error, base, revision, accepted uint64) uint64 {
 	if err != nil {
 		if base == accepted {
-			t.Fatalf("edit on the revision in force was refused: %v", err)
+			t.Fatalf("edit of the current revision was rejected: %v", err)
 		}
 		return accepted
 	}
 	if base != accepted || revision != accepted+1 {
-		t.Fatalf("edit on %d gave %d after %d", base, revision, accepted)
+		t.Fatalf("edit of revision %d gave revision %d after %d", base, revision, accepted)
 	}
 	return revision
 }
@@ -192,7 +193,7 @@
 		t.Fatal(err)
 	}
 	if w.Revision() < before || w.Revision() < head.Revision {
-		t.Fatalf("went from %d to %d on head %d", before, w.Revision(), head.Revision)
+		t.Fatalf("went from revision %d to %d when offered head %d", before, w.Revision(), head.Revision)
 	}
 	if f := w.Force(); f != nil {
 		want, _ := w.Object("setting/manifest/" + f.Head.Manifest)
--- a/internal/wire/listener/conn.go
+++ b/internal/wire/listener/conn.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// A Listener accepts connections that can be watched.
+// A Listener accepts connections of type *Conn.
 type Listener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -20,43 +20,43 @@
 	return &Conn{Conn: c}, nil
 }
 
-// A Conn is a connection whose other side can be watched while its request is
-// worked on. The HTTP library reads nothing in that time, so without this a
-// caller that leaves would be noticed only when an answer is written.
+// A Conn is a connection that can detect a disconnect of the client while its
+// request is being handled. The HTTP library does not read during that time, so
+// without this a disconnect would be noticed only when the response is written.
 type Conn struct {
 	net.Conn
 
-	mu    sync.Mutex
-	ended chan struct{} // of the watch that runs; nil for none
-	early []byte        // came while the watch ran: the start of the next request
+	mu        sync.Mutex
+	watchDone chan struct{} // closed when the running watch ends; nil if none runs
+	lookahead []byte        // read by the watch: the start of the next request
 }
 
-// earlySize is how much of a next request a watch takes, in bytes. What comes
-// after stays with the kernel.
-const earlySize = 512
+// lookaheadSize is how much of a pipelined request a watch reads at most, in
+// bytes. The rest stays in the kernel's receive buffer.
+const lookaheadSize = 512
 
-// Watch calls gone if the other side closes the connection before Unwatch.
-func (c *Conn) Watch(gone func()) {
+// Watch calls onDisconnect if the client closes the connection before Unwatch.
+func (c *Conn) Watch(onDisconnect func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.ended != nil || len(c.early) > 0 {
+	if c.watchDone != nil || len(c.lookahead) > 0 {
 		return
 	}
 	if c.Conn.SetReadDeadline(time.Time{}) != nil {
-		gone()
+		onDisconnect()
 		return
 	}
-	ended := make(chan struct{})
-	c.ended = ended
+	done := make(chan struct{})
+	c.watchDone = done
 	go func() {
-		defer close(ended)
-		buffer := make([]byte, earlySize)
+		defer close(done)
+		buffer := make([]byte, lookaheadSize)
 		n, err := c.Conn.Read(buffer)
 		c.mu.Lock()
-		c.early = buffer[:n]
+		c.lookahead = buffer[:n]
 		c.mu.Unlock()
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
-			gone()
+			onDisconnect()
 		}
 	}()
 }
@@ -64,25 +64,25 @@
 // Unwatch ends the watch. The connection can be read again afterwards.
 func (c *Conn) Unwatch() {
 	c.mu.Lock()
-	ended := c.ended
+	done := c.watchDone
 	c.mu.Unlock()
-	if ended == nil {
+	if done == nil {
 		return
 	}
-	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // fails on a closed connection, whose read has ended
-	<-ended
+	_ = c.Conn.SetReadDeadline(time.Unix(1, 0)) // fails on a closed connection, whose read has already returned
+	<-done
 	_ = c.Conn.SetReadDeadline(time.Time{})
 	c.mu.Lock()
-	c.ended = nil
+	c.watchDone = nil
 	c.mu.Unlock()
 }
 
 // Read implements net.Conn.
 func (c *Conn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	if len(c.early) > 0 {
-		n := copy(p, c.early)
-		c.early = c.early[n:]
+	if len(c.lookahead) > 0 {
+		n := copy(p, c.lookahead)
+		c.lookahead = c.lookahead[n:]
 		c.mu.Unlock()
 		return n, nil
 	}
--- a/internal/wire/pooler/exchange.go
+++ b/internal/wire/pooler/exchange.go
@@ -13,40 +13,41 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/judge"
 )
 
-// A Call is one request as it goes on the wire.
+// A Call is one request, encoded for the wire.
 type Call struct {
 	Address string // host:port
-	Key     string // of the peer
-	Message []byte // head and body
-	NoBody  bool   // the answer has no body whatever its head says, as to HEAD
+	Key     string // identifies the peer
+	Message []byte // header and body
+	NoBody  bool   // the response has no body whatever its header says, as for HEAD
 
-	// Own reports whether an answer names this request. Nil takes any.
+	// Own reports whether a response names this request. Nil accepts any.
 	Own func(header *fasthttp.ResponseHeader) bool
 }
 
-// An Answer is the head of a response and its body. It must be closed.
+// An Answer is a response whose body may be a stream. It must be closed.
 type Answer struct {
 	Status int
 	Header *fasthttp.ResponseHeader
 	Body   io.Reader
 
-	pool *Pool
-	conn *conn
-	key  string
-	stop func() bool
-	done bool
+	pool   *Pool
+	conn   *conn
+	key    string
+	detach func() bool
+	closed bool
 }
 
-// ErrForeign is a connection on which more answers came that do not name the
-// request than a peer sends by mistake.
-var ErrForeign = errors.New("the answers on the connection name other requests")
+// ErrMismatched is returned if more responses on a connection name other
+// requests than a peer sends by mistake.
+var ErrMismatched = errors.New("the answers on the connection name other requests")
 
-// foreign is how many answers to other requests are passed over before the
-// connection is given up. A peer that repeats an answer sends one.
-const foreign = 2
+// maxMismatched is how many responses to other requests are skipped before the
+// connection is closed. A peer that repeats a response sends one.
+const maxMismatched = 2
 
-// Do sends a request and reads the head of its answer. The request ends with
-// ctx. If there is no answer, the observation tells how far the request got.
+// Do sends a request and reads the header of its response. The request is
+// cancelled when ctx ends. If there is no response, the observation says how far
+// the request got.
 func (p *Pool) Do(ctx context.Context, call Call) (*Answer, judge.Observation) {
 	c := p.get(call.Key, time.Now())
 	if c == nil {
@@ -55,23 +56,23 @@
 			return nil, judge.Dialed{Err: err}
 		}
 	}
-	stop := context.AfterFunc(ctx, func() { _ = c.Close() })
+	detach := context.AfterFunc(ctx, func() { _ = c.Close() })
 	answer, err := c.exchange(call)
 	if err != nil {
-		stop()
+		detach()
 		_ = c.Close()
-		return nil, judge.Broken{Written: c.count(), Err: err}
+		return nil, judge.Broken{Written: c.bytesWritten(), Err: err}
 	}
-	answer.pool, answer.conn, answer.key, answer.stop = p, c, call.Key, stop
+	answer.pool, answer.conn, answer.key, answer.detach = p, c, call.Key, detach
 	return answer, nil
 }
 
-// exchange writes a request and reads answers until one names it.
+// exchange writes a request and reads responses until one names it.
 func (c *conn) exchange(call Call) (*Answer, error) {
 	if _, err := c.Write(call.Message); err != nil {
 		return nil, err
 	}
-	for range foreign + 1 {
+	for range maxMismatched + 1 {
 		response := &fasthttp.Response{StreamBody: true, SkipBody: call.NoBody}
 		if err := response.ReadLimitBody(c.reader, 0); err != nil {
 			return nil, err
@@ -91,42 +92,42 @@
 			return nil, err
 		}
 	}
-	return nil, ErrForeign
+	return nil, ErrMismatched
 }
 
-// Broken returns the observation of a body that could not be read to its end.
+// Broken returns the observation for a body that could not be read completely.
 func (a *Answer) Broken(err error) judge.Observation {
-	return judge.Broken{Written: a.conn.count(), Head: true, Err: err}
+	return judge.Broken{Written: a.conn.bytesWritten(), Head: true, Err: err}
 }
 
-// Close gives the connection back if the body was read to its end, else ends
-// it, and with it the work of the peer.
-func (a *Answer) Close(whole bool) {
-	if a.done {
+// Close returns the connection to the pool if the body was read completely.
+// Otherwise it closes the connection, which cancels the work of the peer.
+func (a *Answer) Close(complete bool) {
+	if a.closed {
 		return
 	}
-	a.done = true
-	kept := a.stop()
-	framed := a.Header.ContentLength() != identity
-	if !whole || !kept || !framed || a.Header.ConnectionClose() || a.conn.reader.Buffered() > 0 {
+	a.closed = true
+	detached := a.detach()
+	framed := a.Header.ContentLength() != lengthUntilClose
+	if !complete || !detached || !framed || a.Header.ConnectionClose() || a.conn.reader.Buffered() > 0 {
 		_ = a.conn.Close()
 		return
 	}
-	if limit, ok := keepAlive(a.Header); ok {
-		a.conn.limit = min(a.pool.Idle, limit)
+	if limit, ok := keepAliveTimeout(a.Header); ok {
+		a.conn.idleTimeout = min(a.pool.Idle, limit)
 	}
 	a.pool.put(a.key, a.conn)
 }
 
-// identity is what fasthttp returns as the length of a body that ends with its
-// connection.
-const identity = -2
+// lengthUntilClose is the content length that fasthttp reports for a body that
+// ends when the connection closes.
+const lengthUntilClose = -2
 
-// keepAlive returns how long the peer keeps an unused connection, less a part
-// for the way: a request must not cross the peer's close.
-func keepAlive(header *fasthttp.ResponseHeader) (time.Duration, bool) {
-	for part := range strings.SplitSeq(string(header.Peek(fasthttp.HeaderKeepAlive)), ",") {
-		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
+// keepAliveTimeout returns the idle timeout from the Keep-Alive header, less a
+// margin for the network delay: a request must not cross the peer's close.
+func keepAliveTimeout(header *fasthttp.ResponseHeader) (time.Duration, bool) {
+	for param := range strings.SplitSeq(string(header.Peek(fasthttp.HeaderKeepAlive)), ",") {
+		name, value, _ := strings.Cut(strings.TrimSpace(param), "=")
 		if !strings.EqualFold(name, "timeout") {
 			continue
 		}
@@ -134,13 +135,14 @@
 		if err != nil {
 			return 0, false
 		}
-		return time.Duration(seconds) * time.Second * keepPart / keepWhole, true
+		return time.Duration(seconds) * time.Second * keepAliveNumerator / keepAliveDenominator, true
 	}
 	return 0, false
 }
 
-// keepPart of keepWhole of the time that a peer names is used.
+// An idle connection is kept for keepAliveNumerator/keepAliveDenominator of the
+// announced timeout.
 const (
-	keepPart  = 3
-	keepWhole = 4
+	keepAliveNumerator   = 3
+	keepAliveDenominator = 4
 )
--- a/internal/wire/pooler/pool.go
+++ b/internal/wire/pooler/pool.go
@@ -1,10 +1,10 @@
-// Package pooler sends requests on connections that are kept for further ones.
+// Package pooler sends HTTP requests on keep-alive connections.
 //
-// A kept connection brings two dangers that a fresh one has not: the other side
-// may be closing it while a request is written, and bytes of an earlier answer
-// may still come. So a connection goes back only after an answer that ended
-// where it said, it is checked before its next use, and an answer that does not
-// name its request is never taken for the answer to it.
+// A reused connection has two hazards that a fresh one does not have: the peer
+// may be closing it while a request is written, and bytes of an earlier response
+// may still arrive. So a connection is returned to the pool only after a
+// response that was complete, it is checked before it is reused, and a response
+// that names another request is skipped.
 package pooler
 
 import (
@@ -17,41 +17,41 @@
 	"time"
 )
 
-// A Pool keeps connections by a key, which is the peer and not only its
-// address: an address may come to belong to another process. Its fields are set
-// before use; it is safe for concurrent use.
+// A Pool keeps idle connections by key. The key identifies the peer and not only
+// its address, as another process may start to listen on that address. Its
+// fields are set before use; it is safe for concurrent use.
 type Pool struct {
-	Dial time.Duration // bound on connecting
-	Idle time.Duration // that a connection may stay unused, unless its peer says less
+	Dial time.Duration // dial timeout
+	Idle time.Duration // idle timeout, unless the peer announces a shorter one
 
 	mu     sync.Mutex
 	idle   map[string][]*conn
 	dialed atomic.Int64
 }
 
-// unacknowledged is how long sent bytes may stay without an acknowledgement. A
-// peer that was cut off or has lost its power answers nothing; without a bound
-// the kernel tries for minutes.
-const unacknowledged = 2 * time.Second
+// ackTimeout is how long sent data may stay unacknowledged. A peer that is
+// partitioned or has lost power acknowledges nothing; without this limit the
+// kernel retransmits for minutes.
+const ackTimeout = 2 * time.Second
 
-// userTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
-const userTimeout = 0x12
+// tcpUserTimeout is TCP_USER_TIMEOUT, which package syscall does not name.
+const tcpUserTimeout = 0x12
 
-// bufferSize holds the head of an answer, which may be long where engines add
-// fields of their own. Bytes.
+// bufferSize is the read buffer in bytes. It must hold the header of a response,
+// which is long where engines add fields of their own.
 const bufferSize = 8 << 10
 
-// A conn is a connection that may be kept.
+// A conn is a connection that may be reused.
 type conn struct {
 	net.Conn
-	reader  *bufio.Reader
-	since   time.Time // last use
-	limit   time.Duration
-	written int
-	mu      sync.Mutex
+	reader      *bufio.Reader
+	lastUsed    time.Time
+	idleTimeout time.Duration
+	written     int // bytes of the current request
+	mu          sync.Mutex
 }
 
-// Write implements net.Conn and counts what the kernel took.
+// Write implements net.Conn and counts the bytes that the kernel accepted.
 func (c *conn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.mu.Lock()
@@ -60,16 +60,16 @@
 	return n, err
 }
 
-func (c *conn) count() int {
+func (c *conn) bytesWritten() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.written
 }
 
-// Dialed returns how many connections were made.
+// Dialed returns how many connections were established.
 func (p *Pool) Dialed() int64 { return p.dialed.Load() }
 
-// Drop closes the unused connections of a peer that is gone.
+// Drop closes the idle connections to a peer that was removed.
 func (p *Pool) Drop(key string) {
 	p.mu.Lock()
 	conns := p.idle[key]
@@ -80,31 +80,32 @@
 	}
 }
 
-// Sweep closes the connections that have been unused for too long.
+// Sweep closes the connections whose idle timeout has passed.
 func (p *Pool) Sweep(now time.Time) {
 	p.mu.Lock()
-	var old []*conn
+	var expired []*conn
 	for key, conns := range p.idle {
-		kept := conns[:0]
+		fresh := conns[:0]
 		for _, c := range conns {
-			if now.Sub(c.since) < c.limit {
-				kept = append(kept, c)
+			if now.Sub(c.lastUsed) < c.idleTimeout {
+				fresh = append(fresh, c)
 			} else {
-				old = append(old, c)
+				expired = append(expired, c)
 			}
 		}
-		p.idle[key] = kept
-		if len(kept) == 0 {
+		p.idle[key] = fresh
+		if len(fresh) == 0 {
 			delete(p.idle, key)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range expired {
 		_ = c.Close()
 	}
 }
 
-// get returns a kept connection that is fit for use, or nil.
+// get returns an idle connection that can be reused, or nil. It closes those
+// that cannot.
 func (p *Pool) get(key string, now time.Time) *conn {
 	for {
 		p.mu.Lock()
@@ -116,7 +117,7 @@
 		c := conns[len(conns)-1]
 		p.idle[key] = conns[:len(conns)-1]
 		p.mu.Unlock()
-		if now.Sub(c.since) < c.limit && c.quiet() {
+		if now.Sub(c.lastUsed) < c.idleTimeout && c.reusable() {
 			c.written = 0
 			return c
 		}
@@ -125,7 +126,7 @@
 }
 
 func (p *Pool) put(key string, c *conn) {
-	c.since = time.Now()
+	c.lastUsed = time.Now()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.idle == nil {
@@ -137,16 +138,16 @@
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	dialer := net.Dialer{
 		Timeout:         p.Dial,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: unacknowledged, Interval: unacknowledged / 2, Count: 2},
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: ackTimeout, Interval: ackTimeout / 2, Count: 2},
 		Control: func(_, _ string, raw syscall.RawConn) error {
-			var failed error
+			var sockErr error
 			err := raw.Control(func(fd uintptr) {
-				failed = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, userTimeout, int(unacknowledged.Milliseconds()))
+				sockErr = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(ackTimeout.Milliseconds()))
 			})
 			if err != nil {
 				return err
 			}
-			return failed
+			return sockErr
 		},
 	}
 	c, err := dialer.DialContext(ctx, "tcp", address)
@@ -154,12 +155,12 @@
 		return nil, err
 	}
 	p.dialed.Add(1)
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, bufferSize), limit: p.Idle}, nil
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, bufferSize), idleTimeout: p.Idle}, nil
 }
 
-// quiet reports whether the connection is open and nothing has come on it since
-// its last answer. What came belongs to no request of ours.
-func (c *conn) quiet() bool {
+// reusable reports whether the connection is open and no data has arrived since
+// its last response. Such data belongs to none of our requests.
+func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
 	}
@@ -171,12 +172,12 @@
 	if err != nil {
 		return false
 	}
-	waits := false
+	open := false
 	err = rc.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, errno := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		waits = errno == syscall.EAGAIN
+		open = errno == syscall.EAGAIN
 		return true
 	})
-	return err == nil && waits
+	return err == nil && open
 }
