--- a/internal/command/commander/adaptercmd.go
+++ b/internal/command/commander/adaptercmd.go
@@ -29,7 +29,7 @@
 		Example: "  sardinetiller adapter list gujarat --tree tree",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			r, err := resolverOf(cmd.Context(), dir, platform)
+			r, err := newResolver(cmd.Context(), dir, platform)
 			if err != nil {
 				return err
 			}
@@ -44,8 +44,8 @@
 		},
 	}
 	cmd.Flags().StringVar(&dir, "tree", "", "directory of a tree; the revision in force if not given")
-	addPlatform(cmd, &platform)
-	addOutput(cmd, &output)
+	addPlatformFlag(cmd, &platform)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
 
@@ -78,7 +78,7 @@
 		},
 	}
 	flags.add(cmd)
-	addOutput(cmd, &output)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
 
@@ -101,6 +101,6 @@
 		},
 	}
 	flags.add(cmd)
-	addOutput(cmd, &output)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
--- a/internal/command/commander/yard_test.go
+++ b/internal/command/commander/cluster_test.go
@@ -30,45 +30,45 @@
 // A yard is a deployment of real processes: a platform, engines and entry
 // instances in domains a and b, each instance behind a proxy of its own to the
 // platform.
-type yard struct {
+type cluster struct {
 	t         *testing.T
 	engines   []string
-	instances map[string]*entry
+	instances map[string]*entryInstance
 	mu        sync.Mutex
 	platform  string
 	service   string
 }
 
 // An entry is one entry instance.
-type entry struct {
+type entryInstance struct {
 	*process
 
-	caller   string
-	operator string
-	peers    *toxiproxy.Proxy // before its links from peers
-	proxy    *toxiproxy.Proxy // before the platform
-	out      bool             // the balancer sends it nothing
+	caller        string
+	operator      string
+	peerProxy     *toxiproxy.Proxy // before its links from peers
+	platformProxy *toxiproxy.Proxy // before the platform
+	outOfRotation bool             // the balancer sends it nothing
 }
 
 const (
-	yardLease = 2 * time.Second
-	yardKey   = stager.Key
+	clusterLease = 2 * time.Second
+	clusterKey   = stager.Key
 )
 
-func newYard(t *testing.T, fencing bool) *yard {
+func newCluster(t *testing.T, fencing bool) *cluster {
 	t.Helper()
-	y := bareYard(t, fencing)
+	y := newClusterWithoutInstances(t, fencing)
 	y.launch("a-1", "a")
 	y.launch("a-2", "a")
 	y.launch("b-1", "b")
-	y.settled()
+	y.waitForOwners()
 	return y
 }
 
-// bareYard is a yard without entry instances.
-func bareYard(t *testing.T, fencing bool) *yard {
+// newClusterWithoutInstances is a yard without entry instances.
+func newClusterWithoutInstances(t *testing.T, fencing bool) *cluster {
 	t.Helper()
-	y := &yard{t: t, instances: make(map[string]*entry)}
+	y := &cluster{t: t, instances: make(map[string]*entryInstance)}
 	platform := start(t, "standin", "platform", "--listen", "127.0.0.1:0", "--rate", "60", "--together", "2", "--lag", "500ms")
 	y.platform = platform.await(t, `platform at (\S+)`)
 	service := start(t, "standin", "service", "--listen", "127.0.0.1:0")
@@ -78,16 +78,16 @@
 			"--step", "8ms", "--weights", y.platform, fmt.Sprintf("--fencing=%v", fencing))
 		y.engines = append(y.engines, e.await(t, `engine at (\S+)`))
 	}
-	y.apply(fencing)
+	y.applySettings(fencing)
 	return y
 }
 
-func (y *yard) apply(fencing bool) {
+func (y *cluster) applySettings(fencing bool) {
 	y.t.Helper()
 	dir := y.t.TempDir()
 	files := map[string]string{
 		"root.yaml":    "kind: root\nvalues: {deadline: 10s}\nweights: {rate: 60, together: 2}\n",
-		"account.yaml": "kind: account\nname: gujarat\nkeys:\n  - {hash: " + hashOf(yardKey) + "}\nadapters:\n  - {name: desk, count: 12, versions: [1], service: exit-llm, base: b}\n",
+		"account.yaml": "kind: account\nname: gujarat\nkeys:\n  - {hash: " + hashOf(clusterKey) + "}\nadapters:\n  - {name: desk, count: 12, versions: [1], service: exit-llm, base: b}\n",
 		"service.yaml": fmt.Sprintf("kind: service\nname: records\ntype: plain\nupstreams:\n  - {name: s1, domain: a, address: %q, batch: 9}\n", y.service),
 	}
 	engines := "kind: service\nname: exit-llm\ntype: engine\nupstreams:\n"
@@ -108,25 +108,25 @@
 }
 
 // launch starts an entry instance. Extra lines go into its settings.
-func (y *yard) launch(id, domain string, extra ...string) {
+func (y *cluster) launch(id, domain string, extra ...string) {
 	y.t.Helper()
-	proxy := y.proxy(id, y.platform)
-	peers := y.proxy(id+" peers", "127.0.0.1:1") // its address is needed before the instance's is known
+	proxy := y.newProxy(id, y.platform)
+	peers := y.newProxy(id+" peers", "127.0.0.1:1") // its address is needed before the instance's is known
 	file := filepath.Join(y.t.TempDir(), id+".yaml")
 	secret := filepath.Join(y.t.TempDir(), "secret")
 	if err := os.WriteFile(secret, []byte("yard\n"), 0o600); err != nil {
 		y.t.Fatal(err)
 	}
 	text := fmt.Sprintf("id: %s\ndomain: %s\ncaller: 127.0.0.1:0\npeer: 127.0.0.1:0\nadvertise: %s\noperator: 127.0.0.1:0\nplatform: %s\n"+
-		"secret: %s\nlease: %s\nbeat: 200ms\npoll: 200ms\nnotice: 1500ms\ndrain: 20s\n", id, domain, peers.Listen, proxy.Listen, secret, yardLease) + strings.Join(extra, "\n")
+		"secret: %s\nlease: %s\nbeat: 200ms\npoll: 200ms\nnotice: 1500ms\ndrain: 20s\n", id, domain, peers.Listen, proxy.Listen, secret, clusterLease) + strings.Join(extra, "\n")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 		y.t.Fatal(err)
 	}
-	e := &entry{process: start(y.t, "serve", "--settings", file), peers: peers, proxy: proxy}
+	e := &entryInstance{process: start(y.t, "serve", "--settings", file), peerProxy: peers, platformProxy: proxy}
 	e.caller = e.await(y.t, `msg=started caller=(\S+)`)
 	e.operator = e.await(y.t, `msg=started .* operator=(\S+)`)
 	upstream := e.await(y.t, `msg=started .* peer=(\S+)`)
-	until(y.t, "the proxy listens again", func() bool {
+	waitFor(y.t, "the proxy listens again", func() bool {
 		return peers.Update(&toxiproxy.Proxy{Listen: peers.Listen, Upstream: upstream, Enabled: true}) == nil
 	})
 	y.mu.Lock()
@@ -134,16 +134,16 @@
 	y.instances[id] = e
 }
 
-// proxies counts the proxies. Each listens on a loopback address of its own: on
+// proxyCount counts the proxies. Each listens on a loopback address of its own: on
 // a shared one, a connection that goes out while the proxy is cut can take its
 // port, and the proxy cannot come back. The library frees the port a moment
 // after it says so, hence the waits.
-var proxies atomic.Int64
+var proxyCount atomic.Int64
 
-// proxy starts a proxy that a test can cut.
-func (y *yard) proxy(name, upstream string) *toxiproxy.Proxy {
+// newProxy starts a proxy that a test can cut.
+func (y *cluster) newProxy(name, upstream string) *toxiproxy.Proxy {
 	y.t.Helper()
-	n := proxies.Add(1)
+	n := proxyCount.Add(1)
 	proxy := toxiproxy.NewProxy()
 	proxy.Name, proxy.Listen, proxy.Upstream = name, fmt.Sprintf("127.1.%d.%d:0", 1+n/250, 1+n%250), upstream
 	if err := proxy.Start(); err != nil {
@@ -153,25 +153,25 @@
 	return proxy
 }
 
-// cut takes proxies away for a while.
-func (y *yard) cut(d time.Duration, proxies ...*toxiproxy.Proxy) {
+// stopProxies takes proxies away for a while.
+func (y *cluster) stopProxies(d time.Duration, proxies ...*toxiproxy.Proxy) {
 	y.t.Helper()
 	for _, p := range proxies {
 		p.Stop()
 	}
 	time.Sleep(d)
 	for _, p := range proxies {
-		until(y.t, "the proxy listens again", func() bool { return p.Start() == nil })
+		waitFor(y.t, "the proxy listens again", func() bool { return p.Start() == nil })
 	}
 }
 
 // addresses are the entry addresses of both domains as the balancer knows them.
-func (y *yard) addresses() [][]string {
+func (y *cluster) addresses() [][]string {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	addresses := make([][]string, 2)
 	for id, e := range y.instances {
-		if !e.out {
+		if !e.outOfRotation {
 			domain := int(id[0] - 'a')
 			addresses[domain] = append(addresses[domain], e.caller)
 		}
@@ -179,30 +179,30 @@
 	return addresses
 }
 
-func (y *yard) instance(id string) *entry {
+func (y *cluster) instance(id string) *entryInstance {
 	y.mu.Lock()
 	defer y.mu.Unlock()
 	return y.instances[id]
 }
 
-// out tells the balancer whether to send an instance anything.
-func (y *yard) out(id string, out bool) {
+// setOutOfRotation tells the balancer whether to send an instance anything.
+func (y *cluster) setOutOfRotation(id string, out bool) {
 	y.mu.Lock()
 	defer y.mu.Unlock()
-	y.instances[id].out = out
+	y.instances[id].outOfRotation = out
 }
 
 // status returns what an instance says of itself; false if it does not answer.
-func (y *yard) status(id string) (server.Status, bool) {
+func (y *cluster) status(id string) (server.Status, bool) {
 	var s server.Status
-	ok := get(y.instance(id).operator, server.PathStatus, &s)
+	ok := getJSON(y.instance(id).operator, server.PathStatus, &s)
 	return s, ok
 }
 
-// settled waits until every runner has an owner in the eyes of every instance.
-func (y *yard) settled() {
+// waitForOwners waits until every runner has an owner in the eyes of every instance.
+func (y *cluster) waitForOwners() {
 	y.t.Helper()
-	until(y.t, "owners of all runners", func() bool {
+	waitFor(y.t, "owners of all runners", func() bool {
 		for id := range map[string]bool{"a-1": true, "a-2": true, "b-1": true} {
 			s, ok := y.status(id)
 			if !ok || !s.Ready || len(s.Runners) == 0 {
@@ -218,13 +218,13 @@
 	})
 }
 
-// complete asks an instance for a completion and returns the body.
-func (y *yard) complete(id string) string {
+// completion asks an instance for a completion and returns the body.
+func (y *cluster) completion(id string) string {
 	y.t.Helper()
 	address := y.instance(id).caller
 	request := &fasthttp.Request{}
 	request.Header.SetMethod(fasthttp.MethodPost)
-	request.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+yardKey)
+	request.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+clusterKey)
 	request.SetRequestURI("http://" + address + "/v1/completions")
 	request.SetBodyString(`{"model":"desk-1@1","max_tokens":2,"prompt":"hello"}`)
 	var r requester.Requester
@@ -235,8 +235,8 @@
 	return string(body)
 }
 
-// control sets the faults of a stand-in.
-func (y *yard) control(address string, faults any) {
+// setFaults sets the faults of a stand-in.
+func (y *cluster) setFaults(address string, faults any) {
 	y.t.Helper()
 	data, err := json.Marshal(faults)
 	if err != nil {
@@ -253,30 +253,30 @@
 }
 
 // audit compares the books with what the callers saw.
-func (y *yard) audit(results []sender.Result, planned bool) (auditor.Promises, []string) {
+func (y *cluster) audit(results []sender.Result, planned bool) (auditor.Violations, []string) {
 	y.t.Helper()
 	audit := auditor.Audit{Results: results, Planned: planned}
 	for _, address := range y.engines {
-		var books generator.Books
-		if !get(address, generator.PathBooks, &books) {
+		var books generator.Record
+		if !getJSON(address, generator.PathBooks, &books) {
 			y.t.Fatalf("no books from %s", address)
 		}
 		audit.Engines = append(audit.Engines, books)
 	}
-	if !get(y.service, responder.PathBooks, &audit.Calls) {
+	if !getJSON(y.service, responder.PathBooks, &audit.Calls) {
 		y.t.Fatal("no books from the service")
 	}
-	return audit.Run(), audit.Faults()
+	return audit.Run(), audit.Details()
 }
 
-// traffic sends calls until stop is called, which returns the results.
-func (y *yard) traffic(workload sampler.Workload) (stop func() []sender.Result) {
+// startTraffic sends calls until stop is called, which returns the results.
+func (y *cluster) startTraffic(workload sampler.Workload) (stop func() []sender.Result) {
 	y.t.Helper()
 	calls, err := workload.Draw()
 	if err != nil {
 		y.t.Fatal(err)
 	}
-	s := sender.Sender{Addresses: y.addresses, Key: yardKey, Service: "records"}
+	s := sender.Sender{Addresses: y.addresses, Key: clusterKey, Service: "records"}
 	var results []sender.Result
 	done := make(chan struct{})
 	go func() {
@@ -289,7 +289,7 @@
 	}
 }
 
-func get(address, path string, into any) bool {
+func getJSON(address, path string, into any) bool {
 	request := &fasthttp.Request{}
 	request.SetRequestURI("http://" + address + path)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/internal/command/commander/democmd.go
+++ b/internal/command/commander/democmd.go
@@ -48,8 +48,8 @@
 	return cmd
 }
 
-// errBroken is a run in which a promise did not hold.
-var errBroken = errors.New("a promise was broken")
+// errInvariantViolated is a run in which a promise did not hold.
+var errInvariantViolated = errors.New("a promise was broken")
 
 func (c *Commander) runDemo(ctx context.Context, flags demoFlags) error {
 	r, err := runner.Demo(flags.deployment, flags.seed)
@@ -64,12 +64,12 @@
 		r.Logger = log.NewLogfmtLogger(log.NewSyncWriter(c.err))
 	}
 	r.Progress = c.progress()
-	r.Kept = func(ctx context.Context, s *stager.Stage, report reporter.Report) error {
+	r.OnReport = func(ctx context.Context, s *stager.Deployment, report reporter.Report) error {
 		if err := c.printReport(flags.output, &report); err != nil {
 			return err
 		}
 		if flags.keep {
-			c.keep(ctx, s)
+			c.keepRunning(ctx, s)
 		}
 		return nil
 	}
@@ -77,17 +77,17 @@
 	if err != nil {
 		return err
 	}
-	if report.Promises.Total() > 0 {
-		for _, fault := range report.Faults {
+	if report.Violations.Total() > 0 {
+		for _, fault := range report.Details {
 			fmt.Fprintln(c.err, fault)
 		}
-		return errBroken
+		return errInvariantViolated
 	}
 	return nil
 }
 
-// keep leaves the deployment up until the program is stopped.
-func (c *Commander) keep(ctx context.Context, s *stager.Stage) {
+// keepRunning leaves the deployment up until the program is stopped.
+func (c *Commander) keepRunning(ctx context.Context, s *stager.Deployment) {
 	address := s.Address(1)
 	fmt.Fprintf(c.err, "\nThe deployment stays up until Ctrl-C. Callers: %s, operators: %s\n\n", address, s.Instances[1].Server.Listeners.Operator.Addr())
 	fmt.Fprintf(c.err, "curl -sS http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' "+
@@ -104,8 +104,8 @@
 	return report.Print(c.out)
 }
 
-// progressEvery is how often progress is shown at most.
-const progressEvery = 200 * time.Millisecond
+// progressInterval is how often progress is shown at most.
+const progressInterval = 200 * time.Millisecond
 
 // progress returns a function that shows how far a run is: one line that is
 // written over on a terminal, one line for each note elsewhere.
@@ -140,6 +140,6 @@
 			fmt.Fprintf(w, "%d/%d  %s\n", line.done, line.total, line.note)
 			last = line.note
 		}
-		time.Sleep(progressEvery)
+		time.Sleep(progressInterval)
 	}
 }
--- a/internal/command/commander/draincmd.go
+++ b/internal/command/commander/draincmd.go
@@ -21,7 +21,7 @@
 			"new work within a few seconds; what runs there runs to its end. With --operator and no names, that\n" +
 			"instance says that it is not ready, so that the balancer sends it nothing new.",
 		Example: "  sardinetiller drain a exit-llm-1 --platform 127.0.0.1:9000\n  sardinetiller drain --operator 127.0.0.1:8082",
-		Args:    cobra.MatchAll(cobra.MaximumNArgs(2), noneOrTwo),
+		Args:    cobra.MatchAll(cobra.MaximumNArgs(2), zeroOrTwoArgs),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if len(args) == 0 {
 				return flags.call(cmd.Context(), fasthttp.MethodPost, server.PathDrain, nil)
@@ -30,11 +30,11 @@
 		},
 	}
 	flags.add(cmd)
-	addPlatform(cmd, &platform)
+	addPlatformFlag(cmd, &platform)
 	return cmd
 }
 
-func noneOrTwo(_ *cobra.Command, args []string) error {
+func zeroOrTwoArgs(_ *cobra.Command, args []string) error {
 	if len(args) == 1 {
 		return usage(fmt.Errorf("name both the failure domain and the upstream, or neither"))
 	}
--- a/internal/command/commander/experimentcmd.go
+++ b/internal/command/commander/experimentcmd.go
@@ -24,7 +24,7 @@
 			return c.runExperiment(cmd.Context(), args[0], output)
 		},
 	}
-	addOutput(cmd, &output)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
 
@@ -37,7 +37,7 @@
 	if err != nil {
 		return usage(err)
 	}
-	fmt.Fprintf(c.err, "about %s\n", description.Took())
+	fmt.Fprintf(c.err, "about %s\n", description.EstimatedDuration())
 	progress := c.progress()
 	compare := comparer.Comparer{Description: description, Progress: func(done, total int) { progress(done, total, "runs") }}
 	cells, err := compare.Run(ctx)
--- a/internal/command/commander/faults_test.go
+++ b/internal/command/commander/faults_test.go
@@ -20,14 +20,14 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// span is how long each fault is under load. The faults begin in it and end in
+// loadSpan is how long each fault is under load. The faults begin in it and end in
 // it; what is checked does not depend on how far anything got.
-const span = 7 * time.Second
+const loadSpan = 7 * time.Second
 
-func load() sampler.Workload {
+func faultWorkload() sampler.Workload {
 	return sampler.Workload{
 		Adapters: 12, Away: 0.3, Calls: 350, Group: "desk", Once: 0.5, Plain: 0.15, Seed: 1,
-		Shape: sampler.Zipf, Skew: 1.1, Span: span, Tokens: 12, Versions: 1,
+		Shape: sampler.Zipf, Skew: 1.1, Span: loadSpan, Tokens: 12, Versions: 1,
 	}
 }
 
@@ -35,56 +35,56 @@
 // callers must see only what the stand-ins' books bear out: whole answers of
 // the adapter they named, not_run for what did not run, one run at most for
 // what may not be repeated, and no adapter evicted while it serves.
-func TestPromisesUnderFaults(t *testing.T) {
+func TestInvariantsUnderFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		fencing bool
 		planned bool // no request may be cut off or refused for it
-		fault   func(y *yard)
+		fault   func(y *cluster)
 	}{
 		// The owner of runners is paused past its lease while it sends requests
 		// and orders. Another instance takes over; then the owner resumes and
 		// acts on what it believed.
-		{"owner paused, engine checks fencing", true, false, pauseOwner},
-		{"owner paused, engine ignores fencing", false, false, pauseOwner},
+		{"owner paused, engine checks fencing", true, false, pauseOwnerPastLease},
+		{"owner paused, engine ignores fencing", false, false, pauseOwnerPastLease},
 		// An instance dies with requests in flight and claims open.
 		{"instance killed", false, false, killInstance},
 		// Engines restart empty under load; a copy believed resident is gone.
-		{"cold start", true, false, coldStart},
+		{"cold start", true, false, restartEngines},
 		// Loads fail and orders are carried out without an answer.
-		{"orders lost and loads failed", false, false, loseOrders},
+		{"orders lost and loads failed", false, false, loseOrderResponses},
 		// The platform is away for two lease times.
-		{"platform away", false, false, platformAway},
+		{"platform away", false, false, takePlatformDown},
 		// Writes take effect and their answers are lost.
-		{"answers lost", true, false, loseAnswers},
+		{"answers lost", true, false, loseCommitResponses},
 		// One instance is cut off from the platform, not from its peers.
-		{"instance cut from platform", false, false, cutPlatform},
+		{"instance cut from platform", false, false, partitionFromPlatform},
 		// Nobody reaches one instance, though it reaches all others.
-		{"instance cut from its peers", false, false, cutPeers},
+		{"instance cut from its peers", false, false, partitionFromPeers},
 		// No instance reaches any other, and a whole domain not the platform.
-		{"every instance alone", true, false, cutAll},
+		{"every instance alone", true, false, partitionAll},
 		// An engine and the plain service answer in part or not at all.
-		{"answers cut", true, false, cutAnswers},
+		{"answers cut", true, false, truncateResponses},
 		// An engine says that it leaves.
-		{"upstream leaves", true, true, leaveUpstream},
+		{"upstream leaves", true, true, drainUpstream},
 		// Every instance is replaced under load, one after the other.
 		{"rolling replacement", true, true, rollingReplacement},
 		{"all at once", false, false, allAtOnce},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			y := newYard(t, tc.fencing)
-			stop := y.traffic(load())
-			time.Sleep(span / 7)
+			y := newCluster(t, tc.fencing)
+			stop := y.startTraffic(faultWorkload())
+			time.Sleep(loadSpan / 7)
 			tc.fault(y)
 			results := stop()
 			promises, faults := y.audit(results, tc.planned)
-			if promises != (auditor.Promises{}) {
+			if promises != (auditor.Violations{}) {
 				t.Errorf("%+v\n%v", promises, faults)
 			}
 			whole := 0
 			for _, r := range results {
-				if r.Whole {
+				if r.Complete {
 					whole++
 				}
 			}
@@ -99,114 +99,114 @@
 // The platform is away when an instance starts. It finds no list, turns to its
 // seed, takes the settings in force from it, and serves by passing requests on.
 // One without seeds says that it is not ready and refuses with not_run.
-func TestStartsWhilePlatformIsAway(t *testing.T) {
+func TestStartsWhilePlatformIsDown(t *testing.T) {
 	t.Parallel()
-	y := newYard(t, true)
-	y.complete("a-1") // makes the adapter resident: the weight store goes away too
-	y.control(y.platform, registrar.Faults{Down: true})
-	y.launch("a-3", "a", "seeds: ["+y.instance("a-1").peers.Listen+"]")
+	y := newCluster(t, true)
+	y.completion("a-1") // makes the adapter resident: the weight store goes away too
+	y.setFaults(y.platform, registrar.Faults{Down: true})
+	y.launch("a-3", "a", "seeds: ["+y.instance("a-1").peerProxy.Listen+"]")
 	y.launch("a-4", "a")
-	until(t, "the one with a seed has settings and knows owners", func() bool {
+	waitFor(t, "the one with a seed has settings and knows owners", func() bool {
 		s, ok := y.status("a-3")
 		return ok && s.Ready && s.Revision == 1 && len(s.Runners) == 2 && s.Runners[0].Owner != "" && s.Runners[1].Owner != ""
 	})
 	for id, want := range map[string]string{"a-3": `"text"`, "a-4": `"verdict":"not_run"`} {
-		if body := y.complete(id); !strings.Contains(body, want) {
+		if body := y.completion(id); !strings.Contains(body, want) {
 			t.Errorf("%s answered %s, want %s", id, body, want)
 		}
 	}
 }
 
-func pauseOwner(y *yard) {
+func pauseOwnerPastLease(y *cluster) {
 	y.instance("a-1").signal(syscall.SIGSTOP)
-	y.out("a-1", true)
-	time.Sleep(2 * yardLease)
+	y.setOutOfRotation("a-1", true)
+	time.Sleep(2 * clusterLease)
 	y.instance("a-1").signal(syscall.SIGCONT)
-	y.out("a-1", false)
+	y.setOutOfRotation("a-1", false)
 }
 
-func killInstance(y *yard) {
+func killInstance(y *cluster) {
 	y.instance("a-1").signal(syscall.SIGKILL)
 	y.launch("a-1", "a")
 }
 
-func coldStart(y *yard) {
+func restartEngines(y *cluster) {
 	for range 3 {
 		for _, e := range y.engines {
-			y.control(e, generator.Faults{Restart: true})
-			time.Sleep(span / 20)
+			y.setFaults(e, generator.Faults{Restart: true})
+			time.Sleep(loadSpan / 20)
 		}
 	}
 }
 
-func loseOrders(y *yard) {
+func loseOrderResponses(y *cluster) {
 	for _, e := range y.engines {
-		y.control(e, generator.Faults{Lose: 6, Fail: 6, Stall: 50 * time.Millisecond})
+		y.setFaults(e, generator.Faults{Lose: 6, Fail: 6, Stall: 50 * time.Millisecond})
 	}
 }
 
-func platformAway(y *yard) {
-	y.control(y.platform, registrar.Faults{Down: true})
-	time.Sleep(2 * yardLease)
-	y.control(y.platform, registrar.Faults{})
+func takePlatformDown(y *cluster) {
+	y.setFaults(y.platform, registrar.Faults{Down: true})
+	time.Sleep(2 * clusterLease)
+	y.setFaults(y.platform, registrar.Faults{})
 }
 
-func loseAnswers(y *yard) {
+func loseCommitResponses(y *cluster) {
 	for range 10 {
-		y.control(y.platform, registrar.Faults{Lose: 5, Slow: 20 * time.Millisecond})
-		time.Sleep(span / 20)
+		y.setFaults(y.platform, registrar.Faults{Lose: 5, Slow: 20 * time.Millisecond})
+		time.Sleep(loadSpan / 20)
 	}
-	y.control(y.platform, registrar.Faults{})
+	y.setFaults(y.platform, registrar.Faults{})
 }
 
-func cutPlatform(y *yard) {
-	y.cut(2*yardLease, y.instance("a-1").proxy)
+func partitionFromPlatform(y *cluster) {
+	y.stopProxies(2*clusterLease, y.instance("a-1").platformProxy)
 }
 
-func cutPeers(y *yard) {
-	y.cut(2*yardLease, y.instance("a-1").peers)
+func partitionFromPeers(y *cluster) {
+	y.stopProxies(2*clusterLease, y.instance("a-1").peerProxy)
 }
 
-func cutAll(y *yard) {
-	y.cut(2*yardLease, y.instance("a-1").peers, y.instance("a-2").peers, y.instance("b-1").peers, y.instance("b-1").proxy)
+func partitionAll(y *cluster) {
+	y.stopProxies(2*clusterLease, y.instance("a-1").peerProxy, y.instance("a-2").peerProxy, y.instance("b-1").peerProxy, y.instance("b-1").platformProxy)
 }
 
-func cutAnswers(y *yard) {
+func truncateResponses(y *cluster) {
 	for _, e := range y.engines {
-		y.control(e, generator.Faults{Cut: 8, Refuse: 8})
+		y.setFaults(e, generator.Faults{Cut: 8, Refuse: 8})
 	}
-	y.control(y.service, responder.Faults{Lose: 5})
+	y.setFaults(y.service, responder.Faults{Lose: 5})
 }
 
-func leaveUpstream(y *yard) {
-	y.control(y.engines[0], generator.Faults{Leaving: true})
+func drainUpstream(y *cluster) {
+	y.setFaults(y.engines[0], generator.Faults{Leaving: true})
 }
 
-func rollingReplacement(y *yard) {
+func rollingReplacement(y *cluster) {
 	for _, id := range []string{"a-1", "a-2", "b-1"} {
 		y.launch(id+"x", id[:1])
-		until(y.t, id+"x is ready", func() bool {
+		waitFor(y.t, id+"x is ready", func() bool {
 			s, ok := y.status(id + "x")
 			return ok && s.Ready && len(s.Runners) > 0
 		})
 		old := y.instance(id)
 		old.signal(syscall.SIGTERM)
 		time.Sleep(300 * time.Millisecond) // until the balancer has noticed; the instance still serves
-		y.out(id, true)
+		y.setOutOfRotation(id, true)
 		<-old.done
 	}
 }
 
-func allAtOnce(y *yard) {
-	loseOrders(y)
-	y.control(y.platform, registrar.Faults{Lose: 10, Slow: 20 * time.Millisecond})
+func allAtOnce(y *cluster) {
+	loseOrderResponses(y)
+	y.setFaults(y.platform, registrar.Faults{Lose: 10, Slow: 20 * time.Millisecond})
 	y.instance("a-1").signal(syscall.SIGSTOP)
-	y.out("a-1", true)
-	y.control(y.engines[1], generator.Faults{Restart: true})
+	y.setOutOfRotation("a-1", true)
+	y.setFaults(y.engines[1], generator.Faults{Restart: true})
 	y.instance("b-1").signal(syscall.SIGKILL)
 	y.launch("b-1", "b")
-	time.Sleep(2 * yardLease)
+	time.Sleep(2 * clusterLease)
 	y.instance("a-1").signal(syscall.SIGCONT)
-	y.out("a-1", false)
-	cutPlatform(y)
+	y.setOutOfRotation("a-1", false)
+	partitionFromPlatform(y)
 }
--- a/internal/command/commander/loadcmd.go
+++ b/internal/command/commander/loadcmd.go
@@ -32,7 +32,7 @@
 	cmd := &cobra.Command{
 		Use:   "load",
 		Short: "Send a workload to entry addresses and report",
-		Long: "Draws a workload and sends it as ordinary callers would. The shapes are " + shapes() + ".\n" +
+		Long: "Draws a workload and sends it as ordinary callers would. The shapes are " + shapeNames() + ".\n" +
 			"The same seed draws the same workload. It stops by itself, and on Ctrl-C with what it has.",
 		Example: "  sardinetiller load --address 127.0.0.1:8080 --key key.txt --group mill --adapters 3000 --shape shift",
 		Args:    cobra.NoArgs,
@@ -84,14 +84,14 @@
 	var done atomic.Int64
 	s := sender.Sender{
 		Addresses: func() [][]string { return [][]string{flags.addresses} }, Key: key, Service: flags.service,
-		Seen: func(sender.Result) { progress(int(done.Add(1)), len(calls), "") },
+		OnResult: func(sender.Result) { progress(int(done.Add(1)), len(calls), "") },
 	}
 	results := s.Run(ctx, calls)
 	report := reporter.New(results, nil, nil)
 	return c.printReport(flags.output, &report)
 }
 
-func shapes() string {
+func shapeNames() string {
 	var names []string
 	for _, s := range sampler.Shapes {
 		names = append(names, string(s))
--- a/internal/command/commander/output.go
+++ b/internal/command/commander/output.go
@@ -19,8 +19,8 @@
 	outputYAML  = "yaml"
 )
 
-// addOutput adds the flag for the form of output.
-func addOutput(cmd *cobra.Command, output *string) {
+// addOutputFlag adds the flag for the form of output.
+func addOutputFlag(cmd *cobra.Command, output *string) {
 	cmd.Flags().StringVarP(output, "output", "o", outputTable, "table, json or yaml")
 }
 
--- a/internal/command/commander/platform.go
+++ b/internal/command/commander/platform.go
@@ -23,8 +23,8 @@
 // platformTimeout bounds one call of the platform from the command line.
 const platformTimeout = 5 * time.Second
 
-// addPlatform adds the flag that says where the platform is.
-func addPlatform(cmd *cobra.Command, address *string) {
+// addPlatformFlag adds the flag that says where the platform is.
+func addPlatformFlag(cmd *cobra.Command, address *string) {
 	cmd.Flags().StringVar(address, "platform", os.Getenv("SARDINETILLER_PLATFORM"),
 		"host:port of the platform; from SARDINETILLER_PLATFORM if not given")
 }
@@ -38,7 +38,7 @@
 	p := &publisher.Publisher{
 		Store: &storer.Client{Address: address, Timeout: platformTimeout},
 		Table: &tabler.Client{Address: address, Timeout: platformTimeout},
-		Token: token,
+		Token: newToken,
 	}
 	if dry {
 		p.Store = &storer.Dry{Store: p.Store}
@@ -47,7 +47,7 @@
 	return p, nil
 }
 
-func token() string {
+func newToken() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return hex.EncodeToString(b[:])
--- a/internal/command/commander/process_test.go
+++ b/internal/command/commander/process_test.go
@@ -17,13 +17,13 @@
 	"github.com/sardinetiller/sardinetiller/internal/command/commander"
 )
 
-// asProgram makes the test binary run as the program, so that tests have real
+// runAsProgramEnv makes the test binary run as the program, so that tests have real
 // processes without a build of their own.
-const asProgram = "RUN_AS_SARDINETILLER"
+const runAsProgramEnv = "RUN_AS_SARDINETILLER"
 
 func TestMain(m *testing.M) {
 	logrus.SetLevel(logrus.FatalLevel) // the proxy library logs every connection
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(runAsProgramEnv) != "" {
 		os.Exit(commander.Main(os.Args[1:], os.Stdin, os.Stdout, os.Stderr))
 	}
 	testscript.Main(m, map[string]func(){
@@ -43,7 +43,7 @@
 func start(t *testing.T, args ...string) *process {
 	t.Helper()
 	p := &process{cmd: exec.Command(os.Args[0], args...), done: make(chan struct{})}
-	p.cmd.Env = append(os.Environ(), asProgram+"=1")
+	p.cmd.Env = append(os.Environ(), runAsProgramEnv+"=1")
 	out, written, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
@@ -83,7 +83,7 @@
 	t.Helper()
 	re := regexp.MustCompile(pattern)
 	var found string
-	until(t, pattern, func() bool {
+	waitFor(t, pattern, func() bool {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		for _, line := range p.lines {
@@ -126,14 +126,14 @@
 	return text
 }
 
-// patience bounds every wait for a condition. No test passes by the clock.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait for a condition. No test passes by the clock.
+const waitTimeout = 30 * time.Second
 
-func until(t *testing.T, what string, condition func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for deadline := time.Now().Add(patience); !condition(); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited %s for: %s", patience, what)
+			t.Fatalf("waited %s for: %s", waitTimeout, what)
 		}
 	}
 }
--- a/internal/command/commander/requestcmd.go
+++ b/internal/command/commander/requestcmd.go
@@ -40,7 +40,7 @@
 		},
 	}
 	flags.add(cmd)
-	addOutput(cmd, &output)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
 
--- a/internal/command/commander/scripts_test.go
+++ b/internal/command/commander/scripts_test.go
@@ -32,36 +32,36 @@
 			"standin": cmdStandin, "stop": cmdStop, "subst": cmdSubst,
 		},
 		Setup: func(e *testscript.Env) error {
-			e.Values[runningKey{}] = make(map[string]*running)
+			e.Values[scriptProcessesKey{}] = make(map[string]*scriptProcess)
 			e.Setenv("KEYHASH", hashOf(stager.Key))
 			return nil
 		},
 	})
 }
 
-type runningKey struct{}
+type scriptProcessesKey struct{}
 
 // A running process of a script.
-type running struct {
+type scriptProcess struct {
 	cmd    *exec.Cmd
 	stderr *syncBuffer
 }
 
-// launch starts the program in the background until the script ends and waits
+// startInBackground starts the program in the background until the script ends and waits
 // for the pattern in what it writes.
-func launch(ts *testscript.TestScript, name, before string, args ...string) string {
+func startInBackground(ts *testscript.TestScript, name, before string, args ...string) string {
 	stderr := &syncBuffer{}
 	cmd := exec.Command(os.Args[0], args...)
 	cmd.Dir = ts.Getenv("WORK")
-	cmd.Env = append(os.Environ(), asProgram+"=1", "SARDINETILLER_PLATFORM="+ts.Getenv("SARDINETILLER_PLATFORM"))
+	cmd.Env = append(os.Environ(), runAsProgramEnv+"=1", "SARDINETILLER_PLATFORM="+ts.Getenv("SARDINETILLER_PLATFORM"))
 	cmd.Stderr = stderr
 	ts.Check(cmd.Start())
-	processes(ts)[name] = &running{cmd: cmd, stderr: stderr}
+	scriptProcesses(ts)[name] = &scriptProcess{cmd: cmd, stderr: stderr}
 	ts.Defer(func() {
 		_ = cmd.Process.Kill()
 		_ = cmd.Wait()
 	})
-	for deadline := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if _, rest, ok := strings.Cut(stderr.String(), before); ok && strings.ContainsAny(rest, " \n") {
 			return strings.FieldsFunc(rest, func(r rune) bool { return r == ' ' || r == '\n' })[0]
 		}
@@ -71,13 +71,13 @@
 	}
 }
 
-func processes(ts *testscript.TestScript) map[string]*running {
-	return ts.Value(runningKey{}).(map[string]*running)
+func scriptProcesses(ts *testscript.TestScript) map[string]*scriptProcess {
+	return ts.Value(scriptProcessesKey{}).(map[string]*scriptProcess)
 }
 
 func cmdStandin(ts *testscript.TestScript, _ bool, args []string) {
 	kind := args[0]
-	address := launch(ts, kind, kind+" at ", "standin", kind, "--listen", "127.0.0.1:0")
+	address := startInBackground(ts, kind, kind+" at ", "standin", kind, "--listen", "127.0.0.1:0")
 	ts.Setenv(strings.ToUpper(kind), address)
 	if kind == "platform" {
 		ts.Setenv("SARDINETILLER_PLATFORM", address)
@@ -85,14 +85,14 @@
 }
 
 func cmdServe(ts *testscript.TestScript, _ bool, args []string) {
-	ts.Setenv("CALLER", launch(ts, "serve", "msg=started caller=", "serve", "--settings", args[0]))
-	_, rest, _ := strings.Cut(processes(ts)["serve"].stderr.String(), " operator=")
+	ts.Setenv("CALLER", startInBackground(ts, "serve", "msg=started caller=", "serve", "--settings", args[0]))
+	_, rest, _ := strings.Cut(scriptProcesses(ts)["serve"].stderr.String(), " operator=")
 	ts.Setenv("SARDINETILLER_OPERATOR", strings.Fields(rest)[0])
 }
 
 // cmdStop ends a process gracefully and checks that it ends well.
 func cmdStop(ts *testscript.TestScript, _ bool, args []string) {
-	r := processes(ts)[args[0]]
+	r := scriptProcesses(ts)[args[0]]
 	ts.Check(r.cmd.Process.Signal(syscall.SIGTERM))
 	if err := r.cmd.Wait(); err != nil {
 		ts.Fatalf("%s: %v\n%s", args[0], err, r.stderr.String())
@@ -125,15 +125,15 @@
 }
 
 func cmdAnswers(ts *testscript.TestScript, _ bool, args []string) {
-	status, body := ask(ts, strings.Join(args[1:], " "))
+	status, body := postCompletion(ts, strings.Join(args[1:], " "))
 	if strconv.Itoa(status) != args[0] {
 		ts.Fatalf("status %d, want %s: %s", status, args[0], body)
 	}
 }
 
 func cmdEventually(ts *testscript.TestScript, _ bool, args []string) {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		if status, _ := ask(ts, strings.Join(args[1:], " ")); strconv.Itoa(status) == args[0] {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+		if status, _ := postCompletion(ts, strings.Join(args[1:], " ")); strconv.Itoa(status) == args[0] {
 			return
 		}
 	}
@@ -142,16 +142,16 @@
 
 // cmdLocated waits until a runner holds the adapter.
 func cmdLocated(ts *testscript.TestScript, _ bool, args []string) {
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		var s server.Status
-		if get(ts.Getenv("SARDINETILLER_OPERATOR"), server.PathStatus, &s) && len(s.Runners) > 0 && slices.Contains(s.Runners[0].Resident, args[0]) {
+		if getJSON(ts.Getenv("SARDINETILLER_OPERATOR"), server.PathStatus, &s) && len(s.Runners) > 0 && slices.Contains(s.Runners[0].Resident, args[0]) {
 			return
 		}
 	}
 	ts.Fatalf("%s is resident nowhere", args[0])
 }
 
-func ask(ts *testscript.TestScript, body string) (int, string) {
+func postCompletion(ts *testscript.TestScript, body string) (int, string) {
 	request := &fasthttp.Request{}
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+stager.Key)
--- a/internal/command/commander/settingsapplycmd.go
+++ b/internal/command/commander/settingsapplycmd.go
@@ -42,7 +42,7 @@
 	cmd.Flags().BoolVar(&flags.dry, "dry-run", false, "check against the platform and write nothing")
 	cmd.Flags().StringVar(&flags.note, "note", "", "what the change is for")
 	cmd.Flags().Uint64Var(&flags.revision, "revision", 0, "take the content of this revision instead of a directory")
-	addPlatform(cmd, &flags.platform)
+	addPlatformFlag(cmd, &flags.platform)
 	return cmd
 }
 
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	files, err := applied(ctx, p, args, flags.revision)
+	files, err := filesToApply(ctx, p, args, flags.revision)
 	if err != nil {
 		return err
 	}
@@ -74,8 +74,8 @@
 	return nil
 }
 
-// applied returns the files to apply.
-func applied(ctx context.Context, p *publisher.Publisher, args []string, revision uint64) (map[string][]byte, error) {
+// filesToApply returns the files to apply.
+func filesToApply(ctx context.Context, p *publisher.Publisher, args []string, revision uint64) (map[string][]byte, error) {
 	if revision == 0 {
 		return readTree(args[0])
 	}
--- a/internal/command/commander/settingscmd.go
+++ b/internal/command/commander/settingscmd.go
@@ -56,8 +56,8 @@
 	return files, nil
 }
 
-// inForce returns the manifest and the files in force.
-func inForce(ctx context.Context, p *publisher.Publisher) (publisher.Manifest, map[string][]byte, error) {
+// activeTree returns the manifest and the files in force.
+func activeTree(ctx context.Context, p *publisher.Publisher) (publisher.Manifest, map[string][]byte, error) {
 	head, _, err := p.Head(ctx)
 	if err != nil {
 		return nil, nil, err
@@ -73,9 +73,9 @@
 	return manifest, files, nil
 }
 
-// resolverOf returns a resolver of a directory, or of the revision in force if
+// newResolver returns a resolver of a directory, or of the revision in force if
 // there is none.
-func resolverOf(ctx context.Context, dir, platform string) (*resolver.Resolver, error) {
+func newResolver(ctx context.Context, dir, platform string) (*resolver.Resolver, error) {
 	var files map[string][]byte
 	var err error
 	if dir != "" {
@@ -85,7 +85,7 @@
 		if p, err = newPublisher(platform, true); err != nil {
 			return nil, err
 		}
-		_, files, err = inForce(ctx, p)
+		_, files, err = activeTree(ctx, p)
 	}
 	if err != nil {
 		return nil, err
--- a/internal/command/commander/settingsdiffcmd.go
+++ b/internal/command/commander/settingsdiffcmd.go
@@ -32,7 +32,7 @@
 			if err != nil {
 				return err
 			}
-			manifest, old, err := inForce(cmd.Context(), p)
+			manifest, old, err := activeTree(cmd.Context(), p)
 			if err != nil {
 				return err
 			}
@@ -46,8 +46,8 @@
 			return c.print(output, diffs, rows)
 		},
 	}
-	addPlatform(cmd, &platform)
-	addOutput(cmd, &output)
+	addPlatformFlag(cmd, &platform)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
 
--- a/internal/command/commander/settingsexplaincmd.go
+++ b/internal/command/commander/settingsexplaincmd.go
@@ -17,7 +17,7 @@
 		Example: "  sardinetiller settings explain --tree tree --account gujarat --service exit-llm --domain a --desk gate",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			r, err := resolverOf(cmd.Context(), dir, platform)
+			r, err := newResolver(cmd.Context(), dir, platform)
 			if err != nil {
 				return err
 			}
@@ -34,7 +34,7 @@
 	cmd.Flags().StringVar(&domain, "domain", "", "failure domain")
 	cmd.Flags().StringVar(&desk, "desk", "", "desk")
 	cmd.Flags().StringVar(&dir, "tree", "", "directory of a tree; the revision in force if not given")
-	addPlatform(cmd, &platform)
-	addOutput(cmd, &output)
+	addPlatformFlag(cmd, &platform)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
--- a/internal/command/commander/settingshistorycmd.go
+++ b/internal/command/commander/settingshistorycmd.go
@@ -33,7 +33,7 @@
 			return c.print(output, entries, rows)
 		},
 	}
-	addPlatform(cmd, &platform)
-	addOutput(cmd, &output)
+	addPlatformFlag(cmd, &platform)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
--- a/internal/command/commander/settingsshowcmd.go
+++ b/internal/command/commander/settingsshowcmd.go
@@ -20,7 +20,7 @@
 			if err != nil {
 				return err
 			}
-			_, files, err := inForce(cmd.Context(), p)
+			_, files, err := activeTree(cmd.Context(), p)
 			if err != nil {
 				return err
 			}
@@ -35,7 +35,7 @@
 			return c.print(output, shown, rows)
 		},
 	}
-	addPlatform(cmd, &platform)
-	addOutput(cmd, &output)
+	addPlatformFlag(cmd, &platform)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
--- a/internal/command/commander/signals_test.go
+++ b/internal/command/commander/signals_test.go
@@ -13,7 +13,7 @@
 // supervisor tells it once more, and its settings change. Either signal ended
 // the process at once, and its callers lost their answers. It stops when it is
 // done, with exit code 0.
-func TestFurtherSignalsDoNotCutAGracefulStop(t *testing.T) {
+func TestRepeatedSignalsDoNotInterruptGracefulStop(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		signal syscall.Signal
@@ -32,7 +32,7 @@
 			p.signal(tc.signal)
 			select {
 			case <-p.done:
-			case <-time.After(patience):
+			case <-time.After(waitTimeout):
 				t.Fatal("it does not end")
 			}
 			if code := p.cmd.ProcessState.ExitCode(); code != 0 {
--- a/internal/command/commander/standincmd.go
+++ b/internal/command/commander/standincmd.go
@@ -26,18 +26,18 @@
 
 // A standin is a stand-in as a command.
 type standin struct {
-	name     string
-	long     string
-	example  string
-	address  string // where it listens if nothing else is said
-	flags    func(cmd *cobra.Command)
-	run      func(ctx context.Context, l net.Listener) error
-	listener string
+	name           string
+	long           string
+	example        string
+	defaultAddress string // where it listens if nothing else is said
+	flags          func(cmd *cobra.Command)
+	run            func(ctx context.Context, l net.Listener) error
+	listenAddress  string
 }
 
-// command returns the command that runs the stand-in until the program is
+// standinCommand returns the command that runs the stand-in until the program is
 // stopped.
-func (c *Commander) command(s standin) *cobra.Command {
+func (c *Commander) standinCommand(s standin) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     s.name,
 		Short:   "Run a stand-in: " + s.name,
@@ -45,7 +45,7 @@
 		Example: "  sardinetiller standin " + s.name + " " + s.example,
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			l, err := net.Listen("tcp", s.listener)
+			l, err := net.Listen("tcp", s.listenAddress)
 			if err != nil {
 				return usage(fmt.Errorf("--listen: %w; choose a free address", err))
 			}
@@ -53,18 +53,18 @@
 			return s.run(cmd.Context(), l)
 		},
 	}
-	cmd.Flags().StringVar(&s.listener, "listen", s.address, "host:port")
+	cmd.Flags().StringVar(&s.listenAddress, "listen", s.defaultAddress, "host:port")
 	s.flags(cmd)
 	return cmd
 }
 
 func (c *Commander) newStandinEngineCmd() *cobra.Command {
 	e := &generator.Engine{}
-	return c.command(standin{
-		name:    "engine",
-		long:    "Runs a model engine that batches continuously, holds adapters in slots and takes load and evict orders.",
-		example: "--listen 127.0.0.1:7001 --name r1 --weights 127.0.0.1:9000 --fencing",
-		address: "127.0.0.1:7001",
+	return c.standinCommand(standin{
+		name:           "engine",
+		long:           "Runs a model engine that batches continuously, holds adapters in slots and takes load and evict orders.",
+		example:        "--listen 127.0.0.1:7001 --name r1 --weights 127.0.0.1:9000 --fencing",
+		defaultAddress: "127.0.0.1:7001",
 		flags: func(cmd *cobra.Command) {
 			cmd.Flags().StringVar(&e.Name, "name", "engine", "name, the first part of its incarnation")
 			cmd.Flags().IntVar(&e.Slots, "slots", 8, "adapters that it holds")
@@ -82,11 +82,11 @@
 
 func (c *Commander) newStandinPlatformCmd() *cobra.Command {
 	p := &registrar.Platform{}
-	return c.command(standin{
-		name:    "platform",
-		long:    "Runs the table service, the object store, the instance list and the weight store on one address.",
-		example: "--listen 127.0.0.1:9000 --rate 3 --together 1",
-		address: "127.0.0.1:9000",
+	return c.standinCommand(standin{
+		name:           "platform",
+		long:           "Runs the table service, the object store, the instance list and the weight store on one address.",
+		example:        "--listen 127.0.0.1:9000 --rate 3 --together 1",
+		defaultAddress: "127.0.0.1:9000",
 		flags: func(cmd *cobra.Command) {
 			cmd.Flags().DurationVar(&p.Lag, "lag", 2*time.Second, "of the instance list")
 			cmd.Flags().Float64Var(&p.Rate, "rate", 3, "weight loads a second")
@@ -101,12 +101,12 @@
 
 func (c *Commander) newStandinServiceCmd() *cobra.Command {
 	s := &responder.Service{}
-	return c.command(standin{
-		name:    "service",
-		long:    "Runs a plain service that answers every call with what it was sent and books it.",
-		example: "--listen 127.0.0.1:7101",
-		address: "127.0.0.1:7101",
-		flags:   func(*cobra.Command) {},
+	return c.standinCommand(standin{
+		name:           "service",
+		long:           "Runs a plain service that answers every call with what it was sent and books it.",
+		example:        "--listen 127.0.0.1:7101",
+		defaultAddress: "127.0.0.1:7101",
+		flags:          func(*cobra.Command) {},
 		run: func(ctx context.Context, l net.Listener) error {
 			s.Listener = l
 			return s.Run(ctx)
--- a/internal/command/commander/statuscmd.go
+++ b/internal/command/commander/statuscmd.go
@@ -31,7 +31,7 @@
 		},
 	}
 	flags.add(cmd)
-	addOutput(cmd, &output)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
 
--- a/internal/command/commander/surveycmd.go
+++ b/internal/command/commander/surveycmd.go
@@ -30,7 +30,7 @@
 	}
 	cmd.Flags().StringSliceVar(&only, "only", []string{"peers", "runners", "requests", "tokens", "changes"}, "slopes to measure")
 	cmd.Flags().DurationVar(&span, "span", 8*time.Second, "time of each point")
-	addOutput(cmd, &output)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
 
@@ -63,7 +63,7 @@
 	for _, s := range slopes {
 		for _, name := range slices.Sorted(maps.Keys(s.Fits)) {
 			f := s.Fits[name]
-			rows = append(rows, []string{s.Name, name, fmt.Sprint(s.Values(name)), fmt.Sprintf("%.4g", f.At0), fmt.Sprintf("%.4g", f.Each), fmt.Sprintf("%.3f", f.R2)})
+			rows = append(rows, []string{s.Name, name, fmt.Sprint(s.Values(name)), fmt.Sprintf("%.4g", f.Intercept), fmt.Sprintf("%.4g", f.PerUnit), fmt.Sprintf("%.3f", f.R2)})
 		}
 	}
 	return rows
--- a/internal/command/commander/tls_test.go
+++ b/internal/command/commander/tls_test.go
@@ -89,7 +89,7 @@
 // is heard, without a restart.
 func TestMutualTLS(t *testing.T) {
 	t.Parallel()
-	y := bareYard(t, true)
+	y := newClusterWithoutInstances(t, true)
 	ours, other := newAuthority(t), newAuthority(t)
 	stranger := t.TempDir()
 	other.sign(stranger)
@@ -111,8 +111,8 @@
 		}
 		return false
 	}
-	until(t, "the two hear each other", func() bool { return heard("a-1", "a-2") && heard("a-2", "a-1") })
-	until(t, "the third is listed", func() bool {
+	waitFor(t, "the two hear each other", func() bool { return heard("a-1", "a-2") && heard("a-2", "a-1") })
+	waitFor(t, "the third is listed", func() bool {
 		s, _ := y.status("a-1")
 		return len(s.Peers) == 2
 	})
@@ -121,5 +121,5 @@
 	}
 	ours.sign(stranger)
 	y.instance("a-3").signal(syscall.SIGHUP)
-	until(t, "the third is heard after the reload", func() bool { return heard("a-1", "a-3") && heard("a-3", "a-1") })
+	waitFor(t, "the third is heard after the reload", func() bool { return heard("a-1", "a-3") && heard("a-3", "a-1") })
 }
--- a/internal/command/commander/undraincmd.go
+++ b/internal/command/commander/undraincmd.go
@@ -14,6 +14,6 @@
 			return c.setDrain(cmd.Context(), platform, args[0], args[1], false)
 		},
 	}
-	addPlatform(cmd, &platform)
+	addPlatformFlag(cmd, &platform)
 	return cmd
 }
--- a/internal/experiment/auditor/auditor.go
+++ b/internal/experiment/auditor/auditor.go
@@ -14,11 +14,11 @@
 	"github.com/sardinetiller/sardinetiller/internal/standin/responder"
 )
 
-// Promises are the violations of each promise.
-type Promises struct {
+// Violations are the violations of each promise.
+type Violations struct {
 	Version  int `json:"version"`  // a run or an answer of another adapter or version
 	Pinned   int `json:"pinned"`   // an eviction under a running request
-	Whole    int `json:"whole"`    // an answer that is not whole, or another caller's
+	Complete int `json:"whole"`    // an answer that is not whole, or another caller's
 	NotRun   int `json:"notrun"`   // told not_run and run all the same
 	Once     int `json:"once"`     // run twice though marked
 	Leaving  int `json:"leaving"`  // new work to an upstream that leaves
@@ -27,110 +27,110 @@
 }
 
 // Total returns the violations of all promises.
-func (p *Promises) Total() int {
-	return p.Version + p.Pinned + p.Whole + p.NotRun + p.Once + p.Leaving + p.Graceful + p.Settings
+func (p *Violations) Total() int {
+	return p.Version + p.Pinned + p.Complete + p.NotRun + p.Once + p.Leaving + p.Graceful + p.Settings
 }
 
 // An Audit is what there is to compare. Its fields are set before Run.
 type Audit struct {
-	Calls    []responder.Call  // of the plain services
-	Engines  []generator.Books // by engine
+	Calls    []responder.Call   // of the plain services
+	Engines  []generator.Record // by engine
 	Results  []sender.Result
 	Planned  bool     // every stop was planned, so no request may be cut off
 	Settings []string // faults that watching the revisions found
 
-	faults []string
-	runs   map[string][]run // by what the caller said
+	details    []string
+	executions map[string][]execution // by what the caller said
 }
 
 // A run is one execution of a call, by an engine or a service.
-type run struct {
+type execution struct {
 	adapter string
 }
 
 // leavingGrace is how long an upstream that leaves may still be given work.
 const leavingGrace = 3 * time.Second
 
-// Faults returns a line for each violation that Run found.
-func (a *Audit) Faults() []string { return a.faults }
+// Details returns a line for each violation that Run found.
+func (a *Audit) Details() []string { return a.details }
 
 // Run counts the violations.
-func (a *Audit) Run() Promises {
-	a.index()
-	p := Promises{Settings: len(a.Settings)}
-	a.faults = append(a.faults, a.Settings...)
+func (a *Audit) Run() Violations {
+	a.indexExecutions()
+	p := Violations{Settings: len(a.Settings)}
+	a.details = append(a.details, a.Settings...)
 	for i := range a.Results {
-		a.result(&a.Results[i], &p)
+		a.checkResult(&a.Results[i], &p)
 	}
 	for i := range a.Engines {
-		a.engine(&a.Engines[i], &p)
+		a.checkEngine(&a.Engines[i], &p)
 	}
 	return p
 }
 
-func (a *Audit) engine(b *generator.Books, p *Promises) {
-	p.Pinned += len(b.Under)
-	for _, u := range b.Under {
-		a.fault("%s was evicted with fencing number %#x under %s, which had run for %s", u.Handle, u.Fence, u.Marker, u.Age)
+func (a *Audit) checkEngine(b *generator.Record, p *Violations) {
+	p.Pinned += len(b.EvictedRunning)
+	for _, u := range b.EvictedRunning {
+		a.addDetail("%s was evicted with fencing number %#x under %s, which had run for %s", u.Handle, u.Fence, u.Marker, u.RunningFor)
 	}
-	if b.Left.IsZero() {
+	if b.LeavingSince.IsZero() {
 		return
 	}
 	for _, r := range b.Runs {
-		if r.Began.After(b.Left.Add(leavingGrace)) {
+		if r.StartedAt.After(b.LeavingSince.Add(leavingGrace)) {
 			p.Leaving++
-			a.fault("%s began %s after its engine said that it leaves", r.Marker, r.Began.Sub(b.Left))
+			a.addDetail("%s began %s after its engine said that it leaves", r.Marker, r.StartedAt.Sub(b.LeavingSince))
 		}
 	}
 }
 
-func (a *Audit) fault(format string, args ...any) {
-	a.faults = append(a.faults, fmt.Sprintf(format, args...))
+func (a *Audit) addDetail(format string, args ...any) {
+	a.details = append(a.details, fmt.Sprintf(format, args...))
 }
 
-// index gathers the runs of each call by what the caller said.
-func (a *Audit) index() {
-	a.runs = make(map[string][]run)
+// indexExecutions gathers the runs of each call by what the caller said.
+func (a *Audit) indexExecutions() {
+	a.executions = make(map[string][]execution)
 	for _, b := range a.Engines {
 		for _, r := range b.Runs {
-			a.runs[r.Marker] = append(a.runs[r.Marker], run{adapter: r.Adapter})
+			a.executions[r.Marker] = append(a.executions[r.Marker], execution{adapter: r.Adapter})
 		}
 	}
 	for _, c := range a.Calls {
 		marker := c.Path[strings.LastIndexByte(c.Path, '/')+1:]
-		a.runs[marker] = append(a.runs[marker], run{})
+		a.executions[marker] = append(a.executions[marker], execution{})
 	}
 }
 
-func (a *Audit) result(r *sender.Result, p *Promises) {
-	runs := a.runs[r.Call.Marker]
+func (a *Audit) checkResult(r *sender.Result, p *Violations) {
+	runs := a.executions[r.Call.Marker]
 	for _, run := range runs {
 		if run.adapter != r.Call.Adapter {
 			p.Version++
-			a.fault("%s asked for %s and ran on %s", r.Call.Marker, r.Call.Adapter, run.adapter)
+			a.addDetail("%s asked for %s and ran on %s", r.Call.Marker, r.Call.Adapter, run.adapter)
 		}
 	}
 	if r.Call.Once && len(runs) > 1 {
 		p.Once++
-		a.fault("%s ran %d times", r.Call.Marker, len(runs))
+		a.addDetail("%s ran %d times", r.Call.Marker, len(runs))
 	}
 	if r.Verdict == judge.NotRun && len(runs) > 0 {
 		p.NotRun++
-		a.fault("%s was told not_run (%s) and ran %d times", r.Call.Marker, r.Reason, len(runs))
+		a.addDetail("%s was told not_run (%s) and ran %d times", r.Call.Marker, r.Reason, len(runs))
 	}
-	if r.Whole && r.Call.Adapter != "" {
-		a.answer(r, p)
+	if r.Complete && r.Call.Adapter != "" {
+		a.checkResponse(r, p)
 	}
 	if a.Planned && cutOff(r) {
 		p.Graceful++
-		a.fault("%s was cut off %s after it was sent at %s to %s: %s %s %s", r.Call.Marker, r.Took.Round(time.Millisecond),
-			r.Sent.Format(time.TimeOnly), r.Runner, r.Verdict, r.Reason, r.Err)
+		a.addDetail("%s was cut off %s after it was sent at %s to %s: %s %s %s", r.Call.Marker, r.Duration.Round(time.Millisecond),
+			r.SentAt.Format(time.TimeOnly), r.Runner, r.Verdict, r.Reason, r.Err)
 	}
 }
 
-// answer checks that an answer is whole, the caller's own, and of the adapter
+// checkResponse checks that an answer is whole, the caller's own, and of the adapter
 // that it named.
-func (a *Audit) answer(r *sender.Result, p *Promises) {
+func (a *Audit) checkResponse(r *sender.Result, p *Violations) {
 	var want strings.Builder
 	for i := range r.Call.Tokens {
 		fmt.Fprintf(&want, "%s|%s:%d/%d ", r.Call.Adapter, r.Call.Marker, i+1, r.Call.Tokens)
@@ -140,18 +140,18 @@
 	}
 	if !strings.HasPrefix(r.Text, r.Call.Adapter+"|") {
 		p.Version++
-		a.fault("%s asked for %s and got %.60q", r.Call.Marker, r.Call.Adapter, r.Text)
+		a.addDetail("%s asked for %s and got %.60q", r.Call.Marker, r.Call.Adapter, r.Text)
 		return
 	}
-	p.Whole++
-	a.fault("%s got %.60q as a whole answer", r.Call.Marker, r.Text)
+	p.Complete++
+	a.addDetail("%s got %.60q as a whole answer", r.Call.Marker, r.Text)
 }
 
 // cutOff reports whether a request ended because an instance stopped: it was
 // cut in flight, or refused for it.
 func cutOff(r *sender.Result) bool {
 	switch {
-	case r.Whole:
+	case r.Complete:
 		return false
 	case r.Verdict == judge.NotRun:
 		return r.Reason == judge.ReasonStopping || r.Reason == judge.ReasonOwner || r.Reason == judge.ReasonPeer
--- a/internal/experiment/comparer/comparer.go
+++ b/internal/experiment/comparer/comparer.go
@@ -41,22 +41,22 @@
 
 // A Cell is the figures of one policy under one shape over all seeds.
 type Cell struct {
-	Shape   sampler.Shape     `json:"shape"`
-	Policy  string            `json:"policy"`
-	Stall   Spread            `json:"stall"`  // total seconds
-	Worst   Spread            `json:"worst"`  // 99th percentile in seconds
-	Batch   Spread            `json:"batch"`  // part of each engine step
-	Loads   Spread            `json:"loads"`  // for each 1,000 requests
-	Whole   Spread            `json:"whole"`  // part answered whole
-	Broken  int               `json:"broken"` // promises, over all seeds
-	Reports []reporter.Report `json:"reports"`
+	Shape            sampler.Shape     `json:"shape"`
+	Policy           string            `json:"policy"`
+	Stall            Spread            `json:"stall"`  // total seconds
+	StallP99         Spread            `json:"worst"`  // 99th percentile in seconds
+	Batch            Spread            `json:"batch"`  // part of each engine step
+	LoadsPer1000     Spread            `json:"loads"`  // for each 1,000 requests
+	CompleteFraction Spread            `json:"whole"`  // part answered whole
+	Violations       int               `json:"broken"` // promises, over all seeds
+	Reports          []reporter.Report `json:"reports"`
 }
 
 // A Spread is the median of several runs with the least and the greatest.
 type Spread struct {
 	Median float64 `json:"median"`
-	Least  float64 `json:"least"`
-	Most   float64 `json:"most"`
+	Min    float64 `json:"least"`
+	Max    float64 `json:"most"`
 }
 
 // Read decodes and checks a description.
@@ -65,7 +65,7 @@
 	if err := decoder.Strict(data, &d); err != nil {
 		return nil, fmt.Errorf("%s: %s", file, yaml.FormatError(err, false, true))
 	}
-	if _, err := stager.Deployment(d.Deployment); err != nil {
+	if _, err := stager.PlanFor(d.Deployment); err != nil {
 		return nil, fmt.Errorf("%s: deployment: %w", file, err)
 	}
 	if len(d.Policies) == 0 || len(d.Seeds) == 0 || len(d.Shapes) == 0 {
@@ -102,7 +102,7 @@
 	for _, seed := range d.Seeds {
 		for i := range cells {
 			group.Go(func() error {
-				report, err := c.one(ctx, cells[i].Shape, d.Policies[i%len(d.Policies)], seed)
+				report, err := c.runOne(ctx, cells[i].Shape, d.Policies[i%len(d.Policies)], seed)
 				if err != nil {
 					return err
 				}
@@ -119,16 +119,16 @@
 	}
 	err := group.Wait()
 	for i := range cells {
-		cells[i].sum()
+		cells[i].aggregate()
 	}
 	return cells, err
 }
 
-func (c *Comparer) one(ctx context.Context, shape sampler.Shape, policy Policy, seed uint64) (reporter.Report, error) {
+func (c *Comparer) runOne(ctx context.Context, shape sampler.Shape, policy Policy, seed uint64) (reporter.Report, error) {
 	if err := ctx.Err(); err != nil {
 		return reporter.Report{}, err
 	}
-	plan, err := stager.Deployment(c.Description.Deployment)
+	plan, err := stager.PlanFor(c.Description.Deployment)
 	if err != nil {
 		return reporter.Report{}, err
 	}
@@ -141,7 +141,7 @@
 	return r.Run(ctx)
 }
 
-func (c *Cell) sum() {
+func (c *Cell) aggregate() {
 	each := func(value func(r *reporter.Report) float64) Spread {
 		var values []float64
 		for i := range c.Reports {
@@ -149,13 +149,13 @@
 		}
 		return spread(values)
 	}
-	c.Stall = each(func(r *reporter.Report) float64 { return r.Total })
-	c.Worst = each(func(r *reporter.Report) float64 { return r.Stall.P99 })
-	c.Batch = each(func(r *reporter.Report) float64 { return r.Batch })
-	c.Loads = each(func(r *reporter.Report) float64 { return float64(r.Loads) * 1000 / float64(r.Requests) })
-	c.Whole = each(func(r *reporter.Report) float64 { return float64(r.Verdicts["ran"]) / float64(r.Requests) })
+	c.Stall = each(func(r *reporter.Report) float64 { return r.TotalStall })
+	c.StallP99 = each(func(r *reporter.Report) float64 { return r.Stall.P99 })
+	c.Batch = each(func(r *reporter.Report) float64 { return r.BatchEfficiency })
+	c.LoadsPer1000 = each(func(r *reporter.Report) float64 { return float64(r.Loads) * 1000 / float64(r.Requests) })
+	c.CompleteFraction = each(func(r *reporter.Report) float64 { return float64(r.Verdicts["ran"]) / float64(r.Requests) })
 	for i := range c.Reports {
-		c.Broken += c.Reports[i].Promises.Total()
+		c.Violations += c.Reports[i].Violations.Total()
 	}
 }
 
@@ -164,7 +164,7 @@
 		return Spread{} // JSON has no word for "not measured"; Reports is empty then
 	}
 	slices.Sort(values)
-	return Spread{Median: values[len(values)/2], Least: values[0], Most: values[len(values)-1]}
+	return Spread{Median: values[len(values)/2], Min: values[0], Max: values[len(values)-1]}
 }
 
 // Rows returns the cells as a table with the stall as a ratio to the best
@@ -179,16 +179,16 @@
 			}
 		}
 		rows = append(rows, []string{
-			string(c.Shape), c.Policy, fmt.Sprintf("%.1f", c.Stall.Median), fmt.Sprintf("%.1f-%.1f", c.Stall.Least, c.Stall.Most),
-			fmt.Sprintf("%.2f", c.Stall.Median/best), fmt.Sprintf("%.2f", c.Worst.Median), fmt.Sprintf("%.3f", c.Batch.Median),
-			fmt.Sprintf("%.0f", c.Loads.Median), fmt.Sprintf("%.3f", c.Whole.Median), fmt.Sprint(c.Broken),
+			string(c.Shape), c.Policy, fmt.Sprintf("%.1f", c.Stall.Median), fmt.Sprintf("%.1f-%.1f", c.Stall.Min, c.Stall.Max),
+			fmt.Sprintf("%.2f", c.Stall.Median/best), fmt.Sprintf("%.2f", c.StallP99.Median), fmt.Sprintf("%.3f", c.Batch.Median),
+			fmt.Sprintf("%.0f", c.LoadsPer1000.Median), fmt.Sprintf("%.3f", c.CompleteFraction.Median), fmt.Sprint(c.Violations),
 		})
 	}
 	return rows
 }
 
-// Took is a rough bound on how long a description runs.
-func (d *Description) Took() time.Duration {
+// EstimatedDuration is a rough bound on how long a description runs.
+func (d *Description) EstimatedDuration() time.Duration {
 	const overhead = 5 * time.Second
 	runs := len(d.Policies) * len(d.Seeds) * len(d.Shapes)
 	return time.Duration(1+runs/max(1, d.Parallel)) * (d.Workload.Span + overhead)
--- a/internal/experiment/reporter/report.go
+++ b/internal/experiment/reporter/report.go
@@ -20,19 +20,19 @@
 
 // A Report is the outcome of one run.
 type Report struct {
-	Requests  int              `json:"requests"`
-	Verdicts  map[string]int   `json:"verdicts"`
-	Refusals  map[string]int   `json:"refusals"` // by reason
-	Retries   map[string]int   `json:"retries"`  // by reason
-	Stall     Quantiles        `json:"stall"`    // seconds
-	First     Quantiles        `json:"first"`    // seconds to the first byte
-	Total     float64          `json:"total"`    // seconds of stall, all requests together
-	Stalled   float64          `json:"stalled"`  // part of the requests that stalled
-	Batch     float64          `json:"batch"`    // part of each engine step that was used
-	Loads     int              `json:"loads"`
-	Evictions int              `json:"evictions"`
-	Promises  auditor.Promises `json:"promises"`
-	Faults    []string         `json:"faults"` // one line for each violation
+	Requests        int                `json:"requests"`
+	Verdicts        map[string]int     `json:"verdicts"`
+	Refusals        map[string]int     `json:"refusals"` // by reason
+	Retries         map[string]int     `json:"retries"`  // by reason
+	Stall           Quantiles          `json:"stall"`    // seconds
+	FirstByte       Quantiles          `json:"first"`    // seconds to the first byte
+	TotalStall      float64            `json:"total"`    // seconds of stall, all requests together
+	StalledFraction float64            `json:"stalled"`  // part of the requests that stalled
+	BatchEfficiency float64            `json:"batch"`    // part of each engine step that was used
+	Loads           int                `json:"loads"`
+	Evictions       int                `json:"evictions"`
+	Violations      auditor.Violations `json:"promises"`
+	Details         []string           `json:"faults"` // one line for each violation
 }
 
 // Quantiles of a distribution.
@@ -44,17 +44,17 @@
 
 // The bounds of a measured duration.
 const (
-	shortest = int64(time.Microsecond)
-	longest  = int64(10 * time.Minute)
-	digits   = 3
+	minDuration       = int64(time.Microsecond)
+	maxDuration       = int64(10 * time.Minute)
+	significantDigits = 3
 )
 
 // New works out the figures. Retries are counted by the instances; all else
 // comes from the callers and the books.
-func New(results []sender.Result, books []generator.Books, retries map[string]int) Report {
+func New(results []sender.Result, books []generator.Record, retries map[string]int) Report {
 	r := Report{Requests: len(results), Verdicts: make(map[string]int), Refusals: make(map[string]int), Retries: retries}
-	stall := hdrhistogram.New(shortest, longest, digits)
-	first := hdrhistogram.New(shortest, longest, digits)
+	stall := hdrhistogram.New(minDuration, maxDuration, significantDigits)
+	first := hdrhistogram.New(minDuration, maxDuration, significantDigits)
 	stalled := 0
 	for i := range results {
 		result := &results[i]
@@ -66,40 +66,40 @@
 		if s > 0 {
 			stalled++
 		}
-		r.Total += s.Seconds()
-		_ = stall.RecordValue(min(int64(s), longest)) // in bounds
-		if result.Whole {
-			_ = first.RecordValue(min(int64(result.First), longest)) // in bounds
+		r.TotalStall += s.Seconds()
+		_ = stall.RecordValue(min(int64(s), maxDuration)) // in bounds
+		if result.Complete {
+			_ = first.RecordValue(min(int64(result.FirstByte), maxDuration)) // in bounds
 		}
 	}
-	r.Stalled = float64(stalled) / float64(max(1, len(results)))
+	r.StalledFraction = float64(stalled) / float64(max(1, len(results)))
 	r.Stall = quantiles(stall)
-	r.First = quantiles(first)
-	r.addBooks(books)
+	r.FirstByte = quantiles(first)
+	r.addEngineRecords(books)
 	return r
 }
 
 // Print writes the report as a table.
 func (r *Report) Print(w io.Writer) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintf(t, "requests\t%d\t%s\n", r.Requests, counts(r.Verdicts))
-	fmt.Fprintf(t, "refusals\t%d\t%s\n", sum(r.Refusals), counts(r.Refusals))
-	fmt.Fprintf(t, "retries\t%d\t%s\n", sum(r.Retries), counts(r.Retries))
+	fmt.Fprintf(t, "requests\t%d\t%s\n", r.Requests, formatCounts(r.Verdicts))
+	fmt.Fprintf(t, "refusals\t%d\t%s\n", sum(r.Refusals), formatCounts(r.Refusals))
+	fmt.Fprintf(t, "retries\t%d\t%s\n", sum(r.Retries), formatCounts(r.Retries))
 	fmt.Fprintf(t, "load stall\t%.3f s\tp50 %.3f  p95 %.3f  p99 %.3f s, %.0f %% of requests\n",
-		r.Total, r.Stall.P50, r.Stall.P95, r.Stall.P99, 100*r.Stalled)
-	fmt.Fprintf(t, "first byte\t\tp50 %.3f  p95 %.3f  p99 %.3f s\n", r.First.P50, r.First.P95, r.First.P99)
-	fmt.Fprintf(t, "batch efficiency\t%.1f %%\t\n", 100*r.Batch)
+		r.TotalStall, r.Stall.P50, r.Stall.P95, r.Stall.P99, 100*r.StalledFraction)
+	fmt.Fprintf(t, "first byte\t\tp50 %.3f  p95 %.3f  p99 %.3f s\n", r.FirstByte.P50, r.FirstByte.P95, r.FirstByte.P99)
+	fmt.Fprintf(t, "batch efficiency\t%.1f %%\t\n", 100*r.BatchEfficiency)
 	fmt.Fprintf(t, "adapter loads\t%d\t%d evictions\n", r.Loads, r.Evictions)
 	fmt.Fprintln(t)
 	fmt.Fprintln(t, "promise\tviolations\t(books of the stand-ins against what the callers saw)")
-	p := r.Promises
+	p := r.Violations
 	for _, row := range []struct {
 		name  string
 		count int
 	}{
 		{"exact adapter and version", p.Version},
 		{"never evicted while serving", p.Pinned},
-		{"whole answer, its own", p.Whole},
+		{"whole answer, its own", p.Complete},
 		{"not_run did not run", p.NotRun},
 		{"at most once", p.Once},
 		{"leaving upstream left alone", p.Leaving},
@@ -111,16 +111,16 @@
 	return t.Flush()
 }
 
-func (r *Report) addBooks(books []generator.Books) {
+func (r *Report) addEngineRecords(books []generator.Record) {
 	steps, filled := 0, 0
 	for _, b := range books {
 		r.Loads += b.Loads
-		r.Evictions += b.Evicts
+		r.Evictions += b.Evictions
 		steps += b.Steps * b.Batch
-		filled += b.Filled
+		filled += b.FilledSlots
 	}
 	if steps > 0 {
-		r.Batch = float64(filled) / float64(steps)
+		r.BatchEfficiency = float64(filled) / float64(steps)
 	}
 }
 
@@ -128,13 +128,13 @@
 // resident. One that was not answered counts as stalled for as long as its
 // caller would have waited, so that no policy gains by refusing.
 func stallOf(r *sender.Result) time.Duration {
-	if r.Whole {
+	if r.Complete {
 		return r.Stall
 	}
-	return max(r.Took, r.Call.Deadline)
+	return max(r.Duration, r.Call.Deadline)
 }
 
-func counts(m map[string]int) string {
+func formatCounts(m map[string]int) string {
 	var parts []string
 	for _, key := range slices.Sorted(maps.Keys(m)) {
 		parts = append(parts, fmt.Sprintf("%s %d", key, m[key]))
--- a/internal/experiment/runner/demo.go
+++ b/internal/experiment/runner/demo.go
@@ -14,7 +14,7 @@
 // deployment of today while the settings change, an engine leaves, and an entry
 // instance is stopped and replaced.
 func Demo(deployment string, seed uint64) (*Runner, error) {
-	plan, err := stager.Deployment(deployment)
+	plan, err := stager.PlanFor(deployment)
 	if err != nil {
 		return nil, err
 	}
@@ -26,7 +26,7 @@
 		},
 		Events: []Event{
 			{At: 0.25, Name: "the settings change", Do: changeSettings},
-			{At: 0.45, Name: "an engine leaves", Do: leaveEngine},
+			{At: 0.45, Name: "an engine leaves", Do: drainEngine},
 			{At: 0.6, Name: "an instance is replaced", Do: replaceInstance},
 		},
 	}, nil
@@ -39,7 +39,7 @@
 	return err
 }
 
-func leaveEngine(_ context.Context, r *Runner) error {
+func drainEngine(_ context.Context, r *Runner) error {
 	r.stage.Engines[0].Set(generator.Faults{Leaving: true})
 	return nil
 }
@@ -55,7 +55,7 @@
 	r.stage.Instances = append(r.stage.Instances, instance)
 	old := r.stage.Instances[0]
 	r.mu.Unlock()
-	old.Leave()
-	r.Take(0, true)
+	old.Stop()
+	r.SetOutOfRotation(0, true)
 	return nil
 }
--- a/internal/experiment/runner/runner.go
+++ b/internal/experiment/runner/runner.go
@@ -27,19 +27,19 @@
 // A Runner runs one experiment. Its fields are set before Run.
 type Runner struct {
 	Events   []Event
-	Kept     func(ctx context.Context, s *stager.Stage, report reporter.Report) error // called with the report while the deployment still runs; may be nil
+	OnReport func(ctx context.Context, s *stager.Deployment, report reporter.Report) error // called with the report while the deployment still runs; may be nil
 	Logger   log.Logger
 	Plan     stager.Plan
 	Progress func(done, total int, note string) // may be nil
-	Staged   func(*stager.Stage)                // called when the deployment is ready; may be nil
+	OnReady  func(*stager.Deployment)           // called when the deployment is ready; may be nil
 	Workload sampler.Workload
 
-	done    atomic.Int64
-	note    atomic.Value
-	stage   *stager.Stage
-	mu      sync.Mutex
-	stopped map[int]bool // instances that the balancer has taken out
-	faults  []string     // of the settings
+	done               atomic.Int64
+	note               atomic.Value
+	stage              *stager.Deployment
+	mu                 sync.Mutex
+	outOfRotation      map[int]bool // instances that the balancer has taken out
+	settingsViolations []string     // of the settings
 }
 
 // An Event happens at a part of the workload's span.
@@ -49,8 +49,8 @@
 	Do   func(ctx context.Context, r *Runner) error
 }
 
-// settleSpan is how long the revisions may take to arrive everywhere.
-const settleSpan = 5 * time.Second
+// revisionTimeout is how long the revisions may take to arrive everywhere.
+const revisionTimeout = 5 * time.Second
 
 // Run sets the deployment up, sends the workload while the events happen, and
 // reports.
@@ -59,36 +59,36 @@
 	if err != nil {
 		return reporter.Report{}, err
 	}
-	r.say("starting")
+	r.setNote("starting")
 	stage, err := stager.Start(ctx, r.Plan, r.Logger)
 	if err != nil {
 		return reporter.Report{}, err
 	}
 	defer stage.Stop()
 	r.stage = stage
-	r.stopped = make(map[int]bool)
-	if r.Staged != nil {
-		r.Staged(stage)
+	r.outOfRotation = make(map[int]bool)
+	if r.OnReady != nil {
+		r.OnReady(stage)
 	}
-	results := r.send(ctx, calls)
+	results := r.runWorkload(ctx, calls)
 	if err := ctx.Err(); err != nil {
 		return reporter.Report{}, err
 	}
-	report := r.report(results)
-	if r.Kept != nil {
-		err = r.Kept(ctx, stage, report)
+	report := r.buildReport(results)
+	if r.OnReport != nil {
+		err = r.OnReport(ctx, stage, report)
 	}
 	return report, err
 }
 
 // Stage returns the deployment that runs.
-func (r *Runner) Stage() *stager.Stage { return r.stage }
+func (r *Runner) Stage() *stager.Deployment { return r.stage }
 
-// Take takes an instance out of the balancer or puts it back.
-func (r *Runner) Take(instance int, out bool) {
+// SetOutOfRotation takes an instance out of the balancer or puts it back.
+func (r *Runner) SetOutOfRotation(instance int, out bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stopped[instance] = out
+	r.outOfRotation[instance] = out
 }
 
 // addresses are the entry addresses of each domain as the balancer knows them:
@@ -99,26 +99,26 @@
 	addresses := make([][]string, len(r.Plan.Domains))
 	for i, instance := range r.stage.Instances {
 		domain := slices.Index(r.Plan.Domains, instance.Server.Config.Domain)
-		if ready, _ := instance.Server.Ready(); ready && !r.stopped[i] {
+		if ready, _ := instance.Server.Ready(); ready && !r.outOfRotation[i] {
 			addresses[domain] = append(addresses[domain], r.stage.Address(i))
 		}
 	}
 	return addresses
 }
 
-func (r *Runner) report(results []sender.Result) reporter.Report {
-	var engines []generator.Books
+func (r *Runner) buildReport(results []sender.Result) reporter.Report {
+	var engines []generator.Record
 	for _, e := range r.stage.Engines {
-		engines = append(engines, e.Books())
+		engines = append(engines, e.Record())
 	}
 	var calls []responder.Call
 	for _, s := range r.stage.Services {
-		calls = append(calls, s.Books()...)
+		calls = append(calls, s.Calls()...)
 	}
-	audit := auditor.Audit{Calls: calls, Engines: engines, Results: results, Planned: true, Settings: r.faults}
+	audit := auditor.Audit{Calls: calls, Engines: engines, Results: results, Planned: true, Settings: r.settingsViolations}
 	report := reporter.New(results, engines, r.retries())
-	report.Promises = audit.Run()
-	report.Faults = audit.Faults()
+	report.Violations = audit.Run()
+	report.Details = audit.Details()
 	return report
 }
 
@@ -140,24 +140,24 @@
 	return retries
 }
 
-func (r *Runner) say(note string) {
+func (r *Runner) setNote(note string) {
 	r.note.Store(note)
 	if r.Progress != nil {
 		r.Progress(int(r.done.Load()), r.Workload.Calls, note)
 	}
 }
 
-// send sends the workload while the events happen and the revisions are
+// runWorkload sends the workload while the events happen and the revisions are
 // watched.
-func (r *Runner) send(ctx context.Context, calls []sampler.Call) []sender.Result {
+func (r *Runner) runWorkload(ctx context.Context, calls []sampler.Call) []sender.Result {
 	watched, stop := context.WithCancel(ctx)
 	defer stop()
 	var aside sync.WaitGroup
-	aside.Go(func() { r.watch(watched) })
+	aside.Go(func() { r.watchRevisions(watched) })
 	for _, e := range r.Events {
-		aside.Go(func() { r.happen(ctx, e) })
+		aside.Go(func() { r.runEvent(ctx, e) })
 	}
-	s := sender.Sender{Addresses: r.addresses, Key: stager.Key, Service: r.Plan.Service, Seen: func(sender.Result) {
+	s := sender.Sender{Addresses: r.addresses, Key: stager.Key, Service: r.Plan.Service, OnResult: func(sender.Result) {
 		done := int(r.done.Add(1))
 		if note, ok := r.note.Load().(string); ok && r.Progress != nil {
 			r.Progress(done, len(calls), note)
@@ -170,33 +170,33 @@
 	return results
 }
 
-func (r *Runner) happen(ctx context.Context, e Event) {
+func (r *Runner) runEvent(ctx context.Context, e Event) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(time.Duration(e.At * float64(r.Workload.Span))):
 	}
-	r.say(e.Name)
+	r.setNote(e.Name)
 	if err := e.Do(ctx, r); err != nil && ctx.Err() == nil {
-		r.fault("%s: %v", e.Name, err)
+		r.addViolation("%s: %v", e.Name, err)
 	}
 }
 
-func (r *Runner) fault(format string, args ...any) {
+func (r *Runner) addViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = append(r.faults, fmt.Sprintf(format, args...))
+	r.settingsViolations = append(r.settingsViolations, fmt.Sprintf(format, args...))
 }
 
-// watch looks at the revision of every instance again and again: none may go
+// watchRevisions looks at the revision of every instance again and again: none may go
 // back.
-func (r *Runner) watch(ctx context.Context) {
+func (r *Runner) watchRevisions(ctx context.Context) {
 	last := make(map[string]uint64)
 	for ctx.Err() == nil {
 		for _, i := range r.instances() {
 			revision := i.Server.Watcher.Revision()
 			if revision < last[i.Server.Incarnation] {
-				r.fault("%s went back from revision %d to %d", i.Server.Incarnation, last[i.Server.Incarnation], revision)
+				r.addViolation("%s went back from revision %d to %d", i.Server.Incarnation, last[i.Server.Incarnation], revision)
 			}
 			last[i.Server.Incarnation] = revision
 		}
@@ -213,21 +213,21 @@
 // awaitRevision waits until the last accepted revision is in force everywhere.
 func (r *Runner) awaitRevision(ctx context.Context) {
 	want := r.stage.Revision()
-	deadline := time.Now().Add(settleSpan)
+	deadline := time.Now().Add(revisionTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
-		if r.everywhere(want) {
+		if r.allAtRevision(want) {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	r.fault("revision %d is not in force everywhere after %s", want, settleSpan)
+	r.addViolation("revision %d is not in force everywhere after %s", want, revisionTimeout)
 }
 
-func (r *Runner) everywhere(want uint64) bool {
+func (r *Runner) allAtRevision(want uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i, instance := range r.stage.Instances {
-		if !r.stopped[i] && instance.Server.Watcher.Revision() != want {
+		if !r.outOfRotation[i] && instance.Server.Watcher.Revision() != want {
 			return false
 		}
 	}
--- a/internal/experiment/sampler/sampler.go
+++ b/internal/experiment/sampler/sampler.go
@@ -12,16 +12,16 @@
 
 // A Call is one request that a caller will send.
 type Call struct {
-	At       time.Duration // since the start
-	Adapter  string        // name@version; empty for a plain call
-	Deadline time.Duration
-	Home     int    // failure domain of the caller, as a number; the caller's desk does not move
-	Key      string // idempotency key; empty if none
-	Marker   string // what the caller says; no two calls share one
-	Once     bool
-	Priority int
-	Stream   bool
-	Tokens   int
+	At             time.Duration // since the start
+	Adapter        string        // name@version; empty for a plain call
+	Deadline       time.Duration
+	HomeDomain     int    // failure domain of the caller, as a number; the caller's desk does not move
+	IdempotencyKey string // idempotency key; empty if none
+	Marker         string // what the caller says; no two calls share one
+	Once           bool
+	Priority       int
+	Stream         bool
+	Tokens         int
 }
 
 // A Shape is how the arrivals spread over the time and the adapters.
@@ -57,14 +57,14 @@
 }
 
 const (
-	farDeadline  = 15 * time.Second
-	nearDeadline = 3 * time.Second
-	burstPart    = 0.7 // of a shift change's calls that come in the burst
-	burstSpan    = 0.2 // of the time that the burst takes
-	waves        = 4   // in the time
-	waveSpan     = 0.15
-	shifts       = 5 // of the hot set in the time
-	awayDomains  = 3 // further ones that a call may come to
+	farDeadline   = 15 * time.Second
+	nearDeadline  = 3 * time.Second
+	burstFraction = 0.7 // of a shift change's calls that come in the burst
+	burstSpan     = 0.2 // of the time that the burst takes
+	waveCount     = 4   // in the time
+	waveSpan      = 0.15
+	hotSetShifts  = 5 // of the hot set in the time
+	maxAwayOffset = 3 // further ones that a call may come to
 )
 
 // Draw returns the calls in order of arrival.
@@ -91,12 +91,12 @@
 	}
 	rank := int(zipf.Uint64())
 	if w.Shape == Hot {
-		rank += int(at*shifts/w.Span) * w.Adapters / shifts
+		rank += int(at*hotSetShifts/w.Span) * w.Adapters / hotSetShifts
 	}
 	adapter := order[rank%w.Adapters]
-	c.Home = adapter
+	c.HomeDomain = adapter
 	if random.Float64() < w.Away {
-		c.Home += 1 + random.IntN(awayDomains)
+		c.HomeDomain += 1 + random.IntN(maxAwayOffset)
 	}
 	if random.Float64() >= w.Plain {
 		c.Adapter = fmt.Sprintf("%s-%d@%d", w.Group, adapter, 1+adapter%max(1, w.Versions))
@@ -107,7 +107,7 @@
 	}
 	if random.Float64() < w.Once {
 		c.Once = true
-		c.Key = c.Marker
+		c.IdempotencyKey = c.Marker
 	}
 	if w.Shape == Cutoff {
 		c.Deadline = max(nearDeadline, w.Span-at+nearDeadline)
@@ -119,12 +119,12 @@
 	u := random.Float64()
 	switch w.Shape {
 	case Shift:
-		if random.Float64() < burstPart {
+		if random.Float64() < burstFraction {
 			u = (1-burstSpan)/2 + u*burstSpan
 		}
 	case Wave:
-		wave := math.Floor(u * waves)
-		u = (wave + random.Float64()*waveSpan) / waves
+		wave := math.Floor(u * waveCount)
+		u = (wave + random.Float64()*waveSpan) / waveCount
 	case Cutoff:
 		u = math.Sqrt(u)
 	case Hot, Zipf:
--- a/internal/experiment/sender/sender.go
+++ b/internal/experiment/sender/sender.go
@@ -26,27 +26,27 @@
 	Addresses func() [][]string // of the entry instances of each failure domain, as the balancer knows them
 	Key       string            // API key
 	Service   string            // plain service
-	Seen      func(Result)      // called as each call ends; may be nil
+	OnResult  func(Result)      // called as each call ends; may be nil
 }
 
 // A Result is what one caller saw.
 type Result struct {
-	Call    sampler.Call
-	Status  int // 0 if there was no answer
-	Text    string
-	Whole   bool // the answer ended as a whole one does
-	Verdict judge.Verdict
-	Reason  judge.Reason
-	Sent    time.Time
-	Took    time.Duration
-	First   time.Duration // to the first byte of the answer
-	Stall   time.Duration // as the system told
-	Runner  string
-	Err     string
+	Call      sampler.Call
+	Status    int // 0 if there was no answer
+	Text      string
+	Complete  bool // the answer ended as a whole one does
+	Verdict   judge.Verdict
+	Reason    judge.Reason
+	SentAt    time.Time
+	Duration  time.Duration
+	FirstByte time.Duration // to the first byte of the answer
+	Stall     time.Duration // as the system told
+	Runner    string
+	Err       string
 }
 
-// patience is how long a caller waits beyond its deadline.
-const patience = 10 * time.Second
+// clientGrace is how long a caller waits beyond its deadline.
+const clientGrace = 10 * time.Second
 
 // Run sends the calls at their times and returns the results in order of the
 // calls.
@@ -63,8 +63,8 @@
 		}
 		sent.Go(func() {
 			results[i] = s.send(ctx, &calls[i], i)
-			if s.Seen != nil {
-				s.Seen(results[i])
+			if s.OnResult != nil {
+				s.OnResult(results[i])
 			}
 		})
 	}
@@ -76,8 +76,8 @@
 // address when none listens at the first one, which means that nothing was
 // sent.
 func (s *Sender) send(ctx context.Context, call *sampler.Call, turn int) Result {
-	result := Result{Call: *call, Sent: time.Now()}
-	ctx, cancel := context.WithTimeout(ctx, call.Deadline+patience)
+	result := Result{Call: *call, SentAt: time.Now()}
+	ctx, cancel := context.WithTimeout(ctx, call.Deadline+clientGrace)
 	defer cancel()
 	for _, address := range s.order(call, turn) {
 		var r requester.Requester
@@ -86,14 +86,14 @@
 			continue
 		}
 		if seen != nil {
-			result.fail(judge.Judge(seen))
+			result.setError(judge.Judge(seen))
 			break
 		}
-		result.read(answer)
+		result.readResponse(answer)
 		answer.Close()
 		break
 	}
-	result.Took = time.Since(result.Sent)
+	result.Duration = time.Since(result.SentAt)
 	return result
 }
 
@@ -103,7 +103,7 @@
 	var order []string
 	domains := s.Addresses()
 	for d := range domains {
-		domain := domains[(call.Home+d)%len(domains)]
+		domain := domains[(call.HomeDomain+d)%len(domains)]
 		for i := range domain {
 			order = append(order, domain[(turn+i)%len(domain)])
 		}
@@ -118,8 +118,8 @@
 	r.Header.Set(answerer.HeaderDeadline, call.Deadline.String())
 	r.Header.Set(answerer.HeaderPriority, strconv.Itoa(call.Priority))
 	r.Header.Set(answerer.HeaderOnce, strconv.FormatBool(call.Once))
-	if call.Key != "" {
-		r.Header.Set(answerer.HeaderKey, call.Key)
+	if call.IdempotencyKey != "" {
+		r.Header.Set(answerer.HeaderKey, call.IdempotencyKey)
 	}
 	if call.Adapter == "" {
 		r.SetRequestURI("http://" + address + answerer.PathServices + s.Service + "/records/" + call.Marker)
@@ -133,50 +133,50 @@
 	return r
 }
 
-func (r *Result) fail(err *judge.Error) {
+func (r *Result) setError(err *judge.Error) {
 	r.Verdict = err.Verdict
 	r.Reason = err.Reason
 	r.Err = err.Message
 }
 
-func (r *Result) read(answer *requester.Answer) {
+func (r *Result) readResponse(answer *requester.Answer) {
 	r.Status = answer.Status
 	r.Runner = string(answer.Header.Peek(answerer.HeaderRunner))
 	r.Stall, _ = time.ParseDuration(string(answer.Header.Peek(answerer.HeaderStall))) // none is no stall
-	r.First = time.Since(r.Sent)
+	r.FirstByte = time.Since(r.SentAt)
 	if answer.Status < fasthttp.StatusBadRequest && strings.HasPrefix(string(answer.Header.ContentType()), "text/event-stream") {
 		r.readStream(answer)
 		return
 	}
 	body, err := io.ReadAll(answer.Body)
 	if err != nil {
-		r.fail(judge.Judge(answer.Broken(err)))
+		r.setError(judge.Judge(answer.Broken(err)))
 		return
 	}
-	r.readWhole(body)
+	r.readBody(body)
 }
 
-func (r *Result) readWhole(body []byte) {
+func (r *Result) readBody(body []byte) {
 	if r.Status >= fasthttp.StatusBadRequest {
 		var f answerer.Failure
 		if err := json.Unmarshal(body, &f); err != nil {
-			r.fail(judge.As(err))
+			r.setError(judge.As(err))
 			return
 		}
-		r.fail(&judge.Error{Verdict: f.Error.Verdict, Reason: f.Error.Reason, Message: f.Error.Message})
+		r.setError(&judge.Error{Verdict: f.Error.Verdict, Reason: f.Error.Reason, Message: f.Error.Message})
 		return
 	}
 	r.Verdict = judge.Ran
-	r.Whole = true
+	r.Complete = true
 	r.Text = string(body)
-	var p part
+	var p completion
 	if json.Unmarshal(body, &p) == nil && len(p.Choices) > 0 {
 		r.Text = p.Choices[0].Message.Content
 	}
 }
 
 // A part is a completion or a chunk of one.
-type part struct {
+type completion struct {
 	Choices []struct {
 		Delta   struct{ Content string }
 		Message struct{ Content string }
@@ -194,16 +194,16 @@
 		}
 		if data == "[DONE]" {
 			r.Verdict = judge.Ran
-			r.Whole = true
+			r.Complete = true
 			return
 		}
-		var p part
+		var p completion
 		if err := json.Unmarshal([]byte(data), &p); err != nil {
 			r.Err = err.Error()
 			return
 		}
 		if p.Error != nil {
-			r.fail(&judge.Error{Verdict: p.Error.Verdict, Reason: p.Error.Reason, Message: p.Error.Message})
+			r.setError(&judge.Error{Verdict: p.Error.Verdict, Reason: p.Error.Reason, Message: p.Error.Message})
 			return
 		}
 		for _, c := range p.Choices {
--- a/internal/experiment/stager/stage.go
+++ b/internal/experiment/stager/deployment.go
@@ -22,22 +22,22 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A Stage is a deployment that runs.
-type Stage struct {
+// A Deployment is a deployment that runs.
+type Deployment struct {
 	Engines   []*generator.Engine
 	Instances []*Instance
 	Plan      Plan
 	Platform  *registrar.Platform
 	Services  []*responder.Service
 
-	cancel   context.CancelFunc // of the stand-ins
-	ctx      context.Context    // of the stand-ins
-	files    map[string][]byte
-	launched []*Instance // all that ever were
-	logger   log.Logger
-	mu       sync.Mutex
-	revision uint64
-	running  sync.WaitGroup
+	cancel       context.CancelFunc // of the stand-ins
+	ctx          context.Context    // of the stand-ins
+	files        map[string][]byte
+	allInstances []*Instance // all that ever were
+	logger       log.Logger
+	mu           sync.Mutex
+	revision     uint64
+	running      sync.WaitGroup
 }
 
 // An Instance is one entry instance of a stage.
@@ -52,9 +52,9 @@
 const platformLag = 2 * time.Second
 
 // Start sets a plan up and waits until every instance is ready to serve.
-func Start(ctx context.Context, plan Plan, logger log.Logger) (*Stage, error) {
+func Start(ctx context.Context, plan Plan, logger log.Logger) (*Deployment, error) {
 	lasting, cancel := context.WithCancel(context.WithoutCancel(ctx)) // Stop ends the stand-ins last
-	s := &Stage{Plan: plan, cancel: cancel, ctx: lasting, logger: logger}
+	s := &Deployment{Plan: plan, cancel: cancel, ctx: lasting, logger: logger}
 	if err := s.start(ctx); err != nil {
 		s.Stop()
 		return nil, err
@@ -63,12 +63,12 @@
 }
 
 // Address returns where instance i takes callers.
-func (s *Stage) Address(i int) string {
+func (s *Deployment) Address(i int) string {
 	return s.Instances[i].Server.Listeners.Caller.Addr().String()
 }
 
 // Apply makes a change of one file of the settings and returns the revision.
-func (s *Stage) Apply(ctx context.Context, file string, content []byte) (uint64, error) {
+func (s *Deployment) Apply(ctx context.Context, file string, content []byte) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.files[file] = content
@@ -80,7 +80,7 @@
 }
 
 // Launch adds an entry instance in a failure domain.
-func (s *Stage) Launch(id, domain string) (*Instance, error) {
+func (s *Deployment) Launch(id, domain string) (*Instance, error) {
 	listeners, err := listeners()
 	if err != nil {
 		return nil, err
@@ -104,7 +104,7 @@
 	ctx, stop := context.WithCancel(s.ctx)
 	i := &Instance{Server: composed, done: make(chan struct{}), stop: stop}
 	s.mu.Lock()
-	s.launched = append(s.launched, i)
+	s.allInstances = append(s.allInstances, i)
 	s.mu.Unlock()
 	s.running.Go(func() {
 		defer close(i.done)
@@ -113,17 +113,17 @@
 	return i, nil
 }
 
-// Leave stops the instance gracefully and waits for its end.
-func (i *Instance) Leave() {
+// Stop stops the instance gracefully and waits for its end.
+func (i *Instance) Stop() {
 	i.stop()
 	<-i.done
 }
 
 // Stop ends everything and waits for it: the instances gracefully, then the
 // stand-ins that they still need for that.
-func (s *Stage) Stop() {
+func (s *Deployment) Stop() {
 	s.mu.Lock()
-	launched := s.launched
+	launched := s.allInstances
 	s.mu.Unlock()
 	for _, i := range launched {
 		i.stop()
@@ -135,7 +135,7 @@
 	s.running.Wait()
 }
 
-func (s *Stage) publisher() *publisher.Publisher {
+func (s *Deployment) publisher() *publisher.Publisher {
 	address := s.Platform.Listener.Addr().String()
 	token := 0
 	return &publisher.Publisher{
@@ -145,7 +145,7 @@
 	}
 }
 
-func (s *Stage) start(ctx context.Context) error {
+func (s *Deployment) start(ctx context.Context) error {
 	if err := s.startPlatform(); err != nil {
 		return err
 	}
@@ -168,10 +168,10 @@
 		}
 		s.Instances = append(s.Instances, instance)
 	}
-	return s.settle(ctx)
+	return s.waitReady(ctx)
 }
 
-func (s *Stage) startPlatform() error {
+func (s *Deployment) startPlatform() error {
 	l, err := listener.Local()
 	if err != nil {
 		return err
@@ -179,11 +179,11 @@
 	s.Platform = &registrar.Platform{
 		Listener: l, Lag: platformLag, Rate: s.Plan.Rate * s.Plan.Speed, Together: s.Plan.Together,
 	}
-	s.run(s.Platform.Run)
+	s.runStandin(s.Platform.Run)
 	return nil
 }
 
-func (s *Stage) startEngines() ([]string, error) {
+func (s *Deployment) startEngines() ([]string, error) {
 	var addresses []string
 	for i := range s.Plan.Engines {
 		l, err := listener.Local()
@@ -196,12 +196,12 @@
 		}
 		s.Engines = append(s.Engines, e)
 		addresses = append(addresses, l.Addr().String())
-		s.run(e.Run)
+		s.runStandin(e.Run)
 	}
 	return addresses, nil
 }
 
-func (s *Stage) startServices() ([]string, error) {
+func (s *Deployment) startServices() ([]string, error) {
 	var addresses []string
 	for range s.Plan.Services {
 		l, err := listener.Local()
@@ -211,23 +211,23 @@
 		service := &responder.Service{Listener: l}
 		s.Services = append(s.Services, service)
 		addresses = append(addresses, l.Addr().String())
-		s.run(service.Run)
+		s.runStandin(service.Run)
 	}
 	return addresses, nil
 }
 
-func (s *Stage) run(f func(context.Context) error) {
+func (s *Deployment) runStandin(f func(context.Context) error) {
 	s.running.Go(func() { _ = f(s.ctx) }) // a stand-in that fails shows as requests that fail
 }
 
-// settleTime bounds how long a stage takes to get ready.
-const settleTime = 30 * time.Second
+// readyTimeout bounds how long a stage takes to get ready.
+const readyTimeout = 30 * time.Second
 
-// settle waits until every engine has an owner that has looked at it.
-func (s *Stage) settle(ctx context.Context) error {
-	deadline := time.Now().Add(settleTime)
+// waitReady waits until every engine has an owner that has looked at it.
+func (s *Deployment) waitReady(ctx context.Context) error {
+	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
-		if s.settled() {
+		if s.ready() {
 			return nil
 		}
 		select {
@@ -236,10 +236,10 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("the deployment was not ready within %s", settleTime)
+	return fmt.Errorf("the deployment was not ready within %s", readyTimeout)
 }
 
-func (s *Stage) settled() bool {
+func (s *Deployment) ready() bool {
 	for _, i := range s.Instances {
 		if ready, _ := i.Server.Ready(); !ready {
 			return false
@@ -276,7 +276,7 @@
 }
 
 // Revision returns the last revision that Apply made.
-func (s *Stage) Revision() uint64 {
+func (s *Deployment) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
--- a/internal/experiment/stager/stage_test.go
+++ b/internal/experiment/stager/deployment_test.go
@@ -11,10 +11,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// small is a deployment of two domains that starts quickly.
-func small(t *testing.T) *stager.Stage {
+// smallDeployment is a deployment of two domains that starts quickly.
+func smallDeployment(t *testing.T) *stager.Deployment {
 	t.Helper()
-	plan, err := stager.Deployment(stager.Association)
+	plan, err := stager.PlanFor(stager.Association)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,8 +44,8 @@
 	return status, string(answer)
 }
 
-func TestWholePath(t *testing.T) {
-	s := small(t)
+func TestCompletionsThroughEveryInstance(t *testing.T) {
+	s := smallDeployment(t)
 	for i := range s.Instances {
 		status, body := post(t, s.Address(i), "/v1/chat/completions",
 			`{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"hello"}]}`)
--- a/internal/experiment/stager/herd_test.go
+++ b/internal/experiment/stager/herd_test.go
@@ -25,7 +25,7 @@
 // answers a second of the busy time, as a part of the capacity, and what part of
 // each account's calls was answered.
 func BenchmarkHerd(b *testing.B) {
-	plan, err := stager.Deployment(stager.Association)
+	plan, err := stager.PlanFor(stager.Association)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -44,22 +44,22 @@
 	time.Sleep(3 * time.Second)
 	step := 25 * time.Millisecond / time.Duration(plan.Speed)
 	capacity := float64(plan.Engines*plan.Batch) / (herdTokens * step.Seconds())
-	warm(b, s)
+	loadAdapters(b, s)
 	for b.Loop() {
-		herd(b, s, capacity)
+		thunderingHerd(b, s, capacity)
 	}
 }
 
-// warm loads the adapters of both accounts.
-func warm(b *testing.B, s *stager.Stage) {
+// loadAdapters loads the adapters of both accounts.
+func loadAdapters(b *testing.B, s *stager.Deployment) {
 	for _, r := range append(burst(b.Context(), s, stager.Key, "desk", 16), burst(b.Context(), s, quietKey, "quiet", 4)...) {
-		if !r.Whole {
+		if !r.Complete {
 			b.Fatalf("%s: %s", r.Reason, r.Err)
 		}
 	}
 }
 
-func herd(b *testing.B, s *stager.Stage, capacity float64) {
+func thunderingHerd(b *testing.B, s *stager.Deployment, capacity float64) {
 	const times = 5
 	n := int(times * capacity)
 	began := time.Now()
@@ -70,18 +70,18 @@
 	both.Wait()
 	last := began
 	for _, r := range append(append([]sender.Result{}, loud...), quiet...) {
-		if end := r.Sent.Add(r.Took); r.Whole && end.After(last) {
+		if end := r.SentAt.Add(r.Duration); r.Complete && end.After(last) {
 			last = end
 		}
 	}
-	answered := whole(loud) + whole(quiet)
+	answered := countComplete(loud) + countComplete(quiet)
 	b.ReportMetric(float64(answered)/last.Sub(began).Seconds()/capacity, "goodput")
-	b.ReportMetric(float64(whole(loud))/float64(len(loud)), "loud")
-	b.ReportMetric(float64(whole(quiet))/float64(len(quiet)), "quiet")
+	b.ReportMetric(float64(countComplete(loud))/float64(len(loud)), "loud")
+	b.ReportMetric(float64(countComplete(quiet))/float64(len(quiet)), "quiet")
 }
 
 // burst sends n calls of one account within a second.
-func burst(ctx context.Context, s *stager.Stage, key, group string, n int) []sender.Result {
+func burst(ctx context.Context, s *stager.Deployment, key, group string, n int) []sender.Result {
 	calls := make([]sampler.Call, n)
 	for i := range calls {
 		calls[i] = sampler.Call{
@@ -93,10 +93,10 @@
 	return send.Run(ctx, calls)
 }
 
-func whole(results []sender.Result) int {
+func countComplete(results []sender.Result) int {
 	n := 0
 	for _, r := range results {
-		if r.Whole {
+		if r.Complete {
 			n++
 		}
 	}
--- a/internal/experiment/stager/hop_test.go
+++ b/internal/experiment/stager/hop_test.go
@@ -18,7 +18,7 @@
 // request sent straight to an engine in the same run: through the owner itself,
 // and through an instance that passes it on. Requests come at 500 a second.
 func BenchmarkHop(b *testing.B) {
-	plan, err := stager.Deployment(stager.Association)
+	plan, err := stager.PlanFor(stager.Association)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -42,13 +42,13 @@
 	} {
 		b.Run(target.name, func(b *testing.B) {
 			b.ReportAllocs()
-			paced(b, func() { ask(b, target.address, target.model) })
+			runPaced(b, func() { ask(b, target.address, target.model) })
 		})
 	}
 }
 
-// paced runs one call every 2 ms and reports quantiles of how long they took.
-func paced(b *testing.B, call func()) {
+// runPaced runs one call every 2 ms and reports quantiles of how long they took.
+func runPaced(b *testing.B, call func()) {
 	const every = 2 * time.Millisecond
 	var mu sync.Mutex
 	var took []time.Duration
--- a/internal/experiment/stager/plan.go
+++ b/internal/experiment/stager/plan.go
@@ -42,8 +42,8 @@
 // tokenTime is how long an engine's step takes, before Speed.
 const tokenTime = 25 * time.Millisecond
 
-// Deployment returns the plan of a deployment at its size of today.
-func Deployment(name string) (Plan, error) {
+// PlanFor returns the plan of a deployment at its size of today.
+func PlanFor(name string) (Plan, error) {
 	p := Plan{
 		Name: name, Adapters: 3000, Slots: 8, Batch: 8, Speed: 8, Rate: 3, Instances: 8,
 		Domains: []string{"a", "b", "c", "d"}, Fencing: true, Lease: 4 * time.Second,
--- a/internal/experiment/stager/quarantine_test.go
+++ b/internal/experiment/stager/quarantine_test.go
@@ -11,13 +11,13 @@
 	"github.com/sardinetiller/sardinetiller/internal/standin/generator"
 )
 
-// crashed returns when engines began to run the request that crashes them.
-func crashed(s *stager.Stage) []time.Time {
+// crashTimes returns when engines began to run the request that crashes them.
+func crashTimes(s *stager.Deployment) []time.Time {
 	var at []time.Time
 	for _, e := range s.Engines {
-		for _, r := range e.Books().Runs {
+		for _, r := range e.Record().Runs {
 			if r.Marker == generator.CrashMarker {
-				at = append(at, r.Began)
+				at = append(at, r.StartedAt)
 			}
 		}
 	}
@@ -30,14 +30,14 @@
 // with nothing known, so it went on for as long as its caller did. Three seconds after
 // the third crash no more than three further runs may begin.
 func TestRequestThatCrashesEnginesIsRejected(t *testing.T) {
-	s := small(t)
+	s := smallDeployment(t)
 	body := `{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"` + generator.CrashMarker + `"}]}`
 	status := 0
 	for n, end := 0, time.Now().Add(9*time.Second); time.Now().Before(end); n++ {
 		status, _ = post(t, s.Address(n%len(s.Instances)), "/v1/chat/completions", body)
 		time.Sleep(50 * time.Millisecond)
 	}
-	at := crashed(s)
+	at := crashTimes(s)
 	if len(at) < 3 {
 		t.Fatalf("%d engines crashed; the test shows nothing", len(at))
 	}
@@ -66,8 +66,8 @@
 
 // The request is held, and then all instances are replaced. Those that come know nothing
 // but what the table has kept: without that it would crash three more engines.
-func TestQuarantineOutlastsAllInstances(t *testing.T) {
-	s := small(t)
+func TestQuarantineSurvivesReplacingAllInstances(t *testing.T) {
+	s := smallDeployment(t)
 	body := `{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"` + generator.CrashMarker + `"}]}`
 	held := func(i *stager.Instance) bool { return len(i.Server.Status().Quarantine) > 0 }
 	for end := time.Now().Add(20 * time.Second); !held(s.Instances[0]) || !held(s.Instances[1]); time.Sleep(50 * time.Millisecond) {
@@ -78,9 +78,9 @@
 	}
 	time.Sleep(2 * s.Plan.Poll) // until it is kept
 	for _, i := range s.Instances {
-		i.Leave()
+		i.Stop()
 	}
-	before := len(crashed(s))
+	before := len(crashTimes(s))
 	for _, domain := range []string{s.Instances[0].Server.Config.Domain, s.Instances[1].Server.Config.Domain} {
 		i, err := s.Launch(domain+"-new", domain)
 		if err != nil {
@@ -95,7 +95,7 @@
 			t.Errorf("status %d at a new instance of %s", status, domain)
 		}
 	}
-	if after := len(crashed(s)); after != before {
+	if after := len(crashTimes(s)); after != before {
 		t.Errorf("%d engines crashed after the restart", after-before)
 	}
 }
--- a/internal/experiment/surveyor/reading.go
+++ b/internal/experiment/surveyor/sample.go
@@ -9,7 +9,7 @@
 )
 
 // A reading is the state of the counters at one moment.
-type reading struct {
+type sample struct {
 	at      time.Time
 	bytes   int64
 	commits int
@@ -19,14 +19,14 @@
 	reads   int
 }
 
-func read(stage *stager.Stage) reading {
+func takeSample(stage *stager.Deployment) sample {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // never fails for the own process
 	runtime.GC()
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
-	books := stage.Platform.Books()
-	r := reading{
+	books := stage.Platform.Counters()
+	r := sample{
 		at: time.Now(), bytes: books.Bytes, commits: books.Commits, reads: books.Reads, memory: float64(memory.HeapAlloc),
 		cpu: time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds(),
 	}
@@ -36,7 +36,7 @@
 	return r
 }
 
-func (r reading) to(after reading, idle, x, instances float64) Point {
+func (r sample) pointTo(after sample, idle, x, instances float64) Point {
 	span := after.at.Sub(r.at).Seconds()
 	each := span * instances
 	return Point{
--- a/internal/experiment/surveyor/slope.go
+++ b/internal/experiment/surveyor/slope.go
@@ -29,9 +29,9 @@
 // A Fit is a straight line: At0 + Each*X, with the part of the variance that
 // it explains.
 type Fit struct {
-	At0  float64 `json:"at0"`
-	Each float64 `json:"each"`
-	R2   float64 `json:"r2"`
+	Intercept float64 `json:"at0"`
+	PerUnit   float64 `json:"each"`
+	R2        float64 `json:"r2"`
 }
 
 func (s *Slope) fit() {
@@ -40,13 +40,13 @@
 	for i := range s.Points {
 		xs[i] = s.Points[i].X
 	}
-	for name, figure := range figures {
+	for name, figure := range metrics {
 		ys := make([]float64, len(s.Points))
 		for i := range s.Points {
 			ys[i] = figure(&s.Points[i])
 		}
 		at0, each := stat.LinearRegression(xs, ys, nil, false)
-		s.Fits[name] = Fit{At0: at0, Each: each, R2: stat.RSquared(xs, ys, nil, at0, each)}
+		s.Fits[name] = Fit{Intercept: at0, PerUnit: each, R2: stat.RSquared(xs, ys, nil, at0, each)}
 	}
 }
 
@@ -54,7 +54,7 @@
 func (s *Slope) Values(figure string) []string {
 	values := make([]string, len(s.Points))
 	for i := range s.Points {
-		values[i] = fmt.Sprintf("%v:%.4g", s.Points[i].X, figures[figure](&s.Points[i]))
+		values[i] = fmt.Sprintf("%v:%.4g", s.Points[i].X, metrics[figure](&s.Points[i]))
 	}
 	return values
 }
--- a/internal/experiment/surveyor/surveyor.go
+++ b/internal/experiment/surveyor/surveyor.go
@@ -26,8 +26,8 @@
 	Progress func(name string, x float64)
 }
 
-// figures reads each figure of a point.
-var figures = map[string]func(p *Point) float64{
+// metrics reads each figure of a point.
+var metrics = map[string]func(p *Point) float64{
 	"cpu":     func(p *Point) float64 { return p.CPU },
 	"memory":  func(p *Point) float64 { return p.Memory },
 	"peers":   func(p *Point) float64 { return p.Peers },
@@ -38,7 +38,7 @@
 
 // Peers measures an idle instance over the instances of its failure domain.
 func (s *Surveyor) Peers(ctx context.Context, counts []int) (Slope, error) {
-	return s.series(ctx, "control over peers", "instances in the domain", counts, func(n int) stager.Plan {
+	return s.measureIdle(ctx, "control over peers", "instances in the domain", counts, func(n int) stager.Plan {
 		return plan(n, 2)
 	})
 }
@@ -47,7 +47,7 @@
 // with ten instances.
 func (s *Surveyor) Runners(ctx context.Context, counts []int) (Slope, error) {
 	const instances = 10
-	return s.series(ctx, "control over runners", "runners in the domain", counts, func(n int) stager.Plan {
+	return s.measureIdle(ctx, "control over runners", "runners in the domain", counts, func(n int) stager.Plan {
 		return plan(instances, n)
 	})
 }
@@ -56,7 +56,7 @@
 // What callers and engines use for the same requests without the system is
 // taken off.
 func (s *Surveyor) Requests(ctx context.Context, rates []int) (Slope, error) {
-	return s.traffic(ctx, "requests", "requests a second, 8 tokens each", rates, func(x int) sampler.Workload {
+	return s.measureTraffic(ctx, "requests", "requests a second, 8 tokens each", rates, func(x int) sampler.Workload {
 		return s.workload(x, 8)
 	})
 }
@@ -65,23 +65,23 @@
 // 20 requests a second.
 func (s *Surveyor) Tokens(ctx context.Context, rates []int) (Slope, error) {
 	const requests = 20
-	return s.traffic(ctx, "tokens", "tokens a second, 20 requests a second", rates, func(x int) sampler.Workload {
+	return s.measureTraffic(ctx, "tokens", "tokens a second, 20 requests a second", rates, func(x int) sampler.Workload {
 		return s.workload(requests, x/requests)
 	})
 }
 
-func (s *Surveyor) traffic(ctx context.Context, name, over string, xs []int, drawn func(x int) sampler.Workload) (Slope, error) {
+func (s *Surveyor) measureTraffic(ctx context.Context, name, over string, xs []int, drawn func(x int) sampler.Workload) (Slope, error) {
 	slope := Slope{Name: name, Over: over}
 	for _, x := range xs {
 		w := drawn(x)
 		p := plan(2, 4)
 		p.Speed = 10 // a token every 2.5 ms, so that requests end
-		direct, err := s.direct(ctx, p, w)
+		direct, err := s.directCPU(ctx, p, w)
 		if err != nil {
 			return slope, err
 		}
-		point, err := s.point(ctx, p, float64(x), direct, func(ctx context.Context, stage *stager.Stage) error {
-			return load(ctx, w, []string{stage.Address(0), stage.Address(1)})
+		point, err := s.measurePoint(ctx, p, float64(x), direct, func(ctx context.Context, stage *stager.Deployment) error {
+			return sendWorkload(ctx, w, []string{stage.Address(0), stage.Address(1)})
 		})
 		if err != nil {
 			return slope, err
@@ -97,8 +97,8 @@
 func (s *Surveyor) Changes(ctx context.Context, rates []int) (Slope, error) {
 	slope := Slope{Name: "changes of the settings", Over: "changes a second"}
 	for _, r := range rates {
-		point, err := s.point(ctx, plan(4, 2), float64(r), 0, func(ctx context.Context, stage *stager.Stage) error {
-			return s.change(ctx, stage, r)
+		point, err := s.measurePoint(ctx, plan(4, 2), float64(r), 0, func(ctx context.Context, stage *stager.Deployment) error {
+			return s.applyChanges(ctx, stage, r)
 		})
 		if err != nil {
 			return slope, err
@@ -109,7 +109,7 @@
 	return slope, nil
 }
 
-func (s *Surveyor) change(ctx context.Context, stage *stager.Stage, rate int) error {
+func (s *Surveyor) applyChanges(ctx context.Context, stage *stager.Deployment, rate int) error {
 	begin := time.Now()
 	for i := range rate * int(s.Span/time.Second) {
 		text := fmt.Appendf(nil, "kind: account\nname: other\nvalues: {deadline: %dms}\n", 1000+i)
@@ -131,7 +131,7 @@
 	}
 }
 
-func load(ctx context.Context, w sampler.Workload, addresses []string) error {
+func sendWorkload(ctx context.Context, w sampler.Workload, addresses []string) error {
 	calls, err := w.Draw()
 	if err != nil {
 		return err
@@ -141,16 +141,16 @@
 	}
 	send := sender.Sender{Addresses: func() [][]string { return [][]string{addresses} }, Key: stager.Key}
 	for _, r := range send.Run(ctx, calls) {
-		if !r.Whole {
+		if !r.Complete {
 			return fmt.Errorf("a request was not answered: %s %s", r.Reason, r.Err)
 		}
 	}
 	return nil
 }
 
-// direct returns the processor time a second of callers and engines that do the
+// directCPU returns the processor time a second of callers and engines that do the
 // same work without the system between them.
-func (s *Surveyor) direct(ctx context.Context, p stager.Plan, w sampler.Workload) (float64, error) {
+func (s *Surveyor) directCPU(ctx context.Context, p stager.Plan, w sampler.Workload) (float64, error) {
 	p.Instances = 0
 	stage, err := stager.Start(ctx, p, log.NewNopLogger())
 	if err != nil {
@@ -167,24 +167,24 @@
 			engine.Order(ctx, address, keeper.Load{Handle: keeper.ParseHandle(name)})
 		}
 	}
-	before := read(stage)
-	if err := load(ctx, w, addresses); err != nil {
+	before := takeSample(stage)
+	if err := sendWorkload(ctx, w, addresses); err != nil {
 		return 0, err
 	}
-	after := read(stage)
+	after := takeSample(stage)
 	return (after.cpu - before.cpu) / after.at.Sub(before.at).Seconds(), nil
 }
 
-func (s *Surveyor) series(ctx context.Context, name, over string, counts []int, planned func(n int) stager.Plan) (Slope, error) {
+func (s *Surveyor) measureIdle(ctx context.Context, name, over string, counts []int, planned func(n int) stager.Plan) (Slope, error) {
 	slope := Slope{Name: name, Over: over}
 	for _, n := range counts {
 		bare := planned(n)
 		bare.Instances = 0
-		idle, err := s.idle(ctx, bare)
+		idle, err := s.standinCPU(ctx, bare)
 		if err != nil {
 			return slope, err
 		}
-		point, err := s.point(ctx, planned(n), float64(n), idle, func(ctx context.Context, _ *stager.Stage) error {
+		point, err := s.measurePoint(ctx, planned(n), float64(n), idle, func(ctx context.Context, _ *stager.Deployment) error {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
@@ -204,9 +204,9 @@
 // warmUp lets links, leases and first reports pass before the measurement.
 const warmUp = 4 * time.Second
 
-// point measures one size. Off is the processor time a second of what is not an
+// measurePoint measures one size. Off is the processor time a second of what is not an
 // instance, which is taken off.
-func (s *Surveyor) point(ctx context.Context, p stager.Plan, x, off float64, do func(context.Context, *stager.Stage) error) (Point, error) {
+func (s *Surveyor) measurePoint(ctx context.Context, p stager.Plan, x, off float64, do func(context.Context, *stager.Deployment) error) (Point, error) {
 	if s.Progress != nil {
 		s.Progress(p.Name, x)
 	}
@@ -216,24 +216,24 @@
 	}
 	defer stage.Stop()
 	time.Sleep(warmUp)
-	before := read(stage)
+	before := takeSample(stage)
 	if err := do(ctx, stage); err != nil {
 		return Point{}, err
 	}
-	after := read(stage)
-	return before.to(after, off, x, float64(p.Instances)), nil
+	after := takeSample(stage)
+	return before.pointTo(after, off, x, float64(p.Instances)), nil
 }
 
-// idle returns the processor time a second of the stand-ins alone.
-func (s *Surveyor) idle(ctx context.Context, p stager.Plan) (float64, error) {
+// standinCPU returns the processor time a second of the stand-ins alone.
+func (s *Surveyor) standinCPU(ctx context.Context, p stager.Plan) (float64, error) {
 	stage, err := stager.Start(ctx, p, log.NewNopLogger())
 	if err != nil {
 		return 0, err
 	}
 	defer stage.Stop()
-	before := read(stage)
+	before := takeSample(stage)
 	time.Sleep(s.Span / 2)
-	after := read(stage)
+	after := takeSample(stage)
 	return (after.cpu - before.cpu) / after.at.Sub(before.at).Seconds(), nil
 }
 
--- a/internal/standin/generator/engine.go
+++ b/internal/standin/generator/engine.go
@@ -29,34 +29,34 @@
 	Step     time.Duration
 	Weights  string // address of the weight store; empty for loads that take no time
 
-	mu       sync.Mutex
-	books    Books
-	faults   Faults
-	fence    uint64
-	loading  map[string]bool
-	past     []dated // reports, the oldest first
-	resident map[string]bool
-	running  []*sequence
-	starts   int
-	waiting  []*sequence
+	mu           sync.Mutex
+	record       Record
+	faults       Faults
+	highestFence uint64
+	loading      map[string]bool
+	history      []timedReport // reports, the oldest first
+	resident     map[string]bool
+	running      []*sequence
+	starts       int
+	waiting      []*sequence
 }
 
 // A dated report is given out once it is as old as the lag.
-type dated struct {
+type timedReport struct {
 	at     time.Time
 	report Report
 }
 
-// reportEvery is how often the engine notes its state for lagging reports.
-const reportEvery = 50 * time.Millisecond
+// reportInterval is how often the engine notes its state for lagging reports.
+const reportInterval = 50 * time.Millisecond
 
-// Books returns what was done so far.
-func (e *Engine) Books() Books {
+// Record returns what was done so far.
+func (e *Engine) Record() Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	books := e.books
+	books := e.record
 	books.Batch = e.Batch
-	books.Runs = slices.Clone(e.books.Runs)
+	books.Runs = slices.Clone(e.record.Runs)
 	return books
 }
 
@@ -65,17 +65,17 @@
 	e.mu.Lock()
 	e.restart()
 	e.mu.Unlock()
-	go e.steps(ctx)
+	go e.runSteps(ctx)
 	r := router.New()
-	r.POST(PathChat, e.complete)
-	r.POST(PathCompletions, e.complete)
-	r.POST(PathCancel, e.cancel)
-	r.POST(PathEvict, e.order(e.evict))
-	r.POST(PathFence, e.order(e.raise))
-	r.POST(PathLoad, e.order(e.load))
+	r.POST(PathChat, e.handleCompletion)
+	r.POST(PathCompletions, e.handleCompletion)
+	r.POST(PathCancel, e.handleCancel)
+	r.POST(PathEvict, e.handleOrder(e.evict))
+	r.POST(PathFence, e.handleOrder(e.acceptFence))
+	r.POST(PathLoad, e.handleOrder(e.load))
 	r.GET(PathReport, func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, e.report()) })
-	r.GET(PathBooks, func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, e.Books()) })
-	r.POST(PathControl, e.control)
+	r.GET(PathBooks, func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, e.Record()) })
+	r.POST(PathControl, e.handleControl)
 	server := listener.Server{Listener: e.Listener, Handler: r.Handler}
 	return server.Run(ctx)
 }
@@ -84,8 +84,8 @@
 func (e *Engine) Set(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if f.Leaving && e.books.Left.IsZero() {
-		e.books.Left = time.Now()
+	if f.Leaving && e.record.LeavingSince.IsZero() {
+		e.record.LeavingSince = time.Now()
 	}
 	if f.Restart {
 		f.Restart = false
@@ -94,8 +94,8 @@
 	e.faults = f
 }
 
-// cancel ends a request, if it runs.
-func (e *Engine) cancel(c *fasthttp.RequestCtx) {
+// handleCancel ends a request, if it runs.
+func (e *Engine) handleCancel(c *fasthttp.RequestCtx) {
 	var told Cancel
 	if !listener.Decode(c, &told) {
 		return
@@ -103,13 +103,13 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range append(slices.Clone(e.running), e.waiting...) {
-		if e.books.Runs[s.run].Request == told.Request {
-			s.cut()
+		if e.record.Runs[s.recordIndex].Request == told.Request {
+			s.abort()
 		}
 	}
 }
 
-func (e *Engine) control(c *fasthttp.RequestCtx) {
+func (e *Engine) handleControl(c *fasthttp.RequestCtx) {
 	var f Faults
 	if !listener.Decode(c, &f) {
 		return
@@ -126,14 +126,14 @@
 		return fasthttp.StatusNotFound, "not resident"
 	}
 	delete(e.resident, o.Handle)
-	e.books.Evicts++
+	e.record.Evictions++
 	for _, s := range append(slices.Clone(e.running), e.waiting...) {
 		if s.handle == o.Handle && !s.ended() {
-			run := e.books.Runs[s.run]
-			e.books.Under = append(e.books.Under, Under{
-				Handle: o.Handle, Fence: o.Fence, Marker: run.Marker, Age: time.Since(run.Began),
+			run := e.record.Runs[s.recordIndex]
+			e.record.EvictedRunning = append(e.record.EvictedRunning, RunningEviction{
+				Handle: o.Handle, Fence: o.Fence, Marker: run.Marker, RunningFor: time.Since(run.StartedAt),
 			})
-			s.cut()
+			s.abort()
 		}
 	}
 	return fasthttp.StatusOK, ""
@@ -159,7 +159,7 @@
 		return fasthttp.StatusServiceUnavailable, err.Error()
 	}
 	e.resident[o.Handle] = true
-	e.books.Loads++
+	e.record.Loads++
 	return fasthttp.StatusOK, ""
 }
 
@@ -178,8 +178,8 @@
 	return nil
 }
 
-// order decodes an order, checks its fencing number and carries it out.
-func (e *Engine) order(carryOut func(Order) (int, string)) fasthttp.RequestHandler {
+// handleOrder decodes an order, checks its fencing number and carries it out.
+func (e *Engine) handleOrder(carryOut func(Order) (int, string)) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		var o Order
 		if !listener.Decode(c, &o) {
@@ -189,12 +189,12 @@
 		stall := e.faults.Stall
 		e.mu.Unlock()
 		time.Sleep(stall)
-		if !e.admit(o.Fence) {
+		if !e.checkFence(o.Fence) {
 			c.Error("old fencing number", fasthttp.StatusPreconditionFailed)
 			return
 		}
 		status, message := carryOut(o)
-		if e.loses() {
+		if e.dropResponse() {
 			_ = c.Conn().Close()
 			return
 		}
@@ -202,18 +202,18 @@
 	}
 }
 
-func (e *Engine) admit(fence uint64) bool {
+func (e *Engine) checkFence(fence uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.Fencing && fence < e.fence {
-		e.books.Late++
+	if e.Fencing && fence < e.highestFence {
+		e.record.StaleOrders++
 		return false
 	}
-	e.fence = max(e.fence, fence)
+	e.highestFence = max(e.highestFence, fence)
 	return true
 }
 
-func (e *Engine) loses() bool {
+func (e *Engine) dropResponse() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.faults.Lose == 0 {
@@ -223,18 +223,18 @@
 	return true
 }
 
-func (e *Engine) raise(Order) (int, string) { return fasthttp.StatusOK, "" }
+func (e *Engine) acceptFence(Order) (int, string) { return fasthttp.StatusOK, "" }
 
 // report returns the newest report that is as old as the lag.
 func (e *Engine) report() Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.faults.Lag == 0 || len(e.past) == 0 {
-		return e.now()
+	if e.faults.Lag == 0 || len(e.history) == 0 {
+		return e.currentReport()
 	}
 	until := time.Now().Add(-e.faults.Lag)
-	report := e.past[0].report
-	for _, d := range e.past {
+	report := e.history[0].report
+	for _, d := range e.history {
 		if d.at.Before(until) {
 			report = d.report
 		}
@@ -242,7 +242,7 @@
 	return report
 }
 
-func (e *Engine) now() Report {
+func (e *Engine) currentReport() Report {
 	return Report{
 		Engine:   e.incarnation(),
 		Resident: slices.Sorted(maps.Keys(e.resident)),
@@ -250,7 +250,7 @@
 		Running:  len(e.running),
 		Waiting:  len(e.waiting),
 		Leaving:  e.faults.Leaving,
-		Fence:    e.fence,
+		Fence:    e.highestFence,
 	}
 }
 
@@ -282,38 +282,38 @@
 // restart empties the engine: a cold start.
 func (e *Engine) restart() {
 	for _, s := range append(e.running, e.waiting...) {
-		s.cut()
+		s.abort()
 	}
 	e.starts++
-	e.fence = 0
+	e.highestFence = 0
 	e.loading = make(map[string]bool)
-	e.past = nil
+	e.history = nil
 	e.resident = make(map[string]bool)
 	e.running = nil
 	e.waiting = nil
 }
 
-// note keeps reports for as long as any lag reaches back.
-func (e *Engine) note(now time.Time) {
+// recordReport keeps reports for as long as any lag reaches back.
+func (e *Engine) recordReport(now time.Time) {
 	const kept = 200
-	if n := len(e.past); n > 0 && now.Sub(e.past[n-1].at) < reportEvery {
+	if n := len(e.history); n > 0 && now.Sub(e.history[n-1].at) < reportInterval {
 		return
 	}
-	e.past = append(e.past, dated{at: now, report: e.now()})
-	if len(e.past) > kept {
-		e.past = e.past[1:]
+	e.history = append(e.history, timedReport{at: now, report: e.currentReport()})
+	if len(e.history) > kept {
+		e.history = e.history[1:]
 	}
 }
 
-// steps gives every running request one token a step.
-func (e *Engine) steps(ctx context.Context) {
+// runSteps gives every running request one token a step.
+func (e *Engine) runSteps(ctx context.Context) {
 	repeater.Every(ctx, e.Step, nil, func() { e.step(time.Now()) })
 }
 
 func (e *Engine) step(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.note(now)
+	e.recordReport(now)
 	e.running = slices.DeleteFunc(e.running, (*sequence).ended)
 	e.waiting = slices.DeleteFunc(e.waiting, (*sequence).ended)
 	slices.SortStableFunc(e.waiting, func(a, b *sequence) int { return cmp.Compare(b.priority, a.priority) })
@@ -324,11 +324,11 @@
 	if len(e.running) == 0 {
 		return
 	}
-	e.books.Steps++
-	e.books.Filled += len(e.running)
+	e.record.Steps++
+	e.record.FilledSlots += len(e.running)
 	for _, s := range e.running {
 		if s.emit() {
-			e.books.Runs[s.run].Whole = true
+			e.record.Runs[s.recordIndex].Complete = true
 		}
 	}
 }
--- a/internal/standin/generator/sequence.go
+++ b/internal/standin/generator/sequence.go
@@ -16,21 +16,21 @@
 
 // A sequence is one request in the engine.
 type sequence struct {
-	engine   string // incarnation
-	handle   string
-	marker   string // from the prompt, comes back in every token
-	priority int
-	run      int // place in the books
-	tokens   chan string
-	total    int
-
-	mu    sync.Mutex
-	done  bool
-	given int
+	engine      string // incarnation
+	handle      string
+	marker      string // from the prompt, comes back in every token
+	priority    int
+	recordIndex int // place in the books
+	tokens      chan string
+	total       int
+
+	mu      sync.Mutex
+	done    bool
+	emitted int
 }
 
 // A prompt is the part of a request that the engine reads.
-type prompt struct {
+type completionRequest struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
 	Max      int    `json:"max_tokens"`
@@ -42,7 +42,7 @@
 
 // marker returns the last thing that the caller said. It comes back in every
 // token, so that a caller can tell its own answer from another's.
-func (p *prompt) marker() string {
+func (p *completionRequest) marker() string {
 	if len(p.Messages) > 0 {
 		return p.Messages[len(p.Messages)-1].Content
 	}
@@ -52,8 +52,8 @@
 // defaultTokens is the length of an answer whose request names none.
 const defaultTokens = 16
 
-// cut ends the sequence before its last token.
-func (s *sequence) cut() {
+// abort ends the sequence before its last token.
+func (s *sequence) abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.done {
@@ -69,9 +69,9 @@
 	if s.done {
 		return false
 	}
-	s.given++
-	s.tokens <- fmt.Sprintf("%s:%d/%d ", s.marker, s.given, s.total)
-	if s.given < s.total {
+	s.emitted++
+	s.tokens <- fmt.Sprintf("%s:%d/%d ", s.marker, s.emitted, s.total)
+	if s.emitted < s.total {
 		return false
 	}
 	s.done = true
@@ -85,13 +85,13 @@
 	return s.done
 }
 
-// complete answers a completion, as a stream of server-sent events or whole.
-func (e *Engine) complete(c *fasthttp.RequestCtx) {
-	var p prompt
+// handleCompletion answers a completion, as a stream of server-sent events or whole.
+func (e *Engine) handleCompletion(c *fasthttp.RequestCtx) {
+	var p completionRequest
 	if !listener.Decode(c, &p) {
 		return
 	}
-	s, cutAt, ok := e.enter(&p, c)
+	s, cutAt, ok := e.enqueue(&p, c)
 	if !ok {
 		c.Error("not resident, full or leaving", fasthttp.StatusConflict)
 		return
@@ -100,16 +100,16 @@
 	c.Response.Header.Set(HeaderEngine, s.engine)
 	chat := string(c.Path()) == PathChat
 	if !p.Stream {
-		whole(c, s, p.Model, chat)
+		writeComplete(c, s, p.Model, chat)
 		return
 	}
 	c.SetContentType("text/event-stream")
 	conn := c.Conn() // the writer may outlive the request's context
-	c.SetBodyStreamWriter(func(w *bufio.Writer) { stream(w, conn, s, p.Model, chat, cutAt) })
+	c.SetBodyStreamWriter(func(w *bufio.Writer) { writeStream(w, conn, s, p.Model, chat, cutAt) })
 }
 
-// enter puts a request into the engine unless it is refused.
-func (e *Engine) enter(p *prompt, c *fasthttp.RequestCtx) (*sequence, int, bool) {
+// enqueue puts a request into the engine unless it is refused.
+func (e *Engine) enqueue(p *completionRequest, c *fasthttp.RequestCtx) (*sequence, int, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if !e.resident[p.Model] {
@@ -122,12 +122,12 @@
 	s := newSequence(p)
 	s.engine = e.incarnation()
 	s.priority, _ = strconv.Atoi(string(c.Request.Header.Peek(HeaderPriority))) // none is 0
-	s.run = len(e.books.Runs)
-	e.books.Runs = append(e.books.Runs, Run{
-		Request: string(c.Request.Header.Peek(HeaderRequest)),
-		Marker:  p.marker(),
-		Adapter: adapterOf(p.Model),
-		Began:   time.Now(),
+	s.recordIndex = len(e.record.Runs)
+	e.record.Runs = append(e.record.Runs, Run{
+		Request:   string(c.Request.Header.Peek(HeaderRequest)),
+		Marker:    p.marker(),
+		Adapter:   adapterOf(p.Model),
+		StartedAt: time.Now(),
 	})
 	e.waiting = append(e.waiting, s)
 	if p.marker() == CrashMarker {
@@ -141,7 +141,7 @@
 	return s, cutAt, true
 }
 
-func newSequence(p *prompt) *sequence {
+func newSequence(p *completionRequest) *sequence {
 	s := &sequence{handle: p.Model, total: p.Max, marker: adapterOf(p.Model) + "|" + p.marker()}
 	if s.total <= 0 {
 		s.total = defaultTokens
@@ -150,10 +150,10 @@
 	return s
 }
 
-// stream writes the tokens as server-sent events. It ends without [DONE] if
+// writeStream writes the tokens as server-sent events. It ends without [DONE] if
 // the sequence was cut. A write that fails is a caller that went away.
-func stream(w *bufio.Writer, conn net.Conn, s *sequence, model string, chat bool, cutAt int) {
-	defer s.cut()
+func writeStream(w *bufio.Writer, conn net.Conn, s *sequence, model string, chat bool, cutAt int) {
+	defer s.abort()
 	given := 0
 	for token := range s.tokens {
 		given++
@@ -173,7 +173,7 @@
 	}
 }
 
-func whole(c *fasthttp.RequestCtx, s *sequence, model string, chat bool) {
+func writeComplete(c *fasthttp.RequestCtx, s *sequence, model string, chat bool) {
 	var text string
 	given := 0
 	for token := range s.tokens {
@@ -184,12 +184,12 @@
 		c.Error("cut", fasthttp.StatusInternalServerError)
 		return
 	}
-	data, _ := json.Marshal(answer(model, text, chat)) // strings and maps always encode
+	data, _ := json.Marshal(completion(model, text, chat)) // strings and maps always encode
 	c.SetContentType("application/json")
 	c.SetBody(data)
 }
 
-func answer(model, text string, chat bool) map[string]any {
+func completion(model, text string, chat bool) map[string]any {
 	choice := map[string]any{"index": 0, "finish_reason": "stop", "text": text}
 	object := "text_completion"
 	if chat {
--- a/internal/standin/generator/wire.go
+++ b/internal/standin/generator/wire.go
@@ -60,30 +60,30 @@
 
 // A Run is one request that the engine began to run.
 type Run struct {
-	Request string    `json:"request"`
-	Marker  string    `json:"marker"` // the last thing that the caller said
-	Adapter string    `json:"adapter"`
-	Began   time.Time `json:"began"`
-	Whole   bool      `json:"whole"` // every token was given
+	Request   string    `json:"request"`
+	Marker    string    `json:"marker"` // the last thing that the caller said
+	Adapter   string    `json:"adapter"`
+	StartedAt time.Time `json:"began"`
+	Complete  bool      `json:"whole"` // every token was given
 }
 
-// An Under is an eviction that hit a running request.
-type Under struct {
-	Handle string        `json:"handle"`
-	Fence  uint64        `json:"fence"` // of the order
-	Marker string        `json:"marker"`
-	Age    time.Duration `json:"age"` // since the request began, in nanoseconds
+// An RunningEviction is an eviction that hit a running request.
+type RunningEviction struct {
+	Handle     string        `json:"handle"`
+	Fence      uint64        `json:"fence"` // of the order
+	Marker     string        `json:"marker"`
+	RunningFor time.Duration `json:"age"` // since the request began, in nanoseconds
 }
 
-// Books are what the engine did, in its own count.
-type Books struct {
-	Runs   []Run     `json:"runs"`
-	Loads  int       `json:"loads"`
-	Evicts int       `json:"evicts"`
-	Under  []Under   `json:"under"`  // evictions under a running request
-	Late   int       `json:"late"`   // orders refused for their fencing number
-	Steps  int       `json:"steps"`  // with at least one request running
-	Filled int       `json:"filled"` // requests in those steps, added up
-	Batch  int       `json:"batch"`  // requests that fit in a step
-	Left   time.Time `json:"left"`   // when it first said that it leaves
+// Record are what the engine did, in its own count.
+type Record struct {
+	Runs           []Run             `json:"runs"`
+	Loads          int               `json:"loads"`
+	Evictions      int               `json:"evicts"`
+	EvictedRunning []RunningEviction `json:"under"`  // evictions under a running request
+	StaleOrders    int               `json:"late"`   // orders refused for their fencing number
+	Steps          int               `json:"steps"`  // with at least one request running
+	FilledSlots    int               `json:"filled"` // requests in those steps, added up
+	Batch          int               `json:"batch"`  // requests that fit in a step
+	LeavingSince   time.Time         `json:"left"`   // when it first said that it leaves
 }
--- a/internal/standin/registrar/faults.go
+++ b/internal/standin/registrar/faults.go
@@ -11,13 +11,13 @@
 	Slow time.Duration `json:"slow"` // added to each call
 }
 
-// Books are what the stand-in did.
-type Books struct {
-	Commits  int   `json:"commits"`  // transactions carried out
-	Rows     int   `json:"rows"`     // rows written or deleted
-	Reads    int   `json:"reads"`    // gets and scans
-	Lost     int   `json:"lost"`     // answers lost after the write
-	Loads    int   `json:"loads"`    // weights served
-	Together int   `json:"together"` // most weights served at once
-	Bytes    int64 `json:"bytes"`    // sent and received in bodies
+// Counters are what the stand-in did.
+type Counters struct {
+	Commits            int   `json:"commits"`  // transactions carried out
+	Rows               int   `json:"rows"`     // rows written or deleted
+	Reads              int   `json:"reads"`    // gets and scans
+	LostResponses      int   `json:"lost"`     // answers lost after the write
+	Loads              int   `json:"loads"`    // weights served
+	MaxConcurrentLoads int   `json:"together"` // most weights served at once
+	Bytes              int64 `json:"bytes"`    // sent and received in bodies
 }
--- a/internal/standin/registrar/platform.go
+++ b/internal/standin/registrar/platform.go
@@ -29,20 +29,20 @@
 	Table tabler.Memory
 	Store storer.Memory
 
-	mu        sync.Mutex
-	announced map[string]*announcement // by incarnation
-	books     Books
-	faults    Faults
-	loading   int
+	mu          sync.Mutex
+	announced   map[string]*announcement // by incarnation
+	counters    Counters
+	faults      Faults
+	activeLoads int
 }
 
 // An announcement is an instance's last word and what the lagging list shows.
 type announcement struct {
 	lister.Announcement
 
-	ended   time.Time // when its process was first found to run no more
-	first   time.Time
-	leaving time.Time // when it first said that it leaves
+	endedAt      time.Time // when its process was first found to run no more
+	firstAt      time.Time
+	leavingSince time.Time // when it first said that it leaves
 }
 
 // The control paths of every stand-in.
@@ -53,25 +53,25 @@
 	PathWeights = "/weights/"
 )
 
-// Books returns what was done so far.
-func (p *Platform) Books() Books {
+// Counters returns what was done so far.
+func (p *Platform) Counters() Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.books
+	return p.counters
 }
 
 // Run serves until ctx ends.
 func (p *Platform) Run(ctx context.Context) error {
 	r := router.New()
-	r.POST(tabler.PathCommit, p.guard(p.commit))
-	r.POST(tabler.PathGet, p.guard(p.get))
-	r.POST(tabler.PathScan, p.guard(p.scan))
-	r.POST(lister.PathAnnounce, p.guard(p.announce))
-	r.POST(lister.PathList, p.guard(p.list))
-	r.GET(storer.PathObject+"{key:*}", p.guard(p.object))
-	r.PUT(storer.PathObject+"{key:*}", p.guard(p.putObject))
+	r.POST(tabler.PathCommit, p.withFaults(p.commit))
+	r.POST(tabler.PathGet, p.withFaults(p.get))
+	r.POST(tabler.PathScan, p.withFaults(p.scan))
+	r.POST(lister.PathAnnounce, p.withFaults(p.announce))
+	r.POST(lister.PathList, p.withFaults(p.list))
+	r.GET(storer.PathObject+"{key:*}", p.withFaults(p.object))
+	r.PUT(storer.PathObject+"{key:*}", p.withFaults(p.putObject))
 	r.GET(PathWeights+"{adapter}", p.weights)
-	r.GET(PathBooks, func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, p.Books()) })
+	r.GET(PathBooks, func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, p.Counters()) })
 	r.POST(PathControl, p.control)
 	server := listener.Server{Listener: p.Listener, Handler: r.Handler}
 	return server.Run(ctx)
@@ -97,12 +97,12 @@
 	}
 	a, ok := p.announced[told.Instance.Incarnation]
 	if !ok {
-		a = &announcement{first: now}
+		a = &announcement{firstAt: now}
 		p.announced[told.Instance.Incarnation] = a
 	}
 	a.Announcement = told
-	if told.Instance.Leaving && a.leaving.IsZero() {
-		a.leaving = now
+	if told.Instance.Leaving && a.leavingSince.IsZero() {
+		a.leavingSince = now
 	}
 }
 
@@ -119,11 +119,11 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.books.Commits++
-	p.books.Rows += len(txn.Puts) + len(txn.Deletes)
+	p.counters.Commits++
+	p.counters.Rows += len(txn.Puts) + len(txn.Deletes)
 	if p.faults.Lose > 0 {
 		p.faults.Lose--
-		p.books.Lost++
+		p.counters.LostResponses++
 		_ = c.Conn().Close() // the write stands, its answer never arrives
 	}
 }
@@ -142,11 +142,11 @@
 		return
 	}
 	row, _ := p.Table.Get(c, key) // a Memory does not fail
-	p.read(c, row)
+	p.respond(c, row)
 }
 
-// guard applies the faults and keeps the books of a call.
-func (p *Platform) guard(next fasthttp.RequestHandler) fasthttp.RequestHandler {
+// withFaults applies the faults and keeps the books of a call.
+func (p *Platform) withFaults(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		p.mu.Lock()
 		f := p.faults
@@ -159,7 +159,7 @@
 		next(c)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.books.Bytes += int64(len(c.PostBody()) + len(c.Response.Body()))
+		p.counters.Bytes += int64(len(c.PostBody()) + len(c.Response.Body()))
 	}
 }
 
@@ -169,24 +169,24 @@
 	p.mu.Lock()
 	listed := []heartbeater.Instance{}
 	for _, a := range p.announced {
-		if a.ended.IsZero() && a.dead() {
-			a.ended = now
+		if a.endedAt.IsZero() && a.terminated() {
+			a.endedAt = now
 		}
-		gone := !a.ended.IsZero() && now.Sub(a.ended) >= p.Lag
-		if gone || now.Sub(a.first) < p.Lag {
+		gone := !a.endedAt.IsZero() && now.Sub(a.endedAt) >= p.Lag
+		if gone || now.Sub(a.firstAt) < p.Lag {
 			continue
 		}
 		i := a.Instance
-		i.Leaving = !a.leaving.IsZero() && now.Sub(a.leaving) >= p.Lag
+		i.Leaving = !a.leavingSince.IsZero() && now.Sub(a.leavingSince) >= p.Lag
 		listed = append(listed, i)
 	}
 	p.mu.Unlock()
-	p.read(c, listed)
+	p.respond(c, listed)
 }
 
-// dead reports whether the instance's process runs no more. The platform's
+// terminated reports whether the instance's process runs no more. The platform's
 // agent sits beside the process and sees that; a paused process exists.
-func (a *announcement) dead() bool {
+func (a *announcement) terminated() bool {
 	return a.Ended || errors.Is(syscall.Kill(a.Process, 0), syscall.ESRCH)
 }
 
@@ -203,9 +203,9 @@
 	_ = p.Store.Put(c, c.UserValue("key").(string), c.PostBody()) // a Memory does not fail
 }
 
-func (p *Platform) read(c *fasthttp.RequestCtx, value any) {
+func (p *Platform) respond(c *fasthttp.RequestCtx, value any) {
 	p.mu.Lock()
-	p.books.Reads++
+	p.counters.Reads++
 	p.mu.Unlock()
 	data, err := encoder.Marshal(value)
 	if err != nil {
@@ -221,16 +221,16 @@
 		return
 	}
 	rows, _ := p.Table.Scan(c, prefix) // a Memory does not fail
-	p.read(c, rows)
+	p.respond(c, rows)
 }
 
 // weights serves one load. Side by side, more than Together loads slow each
 // other down and waste a little besides.
 func (p *Platform) weights(c *fasthttp.RequestCtx) {
 	p.mu.Lock()
-	p.loading++
-	p.books.Loads++
-	p.books.Together = max(p.books.Together, p.loading)
+	p.activeLoads++
+	p.counters.Loads++
+	p.counters.MaxConcurrentLoads = max(p.counters.MaxConcurrentLoads, p.activeLoads)
 	took := p.loadTime()
 	down := p.faults.Down
 	p.mu.Unlock()
@@ -238,24 +238,24 @@
 		time.Sleep(took)
 	}
 	p.mu.Lock()
-	p.loading--
+	p.activeLoads--
 	p.mu.Unlock()
 	if down {
 		c.Error("down", fasthttp.StatusServiceUnavailable)
 	}
 }
 
-// waste is what each load beyond Together costs all of them.
-const waste = 1.15
+// contentionFactor is what each load beyond Together costs all of them.
+const contentionFactor = 1.15
 
 func (p *Platform) loadTime() time.Duration {
 	if p.Rate <= 0 {
 		return 0
 	}
 	full := float64(p.Together) / p.Rate
-	over := float64(p.loading) / float64(p.Together)
+	over := float64(p.activeLoads) / float64(p.Together)
 	if over > 1 {
-		full *= over * waste
+		full *= over * contentionFactor
 	}
 	return time.Duration(full * float64(time.Second))
 }
--- a/internal/standin/responder/service.go
+++ b/internal/standin/responder/service.go
@@ -31,10 +31,10 @@
 
 // A Call is one call that was carried out.
 type Call struct {
-	Request string    `json:"request"`
-	Method  string    `json:"method"`
-	Path    string    `json:"path"`
-	Began   time.Time `json:"began"`
+	Request   string    `json:"request"`
+	Method    string    `json:"method"`
+	Path      string    `json:"path"`
+	StartedAt time.Time `json:"began"`
 }
 
 // An Echo is the answer to a call.
@@ -53,8 +53,8 @@
 	faults Faults
 }
 
-// Books returns the calls carried out so far.
-func (s *Service) Books() []Call {
+// Calls returns the calls carried out so far.
+func (s *Service) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
@@ -84,7 +84,7 @@
 func (s *Service) handle(c *fasthttp.RequestCtx) {
 	switch string(c.Path()) {
 	case PathBooks:
-		listener.JSON(c, fasthttp.StatusOK, s.Books())
+		listener.JSON(c, fasthttp.StatusOK, s.Calls())
 	case PathControl:
 		s.control(c)
 	default:
@@ -105,10 +105,10 @@
 		s.faults.Lose--
 	}
 	s.calls = append(s.calls, Call{
-		Request: string(c.Request.Header.Peek(HeaderRequest)),
-		Method:  string(c.Method()),
-		Path:    string(c.Path()),
-		Began:   time.Now(),
+		Request:   string(c.Request.Header.Peek(HeaderRequest)),
+		Method:    string(c.Method()),
+		Path:      string(c.Path()),
+		StartedAt: time.Now(),
 	})
 	s.mu.Unlock()
 	time.Sleep(f.Slow)
