--- a/internal/command/commander/cluster_test.go
+++ b/internal/command/commander/cluster_test.go
@@ -57,81 +57,81 @@
 
 func newCluster(t *testing.T, fencing bool) *cluster {
 	t.Helper()
-	y := newClusterWithoutInstances(t, fencing)
-	y.launch("a-1", "a")
-	y.launch("a-2", "a")
-	y.launch("b-1", "b")
-	y.waitForOwners()
-	return y
+	c := newClusterWithoutInstances(t, fencing)
+	c.launch("a-1", "a")
+	c.launch("a-2", "a")
+	c.launch("b-1", "b")
+	c.waitForOwners()
+	return c
 }
 
 // newClusterWithoutInstances is a yard without entry instances.
 func newClusterWithoutInstances(t *testing.T, fencing bool) *cluster {
 	t.Helper()
-	y := &cluster{t: t, instances: make(map[string]*entryInstance)}
+	c := &cluster{t: t, instances: make(map[string]*entryInstance)}
 	platform := start(t, "standin", "platform", "--listen", "127.0.0.1:0", "--rate", "60", "--together", "2", "--lag", "500ms")
-	y.platform = platform.await(t, `platform at (\S+)`)
+	c.platform = platform.await(t, `platform at (\S+)`)
 	service := start(t, "standin", "service", "--listen", "127.0.0.1:0")
-	y.service = service.await(t, `service at (\S+)`)
+	c.service = service.await(t, `service at (\S+)`)
 	for i := range 3 {
 		e := start(t, "standin", "engine", "--listen", "127.0.0.1:0", "--name", fmt.Sprint("r", i+1), "--slots", "3", "--batch", "4",
-			"--step", "8ms", "--weights", y.platform, fmt.Sprintf("--fencing=%v", fencing))
-		y.engines = append(y.engines, e.await(t, `engine at (\S+)`))
+			"--step", "8ms", "--weights", c.platform, fmt.Sprintf("--fencing=%v", fencing))
+		c.engines = append(c.engines, e.await(t, `engine at (\S+)`))
 	}
-	y.applySettings(fencing)
-	return y
+	c.applySettings(fencing)
+	return c
 }
 
-func (y *cluster) applySettings(fencing bool) {
-	y.t.Helper()
-	dir := y.t.TempDir()
+func (c *cluster) applySettings(fencing bool) {
+	c.t.Helper()
+	dir := c.t.TempDir()
 	files := map[string]string{
 		"root.yaml":    "kind: root\nvalues: {deadline: 10s}\nweights: {rate: 60, together: 2}\n",
 		"account.yaml": "kind: account\nname: gujarat\nkeys:\n  - {hash: " + hashOf(clusterKey) + "}\nadapters:\n  - {name: desk, count: 12, versions: [1], service: exit-llm, base: b}\n",
-		"service.yaml": fmt.Sprintf("kind: service\nname: records\ntype: plain\nupstreams:\n  - {name: s1, domain: a, address: %q, batch: 9}\n", y.service),
+		"service.yaml": fmt.Sprintf("kind: service\nname: records\ntype: plain\nupstreams:\n  - {name: s1, domain: a, address: %q, batch: 9}\n", c.service),
 	}
 	engines := "kind: service\nname: exit-llm\ntype: engine\nupstreams:\n"
-	for i, address := range y.engines {
+	for i, address := range c.engines {
 		engines += fmt.Sprintf("  - {name: r%d, domain: %s, address: %q, slots: 3, batch: 4, fencing: %v}\n", i+1, []string{"a", "a", "b"}[i], address, fencing)
 	}
 	files["engines.yaml"] = engines
 	for name, text := range files {
 		if err := os.WriteFile(filepath.Join(dir, name), []byte(text), 0o600); err != nil {
-			y.t.Fatal(err)
+			c.t.Fatal(err)
 		}
 	}
-	apply := start(y.t, "settings", "apply", dir, "--platform", y.platform)
+	apply := start(c.t, "settings", "apply", dir, "--platform", c.platform)
 	<-apply.done
 	if code := apply.cmd.ProcessState.ExitCode(); code != commander.ExitOK {
-		y.t.Fatalf("settings apply ended with %d: %s", code, apply.tail())
+		c.t.Fatalf("settings apply ended with %d: %s", code, apply.tail())
 	}
 }
 
 // launch starts an entry instance. Extra lines go into its settings.
-func (y *cluster) launch(id, domain string, extra ...string) {
-	y.t.Helper()
-	proxy := y.newProxy(id, y.platform)
-	peers := y.newProxy(id+" peers", "127.0.0.1:1") // its address is needed before the instance's is known
-	file := filepath.Join(y.t.TempDir(), id+".yaml")
-	secret := filepath.Join(y.t.TempDir(), "secret")
+func (c *cluster) launch(id, domain string, extra ...string) {
+	c.t.Helper()
+	proxy := c.newProxy(id, c.platform)
+	peers := c.newProxy(id+" peers", "127.0.0.1:1") // its address is needed before the instance's is known
+	file := filepath.Join(c.t.TempDir(), id+".yaml")
+	secret := filepath.Join(c.t.TempDir(), "secret")
 	if err := os.WriteFile(secret, []byte("yard\n"), 0o600); err != nil {
-		y.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	text := fmt.Sprintf("id: %s\ndomain: %s\ncaller: 127.0.0.1:0\npeer: 127.0.0.1:0\nadvertise: %s\noperator: 127.0.0.1:0\nplatform: %s\n"+
 		"secret: %s\nlease: %s\nbeat: 200ms\npoll: 200ms\nnotice: 1500ms\ndrain: 20s\n", id, domain, peers.Listen, proxy.Listen, secret, clusterLease) + strings.Join(extra, "\n")
 	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		y.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	e := &entryInstance{process: start(y.t, "serve", "--settings", file), peerProxy: peers, platformProxy: proxy}
-	e.caller = e.await(y.t, `msg=started caller=(\S+)`)
-	e.operator = e.await(y.t, `msg=started .* operator=(\S+)`)
-	upstream := e.await(y.t, `msg=started .* peer=(\S+)`)
-	waitFor(y.t, "the proxy listens again", func() bool {
+	e := &entryInstance{process: start(c.t, "serve", "--settings", file), peerProxy: peers, platformProxy: proxy}
+	e.caller = e.await(c.t, `msg=started caller=(\S+)`)
+	e.operator = e.await(c.t, `msg=started .* operator=(\S+)`)
+	upstream := e.await(c.t, `msg=started .* peer=(\S+)`)
+	waitFor(c.t, "the proxy listens again", func() bool {
 		return peers.Update(&toxiproxy.Proxy{Listen: peers.Listen, Upstream: upstream, Enabled: true}) == nil
 	})
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.instances[id] = e
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.instances[id] = e
 }
 
 // proxyCount counts the proxies. Each listens on a loopback address of its own: on
@@ -141,36 +141,36 @@
 var proxyCount atomic.Int64
 
 // newProxy starts a proxy that a test can cut.
-func (y *cluster) newProxy(name, upstream string) *toxiproxy.Proxy {
-	y.t.Helper()
+func (c *cluster) newProxy(name, upstream string) *toxiproxy.Proxy {
+	c.t.Helper()
 	n := proxyCount.Add(1)
 	proxy := toxiproxy.NewProxy()
 	proxy.Name, proxy.Listen, proxy.Upstream = name, fmt.Sprintf("127.1.%d.%d:0", 1+n/250, 1+n%250), upstream
 	if err := proxy.Start(); err != nil {
-		y.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	y.t.Cleanup(proxy.Stop)
+	c.t.Cleanup(proxy.Stop)
 	return proxy
 }
 
 // stopProxies takes proxies away for a while.
-func (y *cluster) stopProxies(d time.Duration, proxies ...*toxiproxy.Proxy) {
-	y.t.Helper()
+func (c *cluster) stopProxies(d time.Duration, proxies ...*toxiproxy.Proxy) {
+	c.t.Helper()
 	for _, p := range proxies {
 		p.Stop()
 	}
 	time.Sleep(d)
 	for _, p := range proxies {
-		waitFor(y.t, "the proxy listens again", func() bool { return p.Start() == nil })
+		waitFor(c.t, "the proxy listens again", func() bool { return p.Start() == nil })
 	}
 }
 
 // addresses are the entry addresses of both domains as the balancer knows them.
-func (y *cluster) addresses() [][]string {
-	y.mu.Lock()
-	defer y.mu.Unlock()
+func (c *cluster) addresses() [][]string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	addresses := make([][]string, 2)
-	for id, e := range y.instances {
+	for id, e := range c.instances {
 		if !e.outOfRotation {
 			domain := int(id[0] - 'a')
 			addresses[domain] = append(addresses[domain], e.caller)
@@ -179,32 +179,32 @@
 	return addresses
 }
 
-func (y *cluster) instance(id string) *entryInstance {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	return y.instances[id]
+func (c *cluster) instance(id string) *entryInstance {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.instances[id]
 }
 
 // setOutOfRotation tells the balancer whether to send an instance anything.
-func (y *cluster) setOutOfRotation(id string, out bool) {
-	y.mu.Lock()
-	defer y.mu.Unlock()
-	y.instances[id].outOfRotation = out
+func (c *cluster) setOutOfRotation(id string, out bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.instances[id].outOfRotation = out
 }
 
 // status returns what an instance says of itself; false if it does not answer.
-func (y *cluster) status(id string) (server.Status, bool) {
+func (c *cluster) status(id string) (server.Status, bool) {
 	var s server.Status
-	ok := getJSON(y.instance(id).operator, server.PathStatus, &s)
+	ok := getJSON(c.instance(id).operator, server.PathStatus, &s)
 	return s, ok
 }
 
 // waitForOwners waits until every runner has an owner in the eyes of every instance.
-func (y *cluster) waitForOwners() {
-	y.t.Helper()
-	waitFor(y.t, "owners of all runners", func() bool {
+func (c *cluster) waitForOwners() {
+	c.t.Helper()
+	waitFor(c.t, "owners of all runners", func() bool {
 		for id := range map[string]bool{"a-1": true, "a-2": true, "b-1": true} {
-			s, ok := y.status(id)
+			s, ok := c.status(id)
 			if !ok || !s.Ready || len(s.Runners) == 0 {
 				return false
 			}
@@ -219,9 +219,9 @@
 }
 
 // completion asks an instance for a completion and returns the body.
-func (y *cluster) completion(id string) string {
-	y.t.Helper()
-	address := y.instance(id).caller
+func (c *cluster) completion(id string) string {
+	c.t.Helper()
+	address := c.instance(id).caller
 	request := &fasthttp.Request{}
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.Header.Set(fasthttp.HeaderAuthorization, "Bearer "+clusterKey)
@@ -230,17 +230,17 @@
 	var r requester.Requester
 	_, body, seen := r.Whole(context.Background(), address, request)
 	if seen != nil {
-		y.t.Fatalf("%s: %+v", id, seen)
+		c.t.Fatalf("%s: %+v", id, seen)
 	}
 	return string(body)
 }
 
 // setFaults sets the faults of a stand-in.
-func (y *cluster) setFaults(address string, faults any) {
-	y.t.Helper()
+func (c *cluster) setFaults(address string, faults any) {
+	c.t.Helper()
 	data, err := json.Marshal(faults)
 	if err != nil {
-		y.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	request := &fasthttp.Request{}
 	request.Header.SetMethod(fasthttp.MethodPost)
@@ -248,35 +248,35 @@
 	request.SetBody(data)
 	var r requester.Requester
 	if _, _, seen := r.Whole(context.Background(), address, request); seen != nil {
-		y.t.Fatalf("control of %s: %+v", address, seen)
+		c.t.Fatalf("control of %s: %+v", address, seen)
 	}
 }
 
 // audit compares the books with what the callers saw.
-func (y *cluster) audit(results []sender.Result, planned bool) (auditor.Violations, []string) {
-	y.t.Helper()
+func (c *cluster) audit(results []sender.Result, planned bool) (auditor.Violations, []string) {
+	c.t.Helper()
 	audit := auditor.Audit{Results: results, Planned: planned}
-	for _, address := range y.engines {
-		var books generator.Record
-		if !getJSON(address, generator.PathBooks, &books) {
-			y.t.Fatalf("no books from %s", address)
+	for _, address := range c.engines {
+		var record generator.Record
+		if !getJSON(address, generator.PathBooks, &record) {
+			c.t.Fatalf("no books from %s", address)
 		}
-		audit.Engines = append(audit.Engines, books)
+		audit.Engines = append(audit.Engines, record)
 	}
-	if !getJSON(y.service, responder.PathBooks, &audit.Calls) {
-		y.t.Fatal("no books from the service")
+	if !getJSON(c.service, responder.PathBooks, &audit.Calls) {
+		c.t.Fatal("no books from the service")
 	}
 	return audit.Run(), audit.Details()
 }
 
 // startTraffic sends calls until stop is called, which returns the results.
-func (y *cluster) startTraffic(workload sampler.Workload) (stop func() []sender.Result) {
-	y.t.Helper()
+func (c *cluster) startTraffic(workload sampler.Workload) (stop func() []sender.Result) {
+	c.t.Helper()
 	calls, err := workload.Draw()
 	if err != nil {
-		y.t.Fatal(err)
+		c.t.Fatal(err)
 	}
-	s := sender.Sender{Addresses: y.addresses, Key: clusterKey, Service: "records"}
+	s := sender.Sender{Addresses: c.addresses, Key: clusterKey, Service: "records"}
 	var results []sender.Result
 	done := make(chan struct{})
 	go func() {
--- a/internal/command/commander/faults_test.go
+++ b/internal/command/commander/faults_test.go
@@ -40,7 +40,7 @@
 		name    string
 		fencing bool
 		planned bool // no request may be cut off or refused for it
-		fault   func(y *cluster)
+		fault   func(c *cluster)
 	}{
 		// The owner of runners is paused past its lease while it sends requests
 		// and orders. Another instance takes over; then the owner resumes and
@@ -73,23 +73,23 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			y := newCluster(t, tc.fencing)
-			stop := y.startTraffic(faultWorkload())
+			c := newCluster(t, tc.fencing)
+			stop := c.startTraffic(faultWorkload())
 			time.Sleep(loadSpan / 7)
-			tc.fault(y)
+			tc.fault(c)
 			results := stop()
-			promises, faults := y.audit(results, tc.planned)
+			promises, faults := c.audit(results, tc.planned)
 			if promises != (auditor.Violations{}) {
 				t.Errorf("%+v\n%v", promises, faults)
 			}
-			whole := 0
+			complete := 0
 			for _, r := range results {
 				if r.Complete {
-					whole++
+					complete++
 				}
 			}
-			t.Logf("%d of %d answered whole", whole, len(results))
-			if whole == 0 {
+			t.Logf("%d of %d answered whole", complete, len(results))
+			if complete == 0 {
 				t.Error("nothing was answered, so nothing was checked")
 			}
 		})
@@ -101,112 +101,112 @@
 // One without seeds says that it is not ready and refuses with not_run.
 func TestStartsWhilePlatformIsDown(t *testing.T) {
 	t.Parallel()
-	y := newCluster(t, true)
-	y.completion("a-1") // makes the adapter resident: the weight store goes away too
-	y.setFaults(y.platform, registrar.Faults{Down: true})
-	y.launch("a-3", "a", "seeds: ["+y.instance("a-1").peerProxy.Listen+"]")
-	y.launch("a-4", "a")
+	c := newCluster(t, true)
+	c.completion("a-1") // makes the adapter resident: the weight store goes away too
+	c.setFaults(c.platform, registrar.Faults{Down: true})
+	c.launch("a-3", "a", "seeds: ["+c.instance("a-1").peerProxy.Listen+"]")
+	c.launch("a-4", "a")
 	waitFor(t, "the one with a seed has settings and knows owners", func() bool {
-		s, ok := y.status("a-3")
+		s, ok := c.status("a-3")
 		return ok && s.Ready && s.Revision == 1 && len(s.Runners) == 2 && s.Runners[0].Owner != "" && s.Runners[1].Owner != ""
 	})
 	for id, want := range map[string]string{"a-3": `"text"`, "a-4": `"verdict":"not_run"`} {
-		if body := y.completion(id); !strings.Contains(body, want) {
+		if body := c.completion(id); !strings.Contains(body, want) {
 			t.Errorf("%s answered %s, want %s", id, body, want)
 		}
 	}
 }
 
-func pauseOwnerPastLease(y *cluster) {
-	y.instance("a-1").signal(syscall.SIGSTOP)
-	y.setOutOfRotation("a-1", true)
+func pauseOwnerPastLease(c *cluster) {
+	c.instance("a-1").signal(syscall.SIGSTOP)
+	c.setOutOfRotation("a-1", true)
 	time.Sleep(2 * clusterLease)
-	y.instance("a-1").signal(syscall.SIGCONT)
-	y.setOutOfRotation("a-1", false)
+	c.instance("a-1").signal(syscall.SIGCONT)
+	c.setOutOfRotation("a-1", false)
 }
 
-func killInstance(y *cluster) {
-	y.instance("a-1").signal(syscall.SIGKILL)
-	y.launch("a-1", "a")
+func killInstance(c *cluster) {
+	c.instance("a-1").signal(syscall.SIGKILL)
+	c.launch("a-1", "a")
 }
 
-func restartEngines(y *cluster) {
+func restartEngines(c *cluster) {
 	for range 3 {
-		for _, e := range y.engines {
-			y.setFaults(e, generator.Faults{Restart: true})
+		for _, e := range c.engines {
+			c.setFaults(e, generator.Faults{Restart: true})
 			time.Sleep(loadSpan / 20)
 		}
 	}
 }
 
-func loseOrderResponses(y *cluster) {
-	for _, e := range y.engines {
-		y.setFaults(e, generator.Faults{Lose: 6, Fail: 6, Stall: 50 * time.Millisecond})
+func loseOrderResponses(c *cluster) {
+	for _, e := range c.engines {
+		c.setFaults(e, generator.Faults{Lose: 6, Fail: 6, Stall: 50 * time.Millisecond})
 	}
 }
 
-func takePlatformDown(y *cluster) {
-	y.setFaults(y.platform, registrar.Faults{Down: true})
+func takePlatformDown(c *cluster) {
+	c.setFaults(c.platform, registrar.Faults{Down: true})
 	time.Sleep(2 * clusterLease)
-	y.setFaults(y.platform, registrar.Faults{})
+	c.setFaults(c.platform, registrar.Faults{})
 }
 
-func loseCommitResponses(y *cluster) {
+func loseCommitResponses(c *cluster) {
 	for range 10 {
-		y.setFaults(y.platform, registrar.Faults{Lose: 5, Slow: 20 * time.Millisecond})
+		c.setFaults(c.platform, registrar.Faults{Lose: 5, Slow: 20 * time.Millisecond})
 		time.Sleep(loadSpan / 20)
 	}
-	y.setFaults(y.platform, registrar.Faults{})
+	c.setFaults(c.platform, registrar.Faults{})
 }
 
-func partitionFromPlatform(y *cluster) {
-	y.stopProxies(2*clusterLease, y.instance("a-1").platformProxy)
+func partitionFromPlatform(c *cluster) {
+	c.stopProxies(2*clusterLease, c.instance("a-1").platformProxy)
 }
 
-func partitionFromPeers(y *cluster) {
-	y.stopProxies(2*clusterLease, y.instance("a-1").peerProxy)
+func partitionFromPeers(c *cluster) {
+	c.stopProxies(2*clusterLease, c.instance("a-1").peerProxy)
 }
 
-func partitionAll(y *cluster) {
-	y.stopProxies(2*clusterLease, y.instance("a-1").peerProxy, y.instance("a-2").peerProxy, y.instance("b-1").peerProxy, y.instance("b-1").platformProxy)
+func partitionAll(c *cluster) {
+	c.stopProxies(2*clusterLease, c.instance("a-1").peerProxy, c.instance("a-2").peerProxy, c.instance("b-1").peerProxy, c.instance("b-1").platformProxy)
 }
 
-func truncateResponses(y *cluster) {
-	for _, e := range y.engines {
-		y.setFaults(e, generator.Faults{Cut: 8, Refuse: 8})
+func truncateResponses(c *cluster) {
+	for _, e := range c.engines {
+		c.setFaults(e, generator.Faults{Cut: 8, Refuse: 8})
 	}
-	y.setFaults(y.service, responder.Faults{Lose: 5})
+	c.setFaults(c.service, responder.Faults{Lose: 5})
 }
 
-func drainUpstream(y *cluster) {
-	y.setFaults(y.engines[0], generator.Faults{Leaving: true})
+func drainUpstream(c *cluster) {
+	c.setFaults(c.engines[0], generator.Faults{Leaving: true})
 }
 
-func rollingReplacement(y *cluster) {
+func rollingReplacement(c *cluster) {
 	for _, id := range []string{"a-1", "a-2", "b-1"} {
-		y.launch(id+"x", id[:1])
-		waitFor(y.t, id+"x is ready", func() bool {
-			s, ok := y.status(id + "x")
+		c.launch(id+"x", id[:1])
+		waitFor(c.t, id+"x is ready", func() bool {
+			s, ok := c.status(id + "x")
 			return ok && s.Ready && len(s.Runners) > 0
 		})
-		old := y.instance(id)
+		old := c.instance(id)
 		old.signal(syscall.SIGTERM)
 		time.Sleep(300 * time.Millisecond) // until the balancer has noticed; the instance still serves
-		y.setOutOfRotation(id, true)
+		c.setOutOfRotation(id, true)
 		<-old.done
 	}
 }
 
-func allAtOnce(y *cluster) {
-	loseOrderResponses(y)
-	y.setFaults(y.platform, registrar.Faults{Lose: 10, Slow: 20 * time.Millisecond})
-	y.instance("a-1").signal(syscall.SIGSTOP)
-	y.setOutOfRotation("a-1", true)
-	y.setFaults(y.engines[1], generator.Faults{Restart: true})
-	y.instance("b-1").signal(syscall.SIGKILL)
-	y.launch("b-1", "b")
+func allAtOnce(c *cluster) {
+	loseOrderResponses(c)
+	c.setFaults(c.platform, registrar.Faults{Lose: 10, Slow: 20 * time.Millisecond})
+	c.instance("a-1").signal(syscall.SIGSTOP)
+	c.setOutOfRotation("a-1", true)
+	c.setFaults(c.engines[1], generator.Faults{Restart: true})
+	c.instance("b-1").signal(syscall.SIGKILL)
+	c.launch("b-1", "b")
 	time.Sleep(2 * clusterLease)
-	y.instance("a-1").signal(syscall.SIGCONT)
-	y.setOutOfRotation("a-1", false)
-	partitionFromPlatform(y)
+	c.instance("a-1").signal(syscall.SIGCONT)
+	c.setOutOfRotation("a-1", false)
+	partitionFromPlatform(c)
 }
--- a/internal/command/commander/scripts_test.go
+++ b/internal/command/commander/scripts_test.go
@@ -158,9 +158,9 @@
 	request.SetRequestURI("http://" + ts.Getenv("CALLER") + "/v1/completions")
 	request.SetBodyString(body)
 	var r requester.Requester
-	status, answer, seen := r.Whole(context.Background(), ts.Getenv("CALLER"), request)
+	status, response, seen := r.Whole(context.Background(), ts.Getenv("CALLER"), request)
 	if seen != nil {
 		ts.Fatalf("%+v", seen)
 	}
-	return status, string(answer)
+	return status, string(response)
 }
--- a/internal/command/commander/settingsapplycmd.go
+++ b/internal/command/commander/settingsapplycmd.go
@@ -46,7 +46,7 @@
 	return cmd
 }
 
-func (c *Commander) runApply(ctx context.Context, args []string, flags applyFlags, based bool) error {
+func (c *Commander) runApply(ctx context.Context, args []string, flags applyFlags, hasBase bool) error {
 	p, err := newPublisher(flags.platform, flags.dry)
 	if err != nil {
 		return err
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	if !based {
+	if !hasBase {
 		flags.base = head.Revision
 	}
 	revision, err := p.Apply(ctx, publisher.Edit{Files: files, Base: flags.base, Author: flags.author, Note: flags.note})
--- a/internal/command/commander/tls_test.go
+++ b/internal/command/commander/tls_test.go
@@ -89,18 +89,18 @@
 // is heard, without a restart.
 func TestMutualTLS(t *testing.T) {
 	t.Parallel()
-	y := newClusterWithoutInstances(t, true)
+	c := newClusterWithoutInstances(t, true)
 	ours, other := newAuthority(t), newAuthority(t)
-	stranger := t.TempDir()
-	other.sign(stranger)
+	foreignDir := t.TempDir()
+	other.sign(foreignDir)
 	for _, id := range []string{"a-1", "a-2"} {
 		dir := t.TempDir()
 		ours.sign(dir)
-		y.launch(id, "a", tlsLine(dir))
+		c.launch(id, "a", tlsLine(dir))
 	}
-	y.launch("a-3", "a", tlsLine(stranger))
-	heard := func(by, id string) bool {
-		s, ok := y.status(by)
+	c.launch("a-3", "a", tlsLine(foreignDir))
+	seesLive := func(by, id string) bool {
+		s, ok := c.status(by)
 		if !ok {
 			return false
 		}
@@ -111,15 +111,15 @@
 		}
 		return false
 	}
-	waitFor(t, "the two hear each other", func() bool { return heard("a-1", "a-2") && heard("a-2", "a-1") })
+	waitFor(t, "the two hear each other", func() bool { return seesLive("a-1", "a-2") && seesLive("a-2", "a-1") })
 	waitFor(t, "the third is listed", func() bool {
-		s, _ := y.status("a-1")
+		s, _ := c.status("a-1")
 		return len(s.Peers) == 2
 	})
-	if heard("a-1", "a-3") || heard("a-3", "a-1") {
+	if seesLive("a-1", "a-3") || seesLive("a-3", "a-1") {
 		t.Error("an instance with another authority's certificate was heard")
 	}
-	ours.sign(stranger)
-	y.instance("a-3").signal(syscall.SIGHUP)
-	waitFor(t, "the third is heard after the reload", func() bool { return heard("a-1", "a-3") && heard("a-3", "a-1") })
+	ours.sign(foreignDir)
+	c.instance("a-3").signal(syscall.SIGHUP)
+	waitFor(t, "the third is heard after the reload", func() bool { return seesLive("a-1", "a-3") && seesLive("a-3", "a-1") })
 }
--- a/internal/experiment/auditor/auditor.go
+++ b/internal/experiment/auditor/auditor.go
@@ -103,20 +103,20 @@
 }
 
 func (a *Audit) checkResult(r *sender.Result, p *Violations) {
-	runs := a.executions[r.Call.Marker]
-	for _, run := range runs {
+	executions := a.executions[r.Call.Marker]
+	for _, run := range executions {
 		if run.adapter != r.Call.Adapter {
 			p.Version++
 			a.addDetail("%s asked for %s and ran on %s", r.Call.Marker, r.Call.Adapter, run.adapter)
 		}
 	}
-	if r.Call.Once && len(runs) > 1 {
+	if r.Call.Once && len(executions) > 1 {
 		p.Once++
-		a.addDetail("%s ran %d times", r.Call.Marker, len(runs))
+		a.addDetail("%s ran %d times", r.Call.Marker, len(executions))
 	}
-	if r.Verdict == judge.NotRun && len(runs) > 0 {
+	if r.Verdict == judge.NotRun && len(executions) > 0 {
 		p.NotRun++
-		a.addDetail("%s was told not_run (%s) and ran %d times", r.Call.Marker, r.Reason, len(runs))
+		a.addDetail("%s was told not_run (%s) and ran %d times", r.Call.Marker, r.Reason, len(executions))
 	}
 	if r.Complete && r.Call.Adapter != "" {
 		a.checkResponse(r, p)
--- a/internal/experiment/auditor/auditor_test.go
+++ b/internal/experiment/auditor/auditor_test.go
@@ -28,13 +28,13 @@
 // The audit judges all else, so each promise is broken here once and must be
 // reported, and nothing else with it.
 func TestAuditReportsEachViolation(t *testing.T) {
-	once, refused, cut := completeResult(), completeResult(), completeResult()
+	once, refused, cutOff := completeResult(), completeResult(), completeResult()
 	once.Call.Once = true
 	refused.Complete, refused.Verdict, refused.Reason = false, judge.NotRun, judge.ReasonDial
-	cut.Complete, cut.Verdict, cut.Reason = false, judge.MayHaveRun, judge.ReasonCut
-	stranger, short, mixed := completeResult(), completeResult(), completeResult()
-	stranger.Text = "y@1|c:1/2 y@1|c:2/2 "
-	short.Text = "x@1|c:1/2 "
+	cutOff.Complete, cutOff.Verdict, cutOff.Reason = false, judge.MayHaveRun, judge.ReasonCut
+	wrongAdapter, truncated, mixed := completeResult(), completeResult(), completeResult()
+	wrongAdapter.Text = "y@1|c:1/2 y@1|c:2/2 "
+	truncated.Text = "x@1|c:1/2 "
 	mixed.Text = "x@1|c:1/2 x@1|d:2/2 "
 	stopping := refused
 	stopping.Reason = judge.ReasonStopping
@@ -47,9 +47,9 @@
 	}{
 		{"all well", completeResult(), generator.Record{Runs: []generator.Run{executionOf("x@1")}}, auditor.Audit{Planned: true}, auditor.Violations{}},
 		{"ran on another version", completeResult(), generator.Record{Runs: []generator.Run{executionOf("x@2")}}, auditor.Audit{}, auditor.Violations{Version: 1}},
-		{"answered by another adapter", stranger, generator.Record{}, auditor.Audit{}, auditor.Violations{Version: 1}},
+		{"answered by another adapter", wrongAdapter, generator.Record{}, auditor.Audit{}, auditor.Violations{Version: 1}},
 		{"evicted while serving", completeResult(), generator.Record{EvictedRunning: []generator.RunningEviction{{Marker: "c"}}}, auditor.Audit{}, auditor.Violations{Pinned: 1}},
-		{"short answer", short, generator.Record{}, auditor.Audit{}, auditor.Violations{Complete: 1}},
+		{"short answer", truncated, generator.Record{}, auditor.Audit{}, auditor.Violations{Complete: 1}},
 		{"another caller's part", mixed, generator.Record{}, auditor.Audit{}, auditor.Violations{Complete: 1}},
 		{"told not_run", refused, generator.Record{Runs: []generator.Run{executionOf("x@1")}}, auditor.Audit{}, auditor.Violations{NotRun: 1}},
 		{"ran twice", once, generator.Record{Runs: []generator.Run{executionOf("x@1"), executionOf("x@1")}}, auditor.Audit{}, auditor.Violations{Once: 1}},
@@ -63,7 +63,7 @@
 		{"work to a leaving engine", completeResult(), generator.Record{
 			LeavingSince: leavingSince, Runs: []generator.Run{{Marker: "c", Adapter: "x@1", StartedAt: leavingSince.Add(4 * time.Second)}},
 		}, auditor.Audit{}, auditor.Violations{Leaving: 1}},
-		{"cut by a planned stop", cut, generator.Record{}, auditor.Audit{Planned: true}, auditor.Violations{Graceful: 1}},
+		{"cut by a planned stop", cutOff, generator.Record{}, auditor.Audit{Planned: true}, auditor.Violations{Graceful: 1}},
 		{"refused for a planned stop", stopping, generator.Record{}, auditor.Audit{Planned: true}, auditor.Violations{Graceful: 1}},
 		{"settings went back", completeResult(), generator.Record{}, auditor.Audit{Settings: []string{"back"}}, auditor.Violations{Settings: 1}},
 	} {
--- a/internal/experiment/comparer/comparer.go
+++ b/internal/experiment/comparer/comparer.go
@@ -142,18 +142,18 @@
 }
 
 func (c *Cell) aggregate() {
-	each := func(value func(r *reporter.Report) float64) Spread {
+	spreadOf := func(value func(r *reporter.Report) float64) Spread {
 		var values []float64
 		for i := range c.Reports {
 			values = append(values, value(&c.Reports[i]))
 		}
 		return spread(values)
 	}
-	c.Stall = each(func(r *reporter.Report) float64 { return r.TotalStall })
-	c.StallP99 = each(func(r *reporter.Report) float64 { return r.Stall.P99 })
-	c.Batch = each(func(r *reporter.Report) float64 { return r.BatchEfficiency })
-	c.LoadsPer1000 = each(func(r *reporter.Report) float64 { return float64(r.Loads) * 1000 / float64(r.Requests) })
-	c.CompleteFraction = each(func(r *reporter.Report) float64 { return float64(r.Verdicts["ran"]) / float64(r.Requests) })
+	c.Stall = spreadOf(func(r *reporter.Report) float64 { return r.TotalStall })
+	c.StallP99 = spreadOf(func(r *reporter.Report) float64 { return r.Stall.P99 })
+	c.Batch = spreadOf(func(r *reporter.Report) float64 { return r.BatchEfficiency })
+	c.LoadsPer1000 = spreadOf(func(r *reporter.Report) float64 { return float64(r.Loads) * 1000 / float64(r.Requests) })
+	c.CompleteFraction = spreadOf(func(r *reporter.Report) float64 { return float64(r.Verdicts["ran"]) / float64(r.Requests) })
 	for i := range c.Reports {
 		c.Violations += c.Reports[i].Violations.Total()
 	}
--- a/internal/experiment/runner/demo.go
+++ b/internal/experiment/runner/demo.go
@@ -35,27 +35,27 @@
 func changeSettings(ctx context.Context, r *Runner) error {
 	p := r.Plan
 	root := fmt.Appendf(nil, "kind: root\nvalues: %s\nweights: {rate: %v, together: %d}\n# changed\n", p.Values, p.Rate*p.Speed, p.Together)
-	_, err := r.stage.Apply(ctx, "root.yaml", root)
+	_, err := r.deployment.Apply(ctx, "root.yaml", root)
 	return err
 }
 
 func drainEngine(_ context.Context, r *Runner) error {
-	r.stage.Engines[0].Set(generator.Faults{Leaving: true})
+	r.deployment.Engines[0].Set(generator.Faults{Leaving: true})
 	return nil
 }
 
 // replaceInstance starts a further instance in the first domain and stops one
 // there gracefully.
 func replaceInstance(_ context.Context, r *Runner) error {
-	instance, err := r.stage.Launch(r.Plan.Domains[0]+"-9", r.Plan.Domains[0])
+	instance, err := r.deployment.Launch(r.Plan.Domains[0]+"-9", r.Plan.Domains[0])
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.stage.Instances = append(r.stage.Instances, instance)
-	old := r.stage.Instances[0]
+	r.deployment.Instances = append(r.deployment.Instances, instance)
+	replaced := r.deployment.Instances[0]
 	r.mu.Unlock()
-	old.Stop()
+	replaced.Stop()
 	r.SetOutOfRotation(0, true)
 	return nil
 }
--- a/internal/experiment/runner/runner.go
+++ b/internal/experiment/runner/runner.go
@@ -36,7 +36,7 @@
 
 	done               atomic.Int64
 	note               atomic.Value
-	stage              *stager.Deployment
+	deployment         *stager.Deployment
 	mu                 sync.Mutex
 	outOfRotation      map[int]bool // instances that the balancer has taken out
 	settingsViolations []string     // of the settings
@@ -60,15 +60,15 @@
 		return reporter.Report{}, err
 	}
 	r.setNote("starting")
-	stage, err := stager.Start(ctx, r.Plan, r.Logger)
+	deployment, err := stager.Start(ctx, r.Plan, r.Logger)
 	if err != nil {
 		return reporter.Report{}, err
 	}
-	defer stage.Stop()
-	r.stage = stage
+	defer deployment.Stop()
+	r.deployment = deployment
 	r.outOfRotation = make(map[int]bool)
 	if r.OnReady != nil {
-		r.OnReady(stage)
+		r.OnReady(deployment)
 	}
 	results := r.runWorkload(ctx, calls)
 	if err := ctx.Err(); err != nil {
@@ -76,13 +76,13 @@
 	}
 	report := r.buildReport(results)
 	if r.OnReport != nil {
-		err = r.OnReport(ctx, stage, report)
+		err = r.OnReport(ctx, deployment, report)
 	}
 	return report, err
 }
 
-// Stage returns the deployment that runs.
-func (r *Runner) Stage() *stager.Deployment { return r.stage }
+// Deployment returns the deployment that runs.
+func (r *Runner) Deployment() *stager.Deployment { return r.deployment }
 
 // SetOutOfRotation takes an instance out of the balancer or puts it back.
 func (r *Runner) SetOutOfRotation(instance int, out bool) {
@@ -97,10 +97,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	addresses := make([][]string, len(r.Plan.Domains))
-	for i, instance := range r.stage.Instances {
+	for i, instance := range r.deployment.Instances {
 		domain := slices.Index(r.Plan.Domains, instance.Server.Config.Domain)
 		if ready, _ := instance.Server.Ready(); ready && !r.outOfRotation[i] {
-			addresses[domain] = append(addresses[domain], r.stage.Address(i))
+			addresses[domain] = append(addresses[domain], r.deployment.Address(i))
 		}
 	}
 	return addresses
@@ -108,11 +108,11 @@
 
 func (r *Runner) buildReport(results []sender.Result) reporter.Report {
 	var engines []generator.Record
-	for _, e := range r.stage.Engines {
+	for _, e := range r.deployment.Engines {
 		engines = append(engines, e.Record())
 	}
 	var calls []responder.Call
-	for _, s := range r.stage.Services {
+	for _, s := range r.deployment.Services {
 		calls = append(calls, s.Calls()...)
 	}
 	audit := auditor.Audit{Calls: calls, Engines: engines, Results: results, Planned: true, Settings: r.settingsViolations}
@@ -127,7 +127,7 @@
 
 func (r *Runner) retries() map[string]int {
 	retries := make(map[string]int)
-	for _, i := range r.stage.Instances {
+	for _, i := range r.deployment.Instances {
 		var b bytes.Buffer
 		i.Server.Metrics.WritePrometheus(&b)
 		for _, match := range retryLine.FindAllStringSubmatch(b.String(), -1) {
@@ -150,12 +150,12 @@
 // runWorkload sends the workload while the events happen and the revisions are
 // watched.
 func (r *Runner) runWorkload(ctx context.Context, calls []sampler.Call) []sender.Result {
-	watched, stop := context.WithCancel(ctx)
+	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var aside sync.WaitGroup
-	aside.Go(func() { r.watchRevisions(watched) })
+	var background sync.WaitGroup
+	background.Go(func() { r.watchRevisions(watchCtx) })
 	for _, e := range r.Events {
-		aside.Go(func() { r.runEvent(ctx, e) })
+		background.Go(func() { r.runEvent(ctx, e) })
 	}
 	s := sender.Sender{Addresses: r.addresses, Key: stager.Key, Service: r.Plan.Service, OnResult: func(sender.Result) {
 		done := int(r.done.Add(1))
@@ -166,7 +166,7 @@
 	results := s.Run(ctx, calls)
 	r.awaitRevision(ctx)
 	stop()
-	aside.Wait()
+	background.Wait()
 	return results
 }
 
@@ -207,12 +207,12 @@
 func (r *Runner) instances() []*stager.Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.stage.Instances)
+	return slices.Clone(r.deployment.Instances)
 }
 
 // awaitRevision waits until the last accepted revision is in force everywhere.
 func (r *Runner) awaitRevision(ctx context.Context) {
-	want := r.stage.Revision()
+	want := r.deployment.Revision()
 	deadline := time.Now().Add(revisionTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
 		if r.allAtRevision(want) {
@@ -226,7 +226,7 @@
 func (r *Runner) allAtRevision(want uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, instance := range r.stage.Instances {
+	for i, instance := range r.deployment.Instances {
 		if !r.outOfRotation[i] && instance.Server.Watcher.Revision() != want {
 			return false
 		}
--- a/internal/experiment/sender/sender.go
+++ b/internal/experiment/sender/sender.go
@@ -75,22 +75,22 @@
 // send sends one call. Like a caller behind a balancer it goes on to another
 // address when none listens at the first one, which means that nothing was
 // sent.
-func (s *Sender) send(ctx context.Context, call *sampler.Call, turn int) Result {
+func (s *Sender) send(ctx context.Context, call *sampler.Call, index int) Result {
 	result := Result{Call: *call, SentAt: time.Now()}
 	ctx, cancel := context.WithTimeout(ctx, call.Deadline+clientGrace)
 	defer cancel()
-	for _, address := range s.order(call, turn) {
+	for _, address := range s.order(call, index) {
 		var r requester.Requester
-		answer, seen := r.Do(ctx, address, s.request(call, address))
-		if _, dialled := seen.(judge.Dialed); dialled {
+		response, seen := r.Do(ctx, address, s.request(call, address))
+		if _, notDialed := seen.(judge.Dialed); notDialed {
 			continue
 		}
 		if seen != nil {
 			result.setError(judge.Judge(seen))
 			break
 		}
-		result.readResponse(answer)
-		answer.Close()
+		result.readResponse(response)
+		response.Close()
 		break
 	}
 	result.Duration = time.Since(result.SentAt)
@@ -99,13 +99,13 @@
 
 // order returns the addresses to try: those of the caller's domain in turn,
 // then those of the others.
-func (s *Sender) order(call *sampler.Call, turn int) []string {
+func (s *Sender) order(call *sampler.Call, index int) []string {
 	var order []string
 	domains := s.Addresses()
 	for d := range domains {
 		domain := domains[(call.HomeDomain+d)%len(domains)]
 		for i := range domain {
-			order = append(order, domain[(turn+i)%len(domain)])
+			order = append(order, domain[(index+i)%len(domain)])
 		}
 	}
 	return order
@@ -139,18 +139,18 @@
 	r.Err = err.Message
 }
 
-func (r *Result) readResponse(answer *requester.Answer) {
-	r.Status = answer.Status
-	r.Runner = string(answer.Header.Peek(answerer.HeaderRunner))
-	r.Stall, _ = time.ParseDuration(string(answer.Header.Peek(answerer.HeaderStall))) // none is no stall
+func (r *Result) readResponse(response *requester.Answer) {
+	r.Status = response.Status
+	r.Runner = string(response.Header.Peek(answerer.HeaderRunner))
+	r.Stall, _ = time.ParseDuration(string(response.Header.Peek(answerer.HeaderStall))) // none is no stall
 	r.FirstByte = time.Since(r.SentAt)
-	if answer.Status < fasthttp.StatusBadRequest && strings.HasPrefix(string(answer.Header.ContentType()), "text/event-stream") {
-		r.readStream(answer)
+	if response.Status < fasthttp.StatusBadRequest && strings.HasPrefix(string(response.Header.ContentType()), "text/event-stream") {
+		r.readStream(response)
 		return
 	}
-	body, err := io.ReadAll(answer.Body)
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		r.setError(judge.Judge(answer.Broken(err)))
+		r.setError(judge.Judge(response.Broken(err)))
 		return
 	}
 	r.readBody(body)
@@ -184,9 +184,9 @@
 	Error *answerer.Detail
 }
 
-func (r *Result) readStream(answer *requester.Answer) {
+func (r *Result) readStream(response *requester.Answer) {
 	r.Verdict = judge.MayHaveRun
-	scanner := bufio.NewScanner(answer.Body)
+	scanner := bufio.NewScanner(response.Body)
 	for scanner.Scan() {
 		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		if !ok {
--- a/internal/experiment/stager/deployment.go
+++ b/internal/experiment/stager/deployment.go
@@ -53,8 +53,8 @@
 
 // Start sets a plan up and waits until every instance is ready to serve.
 func Start(ctx context.Context, plan Plan, logger log.Logger) (*Deployment, error) {
-	lasting, cancel := context.WithCancel(context.WithoutCancel(ctx)) // Stop ends the stand-ins last
-	s := &Deployment{Plan: plan, cancel: cancel, ctx: lasting, logger: logger}
+	standinCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // Stop ends the stand-ins last
+	s := &Deployment{Plan: plan, cancel: cancel, ctx: standinCtx, logger: logger}
 	if err := s.start(ctx); err != nil {
 		s.Stop()
 		return nil, err
--- a/internal/experiment/stager/herd_test.go
+++ b/internal/experiment/stager/herd_test.go
@@ -62,20 +62,20 @@
 func thunderingHerd(b *testing.B, s *stager.Deployment, capacity float64) {
 	const times = 5
 	n := int(times * capacity)
-	began := time.Now()
+	start := time.Now()
 	var loud, quiet []sender.Result
 	var both sync.WaitGroup
 	both.Go(func() { loud = burst(b.Context(), s, stager.Key, "desk", n*9/10) })
 	both.Go(func() { quiet = burst(b.Context(), s, quietKey, "quiet", n/10) })
 	both.Wait()
-	last := began
+	last := start
 	for _, r := range append(append([]sender.Result{}, loud...), quiet...) {
 		if end := r.SentAt.Add(r.Duration); r.Complete && end.After(last) {
 			last = end
 		}
 	}
 	answered := countComplete(loud) + countComplete(quiet)
-	b.ReportMetric(float64(answered)/last.Sub(began).Seconds()/capacity, "goodput")
+	b.ReportMetric(float64(answered)/last.Sub(start).Seconds()/capacity, "goodput")
 	b.ReportMetric(float64(countComplete(loud))/float64(len(loud)), "loud")
 	b.ReportMetric(float64(countComplete(quiet))/float64(len(quiet)), "quiet")
 }
--- a/internal/experiment/stager/hop_test.go
+++ b/internal/experiment/stager/hop_test.go
@@ -34,9 +34,9 @@
 		owner, other = 1, 0
 	}
 	ask(b, s.Address(owner), "desk-1@1") // loads it
-	report := s.Engines[0].Resident()
+	resident := s.Engines[0].Resident()
 	for _, target := range []struct{ name, address, model string }{
-		{"engine", s.Engines[0].Listener.Addr().String(), report[0]},
+		{"engine", s.Engines[0].Listener.Addr().String(), resident[0]},
 		{"owner", s.Address(owner), "desk-1@1"},
 		{"passed on", s.Address(other), "desk-1@1"},
 	} {
@@ -58,11 +58,11 @@
 	for range b.N {
 		<-ticker.C
 		calls.Go(func() {
-			begin := time.Now()
+			start := time.Now()
 			call()
 			mu.Lock()
 			defer mu.Unlock()
-			took = append(took, time.Since(begin))
+			took = append(took, time.Since(start))
 		})
 	}
 	calls.Wait()
--- a/internal/experiment/stager/quarantine_test.go
+++ b/internal/experiment/stager/quarantine_test.go
@@ -51,16 +51,16 @@
 		t.Errorf("%d runs began more than 3 s after the third crash, %d in all", late, len(at))
 	}
 	for i, instance := range s.Instances {
-		if held := instance.Server.Status().Quarantine; len(held) != 1 || held[0].Crashes < 3 {
-			t.Errorf("instance %d shows %+v in quarantine", i, held)
+		if quarantined := instance.Server.Status().Quarantine; len(quarantined) != 1 || quarantined[0].Crashes < 3 {
+			t.Errorf("instance %d shows %+v in quarantine", i, quarantined)
 		}
 	}
 	if status != fasthttp.StatusServiceUnavailable {
 		t.Errorf("status %d, want a refusal that says that it has not run", status)
 	}
-	status, answer := post(t, s.Address(0), "/v1/chat/completions", `{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"hello"}]}`)
+	status, response := post(t, s.Address(0), "/v1/chat/completions", `{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"hello"}]}`)
 	if status != fasthttp.StatusOK {
-		t.Errorf("another request: status %d: %s", status, answer)
+		t.Errorf("another request: status %d: %s", status, response)
 	}
 }
 
@@ -69,8 +69,8 @@
 func TestQuarantineSurvivesReplacingAllInstances(t *testing.T) {
 	s := smallDeployment(t)
 	body := `{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"` + generator.CrashMarker + `"}]}`
-	held := func(i *stager.Instance) bool { return len(i.Server.Status().Quarantine) > 0 }
-	for end := time.Now().Add(20 * time.Second); !held(s.Instances[0]) || !held(s.Instances[1]); time.Sleep(50 * time.Millisecond) {
+	quarantined := func(i *stager.Instance) bool { return len(i.Server.Status().Quarantine) > 0 }
+	for end := time.Now().Add(20 * time.Second); !quarantined(s.Instances[0]) || !quarantined(s.Instances[1]); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not held within 20 s")
 		}
@@ -86,7 +86,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(20 * time.Second); !held(i); time.Sleep(50 * time.Millisecond) {
+		for end := time.Now().Add(20 * time.Second); !quarantined(i); time.Sleep(50 * time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("a new instance of %s does not hold it", domain)
 			}
--- a/internal/experiment/surveyor/slope.go
+++ b/internal/experiment/surveyor/slope.go
@@ -40,10 +40,10 @@
 	for i := range s.Points {
 		xs[i] = s.Points[i].X
 	}
-	for name, figure := range metrics {
+	for name, metric := range metrics {
 		ys := make([]float64, len(s.Points))
 		for i := range s.Points {
-			ys[i] = figure(&s.Points[i])
+			ys[i] = metric(&s.Points[i])
 		}
 		at0, each := stat.LinearRegression(xs, ys, nil, false)
 		s.Fits[name] = Fit{Intercept: at0, PerUnit: each, R2: stat.RSquared(xs, ys, nil, at0, each)}
@@ -51,10 +51,10 @@
 }
 
 // Values returns the figure's value at each point, for display.
-func (s *Slope) Values(figure string) []string {
+func (s *Slope) Values(metric string) []string {
 	values := make([]string, len(s.Points))
 	for i := range s.Points {
-		values[i] = fmt.Sprintf("%v:%.4g", s.Points[i].X, metrics[figure](&s.Points[i]))
+		values[i] = fmt.Sprintf("%v:%.4g", s.Points[i].X, metrics[metric](&s.Points[i]))
 	}
 	return values
 }
--- a/internal/experiment/surveyor/surveyor.go
+++ b/internal/experiment/surveyor/surveyor.go
@@ -70,18 +70,18 @@
 	})
 }
 
-func (s *Surveyor) measureTraffic(ctx context.Context, name, over string, xs []int, drawn func(x int) sampler.Workload) (Slope, error) {
+func (s *Surveyor) measureTraffic(ctx context.Context, name, over string, xs []int, workloadFor func(x int) sampler.Workload) (Slope, error) {
 	slope := Slope{Name: name, Over: over}
 	for _, x := range xs {
-		w := drawn(x)
+		w := workloadFor(x)
 		p := plan(2, 4)
 		p.Speed = 10 // a token every 2.5 ms, so that requests end
-		direct, err := s.directCPU(ctx, p, w)
+		baseline, err := s.directCPU(ctx, p, w)
 		if err != nil {
 			return slope, err
 		}
-		point, err := s.measurePoint(ctx, p, float64(x), direct, func(ctx context.Context, stage *stager.Deployment) error {
-			return sendWorkload(ctx, w, []string{stage.Address(0), stage.Address(1)})
+		point, err := s.measurePoint(ctx, p, float64(x), baseline, func(ctx context.Context, deployment *stager.Deployment) error {
+			return sendWorkload(ctx, w, []string{deployment.Address(0), deployment.Address(1)})
 		})
 		if err != nil {
 			return slope, err
@@ -97,8 +97,8 @@
 func (s *Surveyor) Changes(ctx context.Context, rates []int) (Slope, error) {
 	slope := Slope{Name: "changes of the settings", Over: "changes a second"}
 	for _, r := range rates {
-		point, err := s.measurePoint(ctx, plan(4, 2), float64(r), 0, func(ctx context.Context, stage *stager.Deployment) error {
-			return s.applyChanges(ctx, stage, r)
+		point, err := s.measurePoint(ctx, plan(4, 2), float64(r), 0, func(ctx context.Context, deployment *stager.Deployment) error {
+			return s.applyChanges(ctx, deployment, r)
 		})
 		if err != nil {
 			return slope, err
@@ -109,11 +109,11 @@
 	return slope, nil
 }
 
-func (s *Surveyor) applyChanges(ctx context.Context, stage *stager.Deployment, rate int) error {
+func (s *Surveyor) applyChanges(ctx context.Context, deployment *stager.Deployment, rate int) error {
 	begin := time.Now()
 	for i := range rate * int(s.Span/time.Second) {
 		text := fmt.Appendf(nil, "kind: account\nname: other\nvalues: {deadline: %dms}\n", 1000+i)
-		if _, err := stage.Apply(ctx, "other.yaml", text); err != nil {
+		if _, err := deployment.Apply(ctx, "other.yaml", text); err != nil {
 			return err
 		}
 		time.Sleep(time.Until(begin.Add(time.Duration(i+1) * time.Second / time.Duration(rate))))
@@ -152,14 +152,14 @@
 // same work without the system between them.
 func (s *Surveyor) directCPU(ctx context.Context, p stager.Plan, w sampler.Workload) (float64, error) {
 	p.Instances = 0
-	stage, err := stager.Start(ctx, p, log.NewNopLogger())
+	deployment, err := stager.Start(ctx, p, log.NewNopLogger())
 	if err != nil {
 		return 0, err
 	}
-	defer stage.Stop()
+	defer deployment.Stop()
 	engine := caller.Client{Timeout: 10 * time.Second}
 	var addresses []string
-	for _, e := range stage.Engines {
+	for _, e := range deployment.Engines {
 		address := e.Listener.Addr().String()
 		addresses = append(addresses, address)
 		for i := range w.Adapters {
@@ -167,24 +167,24 @@
 			engine.Order(ctx, address, keeper.Load{Handle: keeper.ParseHandle(name)})
 		}
 	}
-	before := takeSample(stage)
+	before := takeSample(deployment)
 	if err := sendWorkload(ctx, w, addresses); err != nil {
 		return 0, err
 	}
-	after := takeSample(stage)
+	after := takeSample(deployment)
 	return (after.cpu - before.cpu) / after.at.Sub(before.at).Seconds(), nil
 }
 
-func (s *Surveyor) measureIdle(ctx context.Context, name, over string, counts []int, planned func(n int) stager.Plan) (Slope, error) {
+func (s *Surveyor) measureIdle(ctx context.Context, name, over string, counts []int, planFor func(n int) stager.Plan) (Slope, error) {
 	slope := Slope{Name: name, Over: over}
 	for _, n := range counts {
-		bare := planned(n)
+		bare := planFor(n)
 		bare.Instances = 0
-		idle, err := s.standinCPU(ctx, bare)
+		baseline, err := s.standinCPU(ctx, bare)
 		if err != nil {
 			return slope, err
 		}
-		point, err := s.measurePoint(ctx, planned(n), float64(n), idle, func(ctx context.Context, _ *stager.Deployment) error {
+		point, err := s.measurePoint(ctx, planFor(n), float64(n), baseline, func(ctx context.Context, _ *stager.Deployment) error {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
@@ -206,34 +206,34 @@
 
 // measurePoint measures one size. Off is the processor time a second of what is not an
 // instance, which is taken off.
-func (s *Surveyor) measurePoint(ctx context.Context, p stager.Plan, x, off float64, do func(context.Context, *stager.Deployment) error) (Point, error) {
+func (s *Surveyor) measurePoint(ctx context.Context, p stager.Plan, x, baselineCPU float64, do func(context.Context, *stager.Deployment) error) (Point, error) {
 	if s.Progress != nil {
 		s.Progress(p.Name, x)
 	}
-	stage, err := stager.Start(ctx, p, log.NewNopLogger())
+	deployment, err := stager.Start(ctx, p, log.NewNopLogger())
 	if err != nil {
 		return Point{}, err
 	}
-	defer stage.Stop()
+	defer deployment.Stop()
 	time.Sleep(warmUp)
-	before := takeSample(stage)
-	if err := do(ctx, stage); err != nil {
+	before := takeSample(deployment)
+	if err := do(ctx, deployment); err != nil {
 		return Point{}, err
 	}
-	after := takeSample(stage)
-	return before.pointTo(after, off, x, float64(p.Instances)), nil
+	after := takeSample(deployment)
+	return before.pointTo(after, baselineCPU, x, float64(p.Instances)), nil
 }
 
 // standinCPU returns the processor time a second of the stand-ins alone.
 func (s *Surveyor) standinCPU(ctx context.Context, p stager.Plan) (float64, error) {
-	stage, err := stager.Start(ctx, p, log.NewNopLogger())
+	deployment, err := stager.Start(ctx, p, log.NewNopLogger())
 	if err != nil {
 		return 0, err
 	}
-	defer stage.Stop()
-	before := takeSample(stage)
+	defer deployment.Stop()
+	before := takeSample(deployment)
 	time.Sleep(s.Span / 2)
-	after := takeSample(stage)
+	after := takeSample(deployment)
 	return (after.cpu - before.cpu) / after.at.Sub(before.at).Seconds(), nil
 }
 
--- a/internal/standin/generator/engine.go
+++ b/internal/standin/generator/engine.go
@@ -54,10 +54,10 @@
 func (e *Engine) Record() Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	books := e.record
-	books.Batch = e.Batch
-	books.Runs = slices.Clone(e.record.Runs)
-	return books
+	record := e.record
+	record.Batch = e.Batch
+	record.Runs = slices.Clone(e.record.Runs)
+	return record
 }
 
 // Run serves until ctx ends.
@@ -96,14 +96,14 @@
 
 // handleCancel ends a request, if it runs.
 func (e *Engine) handleCancel(c *fasthttp.RequestCtx) {
-	var told Cancel
-	if !listener.Decode(c, &told) {
+	var received Cancel
+	if !listener.Decode(c, &received) {
 		return
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, s := range append(slices.Clone(e.running), e.waiting...) {
-		if e.record.Runs[s.recordIndex].Request == told.Request {
+		if e.record.Runs[s.recordIndex].Request == received.Request {
 			s.abort()
 		}
 	}
@@ -295,12 +295,12 @@
 
 // recordReport keeps reports for as long as any lag reaches back.
 func (e *Engine) recordReport(now time.Time) {
-	const kept = 200
+	const maxReports = 200
 	if n := len(e.history); n > 0 && now.Sub(e.history[n-1].at) < reportInterval {
 		return
 	}
 	e.history = append(e.history, timedReport{at: now, report: e.currentReport()})
-	if len(e.history) > kept {
+	if len(e.history) > maxReports {
 		e.history = e.history[1:]
 	}
 }
--- a/internal/standin/registrar/platform.go
+++ b/internal/standin/registrar/platform.go
@@ -85,8 +85,8 @@
 }
 
 func (p *Platform) announce(c *fasthttp.RequestCtx) {
-	var told lister.Announcement
-	if !decode(c, &told) {
+	var received lister.Announcement
+	if !decode(c, &received) {
 		return
 	}
 	now := time.Now()
@@ -95,13 +95,13 @@
 	if p.announced == nil {
 		p.announced = make(map[string]*announcement)
 	}
-	a, ok := p.announced[told.Instance.Incarnation]
+	a, ok := p.announced[received.Instance.Incarnation]
 	if !ok {
 		a = &announcement{firstAt: now}
-		p.announced[told.Instance.Incarnation] = a
+		p.announced[received.Instance.Incarnation] = a
 	}
-	a.Announcement = told
-	if told.Instance.Leaving && a.leavingSince.IsZero() {
+	a.Announcement = received
+	if received.Instance.Leaving && a.leavingSince.IsZero() {
 		a.leavingSince = now
 	}
 }
@@ -172,8 +172,8 @@
 		if a.endedAt.IsZero() && a.terminated() {
 			a.endedAt = now
 		}
-		gone := !a.endedAt.IsZero() && now.Sub(a.endedAt) >= p.Lag
-		if gone || now.Sub(a.firstAt) < p.Lag {
+		unlisted := !a.endedAt.IsZero() && now.Sub(a.endedAt) >= p.Lag
+		if unlisted || now.Sub(a.firstAt) < p.Lag {
 			continue
 		}
 		i := a.Instance
@@ -231,11 +231,11 @@
 	p.activeLoads++
 	p.counters.Loads++
 	p.counters.MaxConcurrentLoads = max(p.counters.MaxConcurrentLoads, p.activeLoads)
-	took := p.loadTime()
+	duration := p.loadTime()
 	down := p.faults.Down
 	p.mu.Unlock()
 	if !down {
-		time.Sleep(took)
+		time.Sleep(duration)
 	}
 	p.mu.Lock()
 	p.activeLoads--
