--- a/internal/command/commander/cluster_test.go
+++ b/internal/command/commander/cluster_test.go
@@ -27,9 +27,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// A yard is a deployment of real processes: a platform, engines and entry
-// instances in domains a and b, each instance behind a proxy of its own to the
-// platform.
+// A cluster is a deployment of real processes: a platform, engines, a plain service
+// and entry instances in domains a and b. Each instance reaches the platform, and
+// is reached by its peers, through proxies of its own.
 type cluster struct {
 	t         *testing.T
 	engines   []string
@@ -39,15 +39,15 @@
 	service   string
 }
 
-// An entry is one entry instance.
+// An entryInstance is an entry instance of a cluster.
 type entryInstance struct {
 	*process
 
 	caller        string
 	operator      string
-	peerProxy     *toxiproxy.Proxy // before its links from peers
-	platformProxy *toxiproxy.Proxy // before the platform
-	outOfRotation bool             // the balancer sends it nothing
+	peerProxy     *toxiproxy.Proxy // in front of its peer address
+	platformProxy *toxiproxy.Proxy // in front of the platform
+	outOfRotation bool             // the balancer sends it no requests
 }
 
 const (
@@ -65,7 +65,7 @@
 	return c
 }
 
-// newClusterWithoutInstances is a yard without entry instances.
+// newClusterWithoutInstances starts a cluster without entry instances.
 func newClusterWithoutInstances(t *testing.T, fencing bool) *cluster {
 	t.Helper()
 	c := &cluster{t: t, instances: make(map[string]*entryInstance)}
@@ -103,15 +103,15 @@
 	apply := start(c.t, "settings", "apply", dir, "--platform", c.platform)
 	<-apply.done
 	if code := apply.cmd.ProcessState.ExitCode(); code != commander.ExitOK {
-		c.t.Fatalf("settings apply ended with %d: %s", code, apply.tail())
+		c.t.Fatalf("settings apply exited with %d: %s", code, apply.tail())
 	}
 }
 
-// launch starts an entry instance. Extra lines go into its settings.
+// launch starts an entry instance. Extra lines are appended to its settings.
 func (c *cluster) launch(id, domain string, extra ...string) {
 	c.t.Helper()
 	proxy := c.newProxy(id, c.platform)
-	peers := c.newProxy(id+" peers", "127.0.0.1:1") // its address is needed before the instance's is known
+	peers := c.newProxy(id+" peers", "127.0.0.1:1") // the settings need its address before the instance's address is known
 	file := filepath.Join(c.t.TempDir(), id+".yaml")
 	secret := filepath.Join(c.t.TempDir(), "secret")
 	if err := os.WriteFile(secret, []byte("yard\n"), 0o600); err != nil {
@@ -135,12 +135,12 @@
 }
 
 // proxyCount counts the proxies. Each listens on a loopback address of its own: on
-// a shared one, a connection that goes out while the proxy is cut can take its
-// port, and the proxy cannot come back. The library frees the port a moment
-// after it says so, hence the waits.
+// a shared address, an outgoing connection could be assigned the port of a stopped
+// proxy, which then could not be restarted. The library releases the port shortly
+// after Stop returns, hence the waits.
 var proxyCount atomic.Int64
 
-// newProxy starts a proxy that a test can cut.
+// newProxy starts a proxy that a test can stop.
 func (c *cluster) newProxy(name, upstream string) *toxiproxy.Proxy {
 	c.t.Helper()
 	n := proxyCount.Add(1)
@@ -153,7 +153,7 @@
 	return proxy
 }
 
-// stopProxies takes proxies away for a while.
+// stopProxies stops the proxies for d.
 func (c *cluster) stopProxies(d time.Duration, proxies ...*toxiproxy.Proxy) {
 	c.t.Helper()
 	for _, p := range proxies {
@@ -165,7 +165,7 @@
 	}
 }
 
-// addresses are the entry addresses of both domains as the balancer knows them.
+// addresses returns the caller addresses in rotation at the balancer, by domain.
 func (c *cluster) addresses() [][]string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -185,21 +185,21 @@
 	return c.instances[id]
 }
 
-// setOutOfRotation tells the balancer whether to send an instance anything.
+// setOutOfRotation removes an instance from the balancer's rotation or adds it back.
 func (c *cluster) setOutOfRotation(id string, out bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.instances[id].outOfRotation = out
 }
 
-// status returns what an instance says of itself; false if it does not answer.
+// status returns the status of an instance, or false if it does not respond.
 func (c *cluster) status(id string) (server.Status, bool) {
 	var s server.Status
 	ok := getJSON(c.instance(id).operator, server.PathStatus, &s)
 	return s, ok
 }
 
-// waitForOwners waits until every runner has an owner in the eyes of every instance.
+// waitForOwners waits until every instance knows an owner for every runner.
 func (c *cluster) waitForOwners() {
 	c.t.Helper()
 	waitFor(c.t, "owners of all runners", func() bool {
@@ -218,7 +218,7 @@
 	})
 }
 
-// completion asks an instance for a completion and returns the body.
+// completion sends a completion request to an instance and returns the response body.
 func (c *cluster) completion(id string) string {
 	c.t.Helper()
 	address := c.instance(id).caller
@@ -235,7 +235,7 @@
 	return string(body)
 }
 
-// setFaults sets the faults of a stand-in.
+// setFaults sets the faults that a stand-in injects.
 func (c *cluster) setFaults(address string, faults any) {
 	c.t.Helper()
 	data, err := json.Marshal(faults)
@@ -252,24 +252,24 @@
 	}
 }
 
-// audit compares the books with what the callers saw.
+// audit compares the records of the stand-ins with what the callers saw.
 func (c *cluster) audit(results []sender.Result, planned bool) (auditor.Violations, []string) {
 	c.t.Helper()
 	audit := auditor.Audit{Results: results, Planned: planned}
 	for _, address := range c.engines {
 		var record generator.Record
 		if !getJSON(address, generator.PathBooks, &record) {
-			c.t.Fatalf("no books from %s", address)
+			c.t.Fatalf("no record from %s", address)
 		}
 		audit.Engines = append(audit.Engines, record)
 	}
 	if !getJSON(c.service, responder.PathBooks, &audit.Calls) {
-		c.t.Fatal("no books from the service")
+		c.t.Fatal("no record from the service")
 	}
 	return audit.Run(), audit.Details()
 }
 
-// startTraffic sends calls until stop is called, which returns the results.
+// startTraffic starts the workload; stop waits for its end and returns the results.
 func (c *cluster) startTraffic(workload sampler.Workload) (stop func() []sender.Result) {
 	c.t.Helper()
 	calls, err := workload.Draw()
--- a/internal/command/commander/commander.go
+++ b/internal/command/commander/commander.go
@@ -16,7 +16,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/publisher"
 )
 
-// The exit codes, as docs/COMMANDS.md lists them.
+// Exit codes of the program; docs/COMMANDS.md documents them.
 const (
 	ExitOK          = 0
 	ExitFailure     = 1
@@ -26,16 +26,14 @@
 	ExitUnreachable = 5
 )
 
-// An exitError is an error with the exit code that it ends in.
+// An exitError attaches an exit code to an error.
 type exitError struct {
 	code int
 	err  error
 }
 
-// Error implements error.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap returns the cause.
 func (e *exitError) Unwrap() error { return e.err }
 
 func refused(err error) error { return &exitError{code: ExitRefused, err: err} }
@@ -44,7 +42,7 @@
 
 func usage(err error) error { return &exitError{code: ExitUsage, err: err} }
 
-// A Commander holds what the commands share.
+// A Commander holds the standard streams shared by all commands.
 type Commander struct {
 	in  io.Reader
 	out io.Writer
@@ -55,9 +53,9 @@
 func Main(args []string, in io.Reader, out, errOut io.Writer) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
-	// A second Ctrl-C ends the program at once. A second SIGTERM does not: who
-	// supervises the program may send several, and a graceful stop would cut off
-	// its callers.
+	// A second Ctrl-C terminates the program at once. A second SIGTERM does not: a
+	// supervisor may send several, and terminating would abort the requests that
+	// the graceful stop waits for.
 	context.AfterFunc(ctx, func() { signal.Reset(os.Interrupt) })
 	c := &Commander{in: in, out: out, err: errOut}
 	root := c.newRootCmd()
@@ -73,7 +71,7 @@
 	return exitCode(err)
 }
 
-// exitCode returns what an error ends in.
+// exitCode maps an error to an exit code.
 func exitCode(err error) int {
 	var exit *exitError
 	var conflict *publisher.ConflictError
@@ -113,8 +111,8 @@
 	return root
 }
 
-// strictArgs makes wrong arguments of any command a usage error, and a group of
-// commands refuse what is none of them.
+// strictArgs makes invalid arguments of any command a usage error, and makes
+// command groups reject unknown subcommands.
 func strictArgs(cmd *cobra.Command) {
 	check := cmd.Args
 	if cmd.HasSubCommands() {
--- a/internal/command/commander/democmd.go
+++ b/internal/command/commander/democmd.go
@@ -16,7 +16,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/experiment/stager"
 )
 
-// demoFlags are the flags of demo.
+// demoFlags holds the flags of the demo command.
 type demoFlags struct {
 	deployment string
 	keep       bool
@@ -48,7 +48,7 @@
 	return cmd
 }
 
-// errInvariantViolated is a run in which a promise did not hold.
+// errInvariantViolated is returned when a run violated an invariant.
 var errInvariantViolated = errors.New("a promise was broken")
 
 func (c *Commander) runDemo(ctx context.Context, flags demoFlags) error {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// keepRunning leaves the deployment up until the program is stopped.
+// keepRunning keeps the deployment running until ctx is cancelled.
 func (c *Commander) keepRunning(ctx context.Context, s *stager.Deployment) {
 	address := s.Address(1)
 	fmt.Fprintf(c.err, "\nThe deployment stays up until Ctrl-C. Callers: %s, operators: %s\n\n", address, s.Instances[1].Server.Listeners.Operator.Addr())
@@ -104,11 +104,11 @@
 	return report.Print(c.out)
 }
 
-// progressInterval is how often progress is shown at most.
+// progressInterval is the minimum time between two progress updates.
 const progressInterval = 200 * time.Millisecond
 
-// progress returns a function that shows how far a run is: one line that is
-// written over on a terminal, one line for each note elsewhere.
+// progress returns a function that displays the progress of a run: on a terminal
+// a single line that is overwritten, elsewhere one line for each new note.
 func (c *Commander) progress() func(done, total int, note string) {
 	terminal := isTerminal(c.err)
 	shown := make(chan progressLine, 1)
@@ -117,7 +117,7 @@
 		line := progressLine{done: done, total: total, note: note}
 		select {
 		case shown <- line:
-		default: // the next one says more
+		default: // drop it; the next update supersedes it
 		}
 	}
 }
--- a/internal/command/commander/doc.go
+++ b/internal/command/commander/doc.go
@@ -1,2 +1,2 @@
-// Package commander is the command line: one file for each command.
+// Package commander implements the command line, one file per command.
 package commander
--- a/internal/command/commander/experimentcmd.go
+++ b/internal/command/commander/experimentcmd.go
@@ -45,7 +45,7 @@
 		return printErr
 	}
 	if ctx.Err() != nil {
-		return fmt.Errorf("stopped before the end; the figures are of the runs that had ended")
+		return fmt.Errorf("interrupted; the figures cover only the runs that had ended")
 	}
 	return err
 }
--- a/internal/command/commander/faults_test.go
+++ b/internal/command/commander/faults_test.go
@@ -20,8 +20,8 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// loadSpan is how long each fault is under load. The faults begin in it and end in
-// it; what is checked does not depend on how far anything got.
+// loadSpan is the duration of the workload of each test case. Faults start and end
+// within it; the checks do not depend on how much was completed.
 const loadSpan = 7 * time.Second
 
 func faultWorkload() sampler.Workload {
@@ -31,43 +31,44 @@
 	}
 }
 
-// Real processes under load, one fault at a time and several together. The
-// callers must see only what the stand-ins' books bear out: whole answers of
-// the adapter they named, not_run for what did not run, one run at most for
-// what may not be repeated, and no adapter evicted while it serves.
+// Runs real processes under load and injects one fault at a time or several
+// together. What the callers saw must agree with the records of the stand-ins:
+// complete responses from the requested adapter, not_run only for requests that
+// were not executed, at most one execution of requests that must not be
+// repeated, and no adapter evicted while it serves a request.
 func TestInvariantsUnderFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		fencing bool
-		planned bool // no request may be cut off or refused for it
+		planned bool // no request may be aborted or rejected because of it
 		fault   func(c *cluster)
 	}{
-		// The owner of runners is paused past its lease while it sends requests
-		// and orders. Another instance takes over; then the owner resumes and
-		// acts on what it believed.
+		// The owner of runners is paused beyond its lease while it sends requests
+		// and orders. Another instance takes over; then the previous owner resumes
+		// and acts on stale state.
 		{"owner paused, engine checks fencing", true, false, pauseOwnerPastLease},
 		{"owner paused, engine ignores fencing", false, false, pauseOwnerPastLease},
-		// An instance dies with requests in flight and claims open.
+		// An instance is killed with requests in flight and open idempotency claims.
 		{"instance killed", false, false, killInstance},
-		// Engines restart empty under load; a copy believed resident is gone.
+		// Engines restart empty under load; adapters assumed resident are missing.
 		{"cold start", true, false, restartEngines},
-		// Loads fail and orders are carried out without an answer.
-		{"orders lost and loads failed", false, false, loseOrderResponses},
-		// The platform is away for two lease times.
-		{"platform away", false, false, takePlatformDown},
-		// Writes take effect and their answers are lost.
-		{"answers lost", true, false, loseCommitResponses},
-		// One instance is cut off from the platform, not from its peers.
-		{"instance cut from platform", false, false, partitionFromPlatform},
-		// Nobody reaches one instance, though it reaches all others.
-		{"instance cut from its peers", false, false, partitionFromPeers},
-		// No instance reaches any other, and a whole domain not the platform.
-		{"every instance alone", true, false, partitionAll},
-		// An engine and the plain service answer in part or not at all.
-		{"answers cut", true, false, truncateResponses},
-		// An engine says that it leaves.
-		{"upstream leaves", true, true, drainUpstream},
-		// Every instance is replaced under load, one after the other.
+		// Loads fail, and orders are executed but their responses are lost.
+		{"order responses lost and loads failed", false, false, loseOrderResponses},
+		// The platform is unavailable for twice the lease duration.
+		{"platform unavailable", false, false, takePlatformDown},
+		// Writes take effect but their responses are lost.
+		{"commit responses lost", true, false, loseCommitResponses},
+		// One instance cannot reach the platform but can reach its peers.
+		{"instance partitioned from platform", false, false, partitionFromPlatform},
+		// One instance can reach its peers but not be reached by them.
+		{"instance partitioned from its peers", false, false, partitionFromPeers},
+		// No instance can reach another, and one domain cannot reach the platform.
+		{"all instances partitioned", true, false, partitionAll},
+		// Responses of an engine and of the plain service are truncated or missing.
+		{"responses truncated", true, false, truncateResponses},
+		// An engine reports that it is draining.
+		{"upstream drains", true, true, drainUpstream},
+		// All instances are replaced under load, one after another.
 		{"rolling replacement", true, true, rollingReplacement},
 		{"all at once", false, false, allAtOnce},
 	} {
@@ -88,31 +89,32 @@
 					complete++
 				}
 			}
-			t.Logf("%d of %d answered whole", complete, len(results))
+			t.Logf("%d of %d received a complete response", complete, len(results))
 			if complete == 0 {
-				t.Error("nothing was answered, so nothing was checked")
+				t.Error("no request received a complete response, so nothing was checked")
 			}
 		})
 	}
 }
 
-// The platform is away when an instance starts. It finds no list, turns to its
-// seed, takes the settings in force from it, and serves by passing requests on.
-// One without seeds says that it is not ready and refuses with not_run.
+// The platform is unavailable when an instance starts. Without an instance list it
+// contacts its seed, fetches the active settings from it and serves by forwarding
+// requests. An instance without seeds must report that it is not ready and reject
+// requests with not_run.
 func TestStartsWhilePlatformIsDown(t *testing.T) {
 	t.Parallel()
 	c := newCluster(t, true)
-	c.completion("a-1") // makes the adapter resident: the weight store goes away too
+	c.completion("a-1") // loads the adapter first, since the weight store becomes unavailable too
 	c.setFaults(c.platform, registrar.Faults{Down: true})
 	c.launch("a-3", "a", "seeds: ["+c.instance("a-1").peerProxy.Listen+"]")
 	c.launch("a-4", "a")
-	waitFor(t, "the one with a seed has settings and knows owners", func() bool {
+	waitFor(t, "the instance with a seed has settings and knows the owners", func() bool {
 		s, ok := c.status("a-3")
 		return ok && s.Ready && s.Revision == 1 && len(s.Runners) == 2 && s.Runners[0].Owner != "" && s.Runners[1].Owner != ""
 	})
 	for id, want := range map[string]string{"a-3": `"text"`, "a-4": `"verdict":"not_run"`} {
 		if body := c.completion(id); !strings.Contains(body, want) {
-			t.Errorf("%s answered %s, want %s", id, body, want)
+			t.Errorf("%s responded %s, want %s", id, body, want)
 		}
 	}
 }
@@ -191,7 +193,7 @@
 		})
 		old := c.instance(id)
 		old.signal(syscall.SIGTERM)
-		time.Sleep(300 * time.Millisecond) // until the balancer has noticed; the instance still serves
+		time.Sleep(300 * time.Millisecond) // until the balancer has removed it; the instance still serves
 		c.setOutOfRotation(id, true)
 		<-old.done
 	}
--- a/internal/command/commander/gatewaycmd.go
+++ b/internal/command/commander/gatewaycmd.go
@@ -16,7 +16,8 @@
 	"github.com/sardinetiller/sardinetiller/platform"
 )
 
-// settingsVariable names the settings file where a platform starts the program.
+// settingsVariable is the environment variable with the path of the settings file,
+// for instances that the platform starts.
 const settingsVariable = "SARDINETILLER_SETTINGS"
 
 func (c *Commander) newGatewayCmd() *cobra.Command {
@@ -71,9 +72,9 @@
 	return g.Run(ctx)
 }
 
-// newGatewayMetrics returns the counters of an instance. Those of refusals and
-// retries are there from the start, so that a reason that has not occurred
-// shows as 0.
+// newGatewayMetrics returns the metrics of an instance. The counters of refusals
+// and retries are registered up front, so that a reason that has not occurred
+// is exported as 0.
 func newGatewayMetrics() *metrics.Set {
 	set := metrics.NewSet()
 	for _, reason := range judge.Reasons {
@@ -85,8 +86,8 @@
 	return set
 }
 
-// listenGateway opens the sockets. An address for counters that is taken costs
-// the counters, not the instance.
+// listenGateway opens the listeners. A metrics address that is already in use
+// disables metrics but does not keep the instance from starting.
 func (c *Commander) listenGateway(config configurer.Gateway, record *recorder.Recorder) (gatekeeper.Listeners, error) {
 	var l gatekeeper.Listeners
 	err := listenOn(socket{"caller", config.Caller, &l.Caller}, socket{"peer", config.Peer, &l.Peer}, socket{"ready", config.Ready, &l.Ready})
@@ -98,7 +99,7 @@
 	}
 	counters, err := net.Listen("tcp", config.Metrics)
 	if err != nil {
-		record.Log(recorder.Lifecycle, "msg", "no address for counters", "err", err)
+		record.Log(recorder.Lifecycle, "msg", "cannot listen on the metrics address; serving without metrics", "err", err)
 		return l, nil
 	}
 	l.Metrics = counters
--- a/internal/command/commander/listen.go
+++ b/internal/command/commander/listen.go
@@ -5,13 +5,13 @@
 	"net"
 )
 
-// A socket is an address of the settings and what listens on it.
+// A socket is a listen address from the settings and the listener to open on it.
 type socket struct {
 	field, address string
 	listener       *net.Listener
 }
 
-// listenOn opens sockets. The error names the field and the fix.
+// listenOn opens the listeners. The error names the settings field and the fix.
 func listenOn(sockets ...socket) error {
 	for _, s := range sockets {
 		var err error
--- a/internal/command/commander/loadcmd.go
+++ b/internal/command/commander/loadcmd.go
@@ -16,7 +16,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/decoder"
 )
 
-// loadFlags are the flags of load.
+// loadFlags holds the flags of the load command.
 type loadFlags struct {
 	addresses []string
 	file      string
--- a/internal/command/commander/output.go
+++ b/internal/command/commander/output.go
@@ -12,20 +12,20 @@
 	"github.com/spf13/cobra"
 )
 
-// The forms of output.
+// Output formats.
 const (
 	outputJSON  = "json"
 	outputTable = "table"
 	outputYAML  = "yaml"
 )
 
-// addOutputFlag adds the flag for the form of output.
+// addOutputFlag adds the flag for the output format.
 func addOutputFlag(cmd *cobra.Command, output *string) {
 	cmd.Flags().StringVarP(output, "output", "o", outputTable, "table, json or yaml")
 }
 
-// print writes a value in the form that was asked for. Rows are those of the
-// table, the first one its heading.
+// print writes a value in the requested format. The table format prints rows, of
+// which the first is the header.
 func (c *Commander) print(output string, value any, rows [][]string) error {
 	switch output {
 	case outputJSON:
--- a/internal/command/commander/platform.go
+++ b/internal/command/commander/platform.go
@@ -20,17 +20,17 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// platformTimeout bounds one call of the platform from the command line.
+// platformTimeout limits a single call to the platform or to an instance.
 const platformTimeout = 5 * time.Second
 
-// addPlatformFlag adds the flag that says where the platform is.
+// addPlatformFlag adds the flag for the platform's address.
 func addPlatformFlag(cmd *cobra.Command, address *string) {
 	cmd.Flags().StringVar(address, "platform", os.Getenv("SARDINETILLER_PLATFORM"),
 		"host:port of the platform; from SARDINETILLER_PLATFORM if not given")
 }
 
-// newPublisher returns a publisher on the platform at an address. A dry one
-// reads and checks, and writes nothing.
+// newPublisher returns a publisher that uses the platform at address. A dry-run
+// publisher reads and validates but writes nothing.
 func newPublisher(address string, dry bool) (*publisher.Publisher, error) {
 	if address == "" {
 		return nil, usage(fmt.Errorf("no platform; give --platform host:port or set SARDINETILLER_PLATFORM"))
@@ -53,7 +53,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// operatorFlags say which instance a command asks, and with which key.
+// operatorFlags select the instance that a command queries and the key it sends.
 type operatorFlags struct {
 	address string
 	token   string
@@ -66,7 +66,7 @@
 		"file with the operators' key; from SARDINETILLER_TOKEN if not given")
 }
 
-// call asks the instance and decodes its answer.
+// call sends a request to the instance and decodes its response.
 func (o *operatorFlags) call(ctx context.Context, method, path string, into any) error {
 	if o.address == "" {
 		return usage(fmt.Errorf("no instance; give --operator host:port or set SARDINETILLER_OPERATOR"))
@@ -95,7 +95,7 @@
 	return json.Unmarshal(body, into)
 }
 
-// readKey reads a file with a key; no file is no key.
+// readKey reads a key from a file. An empty file name means no key.
 func readKey(file string) (string, error) {
 	if file == "" {
 		return "", nil
--- a/internal/command/commander/process_test.go
+++ b/internal/command/commander/process_test.go
@@ -17,8 +17,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/command/commander"
 )
 
-// runAsProgramEnv makes the test binary run as the program, so that tests have real
-// processes without a build of their own.
+// runAsProgramEnv is set to make the test binary run as the program, so that tests
+// can start real processes without building it.
 const runAsProgramEnv = "RUN_AS_SARDINETILLER"
 
 func TestMain(m *testing.M) {
@@ -31,7 +31,7 @@
 	})
 }
 
-// A process is the program running with some arguments.
+// A process is a running instance of the program.
 type process struct {
 	cmd   *exec.Cmd
 	done  chan struct{}
@@ -39,7 +39,7 @@
 	lines []string
 }
 
-// start runs the program until the test ends.
+// start starts the program and kills it when the test ends.
 func start(t *testing.T, args ...string) *process {
 	t.Helper()
 	p := &process{cmd: exec.Command(os.Args[0], args...), done: make(chan struct{})}
@@ -52,7 +52,7 @@
 	if err := p.cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	_ = written.Close() // the process has it; the end of its output shows here when it ends
+	_ = written.Close() // the child holds its own copy, so that reading ends when the child exits
 	go func() {
 		defer close(p.done)
 		defer func() { _ = out.Close() }()
@@ -77,8 +77,8 @@
 	return p
 }
 
-// await returns the first match of the pattern's group in what the process
-// writes.
+// await waits until a line of the output matches the pattern and returns the
+// match of its first group.
 func (p *process) await(t *testing.T, pattern string) string {
 	t.Helper()
 	re := regexp.MustCompile(pattern)
@@ -94,7 +94,7 @@
 		}
 		select {
 		case <-p.done:
-			t.Fatalf("the process ended before it wrote %s", pattern)
+			t.Fatalf("the process exited before it wrote %s", pattern)
 		default:
 		}
 		return false
@@ -102,7 +102,7 @@
 	return found
 }
 
-// race returns what the race detector wrote of the process.
+// race returns the report of the race detector, if any.
 func (p *process) race() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -126,14 +126,15 @@
 	return text
 }
 
-// waitTimeout bounds every wait for a condition. No test passes by the clock.
+// waitTimeout limits each wait for a condition. No test passes because time has
+// elapsed.
 const waitTimeout = 30 * time.Second
 
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(20 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("waited %s for: %s", waitTimeout, what)
+			t.Fatalf("timed out after %s waiting for: %s", waitTimeout, what)
 		}
 	}
 }
--- a/internal/command/commander/reload.go
+++ b/internal/command/commander/reload.go
@@ -11,16 +11,16 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// catchHangups takes SIGHUP from now on until the process ends. A hangup that
-// comes before it is asked for, or while the program stops gracefully, would
-// else end the process and cut off its callers.
+// catchHangups handles SIGHUP from now on until the process exits. Otherwise a
+// SIGHUP during start-up or during a graceful stop would terminate the process
+// and abort the requests in flight.
 func catchHangups() <-chan os.Signal {
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	return hangups
 }
 
-// onHangup calls do at each hangup until ctx ends.
+// onHangup calls do on each SIGHUP until ctx is cancelled.
 func onHangup(ctx context.Context, hangups <-chan os.Signal, do func()) {
 	for {
 		select {
@@ -32,19 +32,19 @@
 	}
 }
 
-// reloadGateway reads the settings again on SIGHUP. Nothing of what an instance
-// takes from them may change while it runs, so a change is told and waits for
-// the next start; requests are not touched.
+// reloadGateway rereads the settings on SIGHUP. No setting can change while the
+// instance runs, so a change is only logged and takes effect at the next start;
+// requests are not affected.
 func reloadGateway(ctx context.Context, hangups <-chan os.Signal, file string, config configurer.Gateway, record *recorder.Recorder) {
 	onHangup(ctx, hangups, func() {
 		fresh, err := configurer.ReadGateway(file)
 		switch {
 		case err != nil:
-			record.Log(recorder.Lifecycle, "msg", "settings not read; those of the start hold", "err", err)
+			record.Log(recorder.Lifecycle, "msg", "could not read the settings; keeping those loaded at startup", "err", err)
 		case reflect.DeepEqual(fresh, config):
-			record.Log(recorder.Lifecycle, "msg", "settings read; nothing has changed")
+			record.Log(recorder.Lifecycle, "msg", "settings read; no changes")
 		default:
-			record.Log(recorder.Lifecycle, "msg", "settings have changed; a restart is needed")
+			record.Log(recorder.Lifecycle, "msg", "settings have changed; restart to apply them")
 		}
 	})
 }
--- a/internal/command/commander/scripts_test.go
+++ b/internal/command/commander/scripts_test.go
@@ -20,8 +20,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// The scripts under testdata run whole commands as real processes. Beside the
-// usual words of testscript they know: standin KIND, serve FILE, stop NAME,
+// The scripts under testdata run commands as real processes. In addition to the
+// built-in commands of testscript they use: standin KIND, serve FILE, stop NAME,
 // subst FILE…, exits CODE COMMAND…, answers STATUS BODY, eventually STATUS BODY,
 // located ADAPTER.
 func TestScripts(t *testing.T) {
@@ -41,14 +41,14 @@
 
 type scriptProcessesKey struct{}
 
-// A running process of a script.
+// A scriptProcess is a background process of a script.
 type scriptProcess struct {
 	cmd    *exec.Cmd
 	stderr *syncBuffer
 }
 
-// startInBackground starts the program in the background until the script ends and waits
-// for the pattern in what it writes.
+// startInBackground starts the program, which is killed when the script ends. It
+// waits until stderr contains before and returns the word after it.
 func startInBackground(ts *testscript.TestScript, name, before string, args ...string) string {
 	stderr := &syncBuffer{}
 	cmd := exec.Command(os.Args[0], args...)
@@ -90,7 +90,7 @@
 	ts.Setenv("SARDINETILLER_OPERATOR", strings.Fields(rest)[0])
 }
 
-// cmdStop ends a process gracefully and checks that it ends well.
+// cmdStop stops a process gracefully and checks that it exits with code 0.
 func cmdStop(ts *testscript.TestScript, _ bool, args []string) {
 	r := scriptProcesses(ts)[args[0]]
 	ts.Check(r.cmd.Process.Signal(syscall.SIGTERM))
@@ -99,7 +99,7 @@
 	}
 }
 
-// cmdSubst replaces the variables in every YAML file beside the named one.
+// cmdSubst expands variables in all YAML files of the directories of its arguments.
 func cmdSubst(ts *testscript.TestScript, _ bool, args []string) {
 	for _, arg := range args {
 		files, err := filepath.Glob(filepath.Join(filepath.Dir(ts.MkAbs(arg)), "*.yaml"))
@@ -116,7 +116,7 @@
 func cmdExits(ts *testscript.TestScript, _ bool, args []string) {
 	err := ts.Exec(args[1], args[2:]...)
 	code := 0
-	if exit, ok := err.(*exec.ExitError); ok { //nolint:errorlint // testscript returns it bare
+	if exit, ok := err.(*exec.ExitError); ok { //nolint:errorlint // testscript does not wrap it
 		code = exit.ExitCode()
 	}
 	if strconv.Itoa(code) != args[0] {
@@ -137,10 +137,10 @@
 			return
 		}
 	}
-	ts.Fatalf("no answer with status %s", args[0])
+	ts.Fatalf("no response with status %s", args[0])
 }
 
-// cmdLocated waits until a runner holds the adapter.
+// cmdLocated waits until the adapter is resident at the first runner.
 func cmdLocated(ts *testscript.TestScript, _ bool, args []string) {
 	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		var s server.Status
@@ -148,7 +148,7 @@
 			return
 		}
 	}
-	ts.Fatalf("%s is resident nowhere", args[0])
+	ts.Fatalf("%s is not resident at the first runner", args[0])
 }
 
 func postCompletion(ts *testscript.TestScript, body string) (int, string) {
--- a/internal/command/commander/servecmd.go
+++ b/internal/command/commander/servecmd.go
@@ -83,7 +83,8 @@
 	return l, err
 }
 
-// A keyring holds the keys of a daemon, which may be read again while it runs.
+// A keyring holds the keys and certificates of a daemon, which can be reloaded
+// while it runs.
 type keyring struct {
 	config configurer.Daemon
 	loaded atomic.Pointer[loadedKeys]
@@ -116,7 +117,7 @@
 		}
 		loaded.pool = x509.NewCertPool()
 		if !loaded.pool.AppendCertsFromPEM(authority) {
-			return fmt.Errorf("tls.ca: %s holds no certificate in PEM", t.CA)
+			return fmt.Errorf("tls.ca: %s contains no PEM certificate", t.CA)
 		}
 		loaded.certificate = &certificate
 	}
@@ -124,7 +125,7 @@
 	return nil
 }
 
-// keys returns the keys as an instance uses them: every use sees the latest.
+// keys returns accessors for an instance; each use sees the keys loaded last.
 func (k *keyring) keys() composer.Keys {
 	keys := composer.Keys{
 		Secret: func() string { return k.loaded.Load().secret },
@@ -138,7 +139,7 @@
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return k.loaded.Load().certificate, nil
 		},
-		InsecureSkipVerify: true, // VerifyConnection checks against the pool as it is now
+		InsecureSkipVerify: true, // VerifyConnection verifies against the CA pool loaded last
 		VerifyConnection:   k.verify,
 	}
 	keys.Take = &tls.Config{
@@ -152,12 +153,12 @@
 	return keys
 }
 
-// verify checks a peer's certificate against the authority as last loaded.
-// Instances are addressed by IP numbers that change, so the name is not
-// checked: whoever the authority has signed is an instance.
+// verify checks a peer's certificate against the CA loaded last. The host name is
+// not checked, since instances are addressed by IP addresses that change: any
+// certificate that the CA signed identifies an instance.
 func (k *keyring) verify(state tls.ConnectionState) error {
 	if len(state.PeerCertificates) == 0 {
-		return fmt.Errorf("the peer shows no certificate")
+		return fmt.Errorf("the peer presented no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
@@ -172,7 +173,7 @@
 func (k *keyring) reloadOnHangup(ctx context.Context, hangups <-chan os.Signal, logger log.Logger) {
 	onHangup(ctx, hangups, func() {
 		if err := k.load(); err != nil {
-			_ = level.Error(logger).Log("msg", "keys not reloaded; the old ones stay", "err", err)
+			_ = level.Error(logger).Log("msg", "could not reload the keys; keeping the current ones", "err", err)
 			return
 		}
 		_ = level.Info(logger).Log("msg", "keys reloaded")
--- a/internal/command/commander/settingsapplycmd.go
+++ b/internal/command/commander/settingsapplycmd.go
@@ -10,7 +10,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/publisher"
 )
 
-// applyFlags are the flags of settings apply.
+// applyFlags holds the flags of the settings apply command.
 type applyFlags struct {
 	author   string
 	base     uint64
@@ -74,7 +74,8 @@
 	return nil
 }
 
-// filesToApply returns the files to apply.
+// filesToApply returns the files of the directory, or of an earlier revision if
+// one is given.
 func filesToApply(ctx context.Context, p *publisher.Publisher, args []string, revision uint64) (map[string][]byte, error) {
 	if revision == 0 {
 		return readTree(args[0])
--- a/internal/command/commander/settingscmd.go
+++ b/internal/command/commander/settingscmd.go
@@ -29,7 +29,7 @@
 	return cmd
 }
 
-// readTree reads the YAML files below a directory by their paths in it.
+// readTree reads the YAML files below a directory, keyed by relative path.
 func readTree(dir string) (map[string][]byte, error) {
 	files := make(map[string][]byte)
 	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
@@ -56,7 +56,7 @@
 	return files, nil
 }
 
-// activeTree returns the manifest and the files in force.
+// activeTree returns the manifest and the files of the active revision.
 func activeTree(ctx context.Context, p *publisher.Publisher) (publisher.Manifest, map[string][]byte, error) {
 	head, _, err := p.Head(ctx)
 	if err != nil {
@@ -73,8 +73,8 @@
 	return manifest, files, nil
 }
 
-// newResolver returns a resolver of a directory, or of the revision in force if
-// there is none.
+// newResolver returns a resolver for the tree in dir, or for the active revision
+// if dir is empty.
 func newResolver(ctx context.Context, dir, platform string) (*resolver.Resolver, error) {
 	var files map[string][]byte
 	var err error
--- a/internal/command/commander/settingsdiffcmd.go
+++ b/internal/command/commander/settingsdiffcmd.go
@@ -9,10 +9,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/publisher"
 )
 
-// A fileDiff is how one file differs from the one in force.
+// A fileDiff describes how a file differs from the active revision.
 type fileDiff struct {
 	File string `json:"file" yaml:"file"`
-	Diff string `json:"diff" yaml:"diff"` // - in force, + in the directory
+	Diff string `json:"diff" yaml:"diff"` // lines with - are active, lines with + are in the directory
 }
 
 func (c *Commander) newSettingsDiffCmd() *cobra.Command {
--- a/internal/command/commander/signals_test.go
+++ b/internal/command/commander/signals_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// An instance is told to stop and works on for its callers. Meanwhile the
-// supervisor tells it once more, and its settings change. Either signal ended
-// the process at once, and its callers lost their answers. It stops when it is
-// done, with exit code 0.
+// During a graceful stop an instance receives a second SIGTERM from its supervisor
+// or a SIGHUP after a change of its settings. Either signal used to terminate the
+// process at once, so that callers lost their responses. The stop must complete
+// with exit code 0.
 func TestRepeatedSignalsDoNotInterruptGracefulStop(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -33,10 +33,10 @@
 			select {
 			case <-p.done:
 			case <-time.After(waitTimeout):
-				t.Fatal("it does not end")
+				t.Fatal("the process does not exit")
 			}
 			if code := p.cmd.ProcessState.ExitCode(); code != 0 {
-				t.Error(fmt.Sprint("ended with ", p.cmd.ProcessState, ":\n", p.tail()))
+				t.Error(fmt.Sprint("exited with ", p.cmd.ProcessState, ":\n", p.tail()))
 			}
 		})
 	}
--- a/internal/command/commander/standincmd.go
+++ b/internal/command/commander/standincmd.go
@@ -24,19 +24,18 @@
 	return cmd
 }
 
-// A standin is a stand-in as a command.
+// A standin describes the command that runs a stand-in.
 type standin struct {
 	name           string
 	long           string
 	example        string
-	defaultAddress string // where it listens if nothing else is said
+	defaultAddress string // default of --listen
 	flags          func(cmd *cobra.Command)
 	run            func(ctx context.Context, l net.Listener) error
 	listenAddress  string
 }
 
-// standinCommand returns the command that runs the stand-in until the program is
-// stopped.
+// standinCommand returns a command that runs the stand-in until ctx is cancelled.
 func (c *Commander) standinCommand(s standin) *cobra.Command {
 	cmd := &cobra.Command{
 		Use:     s.name,
--- a/internal/command/commander/syncbuffer_test.go
+++ b/internal/command/commander/syncbuffer_test.go
@@ -5,7 +5,7 @@
 	"sync"
 )
 
-// A syncBuffer is a buffer that a process writes while a test reads.
+// A syncBuffer is a buffer that can be written and read concurrently.
 type syncBuffer struct {
 	mu     sync.Mutex
 	buffer bytes.Buffer
--- a/internal/command/commander/tls_test.go
+++ b/internal/command/commander/tls_test.go
@@ -17,7 +17,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/member/heartbeater"
 )
 
-// An authority signs certificates of instances.
+// An authority is a certificate authority that signs instance certificates.
 type authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -83,10 +83,10 @@
 	return "tls: {cert: " + dir + "/cert.pem, key: " + dir + "/key.pem, ca: " + dir + "/ca.pem}"
 }
 
-// Two instances know each other by certificates of one authority. A third one
-// with the right secret and another authority's certificate is heard by nobody.
-// It is given a certificate of theirs and told to read its files again: then it
-// is heard, without a restart.
+// Two instances authenticate each other with certificates of one CA. A third one
+// with the correct secret but a certificate of another CA must be rejected by
+// both. After it is given a certificate of the first CA and receives SIGHUP, it
+// must be accepted without a restart.
 func TestMutualTLS(t *testing.T) {
 	t.Parallel()
 	c := newClusterWithoutInstances(t, true)
@@ -111,15 +111,15 @@
 		}
 		return false
 	}
-	waitFor(t, "the two hear each other", func() bool { return seesLive("a-1", "a-2") && seesLive("a-2", "a-1") })
+	waitFor(t, "the first two see each other as live", func() bool { return seesLive("a-1", "a-2") && seesLive("a-2", "a-1") })
 	waitFor(t, "the third is listed", func() bool {
 		s, _ := c.status("a-1")
 		return len(s.Peers) == 2
 	})
 	if seesLive("a-1", "a-3") || seesLive("a-3", "a-1") {
-		t.Error("an instance with another authority's certificate was heard")
+		t.Error("an instance with a certificate of another CA was accepted")
 	}
 	ours.sign(foreignDir)
 	c.instance("a-3").signal(syscall.SIGHUP)
-	waitFor(t, "the third is heard after the reload", func() bool { return seesLive("a-1", "a-3") && seesLive("a-3", "a-1") })
+	waitFor(t, "the third is accepted after the reload", func() bool { return seesLive("a-1", "a-3") && seesLive("a-3", "a-1") })
 }
--- a/internal/experiment/auditor/auditor.go
+++ b/internal/experiment/auditor/auditor.go
@@ -1,6 +1,6 @@
-// Package auditor compares what the callers saw with the books of the
-// stand-ins and counts, for each promise, how often it was broken. It never
-// looks at the system's own counters.
+// Package auditor compares what the callers saw with the records of the stand-ins
+// and counts the violations of each invariant. It does not use the system's own
+// metrics.
 package auditor
 
 import (
@@ -16,31 +16,31 @@
 
 // Violations are the violations of each promise.
 type Violations struct {
-	Version  int `json:"version"`  // a run or an answer of another adapter or version
-	Pinned   int `json:"pinned"`   // an eviction under a running request
-	Complete int `json:"whole"`    // an answer that is not whole, or another caller's
-	NotRun   int `json:"notrun"`   // told not_run and run all the same
-	Once     int `json:"once"`     // run twice though marked
-	Leaving  int `json:"leaving"`  // new work to an upstream that leaves
-	Graceful int `json:"graceful"` // a request cut off by a planned stop
-	Settings int `json:"settings"` // a revision that went back or did not arrive
+	Version  int `json:"version"`  // executed or answered by another adapter or version
+	Pinned   int `json:"pinned"`   // adapter evicted while it ran a request
+	Complete int `json:"whole"`    // response truncated or of another caller
+	NotRun   int `json:"notrun"`   // executed although the caller was told not_run
+	Once     int `json:"once"`     // executed more than once although marked X-Once
+	Leaving  int `json:"leaving"`  // request accepted by an upstream that drains
+	Graceful int `json:"graceful"` // request aborted or rejected because of a planned stop
+	Settings int `json:"settings"` // revision that went back or did not reach all instances
 }
 
-// Total returns the violations of all promises.
+// Total returns the violations of all invariants.
 func (p *Violations) Total() int {
 	return p.Version + p.Pinned + p.Complete + p.NotRun + p.Once + p.Leaving + p.Graceful + p.Settings
 }
 
-// An Audit is what there is to compare. Its fields are set before Run.
+// An Audit compares results with records. Its fields are set before Run.
 type Audit struct {
 	Calls    []responder.Call   // of the plain services
-	Engines  []generator.Record // by engine
+	Engines  []generator.Record // one per engine
 	Results  []sender.Result
-	Planned  bool     // every stop was planned, so no request may be cut off
-	Settings []string // faults that watching the revisions found
+	Planned  bool     // all stops were planned, so no request may be aborted
+	Settings []string // violations found while watching the settings revisions
 
 	details    []string
-	executions map[string][]execution // by what the caller said
+	executions map[string][]execution // by marker
 }
 
 // A run is one execution of a call, by an engine or a service.
@@ -48,10 +48,10 @@
 	adapter string
 }
 
-// leavingGrace is how long an upstream that leaves may still be given work.
+// leavingGrace is how long an upstream that drains may still receive requests.
 const leavingGrace = 3 * time.Second
 
-// Details returns a line for each violation that Run found.
+// Details returns one line for each violation that Run found.
 func (a *Audit) Details() []string { return a.details }
 
 // Run counts the violations.
@@ -71,15 +71,15 @@
 func (a *Audit) checkEngine(b *generator.Record, p *Violations) {
 	p.Pinned += len(b.EvictedRunning)
 	for _, u := range b.EvictedRunning {
-		a.addDetail("%s was evicted with fencing number %#x under %s, which had run for %s", u.Handle, u.Fence, u.Marker, u.RunningFor)
+		a.addDetail("%s was evicted with fencing token %#x while it served %s, accepted %s before", u.Handle, u.Fence, u.Marker, u.RunningFor)
 	}
 	if b.LeavingSince.IsZero() {
 		return
 	}
 	for _, r := range b.Runs {
-		if r.StartedAt.After(b.LeavingSince.Add(leavingGrace)) {
+		if r.AcceptedAt.After(b.LeavingSince.Add(leavingGrace)) {
 			p.Leaving++
-			a.addDetail("%s began %s after its engine said that it leaves", r.Marker, r.StartedAt.Sub(b.LeavingSince))
+			a.addDetail("%s was accepted %s after its engine reported that it drains", r.Marker, r.AcceptedAt.Sub(b.LeavingSince))
 		}
 	}
 }
@@ -88,7 +88,7 @@
 	a.details = append(a.details, fmt.Sprintf(format, args...))
 }
 
-// indexExecutions gathers the runs of each call by what the caller said.
+// indexExecutions groups the executions by the marker of their call.
 func (a *Audit) indexExecutions() {
 	a.executions = make(map[string][]execution)
 	for _, b := range a.Engines {
@@ -123,13 +123,13 @@
 	}
 	if a.Planned && cutOff(r) {
 		p.Graceful++
-		a.addDetail("%s was cut off %s after it was sent at %s to %s: %s %s %s", r.Call.Marker, r.Duration.Round(time.Millisecond),
+		a.addDetail("%s was aborted or rejected %s after it was sent at %s to %s: %s %s %s", r.Call.Marker, r.Duration.Round(time.Millisecond),
 			r.SentAt.Format(time.TimeOnly), r.Runner, r.Verdict, r.Reason, r.Err)
 	}
 }
 
-// checkResponse checks that an answer is whole, the caller's own, and of the adapter
-// that it named.
+// checkResponse checks that a response is complete, belongs to the caller, and was
+// given by the adapter that the caller named.
 func (a *Audit) checkResponse(r *sender.Result, p *Violations) {
 	var want strings.Builder
 	for i := range r.Call.Tokens {
@@ -144,11 +144,11 @@
 		return
 	}
 	p.Complete++
-	a.addDetail("%s got %.60q as a whole answer", r.Call.Marker, r.Text)
+	a.addDetail("%s got %.60q as a complete response", r.Call.Marker, r.Text)
 }
 
-// cutOff reports whether a request ended because an instance stopped: it was
-// cut in flight, or refused for it.
+// cutOff reports whether a request failed because an instance stopped: it was
+// aborted in flight, or rejected for that reason.
 func cutOff(r *sender.Result) bool {
 	switch {
 	case r.Complete:
--- a/internal/experiment/auditor/auditor_test.go
+++ b/internal/experiment/auditor/auditor_test.go
@@ -16,7 +16,7 @@
 
 var leavingSince = time.Unix(1000, 0)
 
-// completeResult is what the caller of "c" sees when all is well.
+// completeResult is what the caller of marker "c" sees if no invariant is violated.
 func completeResult() sender.Result {
 	return sender.Result{
 		Call: sampler.Call{Adapter: "x@1", Marker: "c", Tokens: 2}, Complete: true, Verdict: judge.Ran, Text: "x@1|c:1/2 x@1|c:2/2 ",
@@ -25,8 +25,8 @@
 
 func executionOf(adapter string) generator.Run { return generator.Run{Marker: "c", Adapter: adapter} }
 
-// The audit judges all else, so each promise is broken here once and must be
-// reported, and nothing else with it.
+// The other tests rely on the audit. Each invariant is violated once here and must
+// be reported, and no other violation with it.
 func TestAuditReportsEachViolation(t *testing.T) {
 	once, refused, cutOff := completeResult(), completeResult(), completeResult()
 	once.Call.Once = true
@@ -45,14 +45,14 @@
 		audit  auditor.Audit
 		want   auditor.Violations
 	}{
-		{"all well", completeResult(), generator.Record{Runs: []generator.Run{executionOf("x@1")}}, auditor.Audit{Planned: true}, auditor.Violations{}},
-		{"ran on another version", completeResult(), generator.Record{Runs: []generator.Run{executionOf("x@2")}}, auditor.Audit{}, auditor.Violations{Version: 1}},
-		{"answered by another adapter", wrongAdapter, generator.Record{}, auditor.Audit{}, auditor.Violations{Version: 1}},
+		{"no violation", completeResult(), generator.Record{Runs: []generator.Run{executionOf("x@1")}}, auditor.Audit{Planned: true}, auditor.Violations{}},
+		{"executed by another version", completeResult(), generator.Record{Runs: []generator.Run{executionOf("x@2")}}, auditor.Audit{}, auditor.Violations{Version: 1}},
+		{"response of another adapter", wrongAdapter, generator.Record{}, auditor.Audit{}, auditor.Violations{Version: 1}},
 		{"evicted while serving", completeResult(), generator.Record{EvictedRunning: []generator.RunningEviction{{Marker: "c"}}}, auditor.Audit{}, auditor.Violations{Pinned: 1}},
-		{"short answer", truncated, generator.Record{}, auditor.Audit{}, auditor.Violations{Complete: 1}},
-		{"another caller's part", mixed, generator.Record{}, auditor.Audit{}, auditor.Violations{Complete: 1}},
-		{"told not_run", refused, generator.Record{Runs: []generator.Run{executionOf("x@1")}}, auditor.Audit{}, auditor.Violations{NotRun: 1}},
-		{"ran twice", once, generator.Record{Runs: []generator.Run{executionOf("x@1"), executionOf("x@1")}}, auditor.Audit{}, auditor.Violations{Once: 1}},
+		{"truncated response", truncated, generator.Record{}, auditor.Audit{}, auditor.Violations{Complete: 1}},
+		{"part of another caller's response", mixed, generator.Record{}, auditor.Audit{}, auditor.Violations{Complete: 1}},
+		{"told not_run but executed", refused, generator.Record{Runs: []generator.Run{executionOf("x@1")}}, auditor.Audit{}, auditor.Violations{NotRun: 1}},
+		{"executed twice", once, generator.Record{Runs: []generator.Run{executionOf("x@1"), executionOf("x@1")}}, auditor.Audit{}, auditor.Violations{Once: 1}},
 		{
 			"service called twice",
 			sender.Result{Call: sampler.Call{Marker: "c", Once: true}, Verdict: judge.MayHaveRun},
@@ -60,11 +60,11 @@
 			auditor.Audit{Calls: []responder.Call{{Path: "/records/c"}, {Path: "/records/c"}}},
 			auditor.Violations{Once: 1},
 		},
-		{"work to a leaving engine", completeResult(), generator.Record{
-			LeavingSince: leavingSince, Runs: []generator.Run{{Marker: "c", Adapter: "x@1", StartedAt: leavingSince.Add(4 * time.Second)}},
+		{"request to a draining engine", completeResult(), generator.Record{
+			LeavingSince: leavingSince, Runs: []generator.Run{{Marker: "c", Adapter: "x@1", AcceptedAt: leavingSince.Add(4 * time.Second)}},
 		}, auditor.Audit{}, auditor.Violations{Leaving: 1}},
-		{"cut by a planned stop", cutOff, generator.Record{}, auditor.Audit{Planned: true}, auditor.Violations{Graceful: 1}},
-		{"refused for a planned stop", stopping, generator.Record{}, auditor.Audit{Planned: true}, auditor.Violations{Graceful: 1}},
+		{"aborted by a planned stop", cutOff, generator.Record{}, auditor.Audit{Planned: true}, auditor.Violations{Graceful: 1}},
+		{"rejected because of a planned stop", stopping, generator.Record{}, auditor.Audit{Planned: true}, auditor.Violations{Graceful: 1}},
 		{"settings went back", completeResult(), generator.Record{}, auditor.Audit{Settings: []string{"back"}}, auditor.Violations{Settings: 1}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
--- a/internal/experiment/comparer/comparer.go
+++ b/internal/experiment/comparer/comparer.go
@@ -1,5 +1,5 @@
-// Package comparer runs one experiment under several policies, shapes and seeds
-// and puts the figures side by side.
+// Package comparer runs one experiment under several policies, workload shapes and
+// seeds and tabulates the results.
 package comparer
 
 import (
@@ -21,45 +21,45 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/decoder"
 )
 
-// A Description says what to run. It is read from a YAML file.
+// A Description defines the experiment. It is read from a YAML file.
 type Description struct {
 	Deployment string           `yaml:"deployment"`
-	Parallel   int              `yaml:"parallel"` // runs at once
+	Parallel   int              `yaml:"parallel"` // number of concurrent runs
 	Policies   []Policy         `yaml:"policies"`
 	Seeds      []uint64         `yaml:"seeds"`
 	Shapes     []sampler.Shape  `yaml:"shapes"`
 	Workload   sampler.Workload `yaml:"workload"`
 }
 
-// A Policy is one way to choose and to evict.
+// A Policy combines a routing policy with an eviction policy.
 type Policy struct {
 	Name     string `yaml:"name"`
 	Evict    string `yaml:"evict"`    // heat or lru
-	Values   string `yaml:"values"`   // YAML of the root values, with policy among them
-	Baseline bool   `yaml:"baseline"` // what the others are measured against
+	Values   string `yaml:"values"`   // YAML of the root values, including the routing policy
+	Baseline bool   `yaml:"baseline"` // whether other policies are compared with it
 }
 
-// A Cell is the figures of one policy under one shape over all seeds.
+// A Cell holds the results of one policy and workload shape over all seeds.
 type Cell struct {
 	Shape            sampler.Shape     `json:"shape"`
 	Policy           string            `json:"policy"`
-	Stall            Spread            `json:"stall"`  // total seconds
-	StallP99         Spread            `json:"worst"`  // 99th percentile in seconds
-	Batch            Spread            `json:"batch"`  // part of each engine step
-	LoadsPer1000     Spread            `json:"loads"`  // for each 1,000 requests
-	CompleteFraction Spread            `json:"whole"`  // part answered whole
-	Violations       int               `json:"broken"` // promises, over all seeds
+	Stall            Spread            `json:"stall"`  // total load stall of all requests, in seconds
+	StallP99         Spread            `json:"worst"`  // 99th percentile of the load stall, in seconds
+	Batch            Spread            `json:"batch"`  // used fraction of each engine step
+	LoadsPer1000     Spread            `json:"loads"`  // adapter loads per 1,000 requests
+	CompleteFraction Spread            `json:"whole"`  // fraction of requests with a complete response
+	Violations       int               `json:"broken"` // of invariants, over all seeds
 	Reports          []reporter.Report `json:"reports"`
 }
 
-// A Spread is the median of several runs with the least and the greatest.
+// A Spread is the median, minimum and maximum of several runs.
 type Spread struct {
 	Median float64 `json:"median"`
 	Min    float64 `json:"least"`
 	Max    float64 `json:"most"`
 }
 
-// Read decodes and checks a description.
+// Read decodes and validates a description.
 func Read(file string, data []byte) (*Description, error) {
 	var d Description
 	if err := decoder.Strict(data, &d); err != nil {
@@ -85,8 +85,8 @@
 	Progress    func(done, total int) // may be nil
 }
 
-// Run returns the figures, shape by shape and policy by policy. If ctx ends it
-// returns what it has.
+// Run returns the results by shape and policy. If ctx is cancelled it returns the
+// results so far.
 func (c *Comparer) Run(ctx context.Context) ([]Cell, error) {
 	d := c.Description
 	var cells []Cell
@@ -161,14 +161,14 @@
 
 func spread(values []float64) Spread {
 	if len(values) == 0 {
-		return Spread{} // JSON has no word for "not measured"; Reports is empty then
+		return Spread{} // JSON cannot represent NaN; an empty Reports shows that nothing was measured
 	}
 	slices.Sort(values)
 	return Spread{Median: values[len(values)/2], Min: values[0], Max: values[len(values)-1]}
 }
 
-// Rows returns the cells as a table with the stall as a ratio to the best
-// baseline of the same shape.
+// Rows returns the cells as a table that includes the ratio of the stall to that of
+// the best baseline of the same shape.
 func Rows(d *Description, cells []Cell) [][]string {
 	rows := [][]string{{"SHAPE", "POLICY", "STALL S", "SPREAD", "RATIO", "P99 S", "BATCH", "LOADS/1000", "WHOLE", "BROKEN"}}
 	for _, c := range cells {
@@ -187,7 +187,7 @@
 	return rows
 }
 
-// EstimatedDuration is a rough bound on how long a description runs.
+// EstimatedDuration returns a rough upper bound on the duration of the experiment.
 func (d *Description) EstimatedDuration() time.Duration {
 	const overhead = 5 * time.Second
 	runs := len(d.Policies) * len(d.Seeds) * len(d.Shapes)
--- a/internal/experiment/reporter/report.go
+++ b/internal/experiment/reporter/report.go
@@ -1,5 +1,5 @@
-// Package reporter turns what callers saw and what the stand-ins booked into
-// figures, as a table for people or as one JSON object.
+// Package reporter summarizes the results of the callers and the records of the
+// stand-ins, as a table or as one JSON object.
 package reporter
 
 import (
@@ -18,39 +18,39 @@
 	"github.com/sardinetiller/sardinetiller/internal/standin/generator"
 )
 
-// A Report is the outcome of one run.
+// A Report summarizes one run.
 type Report struct {
 	Requests        int                `json:"requests"`
 	Verdicts        map[string]int     `json:"verdicts"`
 	Refusals        map[string]int     `json:"refusals"` // by reason
 	Retries         map[string]int     `json:"retries"`  // by reason
 	Stall           Quantiles          `json:"stall"`    // seconds
-	FirstByte       Quantiles          `json:"first"`    // seconds to the first byte
-	TotalStall      float64            `json:"total"`    // seconds of stall, all requests together
-	StalledFraction float64            `json:"stalled"`  // part of the requests that stalled
-	BatchEfficiency float64            `json:"batch"`    // part of each engine step that was used
+	FirstByte       Quantiles          `json:"first"`    // time to the first byte of complete responses, in seconds
+	TotalStall      float64            `json:"total"`    // sum over all requests, in seconds
+	StalledFraction float64            `json:"stalled"`  // fraction of the requests that stalled
+	BatchEfficiency float64            `json:"batch"`    // used fraction of each engine step
 	Loads           int                `json:"loads"`
 	Evictions       int                `json:"evictions"`
 	Violations      auditor.Violations `json:"promises"`
-	Details         []string           `json:"faults"` // one line for each violation
+	Details         []string           `json:"faults"` // one line for each violation of an invariant
 }
 
-// Quantiles of a distribution.
+// Quantiles are quantiles of a distribution, in seconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 }
 
-// The bounds of a measured duration.
+// Range and precision of the histograms.
 const (
 	minDuration       = int64(time.Microsecond)
 	maxDuration       = int64(10 * time.Minute)
 	significantDigits = 3
 )
 
-// New works out the figures. Retries are counted by the instances; all else
-// comes from the callers and the books.
+// New returns the report of a run. The retries are counted by the instances; all
+// other values come from the callers and the records of the stand-ins.
 func New(results []sender.Result, books []generator.Record, retries map[string]int) Report {
 	r := Report{Requests: len(results), Verdicts: make(map[string]int), Refusals: make(map[string]int), Retries: retries}
 	stall := hdrhistogram.New(minDuration, maxDuration, significantDigits)
@@ -124,9 +124,9 @@
 	}
 }
 
-// stallOf is the time that a request waited because its adapter was not
-// resident. One that was not answered counts as stalled for as long as its
-// caller would have waited, so that no policy gains by refusing.
+// stallOf returns how long a request waited because its adapter was not resident.
+// A request without a complete response counts as stalled for at least its
+// deadline, so that no policy gains by rejecting requests.
 func stallOf(r *sender.Result) time.Duration {
 	if r.Complete {
 		return r.Stall
--- a/internal/experiment/runner/demo.go
+++ b/internal/experiment/runner/demo.go
@@ -10,9 +10,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/standin/generator"
 )
 
-// Demo returns the experiment that the demo command shows: a shift change at a
-// deployment of today while the settings change, an engine leaves, and an entry
-// instance is stopped and replaced.
+// Demo returns the experiment of the demo command: a shift change at one of the
+// predefined deployments, while the settings change, an engine drains and an
+// entry instance is replaced.
 func Demo(deployment string, seed uint64) (*Runner, error) {
 	plan, err := stager.PlanFor(deployment)
 	if err != nil {
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// replaceInstance starts a further instance in the first domain and stops one
-// there gracefully.
+// replaceInstance starts an additional instance in the first domain and gracefully
+// stops another one there.
 func replaceInstance(_ context.Context, r *Runner) error {
 	instance, err := r.deployment.Launch(r.Plan.Domains[0]+"-9", r.Plan.Domains[0])
 	if err != nil {
--- a/internal/experiment/runner/runner.go
+++ b/internal/experiment/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner runs one experiment: a deployment, a workload, and what
-// happens meanwhile, with a report at the end.
+// Package runner runs one experiment: it starts a deployment, sends a workload,
+// triggers events meanwhile and reports the results.
 package runner
 
 import (
@@ -27,7 +27,7 @@
 // A Runner runs one experiment. Its fields are set before Run.
 type Runner struct {
 	Events   []Event
-	OnReport func(ctx context.Context, s *stager.Deployment, report reporter.Report) error // called with the report while the deployment still runs; may be nil
+	OnReport func(ctx context.Context, s *stager.Deployment, report reporter.Report) error // called with the report before the deployment is stopped; may be nil
 	Logger   log.Logger
 	Plan     stager.Plan
 	Progress func(done, total int, note string) // may be nil
@@ -38,22 +38,22 @@
 	note               atomic.Value
 	deployment         *stager.Deployment
 	mu                 sync.Mutex
-	outOfRotation      map[int]bool // instances that the balancer has taken out
-	settingsViolations []string     // of the settings
+	outOfRotation      map[int]bool // instances that the balancer does not use, by index
+	settingsViolations []string     // reverted or missing revisions, and failed events
 }
 
-// An Event happens at a part of the workload's span.
+// An Event is triggered at a fraction of the workload's span.
 type Event struct {
-	At   float64 // 0 to 1
+	At   float64 // fraction of the span, 0 to 1
 	Name string
 	Do   func(ctx context.Context, r *Runner) error
 }
 
-// revisionTimeout is how long the revisions may take to arrive everywhere.
+// revisionTimeout is how long the last revision may take to reach all instances.
 const revisionTimeout = 5 * time.Second
 
-// Run sets the deployment up, sends the workload while the events happen, and
-// reports.
+// Run starts the deployment, sends the workload while the events are triggered, and
+// returns the report.
 func (r *Runner) Run(ctx context.Context) (reporter.Report, error) {
 	calls, err := r.Workload.Draw()
 	if err != nil {
@@ -81,18 +81,18 @@
 	return report, err
 }
 
-// Deployment returns the deployment that runs.
+// Deployment returns the running deployment.
 func (r *Runner) Deployment() *stager.Deployment { return r.deployment }
 
-// SetOutOfRotation takes an instance out of the balancer or puts it back.
+// SetOutOfRotation removes an instance from the balancer's rotation or adds it back.
 func (r *Runner) SetOutOfRotation(instance int, out bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.outOfRotation[instance] = out
 }
 
-// addresses are the entry addresses of each domain as the balancer knows them:
-// an instance that says it is not ready gets nothing new.
+// addresses returns the caller addresses in rotation at the balancer, by domain. An
+// instance that reports that it is not ready receives no new requests.
 func (r *Runner) addresses() [][]string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -122,7 +122,7 @@
 	return report
 }
 
-// retryLine is a counter of retries among an instance's metrics.
+// retryLine matches a counter of retries in the metrics of an instance.
 var retryLine = regexp.MustCompile(`(?m)^sardinetiller_retries_total\{reason="([^"]+)".*\} (\d+)$`)
 
 func (r *Runner) retries() map[string]int {
@@ -131,7 +131,7 @@
 		var b bytes.Buffer
 		i.Server.Metrics.WritePrometheus(&b)
 		for _, match := range retryLine.FindAllStringSubmatch(b.String(), -1) {
-			n, _ := strconv.Atoi(match[2]) // the pattern has digits only
+			n, _ := strconv.Atoi(match[2]) // the pattern matches only digits
 			if n > 0 {
 				retries[match[1]] += n
 			}
@@ -147,8 +147,8 @@
 	}
 }
 
-// runWorkload sends the workload while the events happen and the revisions are
-// watched.
+// runWorkload sends the workload while it triggers the events and watches the
+// settings revisions.
 func (r *Runner) runWorkload(ctx context.Context, calls []sampler.Call) []sender.Result {
 	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
@@ -188,8 +188,8 @@
 	r.settingsViolations = append(r.settingsViolations, fmt.Sprintf(format, args...))
 }
 
-// watchRevisions looks at the revision of every instance again and again: none may go
-// back.
+// watchRevisions polls the settings revision of every instance. It must never
+// decrease.
 func (r *Runner) watchRevisions(ctx context.Context) {
 	last := make(map[string]uint64)
 	for ctx.Err() == nil {
@@ -210,7 +210,7 @@
 	return slices.Clone(r.deployment.Instances)
 }
 
-// awaitRevision waits until the last accepted revision is in force everywhere.
+// awaitRevision waits until the last applied revision is active at all instances.
 func (r *Runner) awaitRevision(ctx context.Context) {
 	want := r.deployment.Revision()
 	deadline := time.Now().Add(revisionTimeout)
@@ -220,7 +220,7 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	r.addViolation("revision %d is not in force everywhere after %s", want, revisionTimeout)
+	r.addViolation("revision %d is not active at all instances after %s", want, revisionTimeout)
 }
 
 func (r *Runner) allAtRevision(want uint64) bool {
--- a/internal/experiment/sampler/sampler.go
+++ b/internal/experiment/sampler/sampler.go
@@ -1,5 +1,5 @@
-// Package sampler draws workloads: which caller asks what, when. The same seed
-// draws the same workload.
+// Package sampler draws random workloads: when each caller sends which request. The
+// same seed always gives the same workload.
 package sampler
 
 import (
@@ -10,64 +10,64 @@
 	"time"
 )
 
-// A Call is one request that a caller will send.
+// A Call is a request to send.
 type Call struct {
-	At             time.Duration // since the start
+	At             time.Duration // relative to the start of the workload
 	Adapter        string        // name@version; empty for a plain call
 	Deadline       time.Duration
-	HomeDomain     int    // failure domain of the caller, as a number; the caller's desk does not move
-	IdempotencyKey string // idempotency key; empty if none
-	Marker         string // what the caller says; no two calls share one
-	Once           bool
+	HomeDomain     int    // index of the caller's failure domain, modulo their number; fixed for an adapter except for calls from away
+	IdempotencyKey string // empty if none
+	Marker         string // content of the prompt or record, unique to the call
+	Once           bool   // must not be executed more than once
 	Priority       int
 	Stream         bool
-	Tokens         int
+	Tokens         int // length of the response
 }
 
-// A Shape is how the arrivals spread over the time and the adapters.
+// A Shape determines the distribution of calls over time and adapters.
 type Shape string
 
-// The shapes.
+// The workload shapes.
 const (
-	Cutoff Shape = "cutoff" // denser towards a cut-off, with deadlines at it
-	Shift  Shape = "shift"  // a shift change: most callers in a short burst
-	Hot    Shape = "hot"    // the hot set changes again and again
-	Wave   Shape = "wave"   // every caller on the hour, again and again
-	Zipf   Shape = "zipf"   // steady, skewed
+	Cutoff Shape = "cutoff" // rate increases towards a cut-off time, with deadlines shortly after it
+	Shift  Shape = "shift"  // a shift change: most calls arrive in one short burst
+	Hot    Shape = "hot"    // the set of popular adapters changes repeatedly
+	Wave   Shape = "wave"   // periodic bursts, as of callers that all call on the hour
+	Zipf   Shape = "zipf"   // constant rate, Zipf-distributed popularity
 )
 
-// Shapes lists the shapes.
+// Shapes lists all shapes.
 var Shapes = []Shape{Cutoff, Hot, Shift, Wave, Zipf}
 
-// A Workload describes what is drawn.
+// A Workload holds the parameters of a workload.
 type Workload struct {
-	Adapters int           `yaml:"adapters"` // that there are
-	Away     float64       `yaml:"away"`     // part of the calls that come to another domain than most for their adapter
+	Adapters int           `yaml:"adapters"` // number of adapters in the group
+	Away     float64       `yaml:"away"`     // fraction of the calls sent to a domain other than their adapter's usual one
 	Calls    int           `yaml:"calls"`
 	Group    string        `yaml:"group"` // name of the adapter group
-	Near     float64       `yaml:"near"`  // part of the calls with a near deadline
-	Once     float64       `yaml:"once"`  // part that must not run twice
-	Plain    float64       `yaml:"plain"` // part that goes to the plain service
+	Near     float64       `yaml:"near"`  // fraction of the calls with a short deadline and raised priority
+	Once     float64       `yaml:"once"`  // fraction of the calls that must not be executed more than once
+	Plain    float64       `yaml:"plain"` // fraction of the calls that go to the plain service
 	Seed     uint64        `yaml:"seed"`
 	Shape    Shape         `yaml:"shape"`
-	Skew     float64       `yaml:"skew"` // exponent of the popularity, above 1
+	Skew     float64       `yaml:"skew"` // exponent of the Zipf distribution of adapters, above 1
 	Span     time.Duration `yaml:"span"`
-	Tokens   int           `yaml:"tokens"` // mean length of an answer
+	Tokens   int           `yaml:"tokens"` // mean length of a response
 	Versions int           `yaml:"versions"`
 }
 
 const (
 	farDeadline   = 15 * time.Second
 	nearDeadline  = 3 * time.Second
-	burstFraction = 0.7 // of a shift change's calls that come in the burst
-	burstSpan     = 0.2 // of the time that the burst takes
-	waveCount     = 4   // in the time
-	waveSpan      = 0.15
-	hotSetShifts  = 5 // of the hot set in the time
-	maxAwayOffset = 3 // further ones that a call may come to
+	burstFraction = 0.7  // fraction of the calls of Shift that arrive in the burst
+	burstSpan     = 0.2  // duration of that burst, as a fraction of the span
+	waveCount     = 4    // number of bursts of Wave
+	waveSpan      = 0.15 // duration of a burst of Wave, as a fraction of its period
+	hotSetShifts  = 5    // number of hot sets of Hot
+	maxAwayOffset = 3    // largest offset from the usual domain of a call from away
 )
 
-// Draw returns the calls in order of arrival.
+// Draw returns the calls in the order of their arrival.
 func (w *Workload) Draw() ([]Call, error) {
 	if err := w.check(); err != nil {
 		return nil, err
--- a/internal/experiment/sender/sender.go
+++ b/internal/experiment/sender/sender.go
@@ -1,5 +1,5 @@
-// Package sender plays the callers: it sends drawn calls to entry addresses as
-// ordinary clients of the public API and keeps what each caller saw.
+// Package sender simulates the callers: it sends the calls of a workload to entry
+// instances through the public API and records what each caller saw.
 package sender
 
 import (
@@ -23,33 +23,33 @@
 
 // A Sender sends calls. Its fields are set before Run.
 type Sender struct {
-	Addresses func() [][]string // of the entry instances of each failure domain, as the balancer knows them
+	Addresses func() [][]string // of the entry instances in rotation, by failure domain
 	Key       string            // API key
-	Service   string            // plain service
-	OnResult  func(Result)      // called as each call ends; may be nil
+	Service   string            // name of the plain service
+	OnResult  func(Result)      // called when a call has ended; may be nil
 }
 
-// A Result is what one caller saw.
+// A Result is the outcome of a call as its caller saw it.
 type Result struct {
 	Call      sampler.Call
-	Status    int // 0 if there was no answer
+	Status    int // 0 if there was no response
 	Text      string
-	Complete  bool // the answer ended as a whole one does
+	Complete  bool // the response ended as a complete one does
 	Verdict   judge.Verdict
 	Reason    judge.Reason
 	SentAt    time.Time
 	Duration  time.Duration
-	FirstByte time.Duration // to the first byte of the answer
-	Stall     time.Duration // as the system told
+	FirstByte time.Duration // time to the first byte of the response
+	Stall     time.Duration // as reported in the response headers
 	Runner    string
 	Err       string
 }
 
-// clientGrace is how long a caller waits beyond its deadline.
+// clientGrace is how long a caller waits after its deadline.
 const clientGrace = 10 * time.Second
 
-// Run sends the calls at their times and returns the results in order of the
-// calls.
+// Run sends the calls at their times and returns the results in the order of the
+// calls. If ctx is cancelled it returns those of the calls sent so far.
 func (s *Sender) Run(ctx context.Context, calls []sampler.Call) []Result {
 	results := make([]Result, len(calls))
 	begin := time.Now()
@@ -72,9 +72,8 @@
 	return results
 }
 
-// send sends one call. Like a caller behind a balancer it goes on to another
-// address when none listens at the first one, which means that nothing was
-// sent.
+// send sends one call. Like a caller behind a load balancer it tries the next
+// address if it cannot connect, since then no request was sent.
 func (s *Sender) send(ctx context.Context, call *sampler.Call, index int) Result {
 	result := Result{Call: *call, SentAt: time.Now()}
 	ctx, cancel := context.WithTimeout(ctx, call.Deadline+clientGrace)
@@ -97,8 +96,8 @@
 	return result
 }
 
-// order returns the addresses to try: those of the caller's domain in turn,
-// then those of the others.
+// order returns the addresses to try: those of the caller's domain in round-robin
+// order, then those of the other domains.
 func (s *Sender) order(call *sampler.Call, index int) []string {
 	var order []string
 	domains := s.Addresses()
@@ -142,7 +141,7 @@
 func (r *Result) readResponse(response *requester.Answer) {
 	r.Status = response.Status
 	r.Runner = string(response.Header.Peek(answerer.HeaderRunner))
-	r.Stall, _ = time.ParseDuration(string(response.Header.Peek(answerer.HeaderStall))) // none is no stall
+	r.Stall, _ = time.ParseDuration(string(response.Header.Peek(answerer.HeaderStall))) // 0 if absent
 	r.FirstByte = time.Since(r.SentAt)
 	if response.Status < fasthttp.StatusBadRequest && strings.HasPrefix(string(response.Header.ContentType()), "text/event-stream") {
 		r.readStream(response)
@@ -175,7 +174,7 @@
 	}
 }
 
-// A part is a completion or a chunk of one.
+// A part is a complete response body or one chunk of a stream.
 type completion struct {
 	Choices []struct {
 		Delta   struct{ Content string }
--- a/internal/experiment/stager/deployment.go
+++ b/internal/experiment/stager/deployment.go
@@ -22,7 +22,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A Deployment is a deployment that runs.
+// A Deployment is a running deployment.
 type Deployment struct {
 	Engines   []*generator.Engine
 	Instances []*Instance
@@ -33,14 +33,14 @@
 	cancel       context.CancelFunc // of the stand-ins
 	ctx          context.Context    // of the stand-ins
 	files        map[string][]byte
-	allInstances []*Instance // all that ever were
+	allInstances []*Instance // including stopped and replaced ones
 	logger       log.Logger
 	mu           sync.Mutex
 	revision     uint64
 	running      sync.WaitGroup
 }
 
-// An Instance is one entry instance of a stage.
+// An Instance is an entry instance of a deployment.
 type Instance struct {
 	Server *server.Server
 
@@ -48,12 +48,12 @@
 	stop context.CancelFunc
 }
 
-// platformLag is the lag of the staged instance list.
+// platformLag is the lag of the instance list.
 const platformLag = 2 * time.Second
 
-// Start sets a plan up and waits until every instance is ready to serve.
+// Start starts a deployment and waits until every instance is ready to serve.
 func Start(ctx context.Context, plan Plan, logger log.Logger) (*Deployment, error) {
-	standinCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // Stop ends the stand-ins last
+	standinCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the stand-ins outlive ctx; Stop stops them last
 	s := &Deployment{Plan: plan, cancel: cancel, ctx: standinCtx, logger: logger}
 	if err := s.start(ctx); err != nil {
 		s.Stop()
@@ -62,12 +62,12 @@
 	return s, nil
 }
 
-// Address returns where instance i takes callers.
+// Address returns the caller address of instance i.
 func (s *Deployment) Address(i int) string {
 	return s.Instances[i].Server.Listeners.Caller.Addr().String()
 }
 
-// Apply makes a change of one file of the settings and returns the revision.
+// Apply changes one file of the settings and returns the new revision.
 func (s *Deployment) Apply(ctx context.Context, file string, content []byte) (uint64, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,7 +79,7 @@
 	return revision, err
 }
 
-// Launch adds an entry instance in a failure domain.
+// Launch starts an entry instance in a failure domain.
 func (s *Deployment) Launch(id, domain string) (*Instance, error) {
 	listeners, err := listeners()
 	if err != nil {
@@ -108,19 +108,19 @@
 	s.mu.Unlock()
 	s.running.Go(func() {
 		defer close(i.done)
-		_ = composed.Run(ctx) // a listener that fails shows as an instance that never gets ready
+		_ = composed.Run(ctx) // if a listener fails, the instance never becomes ready
 	})
 	return i, nil
 }
 
-// Stop stops the instance gracefully and waits for its end.
+// Stop stops the instance gracefully and waits until it has stopped.
 func (i *Instance) Stop() {
 	i.stop()
 	<-i.done
 }
 
-// Stop ends everything and waits for it: the instances gracefully, then the
-// stand-ins that they still need for that.
+// Stop stops the instances gracefully and then the stand-ins, which the instances
+// need until they have stopped.
 func (s *Deployment) Stop() {
 	s.mu.Lock()
 	launched := s.allInstances
@@ -217,13 +217,13 @@
 }
 
 func (s *Deployment) runStandin(f func(context.Context) error) {
-	s.running.Go(func() { _ = f(s.ctx) }) // a stand-in that fails shows as requests that fail
+	s.running.Go(func() { _ = f(s.ctx) }) // if a stand-in fails, requests to it fail
 }
 
-// readyTimeout bounds how long a stage takes to get ready.
+// readyTimeout limits how long a deployment may take to become ready.
 const readyTimeout = 30 * time.Second
 
-// waitReady waits until every engine has an owner that has looked at it.
+// waitReady waits until every instance is ready and sees a live owner of every runner.
 func (s *Deployment) waitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
--- a/internal/experiment/stager/deployment_test.go
+++ b/internal/experiment/stager/deployment_test.go
@@ -11,7 +11,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// smallDeployment is a deployment of two domains that starts quickly.
+// smallDeployment returns a deployment of two domains that starts quickly.
 func smallDeployment(t *testing.T) *stager.Deployment {
 	t.Helper()
 	plan, err := stager.PlanFor(stager.Association)
--- a/internal/experiment/stager/herd_test.go
+++ b/internal/experiment/stager/herd_test.go
@@ -20,10 +20,10 @@
 	quietKey   = "quiet-key"
 )
 
-// BenchmarkHerd sends, within one second, five times what the engines can serve
-// in a second, nine tenths of it from one account. It reports the goodput, whole
-// answers a second of the busy time, as a part of the capacity, and what part of
-// each account's calls was answered.
+// BenchmarkHerd sends a thundering herd: within one second, five times what the
+// engines can serve per second, nine tenths of it from one account. It reports the
+// goodput (complete responses per second until the last one) as a fraction of the
+// capacity, and the fraction of each account's calls that were completed.
 func BenchmarkHerd(b *testing.B) {
 	plan, err := stager.PlanFor(stager.Association)
 	if err != nil {
--- a/internal/experiment/stager/hop_test.go
+++ b/internal/experiment/stager/hop_test.go
@@ -14,9 +14,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// BenchmarkHop measures what the path adds to a request, beside the same
-// request sent straight to an engine in the same run: through the owner itself,
-// and through an instance that passes it on. Requests come at 500 a second.
+// BenchmarkHop measures the latency that the instances add, compared with the same
+// request sent directly to an engine in the same run: through the owner, and
+// through an instance that forwards to the owner. It sends 500 requests per second.
 func BenchmarkHop(b *testing.B) {
 	plan, err := stager.PlanFor(stager.Association)
 	if err != nil {
@@ -33,7 +33,7 @@
 	if s.Instances[1].Server.Owns(plan.Engine + "-1") {
 		owner, other = 1, 0
 	}
-	ask(b, s.Address(owner), "desk-1@1") // loads it
+	ask(b, s.Address(owner), "desk-1@1") // loads the adapter
 	resident := s.Engines[0].Resident()
 	for _, target := range []struct{ name, address, model string }{
 		{"engine", s.Engines[0].Listener.Addr().String(), resident[0]},
@@ -47,7 +47,7 @@
 	}
 }
 
-// runPaced runs one call every 2 ms and reports quantiles of how long they took.
+// runPaced starts one call every 2 ms and reports quantiles of their durations.
 func runPaced(b *testing.B, call func()) {
 	const every = 2 * time.Millisecond
 	var mu sync.Mutex
--- a/internal/experiment/stager/plan.go
+++ b/internal/experiment/stager/plan.go
@@ -1,6 +1,6 @@
-// Package stager sets up a whole deployment in this process, over loopback TCP:
-// the platform's stand-in, engines and plain services in several failure
-// domains, and entry instances before them.
+// Package stager runs a complete deployment in this process, over loopback TCP: a
+// stand-in of the platform, stand-ins of engines and plain services in several
+// failure domains, and entry instances in front of them.
 package stager
 
 import (
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// A Plan is a deployment to set up.
+// A Plan describes a deployment to start.
 type Plan struct {
 	Name      string
 	Account   string
@@ -17,32 +17,32 @@
 	Domains   []string
 	Engine    string // name of the engine service
 	Engines   int
-	Fencing   bool // whether the engines check fencing numbers
+	Fencing   bool // whether the engines check fencing tokens
 	Instances int  // entry instances, spread over the domains
 	Service   string
-	Services  int // upstreams of the plain service
+	Services  int // number of upstreams of the plain service
 	Slots     int
 	Batch     int
-	Speed     float64 // engine and weight store run this much faster than the clock
-	Rate      float64 // weight loads a second
-	Together  int     // weight loads at once at full speed
+	Speed     float64 // factor by which engines and weight store are sped up
+	Rate      float64 // weight loads per second, before Speed
+	Together  int     // concurrent weight loads without slowdown
 	Values    string  // YAML of the root values
-	LRU       bool    // evict by last use
+	LRU       bool    // evict the least recently used adapter
 	Lease     time.Duration
-	Beat      time.Duration // between heartbeats
-	Poll      time.Duration // between looks at the platform
+	Beat      time.Duration // heartbeat interval
+	Poll      time.Duration // poll interval of the platform
 }
 
-// The deployments of today.
+// The predefined deployments.
 const (
 	Association = "association"
 	TSH         = "tsh"
 )
 
-// tokenTime is how long an engine's step takes, before Speed.
+// tokenTime is the duration of an engine step, before Speed.
 const tokenTime = 25 * time.Millisecond
 
-// PlanFor returns the plan of a deployment at its size of today.
+// PlanFor returns the plan of a predefined deployment at its present size.
 func PlanFor(name string) (Plan, error) {
 	p := Plan{
 		Name: name, Adapters: 3000, Slots: 8, Batch: 8, Speed: 8, Rate: 3, Instances: 8,
@@ -64,10 +64,10 @@
 	return p, nil
 }
 
-// Key is the callers' key of a staged deployment.
+// Key is the API key of the callers.
 const Key = "demo-key"
 
-// tree returns the settings of the plan.
+// tree returns the settings files of the plan.
 func (p *Plan) tree(engines, services []string) map[string][]byte {
 	var engine, service strings.Builder
 	fmt.Fprintf(&engine, "kind: service\nname: %s\ntype: engine\nupstreams:\n", p.Engine)
--- a/internal/experiment/stager/quarantine_test.go
+++ b/internal/experiment/stager/quarantine_test.go
@@ -11,13 +11,13 @@
 	"github.com/sardinetiller/sardinetiller/internal/standin/generator"
 )
 
-// crashTimes returns when engines began to run the request that crashes them.
+// crashTimes returns when engines started to execute the request that crashes them.
 func crashTimes(s *stager.Deployment) []time.Time {
 	var at []time.Time
 	for _, e := range s.Engines {
 		for _, r := range e.Record().Runs {
 			if r.Marker == generator.CrashMarker {
-				at = append(at, r.StartedAt)
+				at = append(at, r.AcceptedAt)
 			}
 		}
 	}
@@ -25,10 +25,10 @@
 	return at
 }
 
-// One request comes again and again, at all instances, and crashes the engine that runs
-// it; whatever ran beside it is cut, and the engine comes back empty. Each attempt began
-// with nothing known, so it went on for as long as its caller did. Three seconds after
-// the third crash no more than three further runs may begin.
+// One request is retried at all instances and crashes each engine that executes it;
+// other requests of the engine are aborted, and it restarts empty. Without shared
+// knowledge of earlier crashes this went on for as long as the caller retried. Later
+// than three seconds after the third crash at most three more executions may start.
 func TestRequestThatCrashesEnginesIsRejected(t *testing.T) {
 	s := smallDeployment(t)
 	body := `{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"` + generator.CrashMarker + `"}]}`
@@ -39,7 +39,7 @@
 	}
 	at := crashTimes(s)
 	if len(at) < 3 {
-		t.Fatalf("%d engines crashed; the test shows nothing", len(at))
+		t.Fatalf("%d engines crashed, too few for the test", len(at))
 	}
 	late := 0
 	for _, began := range at[3:] {
@@ -48,7 +48,7 @@
 		}
 	}
 	if late > 3 {
-		t.Errorf("%d runs began more than 3 s after the third crash, %d in all", late, len(at))
+		t.Errorf("%d executions started more than 3 s after the third crash, %d in all", late, len(at))
 	}
 	for i, instance := range s.Instances {
 		if quarantined := instance.Server.Status().Quarantine; len(quarantined) != 1 || quarantined[0].Crashes < 3 {
@@ -56,7 +56,7 @@
 		}
 	}
 	if status != fasthttp.StatusServiceUnavailable {
-		t.Errorf("status %d, want a refusal that says that it has not run", status)
+		t.Errorf("status %d, want a rejection with not_run", status)
 	}
 	status, response := post(t, s.Address(0), "/v1/chat/completions", `{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"hello"}]}`)
 	if status != fasthttp.StatusOK {
@@ -64,19 +64,19 @@
 	}
 }
 
-// The request is held, and then all instances are replaced. Those that come know nothing
-// but what the table has kept: without that it would crash three more engines.
+// The request is quarantined, and then all instances are replaced. The new instances know
+// only what is stored in the table: without it the request would crash three more engines.
 func TestQuarantineSurvivesReplacingAllInstances(t *testing.T) {
 	s := smallDeployment(t)
 	body := `{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"` + generator.CrashMarker + `"}]}`
 	quarantined := func(i *stager.Instance) bool { return len(i.Server.Status().Quarantine) > 0 }
 	for end := time.Now().Add(20 * time.Second); !quarantined(s.Instances[0]) || !quarantined(s.Instances[1]); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not held within 20 s")
+			t.Fatal("not quarantined within 20 s")
 		}
 		post(t, s.Address(0), "/v1/chat/completions", body)
 	}
-	time.Sleep(2 * s.Plan.Poll) // until it is kept
+	time.Sleep(2 * s.Plan.Poll) // until the crash reports are stored
 	for _, i := range s.Instances {
 		i.Stop()
 	}
@@ -88,7 +88,7 @@
 		}
 		for end := time.Now().Add(20 * time.Second); !quarantined(i); time.Sleep(50 * time.Millisecond) {
 			if time.Now().After(end) {
-				t.Fatalf("a new instance of %s does not hold it", domain)
+				t.Fatalf("a new instance of %s does not quarantine it", domain)
 			}
 		}
 		if status, _ := post(t, i.Server.Listeners.Caller.Addr().String(), "/v1/chat/completions", body); status != fasthttp.StatusServiceUnavailable {
--- a/internal/experiment/surveyor/sample.go
+++ b/internal/experiment/surveyor/sample.go
@@ -8,7 +8,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/experiment/stager"
 )
 
-// A reading is the state of the counters at one moment.
+// A sample holds the values of the counters at one moment.
 type sample struct {
 	at      time.Time
 	bytes   int64
@@ -21,7 +21,7 @@
 
 func takeSample(deployment *stager.Deployment) sample {
 	var usage syscall.Rusage
-	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // never fails for the own process
+	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage) // never fails for the calling process
 	runtime.GC()
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
--- a/internal/experiment/surveyor/slope.go
+++ b/internal/experiment/surveyor/slope.go
@@ -6,28 +6,28 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// A Point is what was measured at one size. Times are in seconds, sizes in
+// A Point holds the measurements at one value of X. Times are in seconds, sizes in
 // bytes.
 type Point struct {
 	X       float64 `json:"x"`
-	CPU     float64 `json:"cpu"`     // of a core, for each instance
-	Memory  float64 `json:"memory"`  // heap in use, for each instance
-	Peers   float64 `json:"peers"`   // bytes a second to peers, for each instance
-	Reads   float64 `json:"reads"`   // of the platform a second, for each instance
-	Commits float64 `json:"commits"` // of the table a second, for each instance
-	Bytes   float64 `json:"bytes"`   // from and to the platform a second, for each instance
+	CPU     float64 `json:"cpu"`     // cores used, per instance
+	Memory  float64 `json:"memory"`  // heap in use, per instance
+	Peers   float64 `json:"peers"`   // bytes per second to peers, per instance
+	Reads   float64 `json:"reads"`   // reads of the platform per second, per instance
+	Commits float64 `json:"commits"` // commits to the table per second, per instance
+	Bytes   float64 `json:"bytes"`   // exchanged with the platform per second, per instance
 }
 
-// A Slope is a series of points with a straight line through each figure.
+// A Slope is a series of points with a linear fit of each metric.
 type Slope struct {
 	Name   string         `json:"name"`
 	Over   string         `json:"over"` // what X counts
 	Points []Point        `json:"points"`
-	Fits   map[string]Fit `json:"fits"` // by figure
+	Fits   map[string]Fit `json:"fits"` // by metric
 }
 
-// A Fit is a straight line: At0 + Each*X, with the part of the variance that
-// it explains.
+// A Fit is the linear regression Intercept + PerUnit*X with its coefficient of
+// determination.
 type Fit struct {
 	Intercept float64 `json:"at0"`
 	PerUnit   float64 `json:"each"`
@@ -50,7 +50,7 @@
 	}
 }
 
-// Values returns the figure's value at each point, for display.
+// Values returns the value of a metric at each point, for display.
 func (s *Slope) Values(metric string) []string {
 	values := make([]string, len(s.Points))
 	for i := range s.Points {
--- a/internal/experiment/surveyor/surveyor.go
+++ b/internal/experiment/surveyor/surveyor.go
@@ -1,9 +1,9 @@
-// Package surveyor measures what grows with what: the control cost of an
-// instance over peers and over runners, the cost of a request, the cost of a
-// change of the settings. docs/CAPACITY.md extrapolates from its slopes.
+// Package surveyor measures how the cost of an instance scales: its idle cost with
+// the number of peers and of runners, the cost of requests and tokens, and the cost
+// of changes of the settings. docs/CAPACITY.md extrapolates from its slopes.
 //
-// Everything runs in this process, instances and stand-ins together, so that
-// processor time and memory for each instance are upper bounds.
+// Instances and stand-ins all run in this process, so processor time and memory per
+// instance are upper bounds.
 package surveyor
 
 import (
@@ -20,13 +20,13 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/caller"
 )
 
-// A Surveyor measures. Its fields are set before use.
+// A Surveyor runs the measurements. Its fields are set before use.
 type Surveyor struct {
-	Span     time.Duration // of each point
+	Span     time.Duration // duration of the measurement of each point
 	Progress func(name string, x float64)
 }
 
-// metrics reads each figure of a point.
+// metrics returns each metric of a point, by name.
 var metrics = map[string]func(p *Point) float64{
 	"cpu":     func(p *Point) float64 { return p.CPU },
 	"memory":  func(p *Point) float64 { return p.Memory },
@@ -36,15 +36,16 @@
 	"bytes":   func(p *Point) float64 { return p.Bytes },
 }
 
-// Peers measures an idle instance over the instances of its failure domain.
+// Peers measures idle instances against the number of instances in their failure
+// domain.
 func (s *Surveyor) Peers(ctx context.Context, counts []int) (Slope, error) {
 	return s.measureIdle(ctx, "control over peers", "instances in the domain", counts, func(n int) stager.Plan {
 		return plan(n, 2)
 	})
 }
 
-// Runners measures an idle instance over the runners of its failure domain,
-// with ten instances.
+// Runners measures ten idle instances against the number of runners in their failure
+// domain.
 func (s *Surveyor) Runners(ctx context.Context, counts []int) (Slope, error) {
 	const instances = 10
 	return s.measureIdle(ctx, "control over runners", "runners in the domain", counts, func(n int) stager.Plan {
@@ -52,17 +53,17 @@
 	})
 }
 
-// Requests measures two instances over the requests a second that they serve.
-// What callers and engines use for the same requests without the system is
-// taken off.
+// Requests measures two instances against the number of requests per second. The
+// processor time that callers and engines use for the same requests without
+// instances in between is subtracted.
 func (s *Surveyor) Requests(ctx context.Context, rates []int) (Slope, error) {
 	return s.measureTraffic(ctx, "requests", "requests a second, 8 tokens each", rates, func(x int) sampler.Workload {
 		return s.workload(x, 8)
 	})
 }
 
-// Tokens measures two instances over the tokens a second that they pass on, at
-// 20 requests a second.
+// Tokens measures two instances against the number of tokens per second that they
+// forward, at 20 requests per second.
 func (s *Surveyor) Tokens(ctx context.Context, rates []int) (Slope, error) {
 	const requests = 20
 	return s.measureTraffic(ctx, "tokens", "tokens a second, 20 requests a second", rates, func(x int) sampler.Workload {
@@ -75,7 +76,7 @@
 	for _, x := range xs {
 		w := workloadFor(x)
 		p := plan(2, 4)
-		p.Speed = 10 // a token every 2.5 ms, so that requests end
+		p.Speed = 10 // one token every 2.5 ms, so that the requests complete in time
 		baseline, err := s.directCPU(ctx, p, w)
 		if err != nil {
 			return slope, err
@@ -92,8 +93,8 @@
 	return slope, nil
 }
 
-// Changes measures four instances over changes of one file of the settings a
-// second.
+// Changes measures four instances against the number of changes per second of one
+// settings file.
 func (s *Surveyor) Changes(ctx context.Context, rates []int) (Slope, error) {
 	slope := Slope{Name: "changes of the settings", Over: "changes a second"}
 	for _, r := range rates {
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// workload draws requests for a few adapters, so that nothing but the path is
+// workload returns a workload on few adapters, so that only the request path is
 // measured.
 func (s *Surveyor) workload(rate, tokens int) sampler.Workload {
 	return sampler.Workload{
@@ -142,14 +143,14 @@
 	send := sender.Sender{Addresses: func() [][]string { return [][]string{addresses} }, Key: stager.Key}
 	for _, r := range send.Run(ctx, calls) {
 		if !r.Complete {
-			return fmt.Errorf("a request was not answered: %s %s", r.Reason, r.Err)
+			return fmt.Errorf("a request got no complete response: %s %s", r.Reason, r.Err)
 		}
 	}
 	return nil
 }
 
-// directCPU returns the processor time a second of callers and engines that do the
-// same work without the system between them.
+// directCPU returns the processor time per second of callers and engines that do the
+// same work without instances in between.
 func (s *Surveyor) directCPU(ctx context.Context, p stager.Plan, w sampler.Workload) (float64, error) {
 	p.Instances = 0
 	deployment, err := stager.Start(ctx, p, log.NewNopLogger())
@@ -201,11 +202,11 @@
 	return slope, nil
 }
 
-// warmUp lets links, leases and first reports pass before the measurement.
+// warmUp is how long links, leases and first reports may take before a measurement.
 const warmUp = 4 * time.Second
 
-// measurePoint measures one size. Off is the processor time a second of what is not an
-// instance, which is taken off.
+// measurePoint measures one point. It subtracts baselineCPU, the processor time per
+// second of everything but the instances.
 func (s *Surveyor) measurePoint(ctx context.Context, p stager.Plan, x, baselineCPU float64, do func(context.Context, *stager.Deployment) error) (Point, error) {
 	if s.Progress != nil {
 		s.Progress(p.Name, x)
@@ -224,7 +225,7 @@
 	return before.pointTo(after, baselineCPU, x, float64(p.Instances)), nil
 }
 
-// standinCPU returns the processor time a second of the stand-ins alone.
+// standinCPU returns the processor time per second of the stand-ins alone.
 func (s *Surveyor) standinCPU(ctx context.Context, p stager.Plan) (float64, error) {
 	deployment, err := stager.Start(ctx, p, log.NewNopLogger())
 	if err != nil {
@@ -237,7 +238,8 @@
 	return (after.cpu - before.cpu) / after.at.Sub(before.at).Seconds(), nil
 }
 
-// plan is one failure domain with the times that a daemon has by default.
+// plan returns one failure domain with the default lease, heartbeat and poll times of
+// a daemon.
 func plan(instances, runners int) stager.Plan {
 	return stager.Plan{
 		Name: fmt.Sprintf("%d instances, %d runners", instances, runners), Account: "survey", Adapters: 20000, Batch: 8,
--- a/internal/standin/generator/doc.go
+++ b/internal/standin/generator/doc.go
@@ -1,9 +1,9 @@
-// Package generator stands in for a model engine.
+// Package generator implements a stand-in for a model engine.
 //
-// It batches continuously: in each step every running request, up to the batch
-// size, gives one token. Adapters stand in slots under the handles they were
-// loaded with; a load fetches weights from the weight store. The engine does
-// what it is told, also when that breaks a promise: an eviction under a running
-// request is carried out, ends the request, and goes into the books. Faults are
-// set over /control.
+// It uses continuous batching: in each step every running request, up to the batch
+// size, emits one token. Adapters occupy slots under the handles they were loaded
+// with; a load fetches the weights from the weight store. The engine executes
+// orders even if they violate an invariant: an eviction of an adapter with running
+// requests is executed, aborts the requests, and is recorded. Faults are set
+// through /control.
 package generator
--- a/internal/standin/generator/engine.go
+++ b/internal/standin/generator/engine.go
@@ -19,38 +19,38 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// An Engine is the stand-in. Its fields are set before Run.
+// An Engine is a stand-in for a model engine. Its fields are set before Run.
 type Engine struct {
-	Batch    int  // requests in a step
-	Fencing  bool // whether orders with an old fencing number are refused
+	Batch    int  // maximum number of requests in a step
+	Fencing  bool // whether orders with a lower fencing token than seen before are rejected
 	Listener net.Listener
 	Name     string
 	Slots    int
 	Step     time.Duration
-	Weights  string // address of the weight store; empty for loads that take no time
+	Weights  string // address of the weight store; if empty, loads take no time
 
 	mu           sync.Mutex
 	record       Record
 	faults       Faults
 	highestFence uint64
 	loading      map[string]bool
-	history      []timedReport // reports, the oldest first
+	history      []timedReport // oldest first
 	resident     map[string]bool
 	running      []*sequence
 	starts       int
 	waiting      []*sequence
 }
 
-// A dated report is given out once it is as old as the lag.
+// A timedReport is a report that is returned once it is older than the lag.
 type timedReport struct {
 	at     time.Time
 	report Report
 }
 
-// reportInterval is how often the engine notes its state for lagging reports.
+// reportInterval is the minimum time between two recorded reports.
 const reportInterval = 50 * time.Millisecond
 
-// Record returns what was done so far.
+// Record returns what the engine has executed so far.
 func (e *Engine) Record() Record {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -60,7 +60,7 @@
 	return record
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is cancelled.
 func (e *Engine) Run(ctx context.Context) error {
 	e.mu.Lock()
 	e.restart()
@@ -80,7 +80,7 @@
 	return server.Run(ctx)
 }
 
-// Set changes the faults.
+// Set replaces the faults to inject.
 func (e *Engine) Set(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -94,7 +94,7 @@
 	e.faults = f
 }
 
-// handleCancel ends a request, if it runs.
+// handleCancel aborts a request if it is running or queued.
 func (e *Engine) handleCancel(c *fasthttp.RequestCtx) {
 	var received Cancel
 	if !listener.Decode(c, &received) {
@@ -117,8 +117,8 @@
 	e.Set(f)
 }
 
-// evict drops a copy, running requests or not, as an engine does that is told
-// to.
+// evict removes an adapter and aborts the requests that use it, as a real engine
+// does on such an order.
 func (e *Engine) evict(o Order) (int, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -131,7 +131,7 @@
 		if s.handle == o.Handle && !s.ended() {
 			run := e.record.Runs[s.recordIndex]
 			e.record.EvictedRunning = append(e.record.EvictedRunning, RunningEviction{
-				Handle: o.Handle, Fence: o.Fence, Marker: run.Marker, RunningFor: time.Since(run.StartedAt),
+				Handle: o.Handle, Fence: o.Fence, Marker: run.Marker, RunningFor: time.Since(run.AcceptedAt),
 			})
 			s.abort()
 		}
@@ -139,7 +139,7 @@
 	return fasthttp.StatusOK, ""
 }
 
-// load brings a copy in. A slot is taken while the weights arrive.
+// load loads an adapter. It occupies a slot while the weights are fetched.
 func (e *Engine) load(o Order) (int, string) {
 	if status, message := e.reserve(o); status != fasthttp.StatusAccepted {
 		return status, message
@@ -178,7 +178,7 @@
 	return nil
 }
 
-// handleOrder decodes an order, checks its fencing number and carries it out.
+// handleOrder decodes an order, checks its fencing token and executes it.
 func (e *Engine) handleOrder(carryOut func(Order) (int, string)) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		var o Order
@@ -225,7 +225,8 @@
 
 func (e *Engine) acceptFence(Order) (int, string) { return fasthttp.StatusOK, "" }
 
-// report returns the newest report that is as old as the lag.
+// report returns the newest recorded report that is older than the lag, if one is
+// set.
 func (e *Engine) report() Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -269,17 +270,17 @@
 	return fasthttp.StatusAccepted, ""
 }
 
-// CrashMarker is what a caller says last whose request crashes the engine.
+// CrashMarker as the content of the caller's last message crashes the engine.
 const CrashMarker = "crash"
 
-// crash ends all requests and starts the engine anew.
+// crash aborts all requests and restarts the engine.
 func (e *Engine) crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.restart()
 }
 
-// restart empties the engine: a cold start.
+// restart aborts all requests and removes all adapters, as a cold start does.
 func (e *Engine) restart() {
 	for _, s := range append(e.running, e.waiting...) {
 		s.abort()
@@ -293,7 +294,8 @@
 	e.waiting = nil
 }
 
-// recordReport keeps reports for as long as any lag reaches back.
+// recordReport records the current state for lagging reports. It keeps the latest
+// 200, about 10 s.
 func (e *Engine) recordReport(now time.Time) {
 	const maxReports = 200
 	if n := len(e.history); n > 0 && now.Sub(e.history[n-1].at) < reportInterval {
@@ -305,7 +307,7 @@
 	}
 }
 
-// runSteps gives every running request one token a step.
+// runSteps runs one step every Step.
 func (e *Engine) runSteps(ctx context.Context) {
 	repeater.Every(ctx, e.Step, nil, func() { e.step(time.Now()) })
 }
@@ -338,7 +340,7 @@
 	return adapter
 }
 
-// Resident returns the handles that the engine holds, sorted.
+// Resident returns the handles of the resident adapters, sorted.
 func (e *Engine) Resident() []string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/generator/sequence.go
+++ b/internal/standin/generator/sequence.go
@@ -14,13 +14,13 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A sequence is one request in the engine.
+// A sequence is a request that is queued or running in the engine.
 type sequence struct {
 	engine      string // incarnation
 	handle      string
-	marker      string // from the prompt, comes back in every token
+	marker      string // adapter and marker of the prompt, repeated in every token
 	priority    int
-	recordIndex int // place in the books
+	recordIndex int // index into Record.Runs
 	tokens      chan string
 	total       int
 
@@ -29,7 +29,7 @@
 	emitted int
 }
 
-// A prompt is the part of a request that the engine reads.
+// A completionRequest holds the fields of a request that the engine uses.
 type completionRequest struct {
 	Model    string `json:"model"`
 	Stream   bool   `json:"stream"`
@@ -40,8 +40,8 @@
 	} `json:"messages"`
 }
 
-// marker returns the last thing that the caller said. It comes back in every
-// token, so that a caller can tell its own answer from another's.
+// marker returns the content of the last message. Every token repeats it, so that a
+// caller can tell its own response from another's.
 func (p *completionRequest) marker() string {
 	if len(p.Messages) > 0 {
 		return p.Messages[len(p.Messages)-1].Content
@@ -49,10 +49,10 @@
 	return p.Prompt
 }
 
-// defaultTokens is the length of an answer whose request names none.
+// defaultTokens is the length of a response if the request does not set one.
 const defaultTokens = 16
 
-// abort ends the sequence before its last token.
+// abort ends the sequence before its last token is emitted.
 func (s *sequence) abort() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -62,7 +62,7 @@
 	}
 }
 
-// emit gives the next token and reports whether it was the last.
+// emit emits the next token and reports whether it was the last one.
 func (s *sequence) emit() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,7 +85,8 @@
 	return s.done
 }
 
-// handleCompletion answers a completion, as a stream of server-sent events or whole.
+// handleCompletion answers a completion request, as a stream of server-sent events or
+// in one body.
 func (e *Engine) handleCompletion(c *fasthttp.RequestCtx) {
 	var p completionRequest
 	if !listener.Decode(c, &p) {
@@ -104,11 +105,12 @@
 		return
 	}
 	c.SetContentType("text/event-stream")
-	conn := c.Conn() // the writer may outlive the request's context
+	conn := c.Conn() // the writer may run after the request's context has been released
 	c.SetBodyStreamWriter(func(w *bufio.Writer) { writeStream(w, conn, s, p.Model, chat, cutAt) })
 }
 
-// enqueue puts a request into the engine unless it is refused.
+// enqueue queues a request, unless its adapter is not resident or a fault rejects
+// it. The int is the token at which to truncate the stream, or 0.
 func (e *Engine) enqueue(p *completionRequest, c *fasthttp.RequestCtx) (*sequence, int, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -121,13 +123,13 @@
 	}
 	s := newSequence(p)
 	s.engine = e.incarnation()
-	s.priority, _ = strconv.Atoi(string(c.Request.Header.Peek(HeaderPriority))) // none is 0
+	s.priority, _ = strconv.Atoi(string(c.Request.Header.Peek(HeaderPriority))) // 0 if absent
 	s.recordIndex = len(e.record.Runs)
 	e.record.Runs = append(e.record.Runs, Run{
-		Request:   string(c.Request.Header.Peek(HeaderRequest)),
-		Marker:    p.marker(),
-		Adapter:   adapterOf(p.Model),
-		StartedAt: time.Now(),
+		Request:    string(c.Request.Header.Peek(HeaderRequest)),
+		Marker:     p.marker(),
+		Adapter:    adapterOf(p.Model),
+		AcceptedAt: time.Now(),
 	})
 	e.waiting = append(e.waiting, s)
 	if p.marker() == CrashMarker {
@@ -150,8 +152,8 @@
 	return s
 }
 
-// writeStream writes the tokens as server-sent events. It ends without [DONE] if
-// the sequence was cut. A write that fails is a caller that went away.
+// writeStream writes the tokens as server-sent events, without the final [DONE] if
+// the sequence was aborted. If a write fails, the caller has disconnected.
 func writeStream(w *bufio.Writer, conn net.Conn, s *sequence, model string, chat bool, cutAt int) {
 	defer s.abort()
 	given := 0
--- a/internal/standin/generator/wire.go
+++ b/internal/standin/generator/wire.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// The paths of an engine.
+// Paths of an engine.
 const (
 	PathBooks       = "/books"
 	PathCancel      = "/orders/cancel"
@@ -15,27 +15,28 @@
 	PathReport      = "/report"
 )
 
-// The headers of an engine.
+// Headers of an engine.
 const (
-	HeaderAdapter  = "X-Adapter"    // on an answer: the adapter version that gave it
-	HeaderEngine   = "X-Engine"     // on an answer: the engine's incarnation
-	HeaderPriority = "X-Priority"   // on a request: higher goes first
-	HeaderRequest  = "X-Request-Id" // on a request: whose it is, for the books
+	HeaderAdapter  = "X-Adapter"    // on a response: the adapter version that generated it
+	HeaderEngine   = "X-Engine"     // on a response: the engine's incarnation
+	HeaderPriority = "X-Priority"   // on a request: higher values are scheduled first
+	HeaderRequest  = "X-Request-Id" // on a request: its ID, for the record
 )
 
-// An Order asks the engine to change what it holds.
+// An Order asks the engine to load or evict an adapter, or to raise its fencing
+// token.
 type Order struct {
 	Handle string `json:"handle"`
 	Fence  uint64 `json:"fence"`
 }
 
-// A Cancel asks the engine to end a request. The answer says that it does not
-// run, whether it was known or not.
+// A Cancel asks the engine to abort a request. The response confirms that the
+// request does not run, whether or not it was known.
 type Cancel struct {
 	Request string `json:"request"`
 }
 
-// A Report is what the engine says of itself, some time ago.
+// A Report is the state of the engine, as of Faults.Lag ago.
 type Report struct {
 	Engine   string   `json:"engine"` // incarnation
 	Resident []string `json:"resident"`
@@ -43,47 +44,47 @@
 	Running  int      `json:"running"`
 	Waiting  int      `json:"waiting"`
 	Leaving  bool     `json:"leaving"`
-	Fence    uint64   `json:"fence"` // highest fencing number seen
+	Fence    uint64   `json:"fence"` // highest fencing token seen
 }
 
-// Faults are what is wrong with the engine now.
+// Faults are the faults that the engine injects.
 type Faults struct {
-	Cut     int           `json:"cut"`     // answers still to cut in the middle
-	Fail    int           `json:"fail"`    // loads still to fail
-	Lag     time.Duration `json:"lag"`     // of reports, in nanoseconds
-	Leaving bool          `json:"leaving"` // say so in reports, refuse nothing
-	Lose    int           `json:"lose"`    // orders still to carry out without an answer
-	Refuse  int           `json:"refuse"`  // requests still to refuse
-	Restart bool          `json:"restart"` // start anew, empty, once
-	Stall   time.Duration `json:"stall"`   // added to each order, in nanoseconds
+	Cut     int           `json:"cut"`     // number of requests to truncate in the middle, if streamed
+	Fail    int           `json:"fail"`    // number of loads to fail
+	Lag     time.Duration `json:"lag"`     // age of reports, in nanoseconds
+	Leaving bool          `json:"leaving"` // report that the engine drains, but still accept requests
+	Lose    int           `json:"lose"`    // number of orders to execute without a response
+	Refuse  int           `json:"refuse"`  // number of requests to reject
+	Restart bool          `json:"restart"` // restart once, without adapters
+	Stall   time.Duration `json:"stall"`   // delay of each order, in nanoseconds
 }
 
-// A Run is one request that the engine began to run.
+// A Run is a request that the engine accepted.
 type Run struct {
-	Request   string    `json:"request"`
-	Marker    string    `json:"marker"` // the last thing that the caller said
-	Adapter   string    `json:"adapter"`
-	StartedAt time.Time `json:"began"`
-	Complete  bool      `json:"whole"` // every token was given
+	Request    string    `json:"request"`
+	Marker     string    `json:"marker"` // content of the caller's last message
+	Adapter    string    `json:"adapter"`
+	AcceptedAt time.Time `json:"began"`
+	Complete   bool      `json:"whole"` // all tokens were emitted
 }
 
-// An RunningEviction is an eviction that hit a running request.
+// A RunningEviction is an eviction that aborted a request.
 type RunningEviction struct {
 	Handle     string        `json:"handle"`
-	Fence      uint64        `json:"fence"` // of the order
+	Fence      uint64        `json:"fence"` // fencing token of the order
 	Marker     string        `json:"marker"`
-	RunningFor time.Duration `json:"age"` // since the request began, in nanoseconds
+	RunningFor time.Duration `json:"age"` // since the request was accepted, in nanoseconds
 }
 
-// Record are what the engine did, in its own count.
+// A Record holds what the engine executed.
 type Record struct {
 	Runs           []Run             `json:"runs"`
 	Loads          int               `json:"loads"`
 	Evictions      int               `json:"evicts"`
-	EvictedRunning []RunningEviction `json:"under"`  // evictions under a running request
-	StaleOrders    int               `json:"late"`   // orders refused for their fencing number
-	Steps          int               `json:"steps"`  // with at least one request running
-	FilledSlots    int               `json:"filled"` // requests in those steps, added up
-	Batch          int               `json:"batch"`  // requests that fit in a step
-	LeavingSince   time.Time         `json:"left"`   // when it first said that it leaves
+	EvictedRunning []RunningEviction `json:"under"`  // evictions that aborted a request
+	StaleOrders    int               `json:"late"`   // orders rejected because of their fencing token
+	Steps          int               `json:"steps"`  // steps with at least one running request
+	FilledSlots    int               `json:"filled"` // sum of the running requests over those steps
+	Batch          int               `json:"batch"`  // maximum number of requests in a step
+	LeavingSince   time.Time         `json:"left"`   // when the engine started to report that it drains
 }
--- a/internal/standin/registrar/faults.go
+++ b/internal/standin/registrar/faults.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Faults are what is wrong with the platform now. The zero value is a platform
-// in order. Durations are in JSON as nanoseconds.
+// Faults are the faults that the platform injects. The zero value injects none.
+// Durations are in nanoseconds in JSON.
 type Faults struct {
-	Down bool          `json:"down"` // every call is refused
+	Down bool          `json:"down"` // reject every call
 	Cut  []string      `json:"cut"`  // failure domains that cannot reach the platform
-	Lose int           `json:"lose"` // commits still to lose the answer of, after the write
-	Slow time.Duration `json:"slow"` // added to each call
+	Lose int           `json:"lose"` // number of commits to execute without a response
+	Slow time.Duration `json:"slow"` // delay of each call
 }
 
-// Counters are what the stand-in did.
+// Counters count the calls that the platform has executed.
 type Counters struct {
-	Commits            int   `json:"commits"`  // transactions carried out
+	Commits            int   `json:"commits"`  // committed transactions
 	Rows               int   `json:"rows"`     // rows written or deleted
-	Reads              int   `json:"reads"`    // gets and scans
-	LostResponses      int   `json:"lost"`     // answers lost after the write
-	Loads              int   `json:"loads"`    // weights served
-	MaxConcurrentLoads int   `json:"together"` // most weights served at once
-	Bytes              int64 `json:"bytes"`    // sent and received in bodies
+	Reads              int   `json:"reads"`    // gets, scans and instance lists
+	LostResponses      int   `json:"lost"`     // responses lost after the commit
+	Loads              int   `json:"loads"`    // weight loads, including rejected ones
+	MaxConcurrentLoads int   `json:"together"` // highest number of concurrent weight loads
+	Bytes              int64 `json:"bytes"`    // sent and received in bodies, without weight loads
 }
--- a/internal/standin/registrar/platform.go
+++ b/internal/standin/registrar/platform.go
@@ -19,12 +19,12 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A Platform is the stand-in. Its fields are set before Run.
+// A Platform is a stand-in for the platform. Its fields are set before Run.
 type Platform struct {
 	Listener net.Listener
-	Lag      time.Duration // of the instance list
-	Rate     float64       // weight loads a second at full speed
-	Together int           // weight loads at once at full speed
+	Lag      time.Duration // delay of the instance list
+	Rate     float64       // weight loads per second without slowdown
+	Together int           // concurrent weight loads without slowdown
 
 	Table tabler.Memory
 	Store storer.Memory
@@ -36,31 +36,32 @@
 	activeLoads int
 }
 
-// An announcement is an instance's last word and what the lagging list shows.
+// An announcement is the last announcement of an instance with the times that the
+// delayed list depends on.
 type announcement struct {
 	lister.Announcement
 
-	endedAt      time.Time // when its process was first found to run no more
+	endedAt      time.Time // when its process was first found to have terminated
 	firstAt      time.Time
-	leavingSince time.Time // when it first said that it leaves
+	leavingSince time.Time // when it first announced that it drains
 }
 
-// The control paths of every stand-in.
+// Paths of the stand-in besides those of the platform.
 const (
 	PathBooks   = "/books"
 	PathControl = "/control"
-	// PathWeights is the weight store's path; the adapter version follows.
+	// PathWeights is the path prefix of the weight store; the adapter version follows.
 	PathWeights = "/weights/"
 )
 
-// Counters returns what was done so far.
+// Counters returns the counters of the calls so far.
 func (p *Platform) Counters() Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.counters
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is cancelled.
 func (p *Platform) Run(ctx context.Context) error {
 	r := router.New()
 	r.POST(tabler.PathCommit, p.withFaults(p.commit))
@@ -77,7 +78,7 @@
 	return server.Run(ctx)
 }
 
-// Set changes the faults.
+// Set replaces the faults to inject.
 func (p *Platform) Set(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -124,7 +125,7 @@
 	if p.faults.Lose > 0 {
 		p.faults.Lose--
 		p.counters.LostResponses++
-		_ = c.Conn().Close() // the write stands, its answer never arrives
+		_ = c.Conn().Close() // the write is committed, but its response is lost
 	}
 }
 
@@ -141,11 +142,11 @@
 	if !decode(c, &key) {
 		return
 	}
-	row, _ := p.Table.Get(c, key) // a Memory does not fail
+	row, _ := p.Table.Get(c, key) // Memory never fails
 	p.respond(c, row)
 }
 
-// withFaults applies the faults and keeps the books of a call.
+// withFaults wraps a handler: it injects the faults and counts the bytes.
 func (p *Platform) withFaults(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		p.mu.Lock()
@@ -163,7 +164,7 @@
 	}
 }
 
-// list answers with the list as it was a lag ago.
+// list returns the instance list as of Lag ago.
 func (p *Platform) list(c *fasthttp.RequestCtx) {
 	now := time.Now()
 	p.mu.Lock()
@@ -184,8 +185,9 @@
 	p.respond(c, listed)
 }
 
-// terminated reports whether the instance's process runs no more. The platform's
-// agent sits beside the process and sees that; a paused process exists.
+// terminated reports whether the instance's process has terminated. The agent of the
+// real platform runs on the same machine and can tell; a paused process still
+// exists.
 func (a *announcement) terminated() bool {
 	return a.Ended || errors.Is(syscall.Kill(a.Process, 0), syscall.ESRCH)
 }
@@ -200,7 +202,7 @@
 }
 
 func (p *Platform) putObject(c *fasthttp.RequestCtx) {
-	_ = p.Store.Put(c, c.UserValue("key").(string), c.PostBody()) // a Memory does not fail
+	_ = p.Store.Put(c, c.UserValue("key").(string), c.PostBody()) // Memory never fails
 }
 
 func (p *Platform) respond(c *fasthttp.RequestCtx, value any) {
@@ -220,12 +222,12 @@
 	if !decode(c, &prefix) {
 		return
 	}
-	rows, _ := p.Table.Scan(c, prefix) // a Memory does not fail
+	rows, _ := p.Table.Scan(c, prefix) // Memory never fails
 	p.respond(c, rows)
 }
 
-// weights serves one load. Side by side, more than Together loads slow each
-// other down and waste a little besides.
+// weights serves one weight load. More than Together concurrent loads slow each
+// other down, with some loss of total throughput.
 func (p *Platform) weights(c *fasthttp.RequestCtx) {
 	p.mu.Lock()
 	p.activeLoads++
@@ -245,7 +247,8 @@
 	}
 }
 
-// contentionFactor is what each load beyond Together costs all of them.
+// contentionFactor is the additional slowdown of all loads when more than Together
+// run concurrently.
 const contentionFactor = 1.15
 
 func (p *Platform) loadTime() time.Duration {
--- a/internal/standin/responder/service.go
+++ b/internal/standin/responder/service.go
@@ -1,6 +1,6 @@
-// Package responder stands in for a plain service, some of whose calls may not
-// be repeated. It answers any call with what it was sent and books each call
-// that it carried out.
+// Package responder implements a stand-in for a plain service, some of whose calls
+// must not be repeated. It echoes every call and records the calls that it
+// executed.
 package responder
 
 import (
@@ -15,21 +15,21 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// The control paths and the header that names a request.
+// Control paths, and the header with the request ID.
 const (
 	HeaderRequest = "X-Request-Id"
 	PathBooks     = "/books"
 	PathControl   = "/control"
 )
 
-// Faults are what is wrong with the service now.
+// Faults are the faults that the service injects.
 type Faults struct {
-	Lose   int           `json:"lose"`   // calls still to carry out without an answer
-	Refuse int           `json:"refuse"` // calls still to refuse with 503
-	Slow   time.Duration `json:"slow"`   // added to each call, in nanoseconds
+	Lose   int           `json:"lose"`   // number of calls to execute without a response
+	Refuse int           `json:"refuse"` // number of calls to reject with status 503
+	Slow   time.Duration `json:"slow"`   // delay of each call, in nanoseconds
 }
 
-// A Call is one call that was carried out.
+// A Call is a call that the service executed.
 type Call struct {
 	Request   string    `json:"request"`
 	Method    string    `json:"method"`
@@ -37,14 +37,14 @@
 	StartedAt time.Time `json:"began"`
 }
 
-// An Echo is the answer to a call.
+// An Echo is the response to a call.
 type Echo struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
 	Body   string `json:"body"`
 }
 
-// A Service is the stand-in. Its fields are set before Run.
+// A Service is a stand-in for a plain service. Its fields are set before Run.
 type Service struct {
 	Listener net.Listener
 
@@ -53,20 +53,20 @@
 	faults Faults
 }
 
-// Calls returns the calls carried out so far.
+// Calls returns the calls executed so far.
 func (s *Service) Calls() []Call {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.calls)
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is cancelled.
 func (s *Service) Run(ctx context.Context) error {
 	server := listener.Server{Listener: s.Listener, Handler: s.handle}
 	return server.Run(ctx)
 }
 
-// Set changes the faults.
+// Set replaces the faults to inject.
 func (s *Service) Set(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/main.go
+++ b/main.go
@@ -1,5 +1,5 @@
-// Command sardinetiller serves very many LoRA adapters on few shared base
-// models.
+// Command sardinetiller serves a large number of LoRA adapters on a few shared
+// base models.
 package main
 
 import (
