--- a/internal/experiment/auditor/auditor.go
+++ b/internal/experiment/auditor/auditor.go
@@ -14,7 +14,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/standin/responder"
 )
 
-// Violations are the violations of each promise.
+// Violations counts, for each invariant, how often it was violated.
 type Violations struct {
 	Version  int `json:"version"`  // executed or answered by another adapter or version
 	Pinned   int `json:"pinned"`   // adapter evicted while it ran a request
@@ -27,8 +27,8 @@
 }
 
 // Total returns the violations of all invariants.
-func (p *Violations) Total() int {
-	return p.Version + p.Pinned + p.Complete + p.NotRun + p.Once + p.Leaving + p.Graceful + p.Settings
+func (v *Violations) Total() int {
+	return v.Version + v.Pinned + v.Complete + v.NotRun + v.Once + v.Leaving + v.Graceful + v.Settings
 }
 
 // An Audit compares results with records. Its fields are set before Run.
@@ -43,7 +43,7 @@
 	executions map[string][]execution // by marker
 }
 
-// A run is one execution of a call, by an engine or a service.
+// An execution is one execution of a call by an engine or a plain service.
 type execution struct {
 	adapter string
 }
@@ -57,29 +57,29 @@
 // Run counts the violations.
 func (a *Audit) Run() Violations {
 	a.indexExecutions()
-	p := Violations{Settings: len(a.Settings)}
+	v := Violations{Settings: len(a.Settings)}
 	a.details = append(a.details, a.Settings...)
 	for i := range a.Results {
-		a.checkResult(&a.Results[i], &p)
+		a.checkResult(&a.Results[i], &v)
 	}
 	for i := range a.Engines {
-		a.checkEngine(&a.Engines[i], &p)
+		a.checkEngine(&a.Engines[i], &v)
 	}
-	return p
+	return v
 }
 
-func (a *Audit) checkEngine(b *generator.Record, p *Violations) {
-	p.Pinned += len(b.EvictedRunning)
-	for _, u := range b.EvictedRunning {
-		a.addDetail("%s was evicted with fencing token %#x while it served %s, accepted %s before", u.Handle, u.Fence, u.Marker, u.RunningFor)
+func (a *Audit) checkEngine(record *generator.Record, v *Violations) {
+	v.Pinned += len(record.EvictedInUse)
+	for _, u := range record.EvictedInUse {
+		a.addDetail("%s was evicted with fencing token %#x while it served %s, accepted %s before", u.Handle, u.Fence, u.Marker, u.RequestAge)
 	}
-	if b.LeavingSince.IsZero() {
+	if record.LeavingSince.IsZero() {
 		return
 	}
-	for _, r := range b.Runs {
-		if r.AcceptedAt.After(b.LeavingSince.Add(leavingGrace)) {
-			p.Leaving++
-			a.addDetail("%s was accepted %s after its engine reported that it drains", r.Marker, r.AcceptedAt.Sub(b.LeavingSince))
+	for _, r := range record.Runs {
+		if r.AcceptedAt.After(record.LeavingSince.Add(leavingGrace)) {
+			v.Leaving++
+			a.addDetail("%s was accepted %s after its engine reported that it drains", r.Marker, r.AcceptedAt.Sub(record.LeavingSince))
 		}
 	}
 }
@@ -91,8 +91,8 @@
 // indexExecutions groups the executions by the marker of their call.
 func (a *Audit) indexExecutions() {
 	a.executions = make(map[string][]execution)
-	for _, b := range a.Engines {
-		for _, r := range b.Runs {
+	for _, record := range a.Engines {
+		for _, r := range record.Runs {
 			a.executions[r.Marker] = append(a.executions[r.Marker], execution{adapter: r.Adapter})
 		}
 	}
@@ -102,27 +102,27 @@
 	}
 }
 
-func (a *Audit) checkResult(r *sender.Result, p *Violations) {
+func (a *Audit) checkResult(r *sender.Result, v *Violations) {
 	executions := a.executions[r.Call.Marker]
 	for _, run := range executions {
 		if run.adapter != r.Call.Adapter {
-			p.Version++
+			v.Version++
 			a.addDetail("%s asked for %s and ran on %s", r.Call.Marker, r.Call.Adapter, run.adapter)
 		}
 	}
 	if r.Call.Once && len(executions) > 1 {
-		p.Once++
+		v.Once++
 		a.addDetail("%s ran %d times", r.Call.Marker, len(executions))
 	}
 	if r.Verdict == judge.NotRun && len(executions) > 0 {
-		p.NotRun++
+		v.NotRun++
 		a.addDetail("%s was told not_run (%s) and ran %d times", r.Call.Marker, r.Reason, len(executions))
 	}
 	if r.Complete && r.Call.Adapter != "" {
-		a.checkResponse(r, p)
+		a.checkResponse(r, v)
 	}
 	if a.Planned && cutOff(r) {
-		p.Graceful++
+		v.Graceful++
 		a.addDetail("%s was aborted or rejected %s after it was sent at %s to %s: %s %s %s", r.Call.Marker, r.Duration.Round(time.Millisecond),
 			r.SentAt.Format(time.TimeOnly), r.Runner, r.Verdict, r.Reason, r.Err)
 	}
@@ -130,7 +130,7 @@
 
 // checkResponse checks that a response is complete, belongs to the caller, and was
 // given by the adapter that the caller named.
-func (a *Audit) checkResponse(r *sender.Result, p *Violations) {
+func (a *Audit) checkResponse(r *sender.Result, v *Violations) {
 	var want strings.Builder
 	for i := range r.Call.Tokens {
 		fmt.Fprintf(&want, "%s|%s:%d/%d ", r.Call.Adapter, r.Call.Marker, i+1, r.Call.Tokens)
@@ -139,11 +139,11 @@
 		return
 	}
 	if !strings.HasPrefix(r.Text, r.Call.Adapter+"|") {
-		p.Version++
+		v.Version++
 		a.addDetail("%s asked for %s and got %.60q", r.Call.Marker, r.Call.Adapter, r.Text)
 		return
 	}
-	p.Complete++
+	v.Complete++
 	a.addDetail("%s got %.60q as a complete response", r.Call.Marker, r.Text)
 }
 
--- a/internal/experiment/auditor/auditor_test.go
+++ b/internal/experiment/auditor/auditor_test.go
@@ -48,7 +48,7 @@
 		{"no violation", completeResult(), generator.Record{Runs: []generator.Run{executionOf("x@1")}}, auditor.Audit{Planned: true}, auditor.Violations{}},
 		{"executed by another version", completeResult(), generator.Record{Runs: []generator.Run{executionOf("x@2")}}, auditor.Audit{}, auditor.Violations{Version: 1}},
 		{"response of another adapter", wrongAdapter, generator.Record{}, auditor.Audit{}, auditor.Violations{Version: 1}},
-		{"evicted while serving", completeResult(), generator.Record{EvictedRunning: []generator.RunningEviction{{Marker: "c"}}}, auditor.Audit{}, auditor.Violations{Pinned: 1}},
+		{"evicted while serving", completeResult(), generator.Record{EvictedInUse: []generator.InUseEviction{{Marker: "c"}}}, auditor.Audit{}, auditor.Violations{Pinned: 1}},
 		{"truncated response", truncated, generator.Record{}, auditor.Audit{}, auditor.Violations{Complete: 1}},
 		{"part of another caller's response", mixed, generator.Record{}, auditor.Audit{}, auditor.Violations{Complete: 1}},
 		{"told not_run but executed", refused, generator.Record{Runs: []generator.Run{executionOf("x@1")}}, auditor.Audit{}, auditor.Violations{NotRun: 1}},
--- a/internal/experiment/reporter/report.go
+++ b/internal/experiment/reporter/report.go
@@ -51,7 +51,7 @@
 
 // New returns the report of a run. The retries are counted by the instances; all
 // other values come from the callers and the records of the stand-ins.
-func New(results []sender.Result, books []generator.Record, retries map[string]int) Report {
+func New(results []sender.Result, records []generator.Record, retries map[string]int) Report {
 	r := Report{Requests: len(results), Verdicts: make(map[string]int), Refusals: make(map[string]int), Retries: retries}
 	stall := hdrhistogram.New(minDuration, maxDuration, significantDigits)
 	first := hdrhistogram.New(minDuration, maxDuration, significantDigits)
@@ -75,7 +75,7 @@
 	r.StalledFraction = float64(stalled) / float64(max(1, len(results)))
 	r.Stall = quantiles(stall)
 	r.FirstByte = quantiles(first)
-	r.addEngineRecords(books)
+	r.addEngineRecords(records)
 	return r
 }
 
@@ -92,28 +92,28 @@
 	fmt.Fprintf(t, "adapter loads\t%d\t%d evictions\n", r.Loads, r.Evictions)
 	fmt.Fprintln(t)
 	fmt.Fprintln(t, "promise\tviolations\t(books of the stand-ins against what the callers saw)")
-	p := r.Violations
+	v := r.Violations
 	for _, row := range []struct {
 		name  string
 		count int
 	}{
-		{"exact adapter and version", p.Version},
-		{"never evicted while serving", p.Pinned},
-		{"whole answer, its own", p.Complete},
-		{"not_run did not run", p.NotRun},
-		{"at most once", p.Once},
-		{"leaving upstream left alone", p.Leaving},
-		{"planned stop cuts nothing off", p.Graceful},
-		{"settings never revert", p.Settings},
+		{"exact adapter and version", v.Version},
+		{"never evicted while serving", v.Pinned},
+		{"whole answer, its own", v.Complete},
+		{"not_run did not run", v.NotRun},
+		{"at most once", v.Once},
+		{"leaving upstream left alone", v.Leaving},
+		{"planned stop cuts nothing off", v.Graceful},
+		{"settings never revert", v.Settings},
 	} {
 		fmt.Fprintf(t, "  %s\t%d\t\n", row.name, row.count)
 	}
 	return t.Flush()
 }
 
-func (r *Report) addEngineRecords(books []generator.Record) {
+func (r *Report) addEngineRecords(records []generator.Record) {
 	steps, filled := 0, 0
-	for _, b := range books {
+	for _, b := range records {
 		r.Loads += b.Loads
 		r.Evictions += b.Evictions
 		steps += b.Steps * b.Batch
--- a/internal/experiment/sampler/sampler.go
+++ b/internal/experiment/sampler/sampler.go
@@ -12,10 +12,12 @@
 
 // A Call is a request to send.
 type Call struct {
-	At             time.Duration // relative to the start of the workload
-	Adapter        string        // name@version; empty for a plain call
-	Deadline       time.Duration
-	HomeDomain     int    // index of the caller's failure domain, modulo their number; fixed for an adapter except for calls from away
+	At       time.Duration // relative to the start of the workload
+	Adapter  string        // name@version; empty for a plain call
+	Deadline time.Duration
+	// HomeDomain is the index of the caller's failure domain, modulo their number. It
+	// is the same for all calls of an adapter, except those from away.
+	HomeDomain     int
 	IdempotencyKey string // empty if none
 	Marker         string // content of the prompt or record, unique to the call
 	Once           bool   // must not be executed more than once
--- a/internal/experiment/sender/sender.go
+++ b/internal/experiment/sender/sender.go
@@ -174,7 +174,7 @@
 	}
 }
 
-// A part is a complete response body or one chunk of a stream.
+// A completion is a complete response body or one chunk of a stream.
 type completion struct {
 	Choices []struct {
 		Delta   struct{ Content string }
--- a/internal/experiment/stager/quarantine_test.go
+++ b/internal/experiment/stager/quarantine_test.go
@@ -37,18 +37,18 @@
 		status, _ = post(t, s.Address(n%len(s.Instances)), "/v1/chat/completions", body)
 		time.Sleep(50 * time.Millisecond)
 	}
-	at := crashTimes(s)
-	if len(at) < 3 {
-		t.Fatalf("%d engines crashed, too few for the test", len(at))
+	crashes := crashTimes(s)
+	if len(crashes) < 3 {
+		t.Fatalf("%d engines crashed, too few for the test", len(crashes))
 	}
 	late := 0
-	for _, began := range at[3:] {
-		if began.Sub(at[2]) > 3*time.Second {
+	for _, crash := range crashes[3:] {
+		if crash.Sub(crashes[2]) > 3*time.Second {
 			late++
 		}
 	}
 	if late > 3 {
-		t.Errorf("%d executions started more than 3 s after the third crash, %d in all", late, len(at))
+		t.Errorf("%d executions started more than 3 s after the third crash, %d in all", late, len(crashes))
 	}
 	for i, instance := range s.Instances {
 		if quarantined := instance.Server.Status().Quarantine; len(quarantined) != 1 || quarantined[0].Crashes < 3 {
--- a/internal/standin/generator/engine.go
+++ b/internal/standin/generator/engine.go
@@ -130,8 +130,8 @@
 	for _, s := range append(slices.Clone(e.running), e.waiting...) {
 		if s.handle == o.Handle && !s.ended() {
 			run := e.record.Runs[s.recordIndex]
-			e.record.EvictedRunning = append(e.record.EvictedRunning, RunningEviction{
-				Handle: o.Handle, Fence: o.Fence, Marker: run.Marker, RunningFor: time.Since(run.AcceptedAt),
+			e.record.EvictedInUse = append(e.record.EvictedInUse, InUseEviction{
+				Handle: o.Handle, Fence: o.Fence, Marker: run.Marker, RequestAge: time.Since(run.AcceptedAt),
 			})
 			s.abort()
 		}
@@ -179,7 +179,7 @@
 }
 
 // handleOrder decodes an order, checks its fencing token and executes it.
-func (e *Engine) handleOrder(carryOut func(Order) (int, string)) fasthttp.RequestHandler {
+func (e *Engine) handleOrder(execute func(Order) (int, string)) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		var o Order
 		if !listener.Decode(c, &o) {
@@ -193,7 +193,7 @@
 			c.Error("old fencing number", fasthttp.StatusPreconditionFailed)
 			return
 		}
-		status, message := carryOut(o)
+		status, message := execute(o)
 		if e.dropResponse() {
 			_ = c.Conn().Close()
 			return
--- a/internal/standin/generator/wire.go
+++ b/internal/standin/generator/wire.go
@@ -68,23 +68,23 @@
 	Complete   bool      `json:"whole"` // all tokens were emitted
 }
 
-// A RunningEviction is an eviction that aborted a request.
-type RunningEviction struct {
+// A InUseEviction is an eviction that aborted a request.
+type InUseEviction struct {
 	Handle     string        `json:"handle"`
 	Fence      uint64        `json:"fence"` // fencing token of the order
 	Marker     string        `json:"marker"`
-	RunningFor time.Duration `json:"age"` // since the request was accepted, in nanoseconds
+	RequestAge time.Duration `json:"age"` // since the request was accepted, in nanoseconds
 }
 
 // A Record holds what the engine executed.
 type Record struct {
-	Runs           []Run             `json:"runs"`
-	Loads          int               `json:"loads"`
-	Evictions      int               `json:"evicts"`
-	EvictedRunning []RunningEviction `json:"under"`  // evictions that aborted a request
-	StaleOrders    int               `json:"late"`   // orders rejected because of their fencing token
-	Steps          int               `json:"steps"`  // steps with at least one running request
-	FilledSlots    int               `json:"filled"` // sum of the running requests over those steps
-	Batch          int               `json:"batch"`  // maximum number of requests in a step
-	LeavingSince   time.Time         `json:"left"`   // when the engine started to report that it drains
+	Runs         []Run           `json:"runs"`
+	Loads        int             `json:"loads"`
+	Evictions    int             `json:"evicts"`
+	EvictedInUse []InUseEviction `json:"under"`  // evictions that aborted a request
+	StaleOrders  int             `json:"late"`   // orders rejected because of their fencing token
+	Steps        int             `json:"steps"`  // steps with at least one running request
+	FilledSlots  int             `json:"filled"` // sum of the running requests over those steps
+	Batch        int             `json:"batch"`  // maximum number of requests in a step
+	LeavingSince time.Time       `json:"left"`   // when the engine started to report that it drains
 }
