--- a/internal/command/commander/adaptercmd.go
+++ b/internal/command/commander/adaptercmd.go
@@ -14,7 +14,7 @@
 	cmd := &cobra.Command{
 		Use:   "adapter",
 		Short: "List, locate and preload adapters",
-		Long:  "Lists the adapters that the settings declare, finds the runners that hold one, and loads one ahead.",
+		Long:  "Lists the adapters that the settings declare, finds the runners where one is resident, and preloads one.",
 	}
 	cmd.AddCommand(c.newAdapterListCmd(), c.newAdapterLocateCmd(), c.newAdapterPreloadCmd())
 	return cmd
@@ -54,8 +54,8 @@
 	var output string
 	cmd := &cobra.Command{
 		Use:     "locate ADAPTER@VERSION",
-		Short:   "Find the runners that hold an adapter",
-		Long:    "Asks an instance which runners of its failure domain hold an adapter version.",
+		Short:   "Find the runners where an adapter is resident",
+		Long:    "Asks an instance at which runners of its failure domain an adapter version is resident.",
 		Example: "  sardinetiller adapter locate mill-7@1 --operator 127.0.0.1:8082",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -87,9 +87,9 @@
 	var output string
 	cmd := &cobra.Command{
 		Use:   "preload ADAPTER@VERSION",
-		Short: "Load an adapter before it is asked for",
-		Long: "Asks an instance to have an adapter version loaded in its failure domain, on the runner that a request\n" +
-			"for it would go to. Loads that requests wait for go first.",
+		Short: "Load an adapter before it is requested",
+		Long: "Asks an instance to load an adapter version in its failure domain, at the runner that a request for it\n" +
+			"would be routed to. Loads that requests wait for take precedence.",
 		Example: "  sardinetiller adapter preload mill-7@1 --operator 127.0.0.1:8082",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/internal/command/commander/democmd.go
+++ b/internal/command/commander/democmd.go
@@ -29,10 +29,10 @@
 	var flags demoFlags
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "Run a whole deployment on stand-ins and check the promises",
+		Short: "Run a complete deployment on stand-ins and check the promises",
 		Long: "Sets up the platform, engines, plain services and entry instances in four failure domains, all in\n" +
 			"this process over loopback TCP. It sends a shift change through the public API while the settings\n" +
-			"change, an engine leaves and an instance is replaced. At the end it compares the books of the\n" +
+			"change, an engine drains and an instance is replaced. At the end it compares the records of the\n" +
 			"stand-ins with what the callers saw. The exit code is 0 only if no promise was broken.",
 		Example: "  sardinetiller demo\n  sardinetiller demo --deployment tsh --seed 7 --output json\n  sardinetiller demo --keep",
 		Args:    cobra.NoArgs,
@@ -40,9 +40,9 @@
 			return c.runDemo(cmd.Context(), flags)
 		},
 	}
-	cmd.Flags().StringVar(&flags.deployment, "deployment", stager.Association, "deployment of today: association or tsh")
-	cmd.Flags().BoolVar(&flags.keep, "keep", false, "stay up afterwards and print a curl line")
-	cmd.Flags().BoolVar(&flags.log, "log", false, "write the instances' logs to stderr")
+	cmd.Flags().StringVar(&flags.deployment, "deployment", stager.Association, "predefined deployment: association or tsh")
+	cmd.Flags().BoolVar(&flags.keep, "keep", false, "keep the deployment running afterwards and print a curl command")
+	cmd.Flags().BoolVar(&flags.log, "log", false, "write the logs of the instances to stderr")
 	cmd.Flags().StringVar(&flags.output, "output", outputTable, "table or json")
 	cmd.Flags().Uint64Var(&flags.seed, "seed", 1, "seed of the workload")
 	return cmd
--- a/internal/command/commander/draincmd.go
+++ b/internal/command/commander/draincmd.go
@@ -16,10 +16,10 @@
 	var platform string
 	cmd := &cobra.Command{
 		Use:   "drain [DOMAIN UPSTREAM]",
-		Short: "Let an upstream or an instance take no new work",
-		Long: "With a failure domain and the name of an upstream, every instance of the domain stops giving the upstream\n" +
-			"new work within a few seconds; what runs there runs to its end. With --operator and no names, that\n" +
-			"instance says that it is not ready, so that the balancer sends it nothing new.",
+		Short: "Drain an upstream or an instance",
+		Long: "With a failure domain and the name of an upstream, every instance of the domain stops sending the upstream\n" +
+			"new requests within a few seconds; those that run there complete. With --operator and no names, that\n" +
+			"instance reports that it is not ready, so that the load balancer sends it no new requests.",
 		Example: "  sardinetiller drain a exit-llm-1 --platform 127.0.0.1:9000\n  sardinetiller drain --operator 127.0.0.1:8082",
 		Args:    cobra.MatchAll(cobra.MaximumNArgs(2), zeroOrTwoArgs),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/internal/command/commander/experimentcmd.go
+++ b/internal/command/commander/experimentcmd.go
@@ -16,8 +16,8 @@
 		Use:   "experiment FILE",
 		Short: "Compare policies over workloads and seeds",
 		Long: "Runs the deployment and workload that a YAML file describes under each policy, shape and seed, with real\n" +
-			"daemons and stand-ins in this process, and shows the figures side by side. Ready descriptions are in\n" +
-			"the directory experiments. Ctrl-C stops it with what it has.",
+			"daemons and stand-ins in this process, and shows the results side by side. Ready descriptions are in\n" +
+			"the directory experiments. Ctrl-C stops it and prints the results so far.",
 		Example: "  sardinetiller experiment experiments/association.yaml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/internal/command/commander/gatewaycmd.go
+++ b/internal/command/commander/gatewaycmd.go
@@ -25,10 +25,10 @@
 	cmd := &cobra.Command{
 		Use:   "gateway [--settings FILE]",
 		Short: "Run an instance on the users' platform",
-		Long: "Runs an instance that takes routes, services and runners from the platform's store and sends\n" +
-			"requests straight to runners. The settings file is named by --settings or, if the platform starts\n" +
+		Long: "Runs an instance that reads routes, services and runners from the platform's store and sends\n" +
+			"requests directly to runners. The settings file is named by --settings or, if the platform starts\n" +
 			"the program, by the environment variable " + settingsVariable + ".\n" +
-			"SIGTERM stops it gracefully. SIGHUP reads the settings again and logs what needs a restart.",
+			"SIGTERM stops it gracefully. SIGHUP rereads the settings and logs whether a restart is needed.",
 		Example: "  sardinetiller gateway --settings examples/gateway.yaml",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/internal/command/commander/loadcmd.go
+++ b/internal/command/commander/loadcmd.go
@@ -33,7 +33,7 @@
 		Use:   "load",
 		Short: "Send a workload to entry addresses and report",
 		Long: "Draws a workload and sends it as ordinary callers would. The shapes are " + shapeNames() + ".\n" +
-			"The same seed draws the same workload. It stops by itself, and on Ctrl-C with what it has.",
+			"The same seed draws the same workload. It ends with the workload; Ctrl-C ends it early with the results so far.",
 		Example: "  sardinetiller load --address 127.0.0.1:8080 --key key.txt --group mill --adapters 3000 --shape shift",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -45,18 +45,18 @@
 	cmd.Flags().StringVar(&flags.file, "workload", "", "YAML file with the workload instead of the flags below")
 	cmd.Flags().StringVar(&flags.key, "key", "", "file with the API key")
 	cmd.Flags().StringVarP(&flags.output, "output", "o", outputTable, "table or json")
-	cmd.Flags().StringVar(&flags.service, "service", "", "plain service for the plain part")
+	cmd.Flags().StringVar(&flags.service, "service", "", "plain service for the calls of --plain")
 	cmd.Flags().IntVar(&w.Adapters, "adapters", 100, "adapters in the group")
 	cmd.Flags().IntVar(&w.Calls, "calls", 500, "calls")
 	cmd.Flags().StringVar(&w.Group, "group", "desk", "name of the adapter group")
-	cmd.Flags().Float64Var(&w.Near, "near", 0, "part of the calls with a near deadline")
-	cmd.Flags().Float64Var(&w.Once, "once", 0, "part that must not run twice")
-	cmd.Flags().Float64Var(&w.Plain, "plain", 0, "part that goes to the plain service")
+	cmd.Flags().Float64Var(&w.Near, "near", 0, "fraction of the calls with a near deadline")
+	cmd.Flags().Float64Var(&w.Once, "once", 0, "fraction of the calls that must not run twice")
+	cmd.Flags().Float64Var(&w.Plain, "plain", 0, "fraction of the calls that go to the plain service")
 	cmd.Flags().Uint64Var(&w.Seed, "seed", 1, "seed")
 	cmd.Flags().StringVar(&flags.shape, "shape", string(sampler.Zipf), "shape of the workload")
-	cmd.Flags().Float64Var(&w.Skew, "skew", 1.3, "exponent of the popularity, above 1")
-	cmd.Flags().DurationVar(&w.Span, "span", 10*time.Second, "time over which the calls come")
-	cmd.Flags().IntVar(&w.Tokens, "tokens", 16, "mean length of an answer")
+	cmd.Flags().Float64Var(&w.Skew, "skew", 1.3, "exponent of the Zipf distribution of adapters, above 1")
+	cmd.Flags().DurationVar(&w.Span, "span", 10*time.Second, "time over which the calls arrive")
+	cmd.Flags().IntVar(&w.Tokens, "tokens", 16, "mean length of a response in tokens")
 	cmd.Flags().IntVar(&w.Versions, "versions", 1, "versions of each adapter")
 	return cmd
 }
--- a/internal/command/commander/platform.go
+++ b/internal/command/commander/platform.go
@@ -61,7 +61,7 @@
 
 func (o *operatorFlags) add(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&o.address, "operator", os.Getenv("SARDINETILLER_OPERATOR"),
-		"host:port where an instance takes operators; from SARDINETILLER_OPERATOR if not given")
+		"host:port of the operator API of an instance; from SARDINETILLER_OPERATOR if not given")
 	cmd.Flags().StringVar(&o.token, "token", os.Getenv("SARDINETILLER_TOKEN"),
 		"file with the operators' key; from SARDINETILLER_TOKEN if not given")
 }
--- a/internal/command/commander/requestcmd.go
+++ b/internal/command/commander/requestcmd.go
@@ -13,8 +13,8 @@
 func (c *Commander) newRequestCmd() *cobra.Command {
 	cmd := &cobra.Command{
 		Use:   "request",
-		Short: "Tell about requests",
-		Long:  "Tells about single requests.",
+		Short: "Explain requests",
+		Long:  "Explains how single requests were routed.",
 	}
 	cmd.AddCommand(c.newRequestExplainCmd())
 	return cmd
@@ -25,10 +25,10 @@
 	var output string
 	cmd := &cobra.Command{
 		Use:   "explain ID",
-		Short: "Tell why a request went where it did",
+		Short: "Explain why a request was routed as it was",
 		Long: "Shows each attempt at a request: the runner that was chosen, the best candidates with the terms of their\n" +
-			"cost in seconds, and how the attempt failed if it did. The ID is the X-Request-Id of the answer. Ask\n" +
-			"the instance that the caller reached; it remembers its latest few thousand requests.",
+			"cost in seconds, and how the attempt failed if it did. The ID is the X-Request-Id of the response.\n" +
+			"Ask the instance that the caller reached; it remembers its latest few thousand requests.",
 		Example: "  sardinetiller request explain 1f2e3d4c5b6a --operator 127.0.0.1:8082",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/internal/command/commander/servecmd.go
+++ b/internal/command/commander/servecmd.go
@@ -24,8 +24,8 @@
 		Short: "Run an entry instance",
 		Long: "Runs an entry instance with the settings of a YAML file. Each setting may be overridden by an\n" +
 			"environment variable (SARDINETILLER_ and its name in capitals) and by a flag of its name.\n" +
-			"SIGTERM stops it gracefully: no request in flight is cut off. SIGHUP reads the keys and the\n" +
-			"certificates again.",
+			"SIGTERM stops it gracefully: no request in flight is aborted. SIGHUP reloads the keys and the\n" +
+			"certificates.",
 		Example: "  sardinetiller serve --settings a-1.yaml\n  sardinetiller serve --settings a-1.yaml --caller 127.0.0.1:8090 --level debug",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/internal/command/commander/settingsapplycmd.go
+++ b/internal/command/commander/settingsapplycmd.go
@@ -25,7 +25,7 @@
 	cmd := &cobra.Command{
 		Use:   "apply [DIR]",
 		Short: "Make a tree the revision in force",
-		Long: "Checks the tree and makes it the next revision, on condition that the revision it was made on is still\n" +
+		Long: "Checks the tree and makes it the next revision, provided that the revision it was made on is still\n" +
 			"in force. If another operator was first, the exit code is 4 and what changed is shown. With\n" +
 			"--revision an older revision's content comes into force again, as a new revision.",
 		Example: "  sardinetiller settings apply tree --base 7 --note 'longer deadlines'\n  sardinetiller settings apply --revision 5 --base 7",
--- a/internal/command/commander/settingscheckcmd.go
+++ b/internal/command/commander/settingscheckcmd.go
@@ -12,7 +12,7 @@
 	return &cobra.Command{
 		Use:     "check DIR",
 		Short:   "Check a tree without the platform",
-		Long:    "Checks every file of a tree and shows each fault with its file, line, field and fix. It needs no platform.",
+		Long:    "Checks every file of a tree and shows each error with its file, line, field and fix. It needs no platform.",
 		Example: "  sardinetiller settings check tree",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(_ *cobra.Command, args []string) error {
--- a/internal/command/commander/settingscmd.go
+++ b/internal/command/commander/settingscmd.go
@@ -20,7 +20,7 @@
 		Use:   "settings",
 		Short: "Check, compare, apply and explain the tree of settings",
 		Long: "The tree of settings is a directory of YAML files kept in version control. These commands check it,\n" +
-			"compare it with the revision in force, make it the next revision, and tell what holds and why.",
+			"compare it with the revision in force, make it the next revision, and explain which values apply.",
 	}
 	cmd.AddCommand(
 		c.newSettingsApplyCmd(), c.newSettingsCheckCmd(), c.newSettingsDiffCmd(),
--- a/internal/command/commander/settingsexplaincmd.go
+++ b/internal/command/commander/settingsexplaincmd.go
@@ -10,9 +10,9 @@
 	var account, service, domain, desk, dir, platform, output string
 	cmd := &cobra.Command{
 		Use:   "explain",
-		Short: "Tell each value at a place in the tree and which level set it",
+		Short: "Show each value at a position in the tree and the level that set it",
 		Long: "Values are inherited from root to service, account, the account's use of the service, failure domain\n" +
-			"and desk. This shows what holds at a place and where it comes from, in a directory or, without\n" +
+			"and desk. This shows the values at a position and where they come from, in a directory or, without\n" +
 			"--tree, in the revision in force.",
 		Example: "  sardinetiller settings explain --tree tree --account gujarat --service exit-llm --domain a --desk gate",
 		Args:    cobra.NoArgs,
--- a/internal/command/commander/standincmd.go
+++ b/internal/command/commander/standincmd.go
@@ -18,7 +18,7 @@
 		Use:   "standin",
 		Short: "Run a stand-in of an outside system",
 		Long: "Runs a stand-in of the platform, of a model engine or of a plain service as a process of its own.\n" +
-			"Faults are set by POST /control with a JSON object; GET /books tells what was done.",
+			"Faults are set by POST /control with a JSON object; GET /books returns what was executed.",
 	}
 	cmd.AddCommand(c.newStandinEngineCmd(), c.newStandinPlatformCmd(), c.newStandinServiceCmd())
 	return cmd
@@ -61,16 +61,16 @@
 	e := &generator.Engine{}
 	return c.standinCommand(standin{
 		name:           "engine",
-		long:           "Runs a model engine that batches continuously, holds adapters in slots and takes load and evict orders.",
+		long:           "Runs a model engine with continuous batching that keeps adapters in slots and accepts load and evict orders.",
 		example:        "--listen 127.0.0.1:7001 --name r1 --weights 127.0.0.1:9000 --fencing",
 		defaultAddress: "127.0.0.1:7001",
 		flags: func(cmd *cobra.Command) {
-			cmd.Flags().StringVar(&e.Name, "name", "engine", "name, the first part of its incarnation")
-			cmd.Flags().IntVar(&e.Slots, "slots", 8, "adapters that it holds")
-			cmd.Flags().IntVar(&e.Batch, "batch", 8, "requests that it runs at once")
-			cmd.Flags().DurationVar(&e.Step, "step", 25*time.Millisecond, "time of a step, which gives each running request a token")
-			cmd.Flags().BoolVar(&e.Fencing, "fencing", false, "refuse orders with an old fencing number")
-			cmd.Flags().StringVar(&e.Weights, "weights", "", "host:port of the weight store; none for loads that take no time")
+			cmd.Flags().StringVar(&e.Name, "name", "engine", "name, which its incarnation begins with")
+			cmd.Flags().IntVar(&e.Slots, "slots", 8, "number of adapter slots")
+			cmd.Flags().IntVar(&e.Batch, "batch", 8, "maximum number of running requests")
+			cmd.Flags().DurationVar(&e.Step, "step", 25*time.Millisecond, "duration of a step, in which each running request emits a token")
+			cmd.Flags().BoolVar(&e.Fencing, "fencing", false, "reject orders with an old fencing token")
+			cmd.Flags().StringVar(&e.Weights, "weights", "", "host:port of the weight store; without it loads take no time")
 		},
 		run: func(ctx context.Context, l net.Listener) error {
 			e.Listener = l
@@ -87,9 +87,9 @@
 		example:        "--listen 127.0.0.1:9000 --rate 3 --together 1",
 		defaultAddress: "127.0.0.1:9000",
 		flags: func(cmd *cobra.Command) {
-			cmd.Flags().DurationVar(&p.Lag, "lag", 2*time.Second, "of the instance list")
-			cmd.Flags().Float64Var(&p.Rate, "rate", 3, "weight loads a second")
-			cmd.Flags().IntVar(&p.Together, "together", 1, "weight loads at once at full speed")
+			cmd.Flags().DurationVar(&p.Lag, "lag", 2*time.Second, "delay of the instance list")
+			cmd.Flags().Float64Var(&p.Rate, "rate", 3, "weight loads per second")
+			cmd.Flags().IntVar(&p.Together, "together", 1, "concurrent weight loads without slowdown")
 		},
 		run: func(ctx context.Context, l net.Listener) error {
 			p.Listener = l
@@ -102,7 +102,7 @@
 	s := &responder.Service{}
 	return c.standinCommand(standin{
 		name:           "service",
-		long:           "Runs a plain service that answers every call with what it was sent and books it.",
+		long:           "Runs a plain service that echoes every call and records it.",
 		example:        "--listen 127.0.0.1:7101",
 		defaultAddress: "127.0.0.1:7101",
 		flags:          func(*cobra.Command) {},
--- a/internal/command/commander/statuscmd.go
+++ b/internal/command/commander/statuscmd.go
@@ -17,9 +17,9 @@
 	cmd := &cobra.Command{
 		Use:   "status",
 		Short: "Show an instance, its peers, and the runners of its domain",
-		Long: "Asks one instance for its state: the revision in force and since when, its lease, what it knows of the\n" +
+		Long: "Asks one instance for its state: the revision in force and since when, its lease, what it knows about the\n" +
 			"other instances, who owns each runner of its failure domain with what is resident there, and which requests\n" +
-			"are not run, as engines crashed that ran them.",
+			"are quarantined because engines crashed that ran them.",
 		Example: "  sardinetiller status --operator 127.0.0.1:8082",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
--- a/internal/command/commander/surveycmd.go
+++ b/internal/command/commander/surveycmd.go
@@ -19,9 +19,9 @@
 	cmd := &cobra.Command{
 		Use:   "survey",
 		Short: "Measure the slopes that docs/CAPACITY.md extrapolates",
-		Long: "Measures what an instance costs over peers, runners, requests and changes of the settings, on real daemons\n" +
-			"and stand-ins in this process, and fits a straight line through each figure. Processor time and memory\n" +
-			"include the stand-ins' part and are upper bounds.",
+		Long: "Measures how the cost of an instance grows with peers, runners, requests, tokens and changes of the\n" +
+			"settings, on real daemons and stand-ins in this process, and fits a straight line to each figure.\n" +
+			"Processor time and memory include those of the stand-ins and are upper bounds.",
 		Example: "  sardinetiller survey --output json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -29,7 +29,7 @@
 		},
 	}
 	cmd.Flags().StringSliceVar(&only, "only", []string{"peers", "runners", "requests", "tokens", "changes"}, "slopes to measure")
-	cmd.Flags().DurationVar(&span, "span", 8*time.Second, "time of each point")
+	cmd.Flags().DurationVar(&span, "span", 8*time.Second, "duration of each point")
 	addOutputFlag(cmd, &output)
 	return cmd
 }
--- a/internal/command/commander/undraincmd.go
+++ b/internal/command/commander/undraincmd.go
@@ -6,8 +6,8 @@
 	var platform string
 	cmd := &cobra.Command{
 		Use:     "undrain DOMAIN UPSTREAM",
-		Short:   "Let an upstream take new work again",
-		Long:    "Takes back a drain of an upstream. An instance that was drained comes back by being restarted.",
+		Short:   "Cancel the drain of an upstream",
+		Long:    "Cancels the drain of an upstream, so that it receives new requests again. To cancel the drain of an instance, restart it.",
 		Example: "  sardinetiller undrain a exit-llm-1 --platform 127.0.0.1:9000",
 		Args:    cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/internal/standin/registrar/platform.go
+++ b/internal/standin/registrar/platform.go
@@ -247,8 +247,8 @@
 	}
 }
 
-// contentionFactor is the additional slowdown of all loads when more than Together
-// run concurrently.
+// contentionFactor is the additional slowdown of a load that begins while more than
+// Together are active, itself included.
 const contentionFactor = 1.15
 
 func (p *Platform) loadTime() time.Duration {
