--- a/internal/command/commander/faults_test.go
+++ b/internal/command/commander/faults_test.go
@@ -79,9 +79,9 @@
 			time.Sleep(loadSpan / 7)
 			tc.fault(c)
 			results := stop()
-			promises, faults := c.audit(results, tc.planned)
-			if promises != (auditor.Violations{}) {
-				t.Errorf("%+v\n%v", promises, faults)
+			violations, details := c.audit(results, tc.planned)
+			if violations != (auditor.Violations{}) {
+				t.Errorf("%+v\n%v", violations, details)
 			}
 			complete := 0
 			for _, r := range results {
--- a/internal/experiment/auditor/auditor_test.go
+++ b/internal/experiment/auditor/auditor_test.go
@@ -41,7 +41,7 @@
 	for _, tc := range []struct {
 		name   string
 		result sender.Result
-		books  generator.Record
+		record generator.Record
 		audit  auditor.Audit
 		want   auditor.Violations
 	}{
@@ -69,7 +69,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			tc.audit.Results = []sender.Result{tc.result}
-			tc.audit.Engines = []generator.Record{tc.books}
+			tc.audit.Engines = []generator.Record{tc.record}
 			if diff := cmp.Diff(tc.want, tc.audit.Run()); diff != "" {
 				t.Error(diff)
 			}
