--- a/internal/command/commander/democmd.go
+++ b/internal/command/commander/democmd.go
@@ -16,7 +16,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/experiment/stager"
 )
 
-// demoFlags are the flags of demo.
+// demoFlags holds the flags of the demo command.
 type demoFlags struct {
 	deployment string
 	keep       bool
@@ -29,10 +29,10 @@
 	var flags demoFlags
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "Run a whole deployment on stand-ins and check the promises",
+		Short: "Run a complete deployment on stand-ins and check the promises",
 		Long: "Sets up the platform, engines, plain services and entry instances in four failure domains, all in\n" +
 			"this process over loopback TCP. It sends a shift change through the public API while the settings\n" +
-			"change, an engine leaves and an instance is replaced. At the end it compares the books of the\n" +
+			"change, an engine drains and an instance is replaced. At the end it compares the records of the\n" +
 			"stand-ins with what the callers saw. The exit code is 0 only if no promise was broken.",
 		Example: "  sardinetiller demo\n  sardinetiller demo --deployment tsh --seed 7 --output json\n  sardinetiller demo --keep",
 		Args:    cobra.NoArgs,
@@ -40,16 +40,16 @@
 			return c.runDemo(cmd.Context(), flags)
 		},
 	}
-	cmd.Flags().StringVar(&flags.deployment, "deployment", stager.Association, "deployment of today: association or tsh")
-	cmd.Flags().BoolVar(&flags.keep, "keep", false, "stay up afterwards and print a curl line")
-	cmd.Flags().BoolVar(&flags.log, "log", false, "write the instances' logs to stderr")
+	cmd.Flags().StringVar(&flags.deployment, "deployment", stager.Association, "predefined deployment: association or tsh")
+	cmd.Flags().BoolVar(&flags.keep, "keep", false, "keep the deployment running afterwards and print a curl command")
+	cmd.Flags().BoolVar(&flags.log, "log", false, "write the logs of the instances to stderr")
 	cmd.Flags().StringVar(&flags.output, "output", outputTable, "table or json")
 	cmd.Flags().Uint64Var(&flags.seed, "seed", 1, "seed of the workload")
 	return cmd
 }
 
-// errBroken is a run in which a promise did not hold.
-var errBroken = errors.New("a promise was broken")
+// errInvariantViolated is returned when a run violated an invariant.
+var errInvariantViolated = errors.New("a promise was broken")
 
 func (c *Commander) runDemo(ctx context.Context, flags demoFlags) error {
 	r, err := runner.Demo(flags.deployment, flags.seed)
@@ -64,12 +64,12 @@
 		r.Logger = log.NewLogfmtLogger(log.NewSyncWriter(c.err))
 	}
 	r.Progress = c.progress()
-	r.Kept = func(ctx context.Context, s *stager.Stage, report reporter.Report) error {
+	r.OnReport = func(ctx context.Context, s *stager.Deployment, report reporter.Report) error {
 		if err := c.printReport(flags.output, &report); err != nil {
 			return err
 		}
 		if flags.keep {
-			c.keep(ctx, s)
+			c.keepRunning(ctx, s)
 		}
 		return nil
 	}
@@ -77,17 +77,17 @@
 	if err != nil {
 		return err
 	}
-	if report.Promises.Total() > 0 {
-		for _, fault := range report.Faults {
+	if report.Violations.Total() > 0 {
+		for _, fault := range report.Details {
 			fmt.Fprintln(c.err, fault)
 		}
-		return errBroken
+		return errInvariantViolated
 	}
 	return nil
 }
 
-// keep leaves the deployment up until the program is stopped.
-func (c *Commander) keep(ctx context.Context, s *stager.Stage) {
+// keepRunning keeps the deployment running until ctx is cancelled.
+func (c *Commander) keepRunning(ctx context.Context, s *stager.Deployment) {
 	address := s.Address(1)
 	fmt.Fprintf(c.err, "\nThe deployment stays up until Ctrl-C. Callers: %s, operators: %s\n\n", address, s.Instances[1].Server.Listeners.Operator.Addr())
 	fmt.Fprintf(c.err, "curl -sS http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' "+
@@ -104,11 +104,11 @@
 	return report.Print(c.out)
 }
 
-// progressEvery is how often progress is shown at most.
-const progressEvery = 200 * time.Millisecond
+// progressInterval is the minimum time between two progress updates.
+const progressInterval = 200 * time.Millisecond
 
-// progress returns a function that shows how far a run is: one line that is
-// written over on a terminal, one line for each note elsewhere.
+// progress returns a function that displays the progress of a run: on a terminal
+// a single line that is overwritten, elsewhere one line for each new note.
 func (c *Commander) progress() func(done, total int, note string) {
 	terminal := isTerminal(c.err)
 	shown := make(chan progressLine, 1)
@@ -117,7 +117,7 @@
 		line := progressLine{done: done, total: total, note: note}
 		select {
 		case shown <- line:
-		default: // the next one says more
+		default: // drop it; the next update supersedes it
 		}
 	}
 }
@@ -140,6 +140,6 @@
 			fmt.Fprintf(w, "%d/%d  %s\n", line.done, line.total, line.note)
 			last = line.note
 		}
-		time.Sleep(progressEvery)
+		time.Sleep(progressInterval)
 	}
 }
--- a/internal/command/commander/experimentcmd.go
+++ b/internal/command/commander/experimentcmd.go
@@ -16,15 +16,15 @@
 		Use:   "experiment FILE",
 		Short: "Compare policies over workloads and seeds",
 		Long: "Runs the deployment and workload that a YAML file describes under each policy, shape and seed, with real\n" +
-			"daemons and stand-ins in this process, and shows the figures side by side. Ready descriptions are in\n" +
-			"the directory experiments. Ctrl-C stops it with what it has.",
+			"daemons and stand-ins in this process, and shows the results side by side. Ready descriptions are in\n" +
+			"the directory experiments. Ctrl-C stops it and prints the results so far.",
 		Example: "  sardinetiller experiment experiments/association.yaml",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return c.runExperiment(cmd.Context(), args[0], output)
 		},
 	}
-	addOutput(cmd, &output)
+	addOutputFlag(cmd, &output)
 	return cmd
 }
 
@@ -37,7 +37,7 @@
 	if err != nil {
 		return usage(err)
 	}
-	fmt.Fprintf(c.err, "about %s\n", description.Took())
+	fmt.Fprintf(c.err, "about %s\n", description.EstimatedDuration())
 	progress := c.progress()
 	compare := comparer.Comparer{Description: description, Progress: func(done, total int) { progress(done, total, "runs") }}
 	cells, err := compare.Run(ctx)
@@ -45,7 +45,7 @@
 		return printErr
 	}
 	if ctx.Err() != nil {
-		return fmt.Errorf("stopped before the end; the figures are of the runs that had ended")
+		return fmt.Errorf("interrupted; the figures cover only the runs that had ended")
 	}
 	return err
 }
--- a/internal/command/commander/faults_test.go
+++ b/internal/command/commander/faults_test.go
@@ -20,193 +20,195 @@
 	return hex.EncodeToString(sum[:])
 }
 
-// span is how long each fault is under load. The faults begin in it and end in
-// it; what is checked does not depend on how far anything got.
-const span = 7 * time.Second
+// loadSpan is the duration of the workload of each test case. Faults start and end
+// within it; the checks do not depend on how much was completed.
+const loadSpan = 7 * time.Second
 
-func load() sampler.Workload {
+func faultWorkload() sampler.Workload {
 	return sampler.Workload{
 		Adapters: 12, Away: 0.3, Calls: 350, Group: "desk", Once: 0.5, Plain: 0.15, Seed: 1,
-		Shape: sampler.Zipf, Skew: 1.1, Span: span, Tokens: 12, Versions: 1,
+		Shape: sampler.Zipf, Skew: 1.1, Span: loadSpan, Tokens: 12, Versions: 1,
 	}
 }
 
-// Real processes under load, one fault at a time and several together. The
-// callers must see only what the stand-ins' books bear out: whole answers of
-// the adapter they named, not_run for what did not run, one run at most for
-// what may not be repeated, and no adapter evicted while it serves.
-func TestPromisesUnderFaults(t *testing.T) {
+// Runs real processes under load and injects one fault at a time or several
+// together. What the callers saw must agree with the records of the stand-ins:
+// complete responses from the requested adapter, not_run only for requests that
+// were not executed, at most one execution of requests that must not be
+// repeated, and no adapter evicted while it serves a request.
+func TestInvariantsUnderFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
 		fencing bool
-		planned bool // no request may be cut off or refused for it
-		fault   func(y *yard)
+		planned bool // no request may be aborted or rejected because of it
+		fault   func(c *cluster)
 	}{
-		// The owner of runners is paused past its lease while it sends requests
-		// and orders. Another instance takes over; then the owner resumes and
-		// acts on what it believed.
-		{"owner paused, engine checks fencing", true, false, pauseOwner},
-		{"owner paused, engine ignores fencing", false, false, pauseOwner},
-		// An instance dies with requests in flight and claims open.
+		// The owner of runners is paused beyond its lease while it sends requests
+		// and orders. Another instance takes over; then the previous owner resumes
+		// and acts on stale state.
+		{"owner paused, engine checks fencing", true, false, pauseOwnerPastLease},
+		{"owner paused, engine ignores fencing", false, false, pauseOwnerPastLease},
+		// An instance is killed with requests in flight and open idempotency claims.
 		{"instance killed", false, false, killInstance},
-		// Engines restart empty under load; a copy believed resident is gone.
-		{"cold start", true, false, coldStart},
-		// Loads fail and orders are carried out without an answer.
-		{"orders lost and loads failed", false, false, loseOrders},
-		// The platform is away for two lease times.
-		{"platform away", false, false, platformAway},
-		// Writes take effect and their answers are lost.
-		{"answers lost", true, false, loseAnswers},
-		// One instance is cut off from the platform, not from its peers.
-		{"instance cut from platform", false, false, cutPlatform},
-		// Nobody reaches one instance, though it reaches all others.
-		{"instance cut from its peers", false, false, cutPeers},
-		// No instance reaches any other, and a whole domain not the platform.
-		{"every instance alone", true, false, cutAll},
-		// An engine and the plain service answer in part or not at all.
-		{"answers cut", true, false, cutAnswers},
-		// An engine says that it leaves.
-		{"upstream leaves", true, true, leaveUpstream},
-		// Every instance is replaced under load, one after the other.
+		// Engines restart empty under load; adapters assumed resident are missing.
+		{"cold start", true, false, restartEngines},
+		// Loads fail, and orders are executed but their responses are lost.
+		{"order responses lost and loads failed", false, false, loseOrderResponses},
+		// The platform is unavailable for twice the lease duration.
+		{"platform unavailable", false, false, takePlatformDown},
+		// Writes take effect but their responses are lost.
+		{"commit responses lost", true, false, loseCommitResponses},
+		// One instance cannot reach the platform but can reach its peers.
+		{"instance partitioned from platform", false, false, partitionFromPlatform},
+		// One instance can reach its peers but not be reached by them.
+		{"instance partitioned from its peers", false, false, partitionFromPeers},
+		// No instance can reach another, and one domain cannot reach the platform.
+		{"all instances partitioned", true, false, partitionAll},
+		// Responses of an engine and of the plain service are truncated or missing.
+		{"responses truncated", true, false, truncateResponses},
+		// An engine reports that it is draining.
+		{"upstream drains", true, true, drainUpstream},
+		// All instances are replaced under load, one after another.
 		{"rolling replacement", true, true, rollingReplacement},
 		{"all at once", false, false, allAtOnce},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			t.Parallel()
-			y := newYard(t, tc.fencing)
-			stop := y.traffic(load())
-			time.Sleep(span / 7)
-			tc.fault(y)
+			c := newCluster(t, tc.fencing)
+			stop := c.startTraffic(faultWorkload())
+			time.Sleep(loadSpan / 7)
+			tc.fault(c)
 			results := stop()
-			promises, faults := y.audit(results, tc.planned)
-			if promises != (auditor.Promises{}) {
-				t.Errorf("%+v\n%v", promises, faults)
+			violations, details := c.audit(results, tc.planned)
+			if violations != (auditor.Violations{}) {
+				t.Errorf("%+v\n%v", violations, details)
 			}
-			whole := 0
+			complete := 0
 			for _, r := range results {
-				if r.Whole {
-					whole++
+				if r.Complete {
+					complete++
 				}
 			}
-			t.Logf("%d of %d answered whole", whole, len(results))
-			if whole == 0 {
-				t.Error("nothing was answered, so nothing was checked")
+			t.Logf("%d of %d received a complete response", complete, len(results))
+			if complete == 0 {
+				t.Error("no request received a complete response, so nothing was checked")
 			}
 		})
 	}
 }
 
-// The platform is away when an instance starts. It finds no list, turns to its
-// seed, takes the settings in force from it, and serves by passing requests on.
-// One without seeds says that it is not ready and refuses with not_run.
-func TestStartsWhilePlatformIsAway(t *testing.T) {
+// The platform is unavailable when an instance starts. Without an instance list it
+// contacts its seed, fetches the active settings from it and serves by forwarding
+// requests. An instance without seeds must report that it is not ready and reject
+// requests with not_run.
+func TestStartsWhilePlatformIsDown(t *testing.T) {
 	t.Parallel()
-	y := newYard(t, true)
-	y.complete("a-1") // makes the adapter resident: the weight store goes away too
-	y.control(y.platform, registrar.Faults{Down: true})
-	y.launch("a-3", "a", "seeds: ["+y.instance("a-1").peers.Listen+"]")
-	y.launch("a-4", "a")
-	until(t, "the one with a seed has settings and knows owners", func() bool {
-		s, ok := y.status("a-3")
+	c := newCluster(t, true)
+	c.completion("a-1") // loads the adapter first, since the weight store becomes unavailable too
+	c.setFaults(c.platform, registrar.Faults{Down: true})
+	c.launch("a-3", "a", "seeds: ["+c.instance("a-1").peerProxy.Listen+"]")
+	c.launch("a-4", "a")
+	waitFor(t, "the instance with a seed has settings and knows the owners", func() bool {
+		s, ok := c.status("a-3")
 		return ok && s.Ready && s.Revision == 1 && len(s.Runners) == 2 && s.Runners[0].Owner != "" && s.Runners[1].Owner != ""
 	})
 	for id, want := range map[string]string{"a-3": `"text"`, "a-4": `"verdict":"not_run"`} {
-		if body := y.complete(id); !strings.Contains(body, want) {
-			t.Errorf("%s answered %s, want %s", id, body, want)
+		if body := c.completion(id); !strings.Contains(body, want) {
+			t.Errorf("%s responded %s, want %s", id, body, want)
 		}
 	}
 }
 
-func pauseOwner(y *yard) {
-	y.instance("a-1").signal(syscall.SIGSTOP)
-	y.out("a-1", true)
-	time.Sleep(2 * yardLease)
-	y.instance("a-1").signal(syscall.SIGCONT)
-	y.out("a-1", false)
+func pauseOwnerPastLease(c *cluster) {
+	c.instance("a-1").signal(syscall.SIGSTOP)
+	c.setOutOfRotation("a-1", true)
+	time.Sleep(2 * clusterLease)
+	c.instance("a-1").signal(syscall.SIGCONT)
+	c.setOutOfRotation("a-1", false)
 }
 
-func killInstance(y *yard) {
-	y.instance("a-1").signal(syscall.SIGKILL)
-	y.launch("a-1", "a")
+func killInstance(c *cluster) {
+	c.instance("a-1").signal(syscall.SIGKILL)
+	c.launch("a-1", "a")
 }
 
-func coldStart(y *yard) {
+func restartEngines(c *cluster) {
 	for range 3 {
-		for _, e := range y.engines {
-			y.control(e, generator.Faults{Restart: true})
-			time.Sleep(span / 20)
+		for _, e := range c.engines {
+			c.setFaults(e, generator.Faults{Restart: true})
+			time.Sleep(loadSpan / 20)
 		}
 	}
 }
 
-func loseOrders(y *yard) {
-	for _, e := range y.engines {
-		y.control(e, generator.Faults{Lose: 6, Fail: 6, Stall: 50 * time.Millisecond})
+func loseOrderResponses(c *cluster) {
+	for _, e := range c.engines {
+		c.setFaults(e, generator.Faults{Lose: 6, Fail: 6, Stall: 50 * time.Millisecond})
 	}
 }
 
-func platformAway(y *yard) {
-	y.control(y.platform, registrar.Faults{Down: true})
-	time.Sleep(2 * yardLease)
-	y.control(y.platform, registrar.Faults{})
+func takePlatformDown(c *cluster) {
+	c.setFaults(c.platform, registrar.Faults{Down: true})
+	time.Sleep(2 * clusterLease)
+	c.setFaults(c.platform, registrar.Faults{})
 }
 
-func loseAnswers(y *yard) {
+func loseCommitResponses(c *cluster) {
 	for range 10 {
-		y.control(y.platform, registrar.Faults{Lose: 5, Slow: 20 * time.Millisecond})
-		time.Sleep(span / 20)
+		c.setFaults(c.platform, registrar.Faults{Lose: 5, Slow: 20 * time.Millisecond})
+		time.Sleep(loadSpan / 20)
 	}
-	y.control(y.platform, registrar.Faults{})
+	c.setFaults(c.platform, registrar.Faults{})
 }
 
-func cutPlatform(y *yard) {
-	y.cut(2*yardLease, y.instance("a-1").proxy)
+func partitionFromPlatform(c *cluster) {
+	c.stopProxies(2*clusterLease, c.instance("a-1").platformProxy)
 }
 
-func cutPeers(y *yard) {
-	y.cut(2*yardLease, y.instance("a-1").peers)
+func partitionFromPeers(c *cluster) {
+	c.stopProxies(2*clusterLease, c.instance("a-1").peerProxy)
 }
 
-func cutAll(y *yard) {
-	y.cut(2*yardLease, y.instance("a-1").peers, y.instance("a-2").peers, y.instance("b-1").peers, y.instance("b-1").proxy)
+func partitionAll(c *cluster) {
+	c.stopProxies(2*clusterLease, c.instance("a-1").peerProxy, c.instance("a-2").peerProxy, c.instance("b-1").peerProxy, c.instance("b-1").platformProxy)
 }
 
-func cutAnswers(y *yard) {
-	for _, e := range y.engines {
-		y.control(e, generator.Faults{Cut: 8, Refuse: 8})
+func truncateResponses(c *cluster) {
+	for _, e := range c.engines {
+		c.setFaults(e, generator.Faults{Cut: 8, Refuse: 8})
 	}
-	y.control(y.service, responder.Faults{Lose: 5})
+	c.setFaults(c.service, responder.Faults{Lose: 5})
 }
 
-func leaveUpstream(y *yard) {
-	y.control(y.engines[0], generator.Faults{Leaving: true})
+func drainUpstream(c *cluster) {
+	c.setFaults(c.engines[0], generator.Faults{Leaving: true})
 }
 
-func rollingReplacement(y *yard) {
+func rollingReplacement(c *cluster) {
 	for _, id := range []string{"a-1", "a-2", "b-1"} {
-		y.launch(id+"x", id[:1])
-		until(y.t, id+"x is ready", func() bool {
-			s, ok := y.status(id + "x")
+		c.launch(id+"x", id[:1])
+		waitFor(c.t, id+"x is ready", func() bool {
+			s, ok := c.status(id + "x")
 			return ok && s.Ready && len(s.Runners) > 0
 		})
-		old := y.instance(id)
+		old := c.instance(id)
 		old.signal(syscall.SIGTERM)
-		time.Sleep(300 * time.Millisecond) // until the balancer has noticed; the instance still serves
-		y.out(id, true)
+		time.Sleep(300 * time.Millisecond) // until the balancer has removed it; the instance still serves
+		c.setOutOfRotation(id, true)
 		<-old.done
 	}
 }
 
-func allAtOnce(y *yard) {
-	loseOrders(y)
-	y.control(y.platform, registrar.Faults{Lose: 10, Slow: 20 * time.Millisecond})
-	y.instance("a-1").signal(syscall.SIGSTOP)
-	y.out("a-1", true)
-	y.control(y.engines[1], generator.Faults{Restart: true})
-	y.instance("b-1").signal(syscall.SIGKILL)
-	y.launch("b-1", "b")
-	time.Sleep(2 * yardLease)
-	y.instance("a-1").signal(syscall.SIGCONT)
-	y.out("a-1", false)
-	cutPlatform(y)
+func allAtOnce(c *cluster) {
+	loseOrderResponses(c)
+	c.setFaults(c.platform, registrar.Faults{Lose: 10, Slow: 20 * time.Millisecond})
+	c.instance("a-1").signal(syscall.SIGSTOP)
+	c.setOutOfRotation("a-1", true)
+	c.setFaults(c.engines[1], generator.Faults{Restart: true})
+	c.instance("b-1").signal(syscall.SIGKILL)
+	c.launch("b-1", "b")
+	time.Sleep(2 * clusterLease)
+	c.instance("a-1").signal(syscall.SIGCONT)
+	c.setOutOfRotation("a-1", false)
+	partitionFromPlatform(c)
 }
--- a/internal/command/commander/platform.go
+++ b/internal/command/commander/platform.go
@@ -20,17 +20,17 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// platformTimeout bounds one call of the platform from the command line.
+// platformTimeout limits a single call to the platform or to an instance.
 const platformTimeout = 5 * time.Second
 
-// addPlatform adds the flag that says where the platform is.
-func addPlatform(cmd *cobra.Command, address *string) {
+// addPlatformFlag adds the flag for the platform's address.
+func addPlatformFlag(cmd *cobra.Command, address *string) {
 	cmd.Flags().StringVar(address, "platform", os.Getenv("SARDINETILLER_PLATFORM"),
 		"host:port of the platform; from SARDINETILLER_PLATFORM if not given")
 }
 
-// newPublisher returns a publisher on the platform at an address. A dry one
-// reads and checks, and writes nothing.
+// newPublisher returns a publisher that uses the platform at address. A dry-run
+// publisher reads and validates but writes nothing.
 func newPublisher(address string, dry bool) (*publisher.Publisher, error) {
 	if address == "" {
 		return nil, usage(fmt.Errorf("no platform; give --platform host:port or set SARDINETILLER_PLATFORM"))
@@ -38,7 +38,7 @@
 	p := &publisher.Publisher{
 		Store: &storer.Client{Address: address, Timeout: platformTimeout},
 		Table: &tabler.Client{Address: address, Timeout: platformTimeout},
-		Token: token,
+		Token: newToken,
 	}
 	if dry {
 		p.Store = &storer.Dry{Store: p.Store}
@@ -47,13 +47,13 @@
 	return p, nil
 }
 
-func token() string {
+func newToken() string {
 	var b [8]byte
 	_, _ = rand.Read(b[:]) // never fails
 	return hex.EncodeToString(b[:])
 }
 
-// operatorFlags say which instance a command asks, and with which key.
+// operatorFlags select the instance that a command queries and the key it sends.
 type operatorFlags struct {
 	address string
 	token   string
@@ -61,12 +61,12 @@
 
 func (o *operatorFlags) add(cmd *cobra.Command) {
 	cmd.Flags().StringVar(&o.address, "operator", os.Getenv("SARDINETILLER_OPERATOR"),
-		"host:port where an instance takes operators; from SARDINETILLER_OPERATOR if not given")
+		"host:port of the operator API of an instance; from SARDINETILLER_OPERATOR if not given")
 	cmd.Flags().StringVar(&o.token, "token", os.Getenv("SARDINETILLER_TOKEN"),
 		"file with the operators' key; from SARDINETILLER_TOKEN if not given")
 }
 
-// call asks the instance and decodes its answer.
+// call sends a request to the instance and decodes its response.
 func (o *operatorFlags) call(ctx context.Context, method, path string, into any) error {
 	if o.address == "" {
 		return usage(fmt.Errorf("no instance; give --operator host:port or set SARDINETILLER_OPERATOR"))
@@ -95,7 +95,7 @@
 	return json.Unmarshal(body, into)
 }
 
-// readKey reads a file with a key; no file is no key.
+// readKey reads a key from a file. An empty file name means no key.
 func readKey(file string) (string, error) {
 	if file == "" {
 		return "", nil
--- a/internal/command/commander/settingsapplycmd.go
+++ b/internal/command/commander/settingsapplycmd.go
@@ -10,7 +10,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/publisher"
 )
 
-// applyFlags are the flags of settings apply.
+// applyFlags holds the flags of the settings apply command.
 type applyFlags struct {
 	author   string
 	base     uint64
@@ -25,7 +25,7 @@
 	cmd := &cobra.Command{
 		Use:   "apply [DIR]",
 		Short: "Make a tree the revision in force",
-		Long: "Checks the tree and makes it the next revision, on condition that the revision it was made on is still\n" +
+		Long: "Checks the tree and makes it the next revision, provided that the revision it was made on is still\n" +
 			"in force. If another operator was first, the exit code is 4 and what changed is shown. With\n" +
 			"--revision an older revision's content comes into force again, as a new revision.",
 		Example: "  sardinetiller settings apply tree --base 7 --note 'longer deadlines'\n  sardinetiller settings apply --revision 5 --base 7",
@@ -42,16 +42,16 @@
 	cmd.Flags().BoolVar(&flags.dry, "dry-run", false, "check against the platform and write nothing")
 	cmd.Flags().StringVar(&flags.note, "note", "", "what the change is for")
 	cmd.Flags().Uint64Var(&flags.revision, "revision", 0, "take the content of this revision instead of a directory")
-	addPlatform(cmd, &flags.platform)
+	addPlatformFlag(cmd, &flags.platform)
 	return cmd
 }
 
-func (c *Commander) runApply(ctx context.Context, args []string, flags applyFlags, based bool) error {
+func (c *Commander) runApply(ctx context.Context, args []string, flags applyFlags, hasBase bool) error {
 	p, err := newPublisher(flags.platform, flags.dry)
 	if err != nil {
 		return err
 	}
-	files, err := applied(ctx, p, args, flags.revision)
+	files, err := filesToApply(ctx, p, args, flags.revision)
 	if err != nil {
 		return err
 	}
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	if !based {
+	if !hasBase {
 		flags.base = head.Revision
 	}
 	revision, err := p.Apply(ctx, publisher.Edit{Files: files, Base: flags.base, Author: flags.author, Note: flags.note})
@@ -74,8 +74,9 @@
 	return nil
 }
 
-// applied returns the files to apply.
-func applied(ctx context.Context, p *publisher.Publisher, args []string, revision uint64) (map[string][]byte, error) {
+// filesToApply returns the files of the directory, or of an earlier revision if
+// one is given.
+func filesToApply(ctx context.Context, p *publisher.Publisher, args []string, revision uint64) (map[string][]byte, error) {
 	if revision == 0 {
 		return readTree(args[0])
 	}
--- a/internal/command/commander/settingscmd.go
+++ b/internal/command/commander/settingscmd.go
@@ -20,7 +20,7 @@
 		Use:   "settings",
 		Short: "Check, compare, apply and explain the tree of settings",
 		Long: "The tree of settings is a directory of YAML files kept in version control. These commands check it,\n" +
-			"compare it with the revision in force, make it the next revision, and tell what holds and why.",
+			"compare it with the revision in force, make it the next revision, and explain which values apply.",
 	}
 	cmd.AddCommand(
 		c.newSettingsApplyCmd(), c.newSettingsCheckCmd(), c.newSettingsDiffCmd(),
@@ -29,7 +29,7 @@
 	return cmd
 }
 
-// readTree reads the YAML files below a directory by their paths in it.
+// readTree reads the YAML files below a directory, keyed by relative path.
 func readTree(dir string) (map[string][]byte, error) {
 	files := make(map[string][]byte)
 	err := filepath.WalkDir(dir, func(path string, entry fs.DirEntry, err error) error {
@@ -56,8 +56,8 @@
 	return files, nil
 }
 
-// inForce returns the manifest and the files in force.
-func inForce(ctx context.Context, p *publisher.Publisher) (publisher.Manifest, map[string][]byte, error) {
+// activeTree returns the manifest and the files of the active revision.
+func activeTree(ctx context.Context, p *publisher.Publisher) (publisher.Manifest, map[string][]byte, error) {
 	head, _, err := p.Head(ctx)
 	if err != nil {
 		return nil, nil, err
@@ -73,9 +73,9 @@
 	return manifest, files, nil
 }
 
-// resolverOf returns a resolver of a directory, or of the revision in force if
-// there is none.
-func resolverOf(ctx context.Context, dir, platform string) (*resolver.Resolver, error) {
+// newResolver returns a resolver for the tree in dir, or for the active revision
+// if dir is empty.
+func newResolver(ctx context.Context, dir, platform string) (*resolver.Resolver, error) {
 	var files map[string][]byte
 	var err error
 	if dir != "" {
@@ -85,7 +85,7 @@
 		if p, err = newPublisher(platform, true); err != nil {
 			return nil, err
 		}
-		_, files, err = inForce(ctx, p)
+		_, files, err = activeTree(ctx, p)
 	}
 	if err != nil {
 		return nil, err
--- a/internal/command/commander/surveycmd.go
+++ b/internal/command/commander/surveycmd.go
@@ -19,9 +19,9 @@
 	cmd := &cobra.Command{
 		Use:   "survey",
 		Short: "Measure the slopes that docs/CAPACITY.md extrapolates",
-		Long: "Measures what an instance costs over peers, runners, requests and changes of the settings, on real daemons\n" +
-			"and stand-ins in this process, and fits a straight line through each figure. Processor time and memory\n" +
-			"include the stand-ins' part and are upper bounds.",
+		Long: "Measures how the cost of an instance grows with peers, runners, requests, tokens and changes of the\n" +
+			"settings, on real daemons and stand-ins in this process, and fits a straight line to each figure.\n" +
+			"Processor time and memory include those of the stand-ins and are upper bounds.",
 		Example: "  sardinetiller survey --output json",
 		Args:    cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -29,8 +29,8 @@
 		},
 	}
 	cmd.Flags().StringSliceVar(&only, "only", []string{"peers", "runners", "requests", "tokens", "changes"}, "slopes to measure")
-	cmd.Flags().DurationVar(&span, "span", 8*time.Second, "time of each point")
-	addOutput(cmd, &output)
+	cmd.Flags().DurationVar(&span, "span", 8*time.Second, "duration of each point")
+	addOutputFlag(cmd, &output)
 	return cmd
 }
 
@@ -63,7 +63,7 @@
 	for _, s := range slopes {
 		for _, name := range slices.Sorted(maps.Keys(s.Fits)) {
 			f := s.Fits[name]
-			rows = append(rows, []string{s.Name, name, fmt.Sprint(s.Values(name)), fmt.Sprintf("%.4g", f.At0), fmt.Sprintf("%.4g", f.Each), fmt.Sprintf("%.3f", f.R2)})
+			rows = append(rows, []string{s.Name, name, fmt.Sprint(s.Values(name)), fmt.Sprintf("%.4g", f.Intercept), fmt.Sprintf("%.4g", f.PerUnit), fmt.Sprintf("%.3f", f.R2)})
 		}
 	}
 	return rows
--- a/internal/experiment/auditor/auditor.go
+++ b/internal/experiment/auditor/auditor.go
@@ -1,6 +1,6 @@
-// Package auditor compares what the callers saw with the books of the
-// stand-ins and counts, for each promise, how often it was broken. It never
-// looks at the system's own counters.
+// Package auditor compares what the callers saw with the records of the stand-ins
+// and counts the violations of each invariant. It does not use the system's own
+// metrics.
 package auditor
 
 import (
@@ -14,123 +14,123 @@
 	"github.com/sardinetiller/sardinetiller/internal/standin/responder"
 )
 
-// Promises are the violations of each promise.
-type Promises struct {
-	Version  int `json:"version"`  // a run or an answer of another adapter or version
-	Pinned   int `json:"pinned"`   // an eviction under a running request
-	Whole    int `json:"whole"`    // an answer that is not whole, or another caller's
-	NotRun   int `json:"notrun"`   // told not_run and run all the same
-	Once     int `json:"once"`     // run twice though marked
-	Leaving  int `json:"leaving"`  // new work to an upstream that leaves
-	Graceful int `json:"graceful"` // a request cut off by a planned stop
-	Settings int `json:"settings"` // a revision that went back or did not arrive
+// Violations counts, for each invariant, how often it was violated.
+type Violations struct {
+	Version  int `json:"version"`  // executed or answered by another adapter or version
+	Pinned   int `json:"pinned"`   // adapter evicted while it ran a request
+	Complete int `json:"whole"`    // response truncated or of another caller
+	NotRun   int `json:"notrun"`   // executed although the caller was told not_run
+	Once     int `json:"once"`     // executed more than once although marked X-Once
+	Leaving  int `json:"leaving"`  // request accepted by an upstream that drains
+	Graceful int `json:"graceful"` // request aborted or rejected because of a planned stop
+	Settings int `json:"settings"` // revision that went back or did not reach all instances
 }
 
-// Total returns the violations of all promises.
-func (p *Promises) Total() int {
-	return p.Version + p.Pinned + p.Whole + p.NotRun + p.Once + p.Leaving + p.Graceful + p.Settings
+// Total returns the violations of all invariants.
+func (v *Violations) Total() int {
+	return v.Version + v.Pinned + v.Complete + v.NotRun + v.Once + v.Leaving + v.Graceful + v.Settings
 }
 
-// An Audit is what there is to compare. Its fields are set before Run.
+// An Audit compares results with records. Its fields are set before Run.
 type Audit struct {
-	Calls    []responder.Call  // of the plain services
-	Engines  []generator.Books // by engine
+	Calls    []responder.Call   // of the plain services
+	Engines  []generator.Record // one per engine
 	Results  []sender.Result
-	Planned  bool     // every stop was planned, so no request may be cut off
-	Settings []string // faults that watching the revisions found
+	Planned  bool     // all stops were planned, so no request may be aborted
+	Settings []string // violations found while watching the settings revisions
 
-	faults []string
-	runs   map[string][]run // by what the caller said
+	details    []string
+	executions map[string][]execution // by marker
 }
 
-// A run is one execution of a call, by an engine or a service.
-type run struct {
+// An execution is one execution of a call by an engine or a plain service.
+type execution struct {
 	adapter string
 }
 
-// leavingGrace is how long an upstream that leaves may still be given work.
+// leavingGrace is how long an upstream that drains may still receive requests.
 const leavingGrace = 3 * time.Second
 
-// Faults returns a line for each violation that Run found.
-func (a *Audit) Faults() []string { return a.faults }
+// Details returns one line for each violation that Run found.
+func (a *Audit) Details() []string { return a.details }
 
 // Run counts the violations.
-func (a *Audit) Run() Promises {
-	a.index()
-	p := Promises{Settings: len(a.Settings)}
-	a.faults = append(a.faults, a.Settings...)
+func (a *Audit) Run() Violations {
+	a.indexExecutions()
+	v := Violations{Settings: len(a.Settings)}
+	a.details = append(a.details, a.Settings...)
 	for i := range a.Results {
-		a.result(&a.Results[i], &p)
+		a.checkResult(&a.Results[i], &v)
 	}
 	for i := range a.Engines {
-		a.engine(&a.Engines[i], &p)
+		a.checkEngine(&a.Engines[i], &v)
 	}
-	return p
+	return v
 }
 
-func (a *Audit) engine(b *generator.Books, p *Promises) {
-	p.Pinned += len(b.Under)
-	for _, u := range b.Under {
-		a.fault("%s was evicted with fencing number %#x under %s, which had run for %s", u.Handle, u.Fence, u.Marker, u.Age)
+func (a *Audit) checkEngine(record *generator.Record, v *Violations) {
+	v.Pinned += len(record.EvictedInUse)
+	for _, u := range record.EvictedInUse {
+		a.addDetail("%s was evicted with fencing token %#x while it served %s, accepted %s before", u.Handle, u.Fence, u.Marker, u.RequestAge)
 	}
-	if b.Left.IsZero() {
+	if record.LeavingSince.IsZero() {
 		return
 	}
-	for _, r := range b.Runs {
-		if r.Began.After(b.Left.Add(leavingGrace)) {
-			p.Leaving++
-			a.fault("%s began %s after its engine said that it leaves", r.Marker, r.Began.Sub(b.Left))
+	for _, r := range record.Runs {
+		if r.AcceptedAt.After(record.LeavingSince.Add(leavingGrace)) {
+			v.Leaving++
+			a.addDetail("%s was accepted %s after its engine reported that it drains", r.Marker, r.AcceptedAt.Sub(record.LeavingSince))
 		}
 	}
 }
 
-func (a *Audit) fault(format string, args ...any) {
-	a.faults = append(a.faults, fmt.Sprintf(format, args...))
+func (a *Audit) addDetail(format string, args ...any) {
+	a.details = append(a.details, fmt.Sprintf(format, args...))
 }
 
-// index gathers the runs of each call by what the caller said.
-func (a *Audit) index() {
-	a.runs = make(map[string][]run)
-	for _, b := range a.Engines {
-		for _, r := range b.Runs {
-			a.runs[r.Marker] = append(a.runs[r.Marker], run{adapter: r.Adapter})
+// indexExecutions groups the executions by the marker of their call.
+func (a *Audit) indexExecutions() {
+	a.executions = make(map[string][]execution)
+	for _, record := range a.Engines {
+		for _, r := range record.Runs {
+			a.executions[r.Marker] = append(a.executions[r.Marker], execution{adapter: r.Adapter})
 		}
 	}
 	for _, c := range a.Calls {
 		marker := c.Path[strings.LastIndexByte(c.Path, '/')+1:]
-		a.runs[marker] = append(a.runs[marker], run{})
+		a.executions[marker] = append(a.executions[marker], execution{})
 	}
 }
 
-func (a *Audit) result(r *sender.Result, p *Promises) {
-	runs := a.runs[r.Call.Marker]
-	for _, run := range runs {
+func (a *Audit) checkResult(r *sender.Result, v *Violations) {
+	executions := a.executions[r.Call.Marker]
+	for _, run := range executions {
 		if run.adapter != r.Call.Adapter {
-			p.Version++
-			a.fault("%s asked for %s and ran on %s", r.Call.Marker, r.Call.Adapter, run.adapter)
+			v.Version++
+			a.addDetail("%s asked for %s and ran on %s", r.Call.Marker, r.Call.Adapter, run.adapter)
 		}
 	}
-	if r.Call.Once && len(runs) > 1 {
-		p.Once++
-		a.fault("%s ran %d times", r.Call.Marker, len(runs))
+	if r.Call.Once && len(executions) > 1 {
+		v.Once++
+		a.addDetail("%s ran %d times", r.Call.Marker, len(executions))
 	}
-	if r.Verdict == judge.NotRun && len(runs) > 0 {
-		p.NotRun++
-		a.fault("%s was told not_run (%s) and ran %d times", r.Call.Marker, r.Reason, len(runs))
+	if r.Verdict == judge.NotRun && len(executions) > 0 {
+		v.NotRun++
+		a.addDetail("%s was told not_run (%s) and ran %d times", r.Call.Marker, r.Reason, len(executions))
 	}
-	if r.Whole && r.Call.Adapter != "" {
-		a.answer(r, p)
+	if r.Complete && r.Call.Adapter != "" {
+		a.checkResponse(r, v)
 	}
 	if a.Planned && cutOff(r) {
-		p.Graceful++
-		a.fault("%s was cut off %s after it was sent at %s to %s: %s %s %s", r.Call.Marker, r.Took.Round(time.Millisecond),
-			r.Sent.Format(time.TimeOnly), r.Runner, r.Verdict, r.Reason, r.Err)
+		v.Graceful++
+		a.addDetail("%s was aborted or rejected %s after it was sent at %s to %s: %s %s %s", r.Call.Marker, r.Duration.Round(time.Millisecond),
+			r.SentAt.Format(time.TimeOnly), r.Runner, r.Verdict, r.Reason, r.Err)
 	}
 }
 
-// answer checks that an answer is whole, the caller's own, and of the adapter
-// that it named.
-func (a *Audit) answer(r *sender.Result, p *Promises) {
+// checkResponse checks that a response is complete, belongs to the caller, and was
+// given by the adapter that the caller named.
+func (a *Audit) checkResponse(r *sender.Result, v *Violations) {
 	var want strings.Builder
 	for i := range r.Call.Tokens {
 		fmt.Fprintf(&want, "%s|%s:%d/%d ", r.Call.Adapter, r.Call.Marker, i+1, r.Call.Tokens)
@@ -139,19 +139,19 @@
 		return
 	}
 	if !strings.HasPrefix(r.Text, r.Call.Adapter+"|") {
-		p.Version++
-		a.fault("%s asked for %s and got %.60q", r.Call.Marker, r.Call.Adapter, r.Text)
+		v.Version++
+		a.addDetail("%s asked for %s and got %.60q", r.Call.Marker, r.Call.Adapter, r.Text)
 		return
 	}
-	p.Whole++
-	a.fault("%s got %.60q as a whole answer", r.Call.Marker, r.Text)
+	v.Complete++
+	a.addDetail("%s got %.60q as a complete response", r.Call.Marker, r.Text)
 }
 
-// cutOff reports whether a request ended because an instance stopped: it was
-// cut in flight, or refused for it.
+// cutOff reports whether a request failed because an instance stopped: it was
+// aborted in flight, or rejected for that reason.
 func cutOff(r *sender.Result) bool {
 	switch {
-	case r.Whole:
+	case r.Complete:
 		return false
 	case r.Verdict == judge.NotRun:
 		return r.Reason == judge.ReasonStopping || r.Reason == judge.ReasonOwner || r.Reason == judge.ReasonPeer
--- a/internal/experiment/comparer/comparer.go
+++ b/internal/experiment/comparer/comparer.go
@@ -1,5 +1,5 @@
-// Package comparer runs one experiment under several policies, shapes and seeds
-// and puts the figures side by side.
+// Package comparer runs one experiment under several policies, workload shapes and
+// seeds and tabulates the results.
 package comparer
 
 import (
@@ -21,51 +21,51 @@
 	"github.com/sardinetiller/sardinetiller/internal/setting/decoder"
 )
 
-// A Description says what to run. It is read from a YAML file.
+// A Description defines the experiment. It is read from a YAML file.
 type Description struct {
 	Deployment string           `yaml:"deployment"`
-	Parallel   int              `yaml:"parallel"` // runs at once
+	Parallel   int              `yaml:"parallel"` // number of concurrent runs
 	Policies   []Policy         `yaml:"policies"`
 	Seeds      []uint64         `yaml:"seeds"`
 	Shapes     []sampler.Shape  `yaml:"shapes"`
 	Workload   sampler.Workload `yaml:"workload"`
 }
 
-// A Policy is one way to choose and to evict.
+// A Policy combines a routing policy with an eviction policy.
 type Policy struct {
 	Name     string `yaml:"name"`
 	Evict    string `yaml:"evict"`    // heat or lru
-	Values   string `yaml:"values"`   // YAML of the root values, with policy among them
-	Baseline bool   `yaml:"baseline"` // what the others are measured against
+	Values   string `yaml:"values"`   // YAML of the root values, including the routing policy
+	Baseline bool   `yaml:"baseline"` // whether other policies are compared with it
 }
 
-// A Cell is the figures of one policy under one shape over all seeds.
+// A Cell holds the results of one policy and workload shape over all seeds.
 type Cell struct {
-	Shape   sampler.Shape     `json:"shape"`
-	Policy  string            `json:"policy"`
-	Stall   Spread            `json:"stall"`  // total seconds
-	Worst   Spread            `json:"worst"`  // 99th percentile in seconds
-	Batch   Spread            `json:"batch"`  // part of each engine step
-	Loads   Spread            `json:"loads"`  // for each 1,000 requests
-	Whole   Spread            `json:"whole"`  // part answered whole
-	Broken  int               `json:"broken"` // promises, over all seeds
-	Reports []reporter.Report `json:"reports"`
+	Shape            sampler.Shape     `json:"shape"`
+	Policy           string            `json:"policy"`
+	Stall            Spread            `json:"stall"`  // total load stall of all requests, in seconds
+	StallP99         Spread            `json:"worst"`  // 99th percentile of the load stall, in seconds
+	Batch            Spread            `json:"batch"`  // used fraction of each engine step
+	LoadsPer1000     Spread            `json:"loads"`  // adapter loads per 1,000 requests
+	CompleteFraction Spread            `json:"whole"`  // fraction of requests with a complete response
+	Violations       int               `json:"broken"` // of invariants, over all seeds
+	Reports          []reporter.Report `json:"reports"`
 }
 
-// A Spread is the median of several runs with the least and the greatest.
+// A Spread is the median, minimum and maximum of several runs.
 type Spread struct {
 	Median float64 `json:"median"`
-	Least  float64 `json:"least"`
-	Most   float64 `json:"most"`
+	Min    float64 `json:"least"`
+	Max    float64 `json:"most"`
 }
 
-// Read decodes and checks a description.
+// Read decodes and validates a description.
 func Read(file string, data []byte) (*Description, error) {
 	var d Description
 	if err := decoder.Strict(data, &d); err != nil {
 		return nil, fmt.Errorf("%s: %s", file, yaml.FormatError(err, false, true))
 	}
-	if _, err := stager.Deployment(d.Deployment); err != nil {
+	if _, err := stager.PlanFor(d.Deployment); err != nil {
 		return nil, fmt.Errorf("%s: deployment: %w", file, err)
 	}
 	if len(d.Policies) == 0 || len(d.Seeds) == 0 || len(d.Shapes) == 0 {
@@ -85,8 +85,8 @@
 	Progress    func(done, total int) // may be nil
 }
 
-// Run returns the figures, shape by shape and policy by policy. If ctx ends it
-// returns what it has.
+// Run returns the results by shape and policy. If ctx is cancelled it returns the
+// results so far.
 func (c *Comparer) Run(ctx context.Context) ([]Cell, error) {
 	d := c.Description
 	var cells []Cell
@@ -102,7 +102,7 @@
 	for _, seed := range d.Seeds {
 		for i := range cells {
 			group.Go(func() error {
-				report, err := c.one(ctx, cells[i].Shape, d.Policies[i%len(d.Policies)], seed)
+				report, err := c.runOne(ctx, cells[i].Shape, d.Policies[i%len(d.Policies)], seed)
 				if err != nil {
 					return err
 				}
@@ -119,16 +119,16 @@
 	}
 	err := group.Wait()
 	for i := range cells {
-		cells[i].sum()
+		cells[i].aggregate()
 	}
 	return cells, err
 }
 
-func (c *Comparer) one(ctx context.Context, shape sampler.Shape, policy Policy, seed uint64) (reporter.Report, error) {
+func (c *Comparer) runOne(ctx context.Context, shape sampler.Shape, policy Policy, seed uint64) (reporter.Report, error) {
 	if err := ctx.Err(); err != nil {
 		return reporter.Report{}, err
 	}
-	plan, err := stager.Deployment(c.Description.Deployment)
+	plan, err := stager.PlanFor(c.Description.Deployment)
 	if err != nil {
 		return reporter.Report{}, err
 	}
@@ -141,34 +141,34 @@
 	return r.Run(ctx)
 }
 
-func (c *Cell) sum() {
-	each := func(value func(r *reporter.Report) float64) Spread {
+func (c *Cell) aggregate() {
+	spreadOf := func(value func(r *reporter.Report) float64) Spread {
 		var values []float64
 		for i := range c.Reports {
 			values = append(values, value(&c.Reports[i]))
 		}
 		return spread(values)
 	}
-	c.Stall = each(func(r *reporter.Report) float64 { return r.Total })
-	c.Worst = each(func(r *reporter.Report) float64 { return r.Stall.P99 })
-	c.Batch = each(func(r *reporter.Report) float64 { return r.Batch })
-	c.Loads = each(func(r *reporter.Report) float64 { return float64(r.Loads) * 1000 / float64(r.Requests) })
-	c.Whole = each(func(r *reporter.Report) float64 { return float64(r.Verdicts["ran"]) / float64(r.Requests) })
+	c.Stall = spreadOf(func(r *reporter.Report) float64 { return r.TotalStall })
+	c.StallP99 = spreadOf(func(r *reporter.Report) float64 { return r.Stall.P99 })
+	c.Batch = spreadOf(func(r *reporter.Report) float64 { return r.BatchEfficiency })
+	c.LoadsPer1000 = spreadOf(func(r *reporter.Report) float64 { return float64(r.Loads) * 1000 / float64(r.Requests) })
+	c.CompleteFraction = spreadOf(func(r *reporter.Report) float64 { return float64(r.Verdicts["ran"]) / float64(r.Requests) })
 	for i := range c.Reports {
-		c.Broken += c.Reports[i].Promises.Total()
+		c.Violations += c.Reports[i].Violations.Total()
 	}
 }
 
 func spread(values []float64) Spread {
 	if len(values) == 0 {
-		return Spread{} // JSON has no word for "not measured"; Reports is empty then
+		return Spread{} // JSON cannot represent NaN; an empty Reports shows that nothing was measured
 	}
 	slices.Sort(values)
-	return Spread{Median: values[len(values)/2], Least: values[0], Most: values[len(values)-1]}
+	return Spread{Median: values[len(values)/2], Min: values[0], Max: values[len(values)-1]}
 }
 
-// Rows returns the cells as a table with the stall as a ratio to the best
-// baseline of the same shape.
+// Rows returns the cells as a table that includes the ratio of the stall to that of
+// the best baseline of the same shape.
 func Rows(d *Description, cells []Cell) [][]string {
 	rows := [][]string{{"SHAPE", "POLICY", "STALL S", "SPREAD", "RATIO", "P99 S", "BATCH", "LOADS/1000", "WHOLE", "BROKEN"}}
 	for _, c := range cells {
@@ -179,16 +179,16 @@
 			}
 		}
 		rows = append(rows, []string{
-			string(c.Shape), c.Policy, fmt.Sprintf("%.1f", c.Stall.Median), fmt.Sprintf("%.1f-%.1f", c.Stall.Least, c.Stall.Most),
-			fmt.Sprintf("%.2f", c.Stall.Median/best), fmt.Sprintf("%.2f", c.Worst.Median), fmt.Sprintf("%.3f", c.Batch.Median),
-			fmt.Sprintf("%.0f", c.Loads.Median), fmt.Sprintf("%.3f", c.Whole.Median), fmt.Sprint(c.Broken),
+			string(c.Shape), c.Policy, fmt.Sprintf("%.1f", c.Stall.Median), fmt.Sprintf("%.1f-%.1f", c.Stall.Min, c.Stall.Max),
+			fmt.Sprintf("%.2f", c.Stall.Median/best), fmt.Sprintf("%.2f", c.StallP99.Median), fmt.Sprintf("%.3f", c.Batch.Median),
+			fmt.Sprintf("%.0f", c.LoadsPer1000.Median), fmt.Sprintf("%.3f", c.CompleteFraction.Median), fmt.Sprint(c.Violations),
 		})
 	}
 	return rows
 }
 
-// Took is a rough bound on how long a description runs.
-func (d *Description) Took() time.Duration {
+// EstimatedDuration returns a rough upper bound on the duration of the experiment.
+func (d *Description) EstimatedDuration() time.Duration {
 	const overhead = 5 * time.Second
 	runs := len(d.Policies) * len(d.Seeds) * len(d.Shapes)
 	return time.Duration(1+runs/max(1, d.Parallel)) * (d.Workload.Span + overhead)
--- a/internal/experiment/runner/demo.go
+++ b/internal/experiment/runner/demo.go
@@ -10,11 +10,11 @@
 	"github.com/sardinetiller/sardinetiller/internal/standin/generator"
 )
 
-// Demo returns the experiment that the demo command shows: a shift change at a
-// deployment of today while the settings change, an engine leaves, and an entry
-// instance is stopped and replaced.
+// Demo returns the experiment of the demo command: a shift change at one of the
+// predefined deployments, while the settings change, an engine drains and an
+// entry instance is replaced.
 func Demo(deployment string, seed uint64) (*Runner, error) {
-	plan, err := stager.Deployment(deployment)
+	plan, err := stager.PlanFor(deployment)
 	if err != nil {
 		return nil, err
 	}
@@ -26,7 +26,7 @@
 		},
 		Events: []Event{
 			{At: 0.25, Name: "the settings change", Do: changeSettings},
-			{At: 0.45, Name: "an engine leaves", Do: leaveEngine},
+			{At: 0.45, Name: "an engine leaves", Do: drainEngine},
 			{At: 0.6, Name: "an instance is replaced", Do: replaceInstance},
 		},
 	}, nil
@@ -35,27 +35,27 @@
 func changeSettings(ctx context.Context, r *Runner) error {
 	p := r.Plan
 	root := fmt.Appendf(nil, "kind: root\nvalues: %s\nweights: {rate: %v, together: %d}\n# changed\n", p.Values, p.Rate*p.Speed, p.Together)
-	_, err := r.stage.Apply(ctx, "root.yaml", root)
+	_, err := r.deployment.Apply(ctx, "root.yaml", root)
 	return err
 }
 
-func leaveEngine(_ context.Context, r *Runner) error {
-	r.stage.Engines[0].Set(generator.Faults{Leaving: true})
+func drainEngine(_ context.Context, r *Runner) error {
+	r.deployment.Engines[0].Set(generator.Faults{Leaving: true})
 	return nil
 }
 
-// replaceInstance starts a further instance in the first domain and stops one
-// there gracefully.
+// replaceInstance starts an additional instance in the first domain and gracefully
+// stops another one there.
 func replaceInstance(_ context.Context, r *Runner) error {
-	instance, err := r.stage.Launch(r.Plan.Domains[0]+"-9", r.Plan.Domains[0])
+	instance, err := r.deployment.Launch(r.Plan.Domains[0]+"-9", r.Plan.Domains[0])
 	if err != nil {
 		return err
 	}
 	r.mu.Lock()
-	r.stage.Instances = append(r.stage.Instances, instance)
-	old := r.stage.Instances[0]
+	r.deployment.Instances = append(r.deployment.Instances, instance)
+	replaced := r.deployment.Instances[0]
 	r.mu.Unlock()
-	old.Leave()
-	r.Take(0, true)
+	replaced.Stop()
+	r.SetOutOfRotation(0, true)
 	return nil
 }
--- a/internal/experiment/runner/runner.go
+++ b/internal/experiment/runner/runner.go
@@ -1,5 +1,5 @@
-// Package runner runs one experiment: a deployment, a workload, and what
-// happens meanwhile, with a report at the end.
+// Package runner runs one experiment: it starts a deployment, sends a workload,
+// triggers events meanwhile and reports the results.
 package runner
 
 import (
@@ -27,111 +27,111 @@
 // A Runner runs one experiment. Its fields are set before Run.
 type Runner struct {
 	Events   []Event
-	Kept     func(ctx context.Context, s *stager.Stage, report reporter.Report) error // called with the report while the deployment still runs; may be nil
+	OnReport func(ctx context.Context, s *stager.Deployment, report reporter.Report) error // called with the report before the deployment is stopped; may be nil
 	Logger   log.Logger
 	Plan     stager.Plan
 	Progress func(done, total int, note string) // may be nil
-	Staged   func(*stager.Stage)                // called when the deployment is ready; may be nil
+	OnReady  func(*stager.Deployment)           // called when the deployment is ready; may be nil
 	Workload sampler.Workload
 
-	done    atomic.Int64
-	note    atomic.Value
-	stage   *stager.Stage
-	mu      sync.Mutex
-	stopped map[int]bool // instances that the balancer has taken out
-	faults  []string     // of the settings
+	done               atomic.Int64
+	note               atomic.Value
+	deployment         *stager.Deployment
+	mu                 sync.Mutex
+	outOfRotation      map[int]bool // instances that the balancer does not use, by index
+	settingsViolations []string     // reverted or missing revisions, and failed events
 }
 
-// An Event happens at a part of the workload's span.
+// An Event is triggered at a fraction of the workload's span.
 type Event struct {
-	At   float64 // 0 to 1
+	At   float64 // fraction of the span, 0 to 1
 	Name string
 	Do   func(ctx context.Context, r *Runner) error
 }
 
-// settleSpan is how long the revisions may take to arrive everywhere.
-const settleSpan = 5 * time.Second
+// revisionTimeout is how long the last revision may take to reach all instances.
+const revisionTimeout = 5 * time.Second
 
-// Run sets the deployment up, sends the workload while the events happen, and
-// reports.
+// Run starts the deployment, sends the workload while the events are triggered, and
+// returns the report.
 func (r *Runner) Run(ctx context.Context) (reporter.Report, error) {
 	calls, err := r.Workload.Draw()
 	if err != nil {
 		return reporter.Report{}, err
 	}
-	r.say("starting")
-	stage, err := stager.Start(ctx, r.Plan, r.Logger)
+	r.setNote("starting")
+	deployment, err := stager.Start(ctx, r.Plan, r.Logger)
 	if err != nil {
 		return reporter.Report{}, err
 	}
-	defer stage.Stop()
-	r.stage = stage
-	r.stopped = make(map[int]bool)
-	if r.Staged != nil {
-		r.Staged(stage)
+	defer deployment.Stop()
+	r.deployment = deployment
+	r.outOfRotation = make(map[int]bool)
+	if r.OnReady != nil {
+		r.OnReady(deployment)
 	}
-	results := r.send(ctx, calls)
+	results := r.runWorkload(ctx, calls)
 	if err := ctx.Err(); err != nil {
 		return reporter.Report{}, err
 	}
-	report := r.report(results)
-	if r.Kept != nil {
-		err = r.Kept(ctx, stage, report)
+	report := r.buildReport(results)
+	if r.OnReport != nil {
+		err = r.OnReport(ctx, deployment, report)
 	}
 	return report, err
 }
 
-// Stage returns the deployment that runs.
-func (r *Runner) Stage() *stager.Stage { return r.stage }
+// Deployment returns the running deployment.
+func (r *Runner) Deployment() *stager.Deployment { return r.deployment }
 
-// Take takes an instance out of the balancer or puts it back.
-func (r *Runner) Take(instance int, out bool) {
+// SetOutOfRotation removes an instance from the balancer's rotation or adds it back.
+func (r *Runner) SetOutOfRotation(instance int, out bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.stopped[instance] = out
+	r.outOfRotation[instance] = out
 }
 
-// addresses are the entry addresses of each domain as the balancer knows them:
-// an instance that says it is not ready gets nothing new.
+// addresses returns the caller addresses in rotation at the balancer, by domain. An
+// instance that reports that it is not ready receives no new requests.
 func (r *Runner) addresses() [][]string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	addresses := make([][]string, len(r.Plan.Domains))
-	for i, instance := range r.stage.Instances {
+	for i, instance := range r.deployment.Instances {
 		domain := slices.Index(r.Plan.Domains, instance.Server.Config.Domain)
-		if ready, _ := instance.Server.Ready(); ready && !r.stopped[i] {
-			addresses[domain] = append(addresses[domain], r.stage.Address(i))
+		if ready, _ := instance.Server.Ready(); ready && !r.outOfRotation[i] {
+			addresses[domain] = append(addresses[domain], r.deployment.Address(i))
 		}
 	}
 	return addresses
 }
 
-func (r *Runner) report(results []sender.Result) reporter.Report {
-	var engines []generator.Books
-	for _, e := range r.stage.Engines {
-		engines = append(engines, e.Books())
+func (r *Runner) buildReport(results []sender.Result) reporter.Report {
+	var engines []generator.Record
+	for _, e := range r.deployment.Engines {
+		engines = append(engines, e.Record())
 	}
 	var calls []responder.Call
-	for _, s := range r.stage.Services {
-		calls = append(calls, s.Books()...)
+	for _, s := range r.deployment.Services {
+		calls = append(calls, s.Calls()...)
 	}
-	audit := auditor.Audit{Calls: calls, Engines: engines, Results: results, Planned: true, Settings: r.faults}
+	audit := auditor.Audit{Calls: calls, Engines: engines, Results: results, Planned: true, Settings: r.settingsViolations}
 	report := reporter.New(results, engines, r.retries())
-	report.Promises = audit.Run()
-	report.Faults = audit.Faults()
+	report.Violations = audit.Run()
+	report.Details = audit.Details()
 	return report
 }
 
-// retryLine is a counter of retries among an instance's metrics.
+// retryLine matches a counter of retries in the metrics of an instance.
 var retryLine = regexp.MustCompile(`(?m)^sardinetiller_retries_total\{reason="([^"]+)".*\} (\d+)$`)
 
 func (r *Runner) retries() map[string]int {
 	retries := make(map[string]int)
-	for _, i := range r.stage.Instances {
+	for _, i := range r.deployment.Instances {
 		var b bytes.Buffer
 		i.Server.Metrics.WritePrometheus(&b)
 		for _, match := range retryLine.FindAllStringSubmatch(b.String(), -1) {
-			n, _ := strconv.Atoi(match[2]) // the pattern has digits only
+			n, _ := strconv.Atoi(match[2]) // the pattern matches only digits
 			if n > 0 {
 				retries[match[1]] += n
 			}
@@ -140,24 +140,24 @@
 	return retries
 }
 
-func (r *Runner) say(note string) {
+func (r *Runner) setNote(note string) {
 	r.note.Store(note)
 	if r.Progress != nil {
 		r.Progress(int(r.done.Load()), r.Workload.Calls, note)
 	}
 }
 
-// send sends the workload while the events happen and the revisions are
-// watched.
-func (r *Runner) send(ctx context.Context, calls []sampler.Call) []sender.Result {
-	watched, stop := context.WithCancel(ctx)
+// runWorkload sends the workload while it triggers the events and watches the
+// settings revisions.
+func (r *Runner) runWorkload(ctx context.Context, calls []sampler.Call) []sender.Result {
+	watchCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	var aside sync.WaitGroup
-	aside.Go(func() { r.watch(watched) })
+	var background sync.WaitGroup
+	background.Go(func() { r.watchRevisions(watchCtx) })
 	for _, e := range r.Events {
-		aside.Go(func() { r.happen(ctx, e) })
+		background.Go(func() { r.runEvent(ctx, e) })
 	}
-	s := sender.Sender{Addresses: r.addresses, Key: stager.Key, Service: r.Plan.Service, Seen: func(sender.Result) {
+	s := sender.Sender{Addresses: r.addresses, Key: stager.Key, Service: r.Plan.Service, OnResult: func(sender.Result) {
 		done := int(r.done.Add(1))
 		if note, ok := r.note.Load().(string); ok && r.Progress != nil {
 			r.Progress(done, len(calls), note)
@@ -166,37 +166,37 @@
 	results := s.Run(ctx, calls)
 	r.awaitRevision(ctx)
 	stop()
-	aside.Wait()
+	background.Wait()
 	return results
 }
 
-func (r *Runner) happen(ctx context.Context, e Event) {
+func (r *Runner) runEvent(ctx context.Context, e Event) {
 	select {
 	case <-ctx.Done():
 		return
 	case <-time.After(time.Duration(e.At * float64(r.Workload.Span))):
 	}
-	r.say(e.Name)
+	r.setNote(e.Name)
 	if err := e.Do(ctx, r); err != nil && ctx.Err() == nil {
-		r.fault("%s: %v", e.Name, err)
+		r.addViolation("%s: %v", e.Name, err)
 	}
 }
 
-func (r *Runner) fault(format string, args ...any) {
+func (r *Runner) addViolation(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = append(r.faults, fmt.Sprintf(format, args...))
+	r.settingsViolations = append(r.settingsViolations, fmt.Sprintf(format, args...))
 }
 
-// watch looks at the revision of every instance again and again: none may go
-// back.
-func (r *Runner) watch(ctx context.Context) {
+// watchRevisions polls the settings revision of every instance. It must never
+// decrease.
+func (r *Runner) watchRevisions(ctx context.Context) {
 	last := make(map[string]uint64)
 	for ctx.Err() == nil {
 		for _, i := range r.instances() {
 			revision := i.Server.Watcher.Revision()
 			if revision < last[i.Server.Incarnation] {
-				r.fault("%s went back from revision %d to %d", i.Server.Incarnation, last[i.Server.Incarnation], revision)
+				r.addViolation("%s went back from revision %d to %d", i.Server.Incarnation, last[i.Server.Incarnation], revision)
 			}
 			last[i.Server.Incarnation] = revision
 		}
@@ -207,27 +207,27 @@
 func (r *Runner) instances() []*stager.Instance {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.stage.Instances)
+	return slices.Clone(r.deployment.Instances)
 }
 
-// awaitRevision waits until the last accepted revision is in force everywhere.
+// awaitRevision waits until the last applied revision is active at all instances.
 func (r *Runner) awaitRevision(ctx context.Context) {
-	want := r.stage.Revision()
-	deadline := time.Now().Add(settleSpan)
+	want := r.deployment.Revision()
+	deadline := time.Now().Add(revisionTimeout)
 	for ctx.Err() == nil && time.Now().Before(deadline) {
-		if r.everywhere(want) {
+		if r.allAtRevision(want) {
 			return
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	r.fault("revision %d is not in force everywhere after %s", want, settleSpan)
+	r.addViolation("revision %d is not active at all instances after %s", want, revisionTimeout)
 }
 
-func (r *Runner) everywhere(want uint64) bool {
+func (r *Runner) allAtRevision(want uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for i, instance := range r.stage.Instances {
-		if !r.stopped[i] && instance.Server.Watcher.Revision() != want {
+	for i, instance := range r.deployment.Instances {
+		if !r.outOfRotation[i] && instance.Server.Watcher.Revision() != want {
 			return false
 		}
 	}
--- a/internal/experiment/sender/sender.go
+++ b/internal/experiment/sender/sender.go
@@ -1,5 +1,5 @@
-// Package sender plays the callers: it sends drawn calls to entry addresses as
-// ordinary clients of the public API and keeps what each caller saw.
+// Package sender simulates the callers: it sends the calls of a workload to entry
+// instances through the public API and records what each caller saw.
 package sender
 
 import (
@@ -23,33 +23,33 @@
 
 // A Sender sends calls. Its fields are set before Run.
 type Sender struct {
-	Addresses func() [][]string // of the entry instances of each failure domain, as the balancer knows them
+	Addresses func() [][]string // of the entry instances in rotation, by failure domain
 	Key       string            // API key
-	Service   string            // plain service
-	Seen      func(Result)      // called as each call ends; may be nil
+	Service   string            // name of the plain service
+	OnResult  func(Result)      // called when a call has ended; may be nil
 }
 
-// A Result is what one caller saw.
+// A Result is the outcome of a call as its caller saw it.
 type Result struct {
-	Call    sampler.Call
-	Status  int // 0 if there was no answer
-	Text    string
-	Whole   bool // the answer ended as a whole one does
-	Verdict judge.Verdict
-	Reason  judge.Reason
-	Sent    time.Time
-	Took    time.Duration
-	First   time.Duration // to the first byte of the answer
-	Stall   time.Duration // as the system told
-	Runner  string
-	Err     string
+	Call      sampler.Call
+	Status    int // 0 if there was no response
+	Text      string
+	Complete  bool // the response ended as a complete one does
+	Verdict   judge.Verdict
+	Reason    judge.Reason
+	SentAt    time.Time
+	Duration  time.Duration
+	FirstByte time.Duration // time to the first byte of the response
+	Stall     time.Duration // as reported in the response headers
+	Runner    string
+	Err       string
 }
 
-// patience is how long a caller waits beyond its deadline.
-const patience = 10 * time.Second
+// clientGrace is how long a caller waits after its deadline.
+const clientGrace = 10 * time.Second
 
-// Run sends the calls at their times and returns the results in order of the
-// calls.
+// Run sends the calls at their times and returns the results in the order of the
+// calls. If ctx is cancelled it returns those of the calls sent so far.
 func (s *Sender) Run(ctx context.Context, calls []sampler.Call) []Result {
 	results := make([]Result, len(calls))
 	begin := time.Now()
@@ -63,8 +63,8 @@
 		}
 		sent.Go(func() {
 			results[i] = s.send(ctx, &calls[i], i)
-			if s.Seen != nil {
-				s.Seen(results[i])
+			if s.OnResult != nil {
+				s.OnResult(results[i])
 			}
 		})
 	}
@@ -72,40 +72,39 @@
 	return results
 }
 
-// send sends one call. Like a caller behind a balancer it goes on to another
-// address when none listens at the first one, which means that nothing was
-// sent.
-func (s *Sender) send(ctx context.Context, call *sampler.Call, turn int) Result {
-	result := Result{Call: *call, Sent: time.Now()}
-	ctx, cancel := context.WithTimeout(ctx, call.Deadline+patience)
+// send sends one call. Like a caller behind a load balancer it tries the next
+// address if it cannot connect, since then no request was sent.
+func (s *Sender) send(ctx context.Context, call *sampler.Call, index int) Result {
+	result := Result{Call: *call, SentAt: time.Now()}
+	ctx, cancel := context.WithTimeout(ctx, call.Deadline+clientGrace)
 	defer cancel()
-	for _, address := range s.order(call, turn) {
+	for _, address := range s.order(call, index) {
 		var r requester.Requester
-		answer, seen := r.Do(ctx, address, s.request(call, address))
-		if _, dialled := seen.(judge.Dialed); dialled {
+		response, seen := r.Do(ctx, address, s.request(call, address))
+		if _, notDialed := seen.(judge.Dialed); notDialed {
 			continue
 		}
 		if seen != nil {
-			result.fail(judge.Judge(seen))
+			result.setError(judge.Judge(seen))
 			break
 		}
-		result.read(answer)
-		answer.Close()
+		result.readResponse(response)
+		response.Close()
 		break
 	}
-	result.Took = time.Since(result.Sent)
+	result.Duration = time.Since(result.SentAt)
 	return result
 }
 
-// order returns the addresses to try: those of the caller's domain in turn,
-// then those of the others.
-func (s *Sender) order(call *sampler.Call, turn int) []string {
+// order returns the addresses to try: those of the caller's domain in round-robin
+// order, then those of the other domains.
+func (s *Sender) order(call *sampler.Call, index int) []string {
 	var order []string
 	domains := s.Addresses()
 	for d := range domains {
-		domain := domains[(call.Home+d)%len(domains)]
+		domain := domains[(call.HomeDomain+d)%len(domains)]
 		for i := range domain {
-			order = append(order, domain[(turn+i)%len(domain)])
+			order = append(order, domain[(index+i)%len(domain)])
 		}
 	}
 	return order
@@ -118,8 +117,8 @@
 	r.Header.Set(answerer.HeaderDeadline, call.Deadline.String())
 	r.Header.Set(answerer.HeaderPriority, strconv.Itoa(call.Priority))
 	r.Header.Set(answerer.HeaderOnce, strconv.FormatBool(call.Once))
-	if call.Key != "" {
-		r.Header.Set(answerer.HeaderKey, call.Key)
+	if call.IdempotencyKey != "" {
+		r.Header.Set(answerer.HeaderKey, call.IdempotencyKey)
 	}
 	if call.Adapter == "" {
 		r.SetRequestURI("http://" + address + answerer.PathServices + s.Service + "/records/" + call.Marker)
@@ -133,50 +132,50 @@
 	return r
 }
 
-func (r *Result) fail(err *judge.Error) {
+func (r *Result) setError(err *judge.Error) {
 	r.Verdict = err.Verdict
 	r.Reason = err.Reason
 	r.Err = err.Message
 }
 
-func (r *Result) read(answer *requester.Answer) {
-	r.Status = answer.Status
-	r.Runner = string(answer.Header.Peek(answerer.HeaderRunner))
-	r.Stall, _ = time.ParseDuration(string(answer.Header.Peek(answerer.HeaderStall))) // none is no stall
-	r.First = time.Since(r.Sent)
-	if answer.Status < fasthttp.StatusBadRequest && strings.HasPrefix(string(answer.Header.ContentType()), "text/event-stream") {
-		r.readStream(answer)
+func (r *Result) readResponse(response *requester.Answer) {
+	r.Status = response.Status
+	r.Runner = string(response.Header.Peek(answerer.HeaderRunner))
+	r.Stall, _ = time.ParseDuration(string(response.Header.Peek(answerer.HeaderStall))) // 0 if absent
+	r.FirstByte = time.Since(r.SentAt)
+	if response.Status < fasthttp.StatusBadRequest && strings.HasPrefix(string(response.Header.ContentType()), "text/event-stream") {
+		r.readStream(response)
 		return
 	}
-	body, err := io.ReadAll(answer.Body)
+	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		r.fail(judge.Judge(answer.Broken(err)))
+		r.setError(judge.Judge(response.Broken(err)))
 		return
 	}
-	r.readWhole(body)
+	r.readBody(body)
 }
 
-func (r *Result) readWhole(body []byte) {
+func (r *Result) readBody(body []byte) {
 	if r.Status >= fasthttp.StatusBadRequest {
 		var f answerer.Failure
 		if err := json.Unmarshal(body, &f); err != nil {
-			r.fail(judge.As(err))
+			r.setError(judge.As(err))
 			return
 		}
-		r.fail(&judge.Error{Verdict: f.Error.Verdict, Reason: f.Error.Reason, Message: f.Error.Message})
+		r.setError(&judge.Error{Verdict: f.Error.Verdict, Reason: f.Error.Reason, Message: f.Error.Message})
 		return
 	}
 	r.Verdict = judge.Ran
-	r.Whole = true
+	r.Complete = true
 	r.Text = string(body)
-	var p part
+	var p completion
 	if json.Unmarshal(body, &p) == nil && len(p.Choices) > 0 {
 		r.Text = p.Choices[0].Message.Content
 	}
 }
 
-// A part is a completion or a chunk of one.
-type part struct {
+// A completion is a complete response body or one chunk of a stream.
+type completion struct {
 	Choices []struct {
 		Delta   struct{ Content string }
 		Message struct{ Content string }
@@ -184,9 +183,9 @@
 	Error *answerer.Detail
 }
 
-func (r *Result) readStream(answer *requester.Answer) {
+func (r *Result) readStream(response *requester.Answer) {
 	r.Verdict = judge.MayHaveRun
-	scanner := bufio.NewScanner(answer.Body)
+	scanner := bufio.NewScanner(response.Body)
 	for scanner.Scan() {
 		data, ok := strings.CutPrefix(scanner.Text(), "data: ")
 		if !ok {
@@ -194,16 +193,16 @@
 		}
 		if data == "[DONE]" {
 			r.Verdict = judge.Ran
-			r.Whole = true
+			r.Complete = true
 			return
 		}
-		var p part
+		var p completion
 		if err := json.Unmarshal([]byte(data), &p); err != nil {
 			r.Err = err.Error()
 			return
 		}
 		if p.Error != nil {
-			r.fail(&judge.Error{Verdict: p.Error.Verdict, Reason: p.Error.Reason, Message: p.Error.Message})
+			r.setError(&judge.Error{Verdict: p.Error.Verdict, Reason: p.Error.Reason, Message: p.Error.Message})
 			return
 		}
 		for _, c := range p.Choices {
--- a/internal/experiment/stager/hop_test.go
+++ b/internal/experiment/stager/hop_test.go
@@ -14,11 +14,11 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// BenchmarkHop measures what the path adds to a request, beside the same
-// request sent straight to an engine in the same run: through the owner itself,
-// and through an instance that passes it on. Requests come at 500 a second.
+// BenchmarkHop measures the latency that the instances add, compared with the same
+// request sent directly to an engine in the same run: through the owner, and
+// through an instance that forwards to the owner. It sends 500 requests per second.
 func BenchmarkHop(b *testing.B) {
-	plan, err := stager.Deployment(stager.Association)
+	plan, err := stager.PlanFor(stager.Association)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -33,22 +33,22 @@
 	if s.Instances[1].Server.Owns(plan.Engine + "-1") {
 		owner, other = 1, 0
 	}
-	ask(b, s.Address(owner), "desk-1@1") // loads it
-	report := s.Engines[0].Resident()
+	ask(b, s.Address(owner), "desk-1@1") // loads the adapter
+	resident := s.Engines[0].Resident()
 	for _, target := range []struct{ name, address, model string }{
-		{"engine", s.Engines[0].Listener.Addr().String(), report[0]},
+		{"engine", s.Engines[0].Listener.Addr().String(), resident[0]},
 		{"owner", s.Address(owner), "desk-1@1"},
 		{"passed on", s.Address(other), "desk-1@1"},
 	} {
 		b.Run(target.name, func(b *testing.B) {
 			b.ReportAllocs()
-			paced(b, func() { ask(b, target.address, target.model) })
+			runPaced(b, func() { ask(b, target.address, target.model) })
 		})
 	}
 }
 
-// paced runs one call every 2 ms and reports quantiles of how long they took.
-func paced(b *testing.B, call func()) {
+// runPaced starts one call every 2 ms and reports quantiles of their durations.
+func runPaced(b *testing.B, call func()) {
 	const every = 2 * time.Millisecond
 	var mu sync.Mutex
 	var took []time.Duration
@@ -58,11 +58,11 @@
 	for range b.N {
 		<-ticker.C
 		calls.Go(func() {
-			begin := time.Now()
+			start := time.Now()
 			call()
 			mu.Lock()
 			defer mu.Unlock()
-			took = append(took, time.Since(begin))
+			took = append(took, time.Since(start))
 		})
 	}
 	calls.Wait()
--- a/internal/experiment/surveyor/surveyor.go
+++ b/internal/experiment/surveyor/surveyor.go
@@ -1,9 +1,9 @@
-// Package surveyor measures what grows with what: the control cost of an
-// instance over peers and over runners, the cost of a request, the cost of a
-// change of the settings. docs/CAPACITY.md extrapolates from its slopes.
+// Package surveyor measures how the cost of an instance scales: its idle cost with
+// the number of peers and of runners, the cost of requests and tokens, and the cost
+// of changes of the settings. docs/CAPACITY.md extrapolates from its slopes.
 //
-// Everything runs in this process, instances and stand-ins together, so that
-// processor time and memory for each instance are upper bounds.
+// Instances and stand-ins all run in this process, so processor time and memory per
+// instance are upper bounds.
 package surveyor
 
 import (
@@ -20,14 +20,14 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/caller"
 )
 
-// A Surveyor measures. Its fields are set before use.
+// A Surveyor runs the measurements. Its fields are set before use.
 type Surveyor struct {
-	Span     time.Duration // of each point
+	Span     time.Duration // duration of the measurement of each point
 	Progress func(name string, x float64)
 }
 
-// figures reads each figure of a point.
-var figures = map[string]func(p *Point) float64{
+// metrics returns each metric of a point, by name.
+var metrics = map[string]func(p *Point) float64{
 	"cpu":     func(p *Point) float64 { return p.CPU },
 	"memory":  func(p *Point) float64 { return p.Memory },
 	"peers":   func(p *Point) float64 { return p.Peers },
@@ -36,52 +36,53 @@
 	"bytes":   func(p *Point) float64 { return p.Bytes },
 }
 
-// Peers measures an idle instance over the instances of its failure domain.
+// Peers measures idle instances against the number of instances in their failure
+// domain.
 func (s *Surveyor) Peers(ctx context.Context, counts []int) (Slope, error) {
-	return s.series(ctx, "control over peers", "instances in the domain", counts, func(n int) stager.Plan {
+	return s.measureIdle(ctx, "control over peers", "instances in the domain", counts, func(n int) stager.Plan {
 		return plan(n, 2)
 	})
 }
 
-// Runners measures an idle instance over the runners of its failure domain,
-// with ten instances.
+// Runners measures ten idle instances against the number of runners in their failure
+// domain.
 func (s *Surveyor) Runners(ctx context.Context, counts []int) (Slope, error) {
 	const instances = 10
-	return s.series(ctx, "control over runners", "runners in the domain", counts, func(n int) stager.Plan {
+	return s.measureIdle(ctx, "control over runners", "runners in the domain", counts, func(n int) stager.Plan {
 		return plan(instances, n)
 	})
 }
 
-// Requests measures two instances over the requests a second that they serve.
-// What callers and engines use for the same requests without the system is
-// taken off.
+// Requests measures two instances against the number of requests per second. The
+// processor time that callers and engines use for the same requests without
+// instances in between is subtracted.
 func (s *Surveyor) Requests(ctx context.Context, rates []int) (Slope, error) {
-	return s.traffic(ctx, "requests", "requests a second, 8 tokens each", rates, func(x int) sampler.Workload {
+	return s.measureTraffic(ctx, "requests", "requests a second, 8 tokens each", rates, func(x int) sampler.Workload {
 		return s.workload(x, 8)
 	})
 }
 
-// Tokens measures two instances over the tokens a second that they pass on, at
-// 20 requests a second.
+// Tokens measures two instances against the number of tokens per second that they
+// forward, at 20 requests per second.
 func (s *Surveyor) Tokens(ctx context.Context, rates []int) (Slope, error) {
 	const requests = 20
-	return s.traffic(ctx, "tokens", "tokens a second, 20 requests a second", rates, func(x int) sampler.Workload {
+	return s.measureTraffic(ctx, "tokens", "tokens a second, 20 requests a second", rates, func(x int) sampler.Workload {
 		return s.workload(requests, x/requests)
 	})
 }
 
-func (s *Surveyor) traffic(ctx context.Context, name, over string, xs []int, drawn func(x int) sampler.Workload) (Slope, error) {
+func (s *Surveyor) measureTraffic(ctx context.Context, name, over string, xs []int, workloadFor func(x int) sampler.Workload) (Slope, error) {
 	slope := Slope{Name: name, Over: over}
 	for _, x := range xs {
-		w := drawn(x)
+		w := workloadFor(x)
 		p := plan(2, 4)
-		p.Speed = 10 // a token every 2.5 ms, so that requests end
-		direct, err := s.direct(ctx, p, w)
+		p.Speed = 10 // one token every 2.5 ms, so that the requests complete in time
+		baseline, err := s.directCPU(ctx, p, w)
 		if err != nil {
 			return slope, err
 		}
-		point, err := s.point(ctx, p, float64(x), direct, func(ctx context.Context, stage *stager.Stage) error {
-			return load(ctx, w, []string{stage.Address(0), stage.Address(1)})
+		point, err := s.measurePoint(ctx, p, float64(x), baseline, func(ctx context.Context, deployment *stager.Deployment) error {
+			return sendWorkload(ctx, w, []string{deployment.Address(0), deployment.Address(1)})
 		})
 		if err != nil {
 			return slope, err
@@ -92,13 +93,13 @@
 	return slope, nil
 }
 
-// Changes measures four instances over changes of one file of the settings a
-// second.
+// Changes measures four instances against the number of changes per second of one
+// settings file.
 func (s *Surveyor) Changes(ctx context.Context, rates []int) (Slope, error) {
 	slope := Slope{Name: "changes of the settings", Over: "changes a second"}
 	for _, r := range rates {
-		point, err := s.point(ctx, plan(4, 2), float64(r), 0, func(ctx context.Context, stage *stager.Stage) error {
-			return s.change(ctx, stage, r)
+		point, err := s.measurePoint(ctx, plan(4, 2), float64(r), 0, func(ctx context.Context, deployment *stager.Deployment) error {
+			return s.applyChanges(ctx, deployment, r)
 		})
 		if err != nil {
 			return slope, err
@@ -109,11 +110,11 @@
 	return slope, nil
 }
 
-func (s *Surveyor) change(ctx context.Context, stage *stager.Stage, rate int) error {
+func (s *Surveyor) applyChanges(ctx context.Context, deployment *stager.Deployment, rate int) error {
 	begin := time.Now()
 	for i := range rate * int(s.Span/time.Second) {
 		text := fmt.Appendf(nil, "kind: account\nname: other\nvalues: {deadline: %dms}\n", 1000+i)
-		if _, err := stage.Apply(ctx, "other.yaml", text); err != nil {
+		if _, err := deployment.Apply(ctx, "other.yaml", text); err != nil {
 			return err
 		}
 		time.Sleep(time.Until(begin.Add(time.Duration(i+1) * time.Second / time.Duration(rate))))
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// workload draws requests for a few adapters, so that nothing but the path is
+// workload returns a workload on few adapters, so that only the request path is
 // measured.
 func (s *Surveyor) workload(rate, tokens int) sampler.Workload {
 	return sampler.Workload{
@@ -131,7 +132,7 @@
 	}
 }
 
-func load(ctx context.Context, w sampler.Workload, addresses []string) error {
+func sendWorkload(ctx context.Context, w sampler.Workload, addresses []string) error {
 	calls, err := w.Draw()
 	if err != nil {
 		return err
@@ -141,25 +142,25 @@
 	}
 	send := sender.Sender{Addresses: func() [][]string { return [][]string{addresses} }, Key: stager.Key}
 	for _, r := range send.Run(ctx, calls) {
-		if !r.Whole {
-			return fmt.Errorf("a request was not answered: %s %s", r.Reason, r.Err)
+		if !r.Complete {
+			return fmt.Errorf("a request got no complete response: %s %s", r.Reason, r.Err)
 		}
 	}
 	return nil
 }
 
-// direct returns the processor time a second of callers and engines that do the
-// same work without the system between them.
-func (s *Surveyor) direct(ctx context.Context, p stager.Plan, w sampler.Workload) (float64, error) {
+// directCPU returns the processor time per second of callers and engines that do the
+// same work without instances in between.
+func (s *Surveyor) directCPU(ctx context.Context, p stager.Plan, w sampler.Workload) (float64, error) {
 	p.Instances = 0
-	stage, err := stager.Start(ctx, p, log.NewNopLogger())
+	deployment, err := stager.Start(ctx, p, log.NewNopLogger())
 	if err != nil {
 		return 0, err
 	}
-	defer stage.Stop()
+	defer deployment.Stop()
 	engine := caller.Client{Timeout: 10 * time.Second}
 	var addresses []string
-	for _, e := range stage.Engines {
+	for _, e := range deployment.Engines {
 		address := e.Listener.Addr().String()
 		addresses = append(addresses, address)
 		for i := range w.Adapters {
@@ -167,24 +168,24 @@
 			engine.Order(ctx, address, keeper.Load{Handle: keeper.ParseHandle(name)})
 		}
 	}
-	before := read(stage)
-	if err := load(ctx, w, addresses); err != nil {
+	before := takeSample(deployment)
+	if err := sendWorkload(ctx, w, addresses); err != nil {
 		return 0, err
 	}
-	after := read(stage)
+	after := takeSample(deployment)
 	return (after.cpu - before.cpu) / after.at.Sub(before.at).Seconds(), nil
 }
 
-func (s *Surveyor) series(ctx context.Context, name, over string, counts []int, planned func(n int) stager.Plan) (Slope, error) {
+func (s *Surveyor) measureIdle(ctx context.Context, name, over string, counts []int, planFor func(n int) stager.Plan) (Slope, error) {
 	slope := Slope{Name: name, Over: over}
 	for _, n := range counts {
-		bare := planned(n)
+		bare := planFor(n)
 		bare.Instances = 0
-		idle, err := s.idle(ctx, bare)
+		baseline, err := s.standinCPU(ctx, bare)
 		if err != nil {
 			return slope, err
 		}
-		point, err := s.point(ctx, planned(n), float64(n), idle, func(ctx context.Context, _ *stager.Stage) error {
+		point, err := s.measurePoint(ctx, planFor(n), float64(n), baseline, func(ctx context.Context, _ *stager.Deployment) error {
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
@@ -201,43 +202,44 @@
 	return slope, nil
 }
 
-// warmUp lets links, leases and first reports pass before the measurement.
+// warmUp is how long links, leases and first reports may take before a measurement.
 const warmUp = 4 * time.Second
 
-// point measures one size. Off is the processor time a second of what is not an
-// instance, which is taken off.
-func (s *Surveyor) point(ctx context.Context, p stager.Plan, x, off float64, do func(context.Context, *stager.Stage) error) (Point, error) {
+// measurePoint measures one point. It subtracts baselineCPU, the processor time per
+// second of everything but the instances.
+func (s *Surveyor) measurePoint(ctx context.Context, p stager.Plan, x, baselineCPU float64, do func(context.Context, *stager.Deployment) error) (Point, error) {
 	if s.Progress != nil {
 		s.Progress(p.Name, x)
 	}
-	stage, err := stager.Start(ctx, p, log.NewNopLogger())
+	deployment, err := stager.Start(ctx, p, log.NewNopLogger())
 	if err != nil {
 		return Point{}, err
 	}
-	defer stage.Stop()
+	defer deployment.Stop()
 	time.Sleep(warmUp)
-	before := read(stage)
-	if err := do(ctx, stage); err != nil {
+	before := takeSample(deployment)
+	if err := do(ctx, deployment); err != nil {
 		return Point{}, err
 	}
-	after := read(stage)
-	return before.to(after, off, x, float64(p.Instances)), nil
+	after := takeSample(deployment)
+	return before.pointTo(after, baselineCPU, x, float64(p.Instances)), nil
 }
 
-// idle returns the processor time a second of the stand-ins alone.
-func (s *Surveyor) idle(ctx context.Context, p stager.Plan) (float64, error) {
-	stage, err := stager.Start(ctx, p, log.NewNopLogger())
+// standinCPU returns the processor time per second of the stand-ins alone.
+func (s *Surveyor) standinCPU(ctx context.Context, p stager.Plan) (float64, error) {
+	deployment, err := stager.Start(ctx, p, log.NewNopLogger())
 	if err != nil {
 		return 0, err
 	}
-	defer stage.Stop()
-	before := read(stage)
+	defer deployment.Stop()
+	before := takeSample(deployment)
 	time.Sleep(s.Span / 2)
-	after := read(stage)
+	after := takeSample(deployment)
 	return (after.cpu - before.cpu) / after.at.Sub(before.at).Seconds(), nil
 }
 
-// plan is one failure domain with the times that a daemon has by default.
+// plan returns one failure domain with the default lease, heartbeat and poll times of
+// a daemon.
 func plan(instances, runners int) stager.Plan {
 	return stager.Plan{
 		Name: fmt.Sprintf("%d instances, %d runners", instances, runners), Account: "survey", Adapters: 20000, Batch: 8,
--- a/internal/standin/registrar/platform.go
+++ b/internal/standin/registrar/platform.go
@@ -19,65 +19,66 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A Platform is the stand-in. Its fields are set before Run.
+// A Platform is a stand-in for the platform. Its fields are set before Run.
 type Platform struct {
 	Listener net.Listener
-	Lag      time.Duration // of the instance list
-	Rate     float64       // weight loads a second at full speed
-	Together int           // weight loads at once at full speed
+	Lag      time.Duration // delay of the instance list
+	Rate     float64       // weight loads per second without slowdown
+	Together int           // concurrent weight loads without slowdown
 
 	Table tabler.Memory
 	Store storer.Memory
 
-	mu        sync.Mutex
-	announced map[string]*announcement // by incarnation
-	books     Books
-	faults    Faults
-	loading   int
+	mu          sync.Mutex
+	announced   map[string]*announcement // by incarnation
+	counters    Counters
+	faults      Faults
+	activeLoads int
 }
 
-// An announcement is an instance's last word and what the lagging list shows.
+// An announcement is the last announcement of an instance with the times that the
+// delayed list depends on.
 type announcement struct {
 	lister.Announcement
 
-	ended   time.Time // when its process was first found to run no more
-	first   time.Time
-	leaving time.Time // when it first said that it leaves
+	endedAt      time.Time // when its process was first found to have terminated
+	firstAt      time.Time
+	leavingSince time.Time // when it first announced that it drains
 }
 
-// The control paths of every stand-in.
+// Paths of the stand-in besides those of the platform.
 const (
 	PathBooks   = "/books"
 	PathControl = "/control"
-	// PathWeights is the weight store's path; the adapter version follows.
+	// PathWeights is the path prefix of the weight store; the adapter version follows.
 	PathWeights = "/weights/"
 )
 
-// Books returns what was done so far.
-func (p *Platform) Books() Books {
+// Counters returns the counters of the calls so far.
+func (p *Platform) Counters() Counters {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.books
+	return p.counters
 }
 
-// Run serves until ctx ends.
+// Run serves until ctx is cancelled.
 func (p *Platform) Run(ctx context.Context) error {
 	r := router.New()
-	r.POST(tabler.PathCommit, p.guard(p.commit))
-	r.POST(tabler.PathGet, p.guard(p.get))
-	r.POST(tabler.PathScan, p.guard(p.scan))
-	r.POST(lister.PathAnnounce, p.guard(p.announce))
-	r.POST(lister.PathList, p.guard(p.list))
-	r.GET(storer.PathObject+"{key:*}", p.guard(p.object))
-	r.PUT(storer.PathObject+"{key:*}", p.guard(p.putObject))
+	r.POST(tabler.PathCommit, p.withFaults(p.commit))
+	r.POST(tabler.PathGet, p.withFaults(p.get))
+	r.POST(tabler.PathScan, p.withFaults(p.scan))
+	r.POST(lister.PathAnnounce, p.withFaults(p.announce))
+	r.POST(lister.PathList, p.withFaults(p.list))
+	r.GET(storer.PathObject+"{key:*}", p.withFaults(p.object))
+	r.PUT(storer.PathObject+"{key:*}", p.withFaults(p.putObject))
 	r.GET(PathWeights+"{adapter}", p.weights)
-	r.GET(PathBooks, func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, p.Books()) })
+	r.GET(PathBooks, func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, p.Counters()) })
 	r.POST(PathControl, p.control)
 	server := listener.Server{Listener: p.Listener, Handler: r.Handler}
 	return server.Run(ctx)
 }
 
-// Set changes the faults.
+// Set replaces the faults to inject.
 func (p *Platform) Set(f Faults) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -85,8 +86,8 @@
 }
 
 func (p *Platform) announce(c *fasthttp.RequestCtx) {
-	var told lister.Announcement
-	if !decode(c, &told) {
+	var received lister.Announcement
+	if !decode(c, &received) {
 		return
 	}
 	now := time.Now()
@@ -95,14 +96,14 @@
 	if p.announced == nil {
 		p.announced = make(map[string]*announcement)
 	}
-	a, ok := p.announced[told.Instance.Incarnation]
+	a, ok := p.announced[received.Instance.Incarnation]
 	if !ok {
-		a = &announcement{first: now}
-		p.announced[told.Instance.Incarnation] = a
+		a = &announcement{firstAt: now}
+		p.announced[received.Instance.Incarnation] = a
 	}
-	a.Announcement = told
-	if told.Instance.Leaving && a.leaving.IsZero() {
-		a.leaving = now
+	a.Announcement = received
+	if received.Instance.Leaving && a.leavingSince.IsZero() {
+		a.leavingSince = now
 	}
 }
 
@@ -119,12 +120,12 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.books.Commits++
-	p.books.Rows += len(txn.Puts) + len(txn.Deletes)
+	p.counters.Commits++
+	p.counters.Rows += len(txn.Puts) + len(txn.Deletes)
 	if p.faults.Lose > 0 {
 		p.faults.Lose--
-		p.books.Lost++
-		_ = c.Conn().Close() // the write stands, its answer never arrives
+		p.counters.LostResponses++
+		_ = c.Conn().Close() // the write is committed, but its response is lost
 	}
 }
 
@@ -141,12 +142,12 @@
 	if !decode(c, &key) {
 		return
 	}
-	row, _ := p.Table.Get(c, key) // a Memory does not fail
-	p.read(c, row)
+	row, _ := p.Table.Get(c, key) // Memory never fails
+	p.respond(c, row)
 }
 
-// guard applies the faults and keeps the books of a call.
-func (p *Platform) guard(next fasthttp.RequestHandler) fasthttp.RequestHandler {
+// withFaults wraps a handler: it injects the faults and counts the bytes.
+func (p *Platform) withFaults(next fasthttp.RequestHandler) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		p.mu.Lock()
 		f := p.faults
@@ -159,34 +160,35 @@
 		next(c)
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.books.Bytes += int64(len(c.PostBody()) + len(c.Response.Body()))
+		p.counters.Bytes += int64(len(c.PostBody()) + len(c.Response.Body()))
 	}
 }
 
-// list answers with the list as it was a lag ago.
+// list returns the instance list as of Lag ago.
 func (p *Platform) list(c *fasthttp.RequestCtx) {
 	now := time.Now()
 	p.mu.Lock()
 	listed := []heartbeater.Instance{}
 	for _, a := range p.announced {
-		if a.ended.IsZero() && a.dead() {
-			a.ended = now
+		if a.endedAt.IsZero() && a.terminated() {
+			a.endedAt = now
 		}
-		gone := !a.ended.IsZero() && now.Sub(a.ended) >= p.Lag
-		if gone || now.Sub(a.first) < p.Lag {
+		unlisted := !a.endedAt.IsZero() && now.Sub(a.endedAt) >= p.Lag
+		if unlisted || now.Sub(a.firstAt) < p.Lag {
 			continue
 		}
 		i := a.Instance
-		i.Leaving = !a.leaving.IsZero() && now.Sub(a.leaving) >= p.Lag
+		i.Leaving = !a.leavingSince.IsZero() && now.Sub(a.leavingSince) >= p.Lag
 		listed = append(listed, i)
 	}
 	p.mu.Unlock()
-	p.read(c, listed)
+	p.respond(c, listed)
 }
 
-// dead reports whether the instance's process runs no more. The platform's
-// agent sits beside the process and sees that; a paused process exists.
-func (a *announcement) dead() bool {
+// terminated reports whether the instance's process has terminated. The agent of the
+// real platform runs on the same machine and can tell; a paused process still
+// exists.
+func (a *announcement) terminated() bool {
 	return a.Ended || errors.Is(syscall.Kill(a.Process, 0), syscall.ESRCH)
 }
 
@@ -200,12 +202,12 @@
 }
 
 func (p *Platform) putObject(c *fasthttp.RequestCtx) {
-	_ = p.Store.Put(c, c.UserValue("key").(string), c.PostBody()) // a Memory does not fail
+	_ = p.Store.Put(c, c.UserValue("key").(string), c.PostBody()) // Memory never fails
 }
 
-func (p *Platform) read(c *fasthttp.RequestCtx, value any) {
+func (p *Platform) respond(c *fasthttp.RequestCtx, value any) {
 	p.mu.Lock()
-	p.books.Reads++
+	p.counters.Reads++
 	p.mu.Unlock()
 	data, err := encoder.Marshal(value)
 	if err != nil {
@@ -220,42 +222,43 @@
 	if !decode(c, &prefix) {
 		return
 	}
-	rows, _ := p.Table.Scan(c, prefix) // a Memory does not fail
-	p.read(c, rows)
+	rows, _ := p.Table.Scan(c, prefix) // Memory never fails
+	p.respond(c, rows)
 }
 
-// weights serves one load. Side by side, more than Together loads slow each
-// other down and waste a little besides.
+// weights serves one weight load. More than Together concurrent loads slow each
+// other down, with some loss of total throughput.
 func (p *Platform) weights(c *fasthttp.RequestCtx) {
 	p.mu.Lock()
-	p.loading++
-	p.books.Loads++
-	p.books.Together = max(p.books.Together, p.loading)
-	took := p.loadTime()
+	p.activeLoads++
+	p.counters.Loads++
+	p.counters.MaxConcurrentLoads = max(p.counters.MaxConcurrentLoads, p.activeLoads)
+	duration := p.loadTime()
 	down := p.faults.Down
 	p.mu.Unlock()
 	if !down {
-		time.Sleep(took)
+		time.Sleep(duration)
 	}
 	p.mu.Lock()
-	p.loading--
+	p.activeLoads--
 	p.mu.Unlock()
 	if down {
 		c.Error("down", fasthttp.StatusServiceUnavailable)
 	}
 }
 
-// waste is what each load beyond Together costs all of them.
-const waste = 1.15
+// contentionFactor is the additional slowdown of a load that begins while more than
+// Together are active, itself included.
+const contentionFactor = 1.15
 
 func (p *Platform) loadTime() time.Duration {
 	if p.Rate <= 0 {
 		return 0
 	}
 	full := float64(p.Together) / p.Rate
-	over := float64(p.loading) / float64(p.Together)
+	over := float64(p.activeLoads) / float64(p.Together)
 	if over > 1 {
-		full *= over * waste
+		full *= over * contentionFactor
 	}
 	return time.Duration(full * float64(time.Second))
 }
