--- a/internal/instance/gatekeeper/apply.go
+++ b/internal/instance/gatekeeper/apply.go
@@ -56,7 +56,7 @@
 	g.Fleet.Staffed(l.domain, n.Acting)
 	g.Fleet.Line(l.domain, n.Line)
 	g.Fleet.LoadTimes(l.domain, tracker.Times{Load: n.Load, Return: n.Return})
-	d.heardOf(n.Tenure, n.Renewal, n.Age)
+	d.recordRenewal(n.Tenure, n.Renewal, n.Age)
 }
 
 // applyReach records since when another leader has reached the store.
@@ -73,7 +73,7 @@
 
 // leaderEnded records that the leader has stepped down. Its lease counts as vacant at once.
 func (l *link) leaderEnded(fence uint64) {
-	l.gatekeeper.controllers[l.domain].over(fence)
+	l.gatekeeper.controllers[l.domain].recordRelease(fence)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.holder.Fence == fence {
@@ -145,7 +145,7 @@
 		listed[r.ID] = true
 	}
 	dropped, later := 0, 0
-	for _, r := range g.controllers[domain].known() {
+	for _, r := range g.controllers[domain].runnerDescriptions() {
 		switch {
 		case r.Domain != domain, listed[r.ID]:
 		case r.Revision > n.Revision:
--- a/internal/instance/gatekeeper/journal.go
+++ b/internal/instance/gatekeeper/changelog.go
@@ -10,7 +10,7 @@
 
 // A journal is a log of the changes in a domain, from which each member is sent only those that
 // it lacks.
-type journal struct {
+type changeLog struct {
 	events []event
 	first  int // sequence number of the oldest retained event
 }
@@ -18,21 +18,21 @@
 // An event is one change. Exactly one of its fields is set.
 type event struct {
 	gone   *relayer.Gone
-	held   *heldEvent
-	room   *roomEvent
+	copy   *copyEvent
+	slotWait   *slotEvent
 	runner *tracker.Runner
 }
 
-// A heldEvent is a change of an adapter copy at a runner.
-type heldEvent struct {
+// A copyEvent is a change of an adapter copy at a runner.
+type copyEvent struct {
 	runner string
 	copy   placer.Copy
 	at     time.Time // when it becomes usable
-	there  bool
+	present  bool
 }
 
-// A roomEvent is a change of how long a copy waits for an adapter slot at a runner.
-type roomEvent struct {
+// A slotEvent is a change of how long a copy waits for an adapter slot at a runner.
+type slotEvent struct {
 	runner string
 	wait   time.Duration
 }
@@ -41,7 +41,7 @@
 // receives a snapshot.
 const journalLimit = 2048
 
-func (j *journal) add(e event) {
+func (j *changeLog) add(e event) {
 	j.events = append(j.events, e)
 	if len(j.events) > 2*journalLimit {
 		drop := len(j.events) - journalLimit
@@ -51,17 +51,17 @@
 }
 
 // reset drops all events, so that every member receives a snapshot.
-func (j *journal) reset() {
+func (j *changeLog) reset() {
 	j.first = j.end() + 1
 	j.events = nil
 }
 
 // end returns the sequence number after the last event.
-func (j *journal) end() int { return j.first + len(j.events) }
+func (j *changeLog) end() int { return j.first + len(j.events) }
 
 // since returns the events from a sequence number on; ok is false if some of them are no longer
 // retained.
-func (j *journal) since(number int) (events []event, ok bool) {
+func (j *changeLog) since(number int) (events []event, ok bool) {
 	if number < j.first {
 		return nil, false
 	}
--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -25,24 +25,24 @@
 
 	mu           sync.Mutex
 	elector      elector.Elector
-	acting       uint64        // fencing token for which the placers were created; 0 for none
+	orderingFence       uint64        // fencing token for which the placers were created; 0 for none
 	retryAt      time.Duration // earliest time of the next store call, after a failed one
 	nextPoll     time.Duration // earliest time of the next poll of the lease row
 	callInFlight bool          // a store call for the lease is in flight
 	polling      bool          // the domain appears to have no leader, and the lease row is polled
 	runners      map[string]*runnerState
 	sum          uint64            // checksum of the runner descriptions
-	gather       gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that relays them to it
-	counting     time.Time         // when this instance received the first demand report as leader
-	news         journal
+	aggregator       gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that relays them to it
+	firstReportAt     time.Time         // when this instance received the first demand report as leader
+	changes         changeLog
 	window       placer.Window
 	share        admitter.Share
 	partition    partitionDetector
 	cutOffSince  time.Time // since when other leaders have reached the store and this one has not
-	ended        uint64    // fencing token of the lease that was released last
-	heard        retold    // last update from the leader, while another instance leads
+	releasedFence        uint64    // fencing token of the lease that was released last
+	relayed        relayedState    // last update from the leader, while another instance leads
 
-	followers   int           // members that subscribe to the domain here
+	subscribers   int           // members that subscribe to the domain here
 	queueWait   time.Duration // expected wait until a further load begins, as of queueWaitAt
 	queueWaitAt time.Time
 }
@@ -55,8 +55,8 @@
 	reportRequested time.Time      // when the last report was requested
 	prefillQueue    admitter.Timeline
 	slots           tracker.Places // request slots of a plain service
-	told            map[placer.Copy]time.Time
-	wait            time.Duration // for an adapter slot, as last published
+	published            map[placer.Copy]time.Time
+	publishedWait            time.Duration // for an adapter slot, as last published
 	failures        failureScore
 }
 
@@ -64,8 +64,8 @@
 // hundred milliseconds old on arrival, so more frequent ones add nothing.
 const reportInterval = 250 * time.Millisecond
 
-// set adds or replaces the description of a runner.
-func (d *controller) set(r tracker.Runner, changed bool) {
+// setRunner adds or replaces the description of a runner.
+func (d *controller) setRunner(r tracker.Runner, changed bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c, ok := d.runners[r.ID]
@@ -78,12 +78,12 @@
 	d.toggleChecksum(r)
 	c.runner = r
 	if changed {
-		d.news.add(event{runner: &r})
+		d.changes.add(event{runner: &r})
 	}
 }
 
-// known returns the descriptions of all runners.
-func (d *controller) known() []tracker.Runner {
+// runnerDescriptions returns the descriptions of all runners.
+func (d *controller) runnerDescriptions() []tracker.Runner {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	runners := make([]tracker.Runner, 0, len(d.runners))
@@ -93,8 +93,8 @@
 	return runners
 }
 
-// gone removes a runner, if it is known.
-func (d *controller) gone(id string, revision uint64) {
+// removeRunner removes a runner, if it is known.
+func (d *controller) removeRunner(id string, revision uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	c, known := d.runners[id]
@@ -103,18 +103,18 @@
 	}
 	d.toggleChecksum(c.runner)
 	delete(d.runners, id)
-	d.news.add(event{gone: &relayer.Gone{Runner: id, Revision: revision}})
+	d.changes.add(event{gone: &relayer.Gone{Runner: id, Revision: revision}})
 }
 
-// acts returns the fencing token of the lease and whether orders may be sent now.
-func (d *controller) acts() (uint64, bool) {
+// mayOrder returns the fencing token of the lease and whether orders may be sent now.
+func (d *controller) mayOrder() (uint64, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.elector.Acts(uptime())
 }
 
-// holds reports whether this instance leads the domain.
-func (d *controller) holds() bool {
+// leads reports whether this instance leads the domain.
+func (d *controller) leads() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.elector.Holds(uptime())
@@ -130,7 +130,7 @@
 		d.stopOrdering()
 		return
 	}
-	if d.acting != fence {
+	if d.orderingFence != fence {
 		d.startOrdering(fence)
 	}
 	switch {
@@ -174,22 +174,22 @@
 // startOrdering discards all placer state: another leader may have changed what the runners hold
 // since the earlier lease.
 func (d *controller) startOrdering(fence uint64) {
-	d.acting = fence
+	d.orderingFence = fence
 	for _, c := range d.runners {
 		c.placer = nil
-		c.told = nil
+		c.published = nil
 	}
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "giving orders", "domain", d.domain, "fence", fence, "runners", len(d.runners))
 }
 
 // stopOrdering drops the state that is only valid on the leader.
 func (d *controller) stopOrdering() {
-	if d.acting == 0 {
+	if d.orderingFence == 0 {
 		return
 	}
-	d.acting = 0
-	d.gather.Clear() // members report to the next leader
-	d.counting = time.Time{}
+	d.orderingFence = 0
+	d.aggregator.Clear() // members report to the next leader
+	d.firstReportAt = time.Time{}
 	for _, c := range d.runners {
 		c.placer = nil
 	}
@@ -216,7 +216,7 @@
 	if model.AdapterSize > 0 {
 		places = min(places, (engine.Memory-model.Size)/model.AdapterSize)
 	}
-	inUse := func(c placer.Copy) bool { return d.gather.Uses(keyOf(r.ID, c)) > 0 }
+	inUse := func(c placer.Copy) bool { return d.aggregator.Uses(keyOf(r.ID, c)) > 0 }
 	return &placer.Placer{Copies: d.copyCount, InUse: inUse, Model: model.Name, Places: places, Loads: maxLoadsPerRunner}
 }
 
@@ -243,11 +243,11 @@
 // sendOrder sends an order, provided that the lease is still valid when it goes out.
 func (d *controller) sendOrder(ctx context.Context, c *runnerState, o placer.Order) {
 	c.busy = true
-	p, runner, fence := c.placer, c.runner, d.acting
+	p, runner, fence := c.placer, c.runner, d.orderingFence
 	go func() {
 		began := time.Now()
 		outcome, err := placer.Refused, error(nil)
-		if now, acts := d.acts(); acts && now == fence {
+		if now, acts := d.mayOrder(); acts && now == fence {
 			outcome, err = d.gatekeeper.Engine.Order(ctx, runner, o, d.gatekeeper.Config.ID, fence)
 		}
 		d.mu.Lock()
@@ -265,18 +265,18 @@
 	held := c.placer.Held()
 	now := time.Now()
 	for copied, at := range held {
-		before, ok := c.told[copied]
+		before, ok := c.published[copied]
 		if !ok || !before.Equal(at) && (at.After(now) || before.After(now)) { // a load that completes as expected is no change for members
-			d.news.add(event{held: &heldEvent{runner: c.runner.ID, copy: copied, at: at, there: true}})
+			d.changes.add(event{copy: &copyEvent{runner: c.runner.ID, copy: copied, at: at, present: true}})
 		}
 	}
-	for copied := range c.told {
+	for copied := range c.published {
 		if _, ok := held[copied]; !ok {
-			d.news.add(event{held: &heldEvent{runner: c.runner.ID, copy: copied}})
+			d.changes.add(event{copy: &copyEvent{runner: c.runner.ID, copy: copied}})
 		}
 	}
-	if c.placer.Known() || c.told != nil {
-		c.told = held
+	if c.placer.Known() || c.published != nil {
+		c.published = held
 		d.gatekeeper.Fleet.Held(c.runner.ID, held)
 	}
 }
--- a/internal/instance/gatekeeper/crash_rows.go
+++ b/internal/instance/gatekeeper/crash_rows.go
@@ -81,7 +81,7 @@
 // domains.
 func (g *Gatekeeper) receivesFromAllLeaders() bool {
 	for domain, l := range g.links {
-		if l.silence() > unheard && !g.controllers[domain].holds() {
+		if l.silence() > unheard && !g.controllers[domain].leads() {
 			return false
 		}
 	}
@@ -194,12 +194,12 @@
 }
 
 func crashKey(c quarantiner.Crash) string {
-	return tableHolders + "/" + crashKeyPrefix + string(c.Digest) + "/" + c.Runner
+	return tableLeaders + "/" + crashKeyPrefix + string(c.Digest) + "/" + c.Runner
 }
 
 // parseCrashKey parses the key of a crash row; ok is false if it is another row.
 func parseCrashKey(key string) (c quarantiner.Crash, ok bool) {
-	rest, ok := strings.CutPrefix(key, tableHolders+"/"+crashKeyPrefix)
+	rest, ok := strings.CutPrefix(key, tableLeaders+"/"+crashKeyPrefix)
 	if !ok {
 		return c, false
 	}
@@ -221,7 +221,7 @@
 	g.hearWords([]quarantiner.Word{report}, fromStore)
 	g.quarantine.recordStored(c, !r.Removed)
 	current, known := g.quarantine.ledger.Word(c, time.Now())
-	if !r.Removed && (known && current.Cleared || report.Age >= quarantiner.Memory) && g.holdsAny() {
+	if !r.Removed && (known && current.Cleared || report.Age >= quarantiner.Memory) && g.leadsAny() {
 		// It was cleared before the row was written, or has expired. If the row stayed, the
 		// request would be suspected again after a restart of all instances, or the row would
 		// never be deleted.
--- a/internal/instance/gatekeeper/crashreport.go
+++ b/internal/instance/gatekeeper/crashreport.go
@@ -59,7 +59,7 @@
 	if t, ok := g.teller(); ok {
 		return []source{t}
 	}
-	if g.holdsAny() {
+	if g.leadsAny() {
 		return nil // others subscribe to it
 	}
 	var all []source
--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -10,8 +10,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// silent is the time after its last demand report at which a member is dropped.
-const silent = 3 * time.Second
+// memberTimeout is the time after its last demand report at which a member is dropped.
+const memberTimeout = 3 * time.Second
 
 // Demanded implements relayer.Demander: it handles a member's demand report as the leader of
 // the domain, or relays it to the leader.
@@ -19,13 +19,13 @@
 	d, ok := g.controllers[demand.Domain]
 	switch {
 	case !ok:
-	case d.holds():
-		d.demanded(from.ID, demand)
+	case d.leads():
+		d.applyDemand(from.ID, demand)
 		if demand.Urgent() {
 			g.kickLead()
 		}
-	case g.holdsAny() || d.relaysFor(from.ID):
-		d.demanded(from.ID, demand)
+	case g.leadsAny() || d.relaysFor(from.ID):
+		d.applyDemand(from.ID, demand)
 		g.links[demand.Domain].pass(demand)
 	}
 }
@@ -36,22 +36,22 @@
 func (d *controller) relaysFor(member string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.gather.Knows(member)
+	return d.aggregator.Knows(member)
 }
 
-// demanded applies a member's demand report.
-func (d *controller) demanded(from string, demand relayer.Demand) {
+// applyDemand applies a member's demand report.
+func (d *controller) applyDemand(from string, demand relayer.Demand) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if demand.Parted {
-		d.gather.Drop(from)
+		d.aggregator.Drop(from)
 		return
 	}
-	if d.counting.IsZero() {
-		d.counting = now
+	if d.firstReportAt.IsZero() {
+		d.firstReportAt = now
 	}
-	d.gather.Tell(from, summedReport(demand), now)
+	d.aggregator.Tell(from, summedReport(demand), now)
 	if from != d.gatekeeper.Config.ID && reportsResponse(demand) {
 		d.partition.respondedElsewhere = now
 	}
@@ -85,9 +85,9 @@
 
 func keyOf(runner string, c placer.Copy) gatherer.Key { return gatherer.Key{Runner: runner, Copy: c} }
 
-// waits updates a runner's placer with the number of requests of all members that wait for a
+// applyWaits updates a runner's placer with the number of requests of all members that wait for a
 // copy.
-func (d *controller) waits(k gatherer.Key, all placer.Waiting) {
+func (d *controller) applyWaits(k gatherer.Key, all placer.Waiting) {
 	d.withPlacer(k.Runner, func(p *placer.Placer) {
 		if all.Requests == 0 {
 			p.Unwant(k.Copy)
@@ -97,15 +97,15 @@
 	})
 }
 
-// others returns the load of all members except one. This instance counts as a member: it
+// loadsExcept returns the load of all members except one. This instance counts as a member: it
 // reports its demand to its own controller.
-func (d *controller) others(but string, now time.Time) map[string]tracker.Load {
-	d.gather.Expire(now)
-	return d.gather.Loads(but)
+func (d *controller) loadsExcept(but string, now time.Time) map[string]tracker.Load {
+	d.aggregator.Expire(now)
+	return d.aggregator.Loads(but)
 }
 
-// used counts a use that a member has begun.
-func (d *controller) used(by string, k gatherer.Key) { d.gather.Use(by, k, time.Now()) }
+// recordUse counts a use that a member has begun.
+func (d *controller) recordUse(by string, k gatherer.Key) { d.aggregator.Use(by, k, time.Now()) }
 
 func (d *controller) withPlacer(runner string, do func(p *placer.Placer)) {
 	if c, ok := d.runners[runner]; ok && c.placer != nil {
--- a/internal/instance/gatekeeper/demand_test.go
+++ b/internal/instance/gatekeeper/demand_test.go
@@ -27,39 +27,39 @@
 		want   int
 	}{
 		{"two members use it", func(d *controller) {
-			d.demanded("front-1", uses(1))
-			d.demanded("front-2", uses(2))
+			d.applyDemand("front-1", uses(1))
+			d.applyDemand("front-2", uses(2))
 		}, 3},
 		{"one of them reports the end", func(d *controller) {
-			d.demanded("front-1", uses(1))
-			d.demanded("front-2", uses(2))
-			d.demanded("front-2", relayer.Demand{})
+			d.applyDemand("front-1", uses(1))
+			d.applyDemand("front-2", uses(2))
+			d.applyDemand("front-2", relayer.Demand{})
 		}, 1},
 		{"one of them dies", func(d *controller) {
-			d.demanded("front-1", uses(1))
-			time.Sleep(silent - time.Second)
-			d.demanded("front-2", uses(2))
+			d.applyDemand("front-1", uses(1))
+			time.Sleep(memberTimeout - time.Second)
+			d.applyDemand("front-2", uses(2))
 			time.Sleep(2 * time.Second)
-			d.others("", time.Now())
+			d.loadsExcept("", time.Now())
 		}, 2},
 		{"capacity reserved, use not reported yet", func(d *controller) {
-			d.used("front-1", k)
+			d.recordUse("front-1", k)
 		}, 1},
 		{"capacity reserved, use reported since", func(d *controller) {
-			d.used("front-1", k)
-			d.demanded("front-1", uses(1))
+			d.recordUse("front-1", k)
+			d.applyDemand("front-1", uses(1))
 		}, 1},
 		{"capacity reserved by one that dies before it reports", func(d *controller) {
-			d.used("front-1", k)
-			time.Sleep(silent + time.Second)
-			d.others("", time.Now())
+			d.recordUse("front-1", k)
+			time.Sleep(memberTimeout + time.Second)
+			d.loadsExcept("", time.Now())
 		}, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				d := newTestGatekeeper().controllers["a"]
 				tc.happen(d)
-				if diff := cmp.Diff(tc.want, d.gather.Uses(k)); diff != "" {
+				if diff := cmp.Diff(tc.want, d.aggregator.Uses(k)); diff != "" {
 					t.Error(diff)
 				}
 			})
@@ -80,7 +80,7 @@
 		}
 		r := tracker.Runner{ID: "i-1", Service: "llm", Domain: "a"}
 		g.Fleet.Set(r)
-		p := &placer.Placer{InUse: func(c placer.Copy) bool { return d.gather.Uses(keyOf("i-1", c)) > 0 }, Model: "m", Places: 2}
+		p := &placer.Placer{InUse: func(c placer.Copy) bool { return d.aggregator.Uses(keyOf("i-1", c)) > 0 }, Model: "m", Places: 2}
 		p.Take(placer.Report{Models: []string{"m"}, Resident: copies[:2]}, time.Now())
 		d.runners["i-1"] = &runnerState{runner: r, placer: p}
 		time.Sleep(time.Second)
@@ -91,12 +91,12 @@
 		for _, c := range copies[2:] {
 			demand.Waits = append(demand.Waits, relayer.Wait{Runner: "i-1", Copy: c, Waiting: placer.Waiting{Requests: 1}})
 		}
-		d.demanded("front-1", demand)
+		d.applyDemand("front-1", demand)
 		hold := g.LoadTime() + g.Fleet.Run("llm")
 		if wait := d.slotWait(d.runners["i-1"], time.Now()); wait != 4*hold/2 {
 			t.Errorf("wait %s behind three others for two slots held %s each", wait, hold)
 		}
-		d.demanded("front-1", relayer.Demand{})
+		d.applyDemand("front-1", relayer.Demand{})
 		if wait := d.slotWait(d.runners["i-1"], time.Now()); wait != 0 {
 			t.Errorf("wait %s after all requests have ended", wait)
 		}
--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -85,7 +85,7 @@
 
 	viewsSet sync.Once
 	operator view // configuration and adapter versions
-	holders  view // leader of each failure domain
+	leaders  view // leader of each failure domain
 	runners  view // runners
 
 	sourceDomains []string        // failure domains in the order in which their leaders are considered as the source
@@ -128,7 +128,7 @@
 	defer cancel()
 	for _, loop := range []func(context.Context){
 		g.discoverLeaders, g.afterDiscovery(g.lead),
-		g.unlessPublished(g.watchHolders, g.holders.isPublished),
+		g.unlessPublished(g.watchLeaders, g.leaders.isPublished),
 		g.unlessPublished(g.watchOperator, g.operator.isPublished),
 		g.unlessPublished(g.watchRunners, func(time.Time) bool { return g.runnersPublished() }),
 		g.expireRemovals, g.closeIdle, g.tellPaces, g.logAges, g.reportCrashes, g.keepRows, g.watchQuarantine, g.settleQuotas,
@@ -174,7 +174,7 @@
 				Self: g.Config.ID, Address: g.Config.Reached(), Lease: leaseDuration, Quiet: g.Config.Bounds.Quiet + quietMargin, Late: late,
 			},
 		}
-		d.gather = gatherer.Gatherer{Freed: d.freed, Silent: silent, Waits: d.waits}
+		d.aggregator = gatherer.Gatherer{Freed: d.freed, Silent: memberTimeout, Waits: d.applyWaits}
 		g.controllers[domain] = d
 		g.links[domain] = &link{gatekeeper: g, domain: domain, heard: lastUpdate, kick: make(chan struct{}, 1), relayTimeout: minRelayTimeout + rand.N(relayTimeoutJitter)}
 	}
--- a/internal/instance/gatekeeper/headcount.go
+++ b/internal/instance/gatekeeper/headcount.go
@@ -58,10 +58,10 @@
 	return max(h.current, h.previous)
 }
 
-// count returns the number of instances, 0 until enough reports have arrived.
-func (d *controller) count(now time.Time) int {
-	if d.counting.IsZero() || now.Sub(d.counting) < countSettleTime {
+// instances returns the number of instances, 0 until enough reports have arrived.
+func (d *controller) instances(now time.Time) int {
+	if d.firstReportAt.IsZero() || now.Sub(d.firstReportAt) < countSettleTime {
 		return 0
 	}
-	return max(1, d.gather.Instances())
+	return max(1, d.aggregator.Instances())
 }
--- a/internal/instance/gatekeeper/headcount_test.go
+++ b/internal/instance/gatekeeper/headcount_test.go
@@ -22,7 +22,7 @@
 		}
 		number := -1
 		for n := range instances {
-			leader.controllers["b"].demanded(fmt.Sprint("front-", n), relayer.Demand{Domain: "b"})
+			leader.controllers["b"].applyDemand(fmt.Sprint("front-", n), relayer.Demand{Domain: "b"})
 			time.Sleep(2 * time.Millisecond)
 			update, next, _ := leader.controllers["b"].updateFor("b-2", number, true)
 			number = next
--- a/internal/instance/gatekeeper/lease.go
+++ b/internal/instance/gatekeeper/lease.go
@@ -20,8 +20,8 @@
 // minute, and nobody waits for them; a takeover changes a row of the holder table, which
 // every instance watches.
 const (
-	tableHolders = "holder"
-	tableTenures = "tenure"
+	tableLeaders = "holder"
+	tableLeases = "tenure"
 )
 
 const (
@@ -32,9 +32,9 @@
 	// some hundred demand reports a second; with a check for each it was by far the busiest
 	// instance.
 	minLeadPause = 4 * time.Millisecond
-	// quietDomain is how long an instance receives no update from the leader of its own
+	// leaderTimeout is how long an instance receives no update from the leader of its own
 	// domain before it polls the lease row, and pollInterval the interval of the polls.
-	quietDomain  = time.Second
+	leaderTimeout  = time.Second
 	pollInterval = time.Second
 	// pollsPerInterval is the target for the total number of polls in pollInterval by all instances of a
 	// domain, if there are more instances than that. A leader that stopped gracefully is then
@@ -57,10 +57,10 @@
 // kickLead makes a leader check for due orders at once.
 func (g *Gatekeeper) kickLead() { signal(g.kicks) }
 
-// holdsAny reports whether this instance leads any failure domain.
-func (g *Gatekeeper) holdsAny() bool {
+// leadsAny reports whether this instance leads any failure domain.
+func (g *Gatekeeper) leadsAny() bool {
 	for _, d := range g.controllers {
-		if d.holds() {
+		if d.leads() {
 			return true
 		}
 	}
@@ -79,12 +79,12 @@
 		return
 	}
 	holds := d.elector.Holds(now)
-	if !holds && !d.vacant() {
+	if !holds && !d.leaderless() {
 		d.polling = false
 		return
 	}
 	if d.elector.Stale() {
-		d.startCall(func() { d.read(ctx) })
+		d.startCall(func() { d.readLeaseRow(ctx) })
 		return
 	}
 	if w, ok := d.elector.Next(now); ok && (holds || !d.defersTakeover()) {
@@ -97,7 +97,7 @@
 		return
 	}
 	if !holds && d.pollDue(now) {
-		d.startCall(func() { d.read(ctx) })
+		d.startCall(func() { d.readLeaseRow(ctx) })
 	}
 }
 
@@ -123,24 +123,24 @@
 	return max(pollInterval, time.Duration(neighbours)*pollInterval/pollsPerInterval)
 }
 
-// vacant reports whether the domain appears to have no leader.
-func (d *controller) vacant() bool {
-	limit := quietDomain
+// leaderless reports whether the domain appears to have no leader.
+func (d *controller) leaderless() bool {
+	limit := leaderTimeout
 	if d.domain != d.gatekeeper.Config.Domain {
 		limit += foreignLate
 	}
 	return d.gatekeeper.links[d.domain].silence() > limit
 }
 
-// heardOf records a renewal of the lease that the leader published.
-func (d *controller) heardOf(row elector.Tenure, version uint64, age time.Duration) {
+// recordRenewal records a renewal of the lease that the leader published.
+func (d *controller) recordRenewal(row elector.Tenure, version uint64, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.elector.Heard(row, version, age, uptime())
 }
 
-// over records that the leader with the given fencing token has stepped down.
-func (d *controller) over(fence uint64) {
+// recordRelease records that the leader with the given fencing token has stepped down.
+func (d *controller) recordRelease(fence uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.elector.Ended(fence, uptime())
@@ -156,9 +156,9 @@
 	}()
 }
 
-func (d *controller) read(ctx context.Context) {
+func (d *controller) readLeaseRow(ctx context.Context) {
 	sent := time.Now()
-	row, err := d.gatekeeper.Store.Get(ctx, tableTenures+"/"+d.domain)
+	row, err := d.gatekeeper.Store.Get(ctx, tableLeases+"/"+d.domain)
 	d.gatekeeper.sawStore(sent, err)
 	var lease elector.Tenure
 	if err == nil && row.Version > 0 {
@@ -196,7 +196,7 @@
 	}
 	d.elector.Written(w, version, uptime())
 	if w.Takeover {
-		d.counting = time.Time{} // members whose reports were relayed are not all members
+		d.firstReportAt = time.Time{} // members whose reports were relayed are not all members
 		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease acquired", "domain", d.domain, "fence", w.Row.Fence, "version", version)
 		d.gatekeeper.links[d.domain].setHolder(w.Row)
 	}
@@ -228,7 +228,7 @@
 }
 
 func (d *controller) retryReleaseRow(ctx context.Context, w elector.Write) error {
-	row, err := d.gatekeeper.Store.Get(ctx, tableTenures+"/"+d.domain)
+	row, err := d.gatekeeper.Store.Get(ctx, tableLeases+"/"+d.domain)
 	if err != nil {
 		return err
 	}
@@ -250,21 +250,21 @@
 	if err != nil {
 		panic(err) // a Tenure can always be encoded
 	}
-	key := tableTenures + "/" + d.domain
+	key := tableLeases + "/" + d.domain
 	txn := tabler.Txn{Checks: []tabler.Check{{Key: key, Version: w.Version}}, Puts: []tabler.Put{{Key: key, Value: value}}}
 	if w.Takeover {
-		txn.Puts = append(txn.Puts, tabler.Put{Key: tableHolders + "/" + d.domain, Value: value})
+		txn.Puts = append(txn.Puts, tabler.Put{Key: tableLeaders + "/" + d.domain, Value: value})
 	}
 	return txn
 }
 
-// watchHolders keeps track of the leaders of all domains.
-func (g *Gatekeeper) watchHolders(ctx context.Context) {
+// watchLeaders keeps track of the leaders of all domains.
+func (g *Gatekeeper) watchLeaders(ctx context.Context) {
 	g.setViews()
-	g.follow(ctx, &g.holders, longWatch)
+	g.follow(ctx, &g.leaders, longWatch)
 }
 
-func (g *Gatekeeper) holderRow(r tabler.Row) {
+func (g *Gatekeeper) applyLeaderRow(r tabler.Row) {
 	if c, ok := parseCrashKey(r.Key); ok {
 		g.applyCrashRow(c, r)
 		return
@@ -274,11 +274,11 @@
 		g.Recorder.Log(recorder.Belief, "msg", "malformed lease row", "row", r.Key, "err", err)
 		return
 	}
-	domain := r.Key[len(tableHolders)+1:]
+	domain := r.Key[len(tableLeaders)+1:]
 	if l, ok := g.links[domain]; ok {
 		l.setHolder(lease)
 		if lease.Holder != g.Config.ID {
-			g.controllers[domain].heardOf(lease, r.Version, 0) // both rows were written by one transaction
+			g.controllers[domain].recordRenewal(lease, r.Version, 0) // both rows were written by one transaction
 		}
 	}
 }
--- a/internal/instance/gatekeeper/lease_test.go
+++ b/internal/instance/gatekeeper/lease_test.go
@@ -20,7 +20,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var lease elector.Tenure
-	if err := encoder.Unmarshal(s.rows[tableTenures+"/a"].Value, &lease); err != nil {
+	if err := encoder.Unmarshal(s.rows[tableLeases+"/a"].Value, &lease); err != nil {
 		t.Fatal(err)
 	}
 	return lease
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.put(tabler.Row{Key: tableTenures + "/a", Value: value})
+	s.put(tabler.Row{Key: tableLeases + "/a", Value: value})
 }
 
 // Guards against a lease row that stays after a graceful stop: a renewal in flight changes the row
--- a/internal/instance/gatekeeper/link.go
+++ b/internal/instance/gatekeeper/link.go
@@ -98,7 +98,7 @@
 // runnersPublished reports whether the leaders of all domains publish current runners to this
 // instance, so that it need not poll the store itself.
 func (g *Gatekeeper) runnersPublished() bool {
-	if g.holdsAny() {
+	if g.leadsAny() {
 		return false
 	}
 	for _, l := range g.links {
--- a/internal/instance/gatekeeper/link_test.go
+++ b/internal/instance/gatekeeper/link_test.go
@@ -103,8 +103,8 @@
 		l.setHolder(elector.Tenure{Holder: g.Config.ID, Fence: 1})
 		ctx, cancel := context.WithCancel(t.Context())
 		go l.reportLoop(ctx)
-		time.Sleep(2 * quietDomain)
-		if !g.controllers["a"].vacant() {
+		time.Sleep(2 * leaderTimeout)
+		if !g.controllers["a"].leaderless() {
 			t.Error("an expired lease does not count as vacant")
 		}
 		cancel()
@@ -175,12 +175,12 @@
 		g.Config.Domains = []string{"a", "b"}
 		g.init()
 		vacant := func() map[string]bool {
-			return map[string]bool{"a": g.controllers["a"].vacant(), "b": g.controllers["b"].vacant()}
+			return map[string]bool{"a": g.controllers["a"].leaderless(), "b": g.controllers["b"].leaderless()}
 		}
 		if diff := cmp.Diff(map[string]bool{"a": true, "b": false}, vacant()); diff != "" {
 			t.Error(diff)
 		}
-		time.Sleep(quietDomain + foreignLate + time.Second)
+		time.Sleep(leaderTimeout + foreignLate + time.Second)
 		if diff := cmp.Diff(map[string]bool{"a": true, "b": true}, vacant()); diff != "" {
 			t.Error(diff)
 		}
--- a/internal/instance/gatekeeper/loads.go
+++ b/internal/instance/gatekeeper/loads.go
@@ -63,8 +63,8 @@
 	return ids
 }
 
-// wait returns how long a newly requested adapter waits until its load begins.
-func (d *controller) wait(now time.Time) time.Duration {
+// loadQueueWait returns how long a newly requested adapter waits until its load begins.
+func (d *controller) loadQueueWait(now time.Time) time.Duration {
 	if now.Sub(d.queueWaitAt) >= leadInterval {
 		l := d.loadStats(now)
 		d.queueWait, d.queueWaitAt = time.Duration(l.waiting)*d.gatekeeper.LoadTime()/time.Duration(l.limit), now
@@ -91,7 +91,7 @@
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.acting == 0 {
+	if d.orderingFence == 0 {
 		return
 	}
 	l := d.loadStats(now)
--- a/internal/instance/gatekeeper/needs.go
+++ b/internal/instance/gatekeeper/needs.go
@@ -43,17 +43,17 @@
 // tellSelf applies this instance's own demand if it leads the domain.
 func (g *Gatekeeper) tellSelf(domain string, demand relayer.Demand) {
 	d := g.controllers[domain]
-	d.demanded(g.Config.ID, demand)
+	d.applyDemand(g.Config.ID, demand)
 	now := time.Now()
 	d.mu.Lock()
-	others, members := d.others(g.Config.ID, now), d.count(now)
-	line := d.wait(now)
+	others, members := d.loadsExcept(g.Config.ID, now), d.instances(now)
+	line := d.loadQueueWait(now)
 	rooms := d.slotWaits(now)
 	d.mu.Unlock()
 	g.Fleet.Line(domain, line)
 	g.Fleet.Rooms(rooms)
 	g.Fleet.OthersIn(domain, others)
-	_, acts := d.acts()
+	_, acts := d.mayOrder()
 	g.Fleet.Staffed(domain, acts)
 	l := g.links[domain]
 	l.mu.Lock()
--- a/internal/instance/gatekeeper/publish.go
+++ b/internal/instance/gatekeeper/publish.go
@@ -62,7 +62,7 @@
 		if err != nil {
 			return err
 		}
-		return d.holdPlace(ctx, m, reply)
+		return d.holdSlot(ctx, m, reply)
 	case relayer.Settle:
 		settled, err := g.settle(m)
 		if err != nil {
@@ -77,7 +77,7 @@
 // ledController returns the controller of a domain that this instance leads.
 func (g *Gatekeeper) ledController(domain string) (*controller, error) {
 	d, ok := g.controllers[domain]
-	if !ok || !d.holds() {
+	if !ok || !d.leads() {
 		return nil, judge.Refuse(judge.ReasonOwner, "the tenure of %s is not held here", domain)
 	}
 	return d, nil
@@ -90,7 +90,7 @@
 // publishes reports whether this instance publishes updates of the domain: as its leader, or as
 // the leader of another domain, which relays what it receives.
 func (d *controller) publishes() bool {
-	return !d.gatekeeper.Leaving() && (d.holds() || d.gatekeeper.holdsAny())
+	return !d.gatekeeper.Leaving() && (d.leads() || d.gatekeeper.leadsAny())
 }
 
 // publishIntervals are the intervals between updates of a domain.
@@ -152,7 +152,7 @@
 // subscription began.
 func (d *controller) endStream(reply replier, fence uint64) error {
 	d.mu.Lock()
-	ended := d.ended
+	ended := d.releasedFence
 	d.mu.Unlock()
 	if ended > 0 && ended == fence {
 		if err := reply.Send(relayer.News{Ended: ended}); err != nil {
@@ -180,10 +180,10 @@
 	} else {
 		d.addRelayedState(&update, member, due, now)
 	}
-	events, ok := d.news.since(sequence)
+	events, ok := d.changes.since(sequence)
 	if !ok {
 		d.addSnapshot(&update, now)
-		return update, d.news.end(), true
+		return update, d.changes.end(), true
 	}
 	for _, e := range events {
 		switch {
@@ -191,24 +191,24 @@
 			update.Runners = append(update.Runners, *e.runner)
 		case e.gone != nil:
 			update.Gone = append(update.Gone, *e.gone)
-		case e.held != nil:
-			update.AddHeld(e.held.runner, e.held.copy, e.held.delay(now))
-		case e.room != nil:
-			update.Rooms = append(update.Rooms, relayer.Room{Runner: e.room.runner, Wait: e.room.wait})
+		case e.copy != nil:
+			update.AddHeld(e.copy.runner, e.copy.copy, e.copy.delay(now))
+		case e.slotWait != nil:
+			update.Rooms = append(update.Rooms, relayer.Room{Runner: e.slotWait.runner, Wait: e.slotWait.wait})
 		}
 	}
-	return update, d.news.end(), len(events) > 0
+	return update, d.changes.end(), len(events) > 0
 }
 
 // addLeaderState adds what this instance knows as the leader of the domain.
 func (d *controller) addLeaderState(update *relayer.News, member string, due bool, now time.Time) {
 	if due {
-		update.Loads, update.Members = d.others(member, now), d.count(now)
+		update.Loads, update.Members = d.loadsExcept(member, now), d.instances(now)
 		update.Loaded = true
 		update.Operator = d.gatekeeper.operatorVersion(now)
 		update.Reached = d.gatekeeper.reachableSpan(now)
 	}
-	update.Line = d.wait(now)
+	update.Line = d.loadQueueWait(now)
 	update.Load, update.Return = d.gatekeeper.LoadTime(), d.gatekeeper.ReturnTime()
 	_, update.Acting = d.elector.Acts(uptime())
 	update.Renewal, update.Age = d.elector.Renewal(uptime())
@@ -253,8 +253,8 @@
 
 // delay returns the time until the copy is usable, as clocks differ between instances; negative
 // if the runner does not hold it.
-func (h heldEvent) delay(now time.Time) time.Duration {
-	if !h.there {
+func (h copyEvent) delay(now time.Time) time.Duration {
+	if !h.present {
 		return -1
 	}
 	return max(0, h.at.Sub(now)).Round(time.Millisecond)
--- a/internal/instance/gatekeeper/quarantine_test.go
+++ b/internal/instance/gatekeeper/quarantine_test.go
@@ -138,10 +138,10 @@
 		}
 		got := []bool{}
 		for _, r := range []tabler.Row{row("i-1", false), row("i-2", false), row("i-2", false), row("i-3", false), row("i-2", true)} {
-			g.holderRow(r)
+			g.applyLeaderRow(r)
 			got = append(got, held())
 		}
-		g.holderRow(tabler.Row{Key: "holder/crash/d/i-9", Value: []byte("no row")})
+		g.applyLeaderRow(tabler.Row{Key: "holder/crash/d/i-9", Value: []byte("no row")})
 		got = append(got, held())
 		if diff := cmp.Diff([]bool{false, false, false, true, false, false}, got); diff != "" {
 			t.Error(diff)
--- a/internal/instance/gatekeeper/relay.go
+++ b/internal/instance/gatekeeper/relay.go
@@ -18,10 +18,10 @@
 // leader: there is at most one relay on the way.
 
 // A retold is the state that the leader of another failure domain published last.
-type retold struct {
+type relayedState struct {
 	acting     bool
 	returnTime time.Duration // load time of an adapter that the runner held before
-	line       time.Duration
+	queueWait       time.Duration
 	loadTime   time.Duration           // load time of an adapter from the weight store
 	loads      map[string]tracker.Load // of the instances that do not report through this one
 	members    int
@@ -32,25 +32,25 @@
 func (d *controller) recordUpdate(n relayer.News, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.heard.acting, d.heard.line = n.Acting, n.Line
-	d.heard.loadTime, d.heard.returnTime = n.Load, n.Return
+	d.relayed.acting, d.relayed.queueWait = n.Acting, n.Line
+	d.relayed.loadTime, d.relayed.returnTime = n.Load, n.Return
 	if n.Loaded {
-		d.heard.loads, d.heard.members = n.Loads, n.Members
+		d.relayed.loads, d.relayed.members = n.Loads, n.Members
 	}
-	if d.followers == 0 {
+	if d.subscribers == 0 {
 		return
 	}
 	if n.Whole {
-		d.news.reset()
+		d.changes.reset()
 		return
 	}
 	for _, h := range n.Held {
 		for _, s := range h.Copies {
-			d.news.add(event{held: &heldEvent{runner: h.Runner, copy: h.Copy(s), at: now.Add(s.In), there: s.In >= 0}})
+			d.changes.add(event{copy: &copyEvent{runner: h.Runner, copy: h.Copy(s), at: now.Add(s.In), present: s.In >= 0}})
 		}
 	}
 	for _, r := range n.Rooms {
-		d.news.add(event{room: &roomEvent{runner: r.Runner, wait: r.Wait}})
+		d.changes.add(event{slotWait: &slotEvent{runner: r.Runner, wait: r.Wait}})
 	}
 }
 
@@ -58,11 +58,11 @@
 func (d *controller) addSubscriber() (done func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.followers++
+	d.subscribers++
 	return func() {
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		d.followers--
+		d.subscribers--
 	}
 }
 
@@ -75,32 +75,32 @@
 	if lacksLeaderState(*update) {
 		return
 	}
-	update.Acting, update.Line = d.heard.acting, d.heard.line
-	update.Load, update.Return = d.heard.loadTime, d.heard.returnTime
+	update.Acting, update.Line = d.relayed.acting, d.relayed.queueWait
+	update.Load, update.Return = d.relayed.loadTime, d.relayed.returnTime
 	if !due {
 		return
 	}
 	update.Loaded = true
-	update.Loads = d.others(member, now)
-	addLoads(update.Loads, d.heard.loads)
+	update.Loads = d.loadsExcept(member, now)
+	addLoads(update.Loads, d.relayed.loads)
 	addLoads(update.Loads, d.gatekeeper.Fleet.LoadsIn(d.domain))
-	update.Members = d.heard.members
+	update.Members = d.relayed.members
 }
 
 // relayedDemand returns the sum of the demand that is relayed to the leader of the domain.
 func (d *controller) relayedDemand(now time.Time) gatherer.Word {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.gather.Drop(d.gatekeeper.Config.ID) // recorded while this instance was leader
-	d.gather.Expire(now)
-	return d.gather.Word()
+	d.aggregator.Drop(d.gatekeeper.Config.ID) // recorded while this instance was leader
+	d.aggregator.Expire(now)
+	return d.aggregator.Word()
 }
 
 // relayedLoads returns the load that is relayed to the leader of the domain.
 func (d *controller) relayedLoads(now time.Time) map[string]tracker.Load {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.others(d.gatekeeper.Config.ID, now)
+	return d.loadsExcept(d.gatekeeper.Config.ID, now)
 }
 
 // lacksLeaderState reports whether an update carries no leader state, as its sender receives no
@@ -145,7 +145,7 @@
 // freed requests an urgent report when the last use of a relayed copy has ended and others wait
 // for its adapter slot.
 func (d *controller) freed(k gatherer.Key) {
-	if d.acting == 0 && d.gatekeeper.Fleet.Tight(k.Runner) {
+	if d.orderingFence == 0 && d.gatekeeper.Fleet.Tight(k.Runner) {
 		d.gatekeeper.links[d.domain].hurry()
 	}
 }
@@ -154,7 +154,7 @@
 // does not hold waits for an adapter slot.
 func (d *controller) copyState(c *runnerState) (map[placer.Copy]time.Time, time.Duration) {
 	if d.elector.Holds(uptime()) {
-		return c.told, c.wait
+		return c.published, c.publishedWait
 	}
 	return d.gatekeeper.Fleet.Standing(c.runner.ID)
 }
--- a/internal/instance/gatekeeper/relay_test.go
+++ b/internal/instance/gatekeeper/relay_test.go
@@ -104,10 +104,10 @@
 			c.relayToLeader()
 		}, 1},
 		{"a slot was reserved, and neither report has arrived yet", func(c *chain, _ func()) {
-			c.leader.controllers["b"].used("a-1", chainedKey)
+			c.leader.controllers["b"].recordUse("a-1", chainedKey)
 		}, 1},
 		{"a slot was reserved, and both reports have arrived", func(c *chain, _ func()) {
-			c.leader.controllers["b"].used("a-1", chainedKey)
+			c.leader.controllers["b"].recordUse("a-1", chainedKey)
 			c.memberToRelay()
 			c.relayToLeader()
 		}, 1},
@@ -129,7 +129,7 @@
 		{"goes on while the relay misses a report", func(c *chain, _ func()) {
 			c.memberToRelay()
 			c.relayToLeader()
-			time.Sleep(silent / 2)
+			time.Sleep(memberTimeout / 2)
 			c.relayToLeader()
 		}, 1},
 		{"the member fails", func(c *chain, _ func()) {
@@ -143,8 +143,8 @@
 		{"the relay fails", func(c *chain, _ func()) {
 			c.memberToRelay()
 			c.relayToLeader()
-			time.Sleep(silent + time.Second)
-			c.leader.controllers["b"].others("", time.Now())
+			time.Sleep(memberTimeout + time.Second)
+			c.leader.controllers["b"].loadsExcept("", time.Now())
 		}, 0},
 		{"the relay loses its lease, and the member has not noticed", func(c *chain, _ func()) {
 			c.memberToRelay()
@@ -176,7 +176,7 @@
 				c := newChain()
 				c.addRunner()
 				tc.event(c, c.member.Use(chainedKey.Runner, chainedKey.Copy))
-				if diff := cmp.Diff(tc.want, c.leader.controllers["b"].gather.Uses(chainedKey)); diff != "" {
+				if diff := cmp.Diff(tc.want, c.leader.controllers["b"].aggregator.Uses(chainedKey)); diff != "" {
 					t.Error(diff)
 				}
 			})
@@ -206,7 +206,7 @@
 		running := func(g *Gatekeeper) int {
 			return g.Fleet.Candidates(tracker.Demand{Service: "llm"}, time.Now())[0].Running
 		}
-		got := map[string]int{"relay": running(c.relay), "member": running(c.member), "leader": c.leader.controllers["b"].gather.Loads("")["i-1"].Running}
+		got := map[string]int{"relay": running(c.relay), "member": running(c.member), "leader": c.leader.controllers["b"].aggregator.Loads("")["i-1"].Running}
 		if diff := cmp.Diff(map[string]int{"relay": 113, "member": 113, "leader": 113}, got); diff != "" {
 			t.Error(diff)
 		}
@@ -230,13 +230,13 @@
 			return ok
 		}
 		at := time.Now()
-		c.leader.controllers["b"].news.add(event{held: &heldEvent{runner: "i-1", copy: chainedKey.Copy, at: at, there: true}})
+		c.leader.controllers["b"].changes.add(event{copy: &copyEvent{runner: "i-1", copy: chainedKey.Copy, at: at, present: true}})
 		c.leaderToRelay()
 		c.relayToMember()
 		c.leaderToRelay() // in case the first update was a snapshot
 		c.relayToMember()
-		c.leader.controllers["b"].news.add(event{held: &heldEvent{runner: "i-1", copy: chainedKey.Copy, at: at, there: true}})
-		c.leader.controllers["b"].news.add(event{room: &roomEvent{runner: "i-1", wait: time.Second}})
+		c.leader.controllers["b"].changes.add(event{copy: &copyEvent{runner: "i-1", copy: chainedKey.Copy, at: at, present: true}})
+		c.leader.controllers["b"].changes.add(event{slotWait: &slotEvent{runner: "i-1", wait: time.Second}})
 		c.leaderToRelay()
 		c.relayToMember()
 		if !holds() {
@@ -245,7 +245,7 @@
 		if !c.member.Fleet.Tight("i-1") {
 			t.Error("a wait for a slot was not relayed")
 		}
-		c.leader.controllers["b"].news.add(event{held: &heldEvent{runner: "i-1", copy: chainedKey.Copy}})
+		c.leader.controllers["b"].changes.add(event{copy: &copyEvent{runner: "i-1", copy: chainedKey.Copy}})
 		c.leaderToRelay()
 		c.relayToMember()
 		if holds() {
@@ -318,7 +318,7 @@
 			if direct {
 				reporter = "a-2"
 			}
-			c.leader.controllers["b"].used(reporter, chainedKey)
+			c.leader.controllers["b"].recordUse(reporter, chainedKey)
 		case n < 6 && len(running) > 0:
 			running[0]()
 			running = running[1:]
@@ -349,8 +349,8 @@
 			c.memberToRelay()
 			c.relayToLeader()
 		}
-		c.leader.controllers["b"].others("", now)
-		if uses := c.leader.controllers["b"].gather.Uses(chainedKey); uses == 0 && len(running) > 0 && now.Sub(used) > time.Second {
+		c.leader.controllers["b"].loadsExcept("", now)
+		if uses := c.leader.controllers["b"].aggregator.Uses(chainedKey); uses == 0 && len(running) > 0 && now.Sub(used) > time.Second {
 			t.Fatalf("%d requests use a copy that counts as free", len(running))
 		}
 		time.Sleep(updateInterval)
@@ -361,10 +361,10 @@
 	for range 50 {
 		c.memberToRelay()
 		c.relayToLeader()
-		c.leader.controllers["b"].others("", time.Now())
+		c.leader.controllers["b"].loadsExcept("", time.Now())
 		time.Sleep(updateInterval)
 	}
-	if uses := c.leader.controllers["b"].gather.Uses(chainedKey); uses != 0 {
+	if uses := c.leader.controllers["b"].aggregator.Uses(chainedKey); uses != 0 {
 		t.Errorf("%d uses are counted after all have ended", uses)
 	}
 }
--- a/internal/instance/gatekeeper/report.go
+++ b/internal/instance/gatekeeper/report.go
@@ -22,7 +22,7 @@
 	if l.silence() > unheard {
 		g.Fleet.Staffed(l.domain, false)
 	}
-	if g.controllers[l.domain].holds() {
+	if g.controllers[l.domain].leads() {
 		g.tellSelf(l.domain, l.demand())
 		return
 	}
@@ -100,7 +100,7 @@
 func (l *link) totalDemand() gatherer.Word {
 	w := l.ownDemand()
 	g := l.gatekeeper
-	if d := g.controllers[l.domain]; !d.holds() {
+	if d := g.controllers[l.domain]; !d.leads() {
 		w.Add(d.relayedDemand(time.Now()))
 	}
 	return w
--- a/internal/instance/gatekeeper/request_slot.go
+++ b/internal/instance/gatekeeper/request_slot.go
@@ -18,7 +18,7 @@
 	if !found {
 		return forwarder.Place{}, nil, false
 	}
-	if d := g.controllers[l.domain]; d.holds() {
+	if d := g.controllers[l.domain]; d.leads() {
 		wait, done, err := d.acquireSlot(runner, within)
 		if err != nil {
 			return noSlot(err)
@@ -80,8 +80,8 @@
 	c.slots.Leave(e, c.runner.Slots, time.Now())
 }
 
-// holdPlace answers a Place, and holds the request slot until the sender cancels.
-func (d *controller) holdPlace(ctx context.Context, m relayer.Place, reply replier) error {
+// holdSlot answers a Place, and holds the request slot until the sender cancels.
+func (d *controller) holdSlot(ctx context.Context, m relayer.Place, reply replier) error {
 	wait, done, err := d.acquireSlot(m.Runner, m.Within)
 	if err != nil {
 		return err
--- a/internal/instance/gatekeeper/reserve.go
+++ b/internal/instance/gatekeeper/reserve.go
@@ -22,7 +22,7 @@
 		return forwarder.Room{}, nil, false
 	}
 	r := relayer.Reserve{Domain: l.domain, Runner: a.Runner, Copy: a.Copy, Tokens: a.Tokens, Pause: a.Pause, Within: a.Within}
-	if d := g.controllers[l.domain]; d.holds() {
+	if d := g.controllers[l.domain]; d.leads() {
 		reserved, err := d.reserve(g.Config.ID, r)
 		return g.reservation(a, reserved, err)
 	}
@@ -76,7 +76,7 @@
 			return relayer.Reserved{Absent: true}, nil
 		}
 		c.placer.Use(r.Copy, now)
-		d.used(cmp.Or(r.By, from), keyOf(r.Runner, r.Copy))
+		d.recordUse(cmp.Or(r.By, from), keyOf(r.Runner, r.Copy))
 	}
 	fleet := d.gatekeeper.Fleet
 	wait, ok := c.prefillQueue.Reserve(admitter.Prompt{
--- a/internal/instance/gatekeeper/resync.go
+++ b/internal/instance/gatekeeper/resync.go
@@ -90,7 +90,7 @@
 // runner: its row is back, which is no delta, or the removal is pending there. A leader relies
 // on its own reading.
 func (g *Gatekeeper) deferToSource(domain string, revision uint64) {
-	if !g.hasPending() || g.holdsAny() {
+	if !g.hasPending() || g.leadsAny() {
 		return
 	}
 	g.mu.Lock()
@@ -119,7 +119,7 @@
 // store itself.
 func (l *link) needsResync() bool {
 	g := l.gatekeeper
-	if g.holdsAny() {
+	if g.leadsAny() {
 		return false
 	}
 	l.mu.Lock()
--- a/internal/instance/gatekeeper/runners.go
+++ b/internal/instance/gatekeeper/runners.go
@@ -36,7 +36,7 @@
 		g.Recorder.Log(recorder.Belief, "msg", "runner", "runner", r.ID, "service", r.Service, "domain", r.Domain,
 			"leaving", r.Leaving, "revision", r.Revision, "by", by, "gone", gone)
 	}
-	g.controller(r.Domain).set(r, changed)
+	g.controller(r.Domain).setRunner(r, changed)
 }
 
 // removeNow removes a runner as reported by an instance or the store.
@@ -48,7 +48,7 @@
 		return
 	}
 	for _, d := range g.controllers {
-		d.gone(id, revision) // its incarnation may have been found replaced by another one at its address
+		d.removeRunner(id, revision) // its incarnation may have been found replaced by another one at its address
 	}
 }
 
@@ -56,7 +56,7 @@
 func (g *Gatekeeper) forget(r tracker.Runner, by, why string) {
 	g.Pool.Drop(r.ID)
 	gone := g.Fleet.Gone(r.ID)
-	g.controller(r.Domain).gone(r.ID, gone)
+	g.controller(r.Domain).removeRunner(r.ID, gone)
 	g.Recorder.Log(recorder.Belief, "msg", "runner gone", "runner", r.ID, "service", r.Service,
 		"known", r.Revision, "gone", gone, "by", by, "why", why)
 }
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -83,7 +83,7 @@
 // keepsLedger reports whether this instance keeps a ledger for others, as every leader does. It
 // starts and stops the ledger as required.
 func (g *Gatekeeper) keepsLedger(now time.Time) bool {
-	keeps := g.holdsAny() && !g.Leaving()
+	keeps := g.leadsAny() && !g.Leaving()
 	_, kept := g.quotas.ledger.Began()
 	switch {
 	case keeps && !kept:
--- a/internal/instance/gatekeeper/simulation_test.go
+++ b/internal/instance/gatekeeper/simulation_test.go
@@ -136,11 +136,11 @@
 	if err != nil {
 		s.t.Fatal(err)
 	}
-	s.store.put(tabler.Row{Key: tableHolders + "/" + domain, Value: value})
+	s.store.put(tabler.Row{Key: tableLeaders + "/" + domain, Value: value})
 }
 
 // leads reports whether an instance believes that it leads a domain.
-func (m *member) leads(domain string) bool { return m.gatekeeper().controllers[domain].holds() }
+func (m *member) leads(domain string) bool { return m.gatekeeper().controllers[domain].leads() }
 
 func (m *member) lead(domain string, fence uint64) {
 	d := m.gatekeeper().controllers[domain]
@@ -179,7 +179,7 @@
 	m.mu.Lock()
 	m.g, m.ctx, m.stop = g, ctx, stop
 	m.mu.Unlock()
-	loops := []func(context.Context){g.watchHolders, g.watchOperator, g.watchRunners, m.expireRemovals}
+	loops := []func(context.Context){g.watchLeaders, g.watchOperator, g.watchRunners, m.expireRemovals}
 	if os.Getenv("SITE_LOG") != "" {
 		loops = append(loops, func(ctx context.Context) { g.Recorder.Run(ctx.Done()) })
 	}
--- a/internal/instance/gatekeeper/slot_wait.go
+++ b/internal/instance/gatekeeper/slot_wait.go
@@ -22,11 +22,11 @@
 // changed.
 func (d *controller) publishSlotWait(c *runnerState, now time.Time) {
 	wait := d.slotWait(c, now).Round(slotWaitStep)
-	if wait == c.wait {
+	if wait == c.publishedWait {
 		return
 	}
-	c.wait = wait
-	d.news.add(event{room: &roomEvent{runner: c.runner.ID, wait: wait}})
+	c.publishedWait = wait
+	d.changes.add(event{slotWait: &slotEvent{runner: c.runner.ID, wait: wait}})
 }
 
 // slotWaitStep is the granularity of the published wait for a slot: small compared with a load,
--- a/internal/instance/gatekeeper/source.go
+++ b/internal/instance/gatekeeper/source.go
@@ -141,7 +141,7 @@
 }
 
 func (g *Gatekeeper) selectSource(now time.Time) source {
-	if g.holdsAny() {
+	if g.leadsAny() {
 		return source{}
 	}
 	last, _ := g.source.selected()
--- a/internal/instance/gatekeeper/staleness_test.go
+++ b/internal/instance/gatekeeper/staleness_test.go
@@ -267,8 +267,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		store.put(tabler.Row{Key: tableTenures + "/a", Value: value})
-		g.controllers["a"].read(t.Context())
+		store.put(tabler.Row{Key: tableLeases + "/a", Value: value})
+		g.controllers["a"].readLeaseRow(t.Context())
 		if got := g.links["a"].holder.Holder; got != "front-3" {
 			t.Errorf("follows %s, want front-3", got)
 		}
--- a/internal/instance/gatekeeper/startup.go
+++ b/internal/instance/gatekeeper/startup.go
@@ -30,7 +30,7 @@
 	pause(ctx, rand.N(startJitter))
 	sent := time.Now()
 	g.discoveryEnds.set(sent.Add(discoveryTimeout))
-	err := g.refresh(ctx, &g.holders, longWatch)
+	err := g.refresh(ctx, &g.leaders, longWatch)
 	g.sawStore(sent, err)
 	g.discoveryEnds.set(time.Now())
 }
--- a/internal/instance/gatekeeper/stepdown.go
+++ b/internal/instance/gatekeeper/stepdown.go
@@ -70,7 +70,7 @@
 	fence := d.elector.Holder().Fence
 	w, held := d.elector.Yield(uptime(), stepDownBackoff)
 	d.stopOrdering()
-	d.ended = fence
+	d.releasedFence = fence
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "stepping down", "domain", d.domain, "fence", fence, "why", why)
 	if held {
 		go d.releaseRow(ctx, w)
--- a/internal/instance/gatekeeper/stepdown_test.go
+++ b/internal/instance/gatekeeper/stepdown_test.go
@@ -62,7 +62,7 @@
 			g.Fleet.Begin(id, 0, time.Now()).End(end, time.Now())
 		}
 		d := g.controllers["a"]
-		time.Sleep(quietDomain)
+		time.Sleep(leaderTimeout)
 		if !d.defersTakeover() {
 			t.Error("acquires a lease without reaching the runners")
 		}
@@ -135,7 +135,7 @@
 		if leader := readLease(t, store).Holder; leader != g.Config.ID {
 			t.Errorf("lease row names %q, want this instance", leader)
 		}
-		if _, acts := d.acts(); acts {
+		if _, acts := d.mayOrder(); acts {
 			t.Error("sends orders within the quiet time")
 		}
 	})
--- a/internal/instance/gatekeeper/subscribe.go
+++ b/internal/instance/gatekeeper/subscribe.go
@@ -133,12 +133,12 @@
 // subscription returns what to request from an instance.
 func (l *link) subscription(from source) relayer.Subscribe {
 	g := l.gatekeeper
-	s := relayer.Subscribe{Domain: l.domain, Passes: g.holdsAny()}
+	s := relayer.Subscribe{Domain: l.domain, Passes: g.leadsAny()}
 	t, hasSource := g.teller()
 	// Crash reports are requested once from each source: they are the same for all domains.
 	s.Crashes = !hasSource || t != from || l.domain == g.Config.Domain
 	if hasSource && t == from && l.domain == g.Config.Domain {
-		s.Tables = map[string]uint64{g.operator.name: g.operator.upTo(), g.holders.name: g.holders.upTo()}
+		s.Tables = map[string]uint64{g.operator.name: g.operator.upTo(), g.leaders.name: g.leaders.upTo()}
 	}
 	return s
 }
--- a/internal/instance/gatekeeper/views.go
+++ b/internal/instance/gatekeeper/views.go
@@ -12,11 +12,11 @@
 		v.name, v.applyRow = operator, g.operatorRow
 		v.publishedAsOf = v.confirmedAt.get
 		v.maxAge = g.operatorMaxAge
-		v = &g.holders
-		v.name, v.applyRow = tableHolders, g.holderRow
+		v = &g.leaders
+		v.name, v.applyRow = tableLeaders, g.applyLeaderRow
 		v.publishedAsOf = func() (time.Time, bool) {
 			received, all := g.earliest(func(l *link) time.Time { return l.heard })
-			if confirmed, ok := g.holders.confirmedAt.get(); ok && confirmed.After(received) {
+			if confirmed, ok := g.leaders.confirmedAt.get(); ok && confirmed.After(received) {
 				return confirmed, true
 			}
 			return received, all
@@ -31,7 +31,7 @@
 		v.name, v.applyRows, v.applyTable = runners, g.applyRunnerRows, g.applyRunnerTable
 		v.publishedAsOf = func() (time.Time, bool) {
 			at, ok := g.earliest(func(l *link) time.Time { return l.freshAt })
-			return at.Add(-freshFor), ok && !g.holdsAny()
+			return at.Add(-freshFor), ok && !g.leadsAny()
 		}
 	})
 }
@@ -40,7 +40,7 @@
 func (g *Gatekeeper) operatorMaxAge() time.Duration {
 	age := maxAgeLeader
 	for _, domain := range g.domains() {
-		if g.controllers[domain].holds() {
+		if g.controllers[domain].leads() {
 			return min(age, maxAge)
 		}
 		age += maxAgeStagger
@@ -65,4 +65,4 @@
 }
 
 // views returns the views of the store's tables.
-func (g *Gatekeeper) views() []*view { return []*view{&g.operator, &g.holders, &g.runners} }
+func (g *Gatekeeper) views() []*view { return []*view{&g.operator, &g.leaders, &g.runners} }
--- a/internal/instance/gatekeeper/watch.go
+++ b/internal/instance/gatekeeper/watch.go
@@ -47,7 +47,7 @@
 	signal(g.quarantine.write)
 	// The store may have lost calls that it accepted before the outage. Those for the runners
 	// are short.
-	for _, v := range []*view{&g.operator, &g.holders} {
+	for _, v := range []*view{&g.operator, &g.leaders} {
 		v.replace(time.Now())
 	}
 }
@@ -128,7 +128,7 @@
 // the retry delay after a failed call.
 func (g *Gatekeeper) pollPause(failed time.Duration) time.Duration {
 	switch {
-	case !g.holdsAny():
+	case !g.leadsAny():
 		return max(unpublishedPollPause, failed)
 	case g.hasPending():
 		return pendingPollPause
@@ -208,7 +208,7 @@
 		g.setRunner(runner, fromStore)
 	}
 	for _, d := range g.controllers {
-		for _, known := range d.known() {
+		for _, known := range d.runnerDescriptions() {
 			if !listed[known.ID] && known.Revision <= version {
 				g.remove(known.ID, version, fromStore, whyUnlisted)
 			}
--- a/internal/instance/gatekeeper/watch_test.go
+++ b/internal/instance/gatekeeper/watch_test.go
@@ -35,7 +35,7 @@
 		g := newTestGatekeeper()
 		g.Store, g.Decoder = stillStore{}, stillDecoder{}
 		hold(g, "a")
-		if !g.holdsAny() {
+		if !g.leadsAny() {
 			t.Fatal("is not leader; the test proves nothing")
 		}
 		ctx, cancel := context.WithCancel(t.Context())
