--- a/internal/instance/gatekeeper/age.go
+++ b/internal/instance/gatekeeper/age.go
@@ -44,11 +44,11 @@
 	}
 	for domain, l := range g.links {
 		label := fmt.Sprintf("{domain=%q}", domain)
-		g.Metrics.GetOrCreateGauge("sardinetiller_told_age_seconds"+label, func() float64 { return l.silence().Seconds() })
+		g.Metrics.GetOrCreateGauge("sardinetiller_told_age_seconds"+label, func() float64 { return l.sinceUpdate().Seconds() })
 		g.Metrics.GetOrCreateGauge("sardinetiller_told_passed"+label, func() float64 {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			if l.source.id == l.holder.Holder {
+			if l.source.id == l.leader.Holder {
 				return 0
 			}
 			return 1
--- a/internal/instance/gatekeeper/apply.go
+++ b/internal/instance/gatekeeper/apply.go
@@ -10,8 +10,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// take applies an update of the domain.
-func (l *link) take(n relayer.News) {
+// apply applies an update of the domain.
+func (l *link) apply(n relayer.News) {
 	now := time.Now()
 	g := l.gatekeeper
 	if n.Ended > 0 {
@@ -25,15 +25,15 @@
 	if n.Fresh && matches {
 		l.freshAt = now
 	}
-	if sent := now.Add(-n.Silence); sent.After(l.heard) {
-		l.heard = sent
+	if sent := now.Add(-n.Silence); sent.After(l.lastUpdate) {
+		l.lastUpdate = sent
 	}
 	if n.Loaded {
 		l.setMembers(n.Members)
 	}
 	l.mu.Unlock()
 	if n.Tenure.Holder != "" {
-		l.setHolder(n.Tenure)
+		l.setLeader(n.Tenure)
 	}
 	g.applyTables(n.Tables, now)
 	if n.Operator.Newest > 0 && g.operator.observeVersion(n.Operator.Newest, now) {
@@ -63,7 +63,7 @@
 func (g *Gatekeeper) applyReach(n relayer.News, now time.Time) {
 	if n.Operator.Newest > 0 {
 		at := now.Add(-n.Operator.Age)
-		g.reached.advance(at)
+		g.othersReachedStoreAt.advance(at)
 		g.storeUp.observeOthers(at, at, now)
 	}
 	if n.Reached != (relayer.Span{}) {
@@ -76,8 +76,8 @@
 	l.gatekeeper.controllers[l.domain].recordRelease(fence)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.holder.Fence == fence {
-		l.heard = time.Time{}
+	if l.leader.Fence == fence {
+		l.lastUpdate = time.Time{}
 	}
 }
 
@@ -85,8 +85,8 @@
 // the same runners as the sender.
 func (l *link) applyRunners(n relayer.News) (matches bool) {
 	g := l.gatekeeper
-	g.learning.Lock()
-	defer g.learning.Unlock()
+	g.runnerUpdateMu.Lock()
+	defer g.runnerUpdateMu.Unlock()
 	if n.Whole {
 		g.applySnapshot(l.domain, n)
 	}
@@ -95,7 +95,7 @@
 	}
 	for _, gone := range n.Gone {
 		if known, ok := g.Fleet.Get(gone.Runner); !ok || known.Revision <= gone.Revision { // else it was described again since
-			g.removeNow(gone.Runner, gone.Revision, n.From, whyTold)
+			g.removeRunnerNow(gone.Runner, gone.Revision, n.From, whyTold)
 		}
 	}
 	if n.Whole {
@@ -152,7 +152,7 @@
 			later++
 		default:
 			dropped++
-			g.remove(r.ID, n.Revision, n.From, whyUnlisted) // the sender may have started after an outage; remove then waits for the grace time
+			g.removeRunner(r.ID, n.Revision, n.From, whyUnlisted) // the sender may have started after an outage; remove then waits for the grace time
 		}
 	}
 	g.Recorder.Log(recorder.Belief, "msg", "snapshot", "domain", domain, "by", n.From, "fresh", n.Fresh, "revision", n.Revision,
--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -256,7 +256,7 @@
 		c.busy = false
 		d.mu.Unlock()
 		d.gatekeeper.logOrder(runner, o, outcome, fence, time.Since(began), err)
-		d.gatekeeper.kickLead()
+		d.gatekeeper.checkOrdersNow()
 	}()
 }
 
--- a/internal/instance/gatekeeper/crash_rows.go
+++ b/internal/instance/gatekeeper/crash_rows.go
@@ -81,7 +81,7 @@
 // domains.
 func (g *Gatekeeper) receivesFromAllLeaders() bool {
 	for domain, l := range g.links {
-		if l.silence() > unheard && !g.controllers[domain].leads() {
+		if l.sinceUpdate() > updateTimeout && !g.controllers[domain].leads() {
 			return false
 		}
 	}
@@ -130,27 +130,27 @@
 
 // keepRows writes crash rows to the store until ctx ends.
 func (g *Gatekeeper) keepRows(ctx context.Context) {
-	failed := newPauses()
+	failed := newBackOff()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-g.quarantine.write:
 		}
-		for ctx.Err() == nil && !g.futile() {
+		for ctx.Err() == nil && !g.skipStoreCall() {
 			txn, states := g.quarantine.pendingWrites(time.Now())
 			if len(states) == 0 {
 				break
 			}
 			sent := time.Now()
 			_, err := g.Store.Write(ctx, txn)
-			g.sawStore(sent, err)
+			g.recordStoreCall(sent, err)
 			if err == nil {
 				g.quarantine.recordWritten(states)
 			} else {
 				g.Recorder.Log(recorder.Suspect, "msg", "crashes not written", "rows", len(states), "err", err)
 			}
-			pause(ctx, pauseAfter(err, failed))
+			pause(ctx, retryDelay(err, failed))
 		}
 	}
 }
--- a/internal/instance/gatekeeper/crash_test.go
+++ b/internal/instance/gatekeeper/crash_test.go
@@ -54,7 +54,7 @@
 			r.Leaving, r.Revision = true, 2
 			g.setRunner(r, fromStore)
 		}, false},
-		{"removed before", []tracker.Life{refuses}, func(g *Gatekeeper, r tracker.Runner) { g.removeNow(r.ID, r.Revision, fromStore, whyRow) }, nil, false},
+		{"removed before", []tracker.Life{refuses}, func(g *Gatekeeper, r tracker.Runner) { g.removeRunnerNow(r.ID, r.Revision, fromStore, whyRow) }, nil, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/instance/gatekeeper/crashreport.go
+++ b/internal/instance/gatekeeper/crashreport.go
@@ -56,7 +56,7 @@
 
 // crashSources returns the instances that publish crash reports to this one.
 func (g *Gatekeeper) crashSources() []source {
-	if t, ok := g.teller(); ok {
+	if t, ok := g.currentSource(); ok {
 		return []source{t}
 	}
 	if g.leadsAny() {
--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -22,11 +22,11 @@
 	case d.leads():
 		d.applyDemand(from.ID, demand)
 		if demand.Urgent() {
-			g.kickLead()
+			g.checkOrdersNow()
 		}
 	case g.leadsAny() || d.relaysFor(from.ID):
 		d.applyDemand(from.ID, demand)
-		g.links[demand.Domain].pass(demand)
+		g.links[demand.Domain].relayDemand(demand)
 	}
 }
 
--- a/internal/instance/gatekeeper/dependency.go
+++ b/internal/instance/gatekeeper/dependency.go
@@ -66,11 +66,11 @@
 	return first, d.own.last, d.own.current(now)
 }
 
-// returned returns when the dependency became available again for the first instance to reach
+// recoveredAt returns when the dependency became available again for the first instance to reach
 // it; away is false if it was never unavailable to this instance. When the time was counted
 // from this instance's own return, runners that had left were used for longer, by as much as it
 // came later than that of the others.
-func (d *dependency) returned(now time.Time) (at time.Time, away bool) {
+func (d *dependency) recoveredAt(now time.Time) (at time.Time, away bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
@@ -83,9 +83,9 @@
 	}
 }
 
-// stoodStill records that the instance was stalled until now: its calls in progress say nothing
+// recordStall records that the instance was stalled until now: its calls in progress say nothing
 // about how long the dependency was unavailable.
-func (d *dependency) stoodStill(now time.Time) {
+func (d *dependency) recordStall(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if now.After(d.lastFailure) {
@@ -93,8 +93,8 @@
 	}
 }
 
-// lastAway returns the latest time at which the dependency may have been unavailable.
-func (d *dependency) lastAway() time.Time {
+// lastUnavailable returns the latest time at which the dependency may have been unavailable.
+func (d *dependency) lastUnavailable() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.lastFailure
--- a/internal/instance/gatekeeper/follow.go
+++ b/internal/instance/gatekeeper/follow.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// longWatch is the timeout of a watch call on the operator's rows and the leases: they
+	// watchTimeout is the timeout of a watch call on the operator's rows and the leases: they
 	// change rarely, and each call costs money.
-	longWatch = 29 * time.Second
-	// again is the pause between two failed calls. It doubles up to maxRetryDelay: rejected
+	watchTimeout = 29 * time.Second
+	// minRetryDelay is the pause between two failed calls. It doubles up to maxRetryDelay: rejected
 	// calls are billed like others, and a third of the instances, rejected for seconds, made
 	// half of a day's calls. maxRetryDelay also bounds when an instance that the store serves
-	// again catches up; time limits apply to it again three seconds after the store's return.
-	again         = 250 * time.Millisecond
+	// minRetryDelay catches up; time limits apply to it again three seconds after the store's return.
+	minRetryDelay         = 250 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
-	// nextCall is more than the time between two calls while the store is unavailable.
-	nextCall = maxRetryDelay + time.Second
+	// maxCallInterval is more than the time between two calls while the store is unavailable.
+	maxCallInterval = maxRetryDelay + time.Second
 
 	// maxAge is the age at which an instance polls the store to check that its view of the
 	// operator's rows is current. A change has to be in force two seconds after its
@@ -54,7 +54,7 @@
 	var checks sync.WaitGroup
 	defer checks.Wait()
 	checks.Go(func() { g.pollWhenStale(ctx, v) })
-	failed := newPauses()
+	failed := newBackOff()
 	for ctx.Err() == nil {
 		if v.isPublished(time.Now()) {
 			pause(ctx, checkInterval)
@@ -68,36 +68,36 @@
 		if errors.Is(err, errReplaced) {
 			continue
 		}
-		g.sawStore(began, err)
-		pause(ctx, pauseAfter(err, failed)-time.Since(began))
+		g.recordStoreCall(began, err)
+		pause(ctx, retryDelay(err, failed)-time.Since(began))
 	}
 }
 
 // pollWhenStale polls the store whenever nothing shows that the view is current, until ctx
 // ends.
 func (g *Gatekeeper) pollWhenStale(ctx context.Context, v *view) {
-	failed := newPauses()
+	failed := newBackOff()
 	alarm := staleAlarm{gatekeeper: g, view: v}
 	for ctx.Err() == nil {
 		pause(ctx, checkInterval)
 		now := time.Now()
 		alarm.check(now)
-		if !v.needsCheck(now) || g.futile() {
+		if !v.needsCheck(now) || g.skipStoreCall() {
 			continue
 		}
 		err := g.poll(ctx, v)
 		if ctx.Err() != nil {
 			return
 		}
-		g.sawStore(now, err)
-		pause(ctx, pauseAfter(err, failed)-time.Since(now))
+		g.recordStoreCall(now, err)
+		pause(ctx, retryDelay(err, failed)-time.Since(now))
 	}
 }
 
-// futile reports whether a call to the store would only fail again: the store is lost, and the
+// skipStoreCall reports whether a call to the store would only fail again: the store is lost, and the
 // calls for the runners show when it is back. Without this check the calls during an outage
 // would double.
-func (g *Gatekeeper) futile() bool {
+func (g *Gatekeeper) skipStoreCall() bool {
 	_, down := g.storeUp.status()
 	return down && !g.runnersPublished() && g.runners.calledLately(time.Now())
 }
@@ -176,16 +176,16 @@
 	v.invalidate()
 }
 
-// newPauses returns the pauses between calls that fail one after the other.
-func newPauses() *backoff.ExponentialBackOff {
-	return &backoff.ExponentialBackOff{InitialInterval: again, Multiplier: 2, MaxInterval: maxRetryDelay}
+// newBackOff returns the pauses between calls that fail one after the other.
+func newBackOff() *backoff.ExponentialBackOff {
+	return &backoff.ExponentialBackOff{InitialInterval: minRetryDelay, Multiplier: 2, MaxInterval: maxRetryDelay}
 }
 
-// pauseAfter returns the time from the beginning of a call to that of the next one: none after
+// retryDelay returns the time from the beginning of a call to that of the next one: none after
 // a success. It counts from the beginning, as a failed call may have taken a good part of it:
 // counted from its end, an instance polled a store that did not answer every 3.7 s, and noticed
 // its return too late.
-func pauseAfter(err error, failed *backoff.ExponentialBackOff) time.Duration {
+func retryDelay(err error, failed *backoff.ExponentialBackOff) time.Duration {
 	if err == nil {
 		failed.Reset()
 		return 0
--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -79,7 +79,7 @@
 	Unreadable func(c *fasthttp.RequestCtx, err error)
 
 	catalog atomic.Pointer[matcher.Catalog]
-	kicks   chan struct{}
+	orderWake   chan struct{}
 	loads   estimate // of adapters loaded from the weight store
 	returns estimate // of adapters that the runner held before
 
@@ -91,11 +91,11 @@
 	sourceDomains []string        // failure domains in the order in which their leaders are considered as the source
 	source        sourceSelection // the source in use
 	headcount     headcount
-	reached       atomicTime // when another leader last reached the store
+	othersReachedStoreAt       atomicTime // when another leader last reached the store
 	discoveryEnds atomicTime // until then the store is not read for rows that others may publish
 
-	learning sync.Mutex // held while the known runners are compared with published ones
-	looked   time.Time  // when due removals were last checked; guarded by learning
+	runnerUpdateMu sync.Mutex // held while the known runners are compared with published ones
+	expiryCheckedAt   time.Time  // when due removals were last checked; guarded by learning
 
 	mu              sync.Mutex
 	adapterVersions map[adapterKey]int     // newest version of adapters whose version is not the default one
@@ -152,7 +152,7 @@
 }
 
 func (g *Gatekeeper) init() {
-	g.kicks = make(chan struct{}, 1)
+	g.orderWake = make(chan struct{}, 1)
 	g.quarantine.init()
 	g.quotas.init(g)
 	g.adapterVersions = make(map[adapterKey]int)
@@ -166,7 +166,7 @@
 		if domain != g.Config.Domain {
 			// At a start no domain has a leader. Without this each instance tried to acquire
 			// the leases of all domains at once: 500 calls by 64 instances.
-			late, lastUpdate = foreignLate, time.Now()
+			late, lastUpdate = foreignTakeoverDelay, time.Now()
 		}
 		d := &controller{
 			gatekeeper: g, domain: domain, runners: make(map[string]*runnerState),
@@ -176,7 +176,7 @@
 		}
 		d.aggregator = gatherer.Gatherer{Freed: d.freed, Silent: memberTimeout, Waits: d.applyWaits}
 		g.controllers[domain] = d
-		g.links[domain] = &link{gatekeeper: g, domain: domain, heard: lastUpdate, kick: make(chan struct{}, 1), relayTimeout: minRelayTimeout + rand.N(relayTimeoutJitter)}
+		g.links[domain] = &link{gatekeeper: g, domain: domain, lastUpdate: lastUpdate, wake: make(chan struct{}, 1), relayTimeout: minRelayTimeout + rand.N(relayTimeoutJitter)}
 	}
 }
 
@@ -197,9 +197,9 @@
 	// quietMargin is added to the configured quiet time between the orders of two leaders, for
 	// an order in transit.
 	quietMargin = 500 * time.Millisecond
-	// foreignLate is how much longer an instance waits before it acquires the lease of a domain
+	// foreignTakeoverDelay is how much longer an instance waits before it acquires the lease of a domain
 	// other than its own: that domain's own instances go first.
-	foreignLate = 6 * time.Second
+	foreignTakeoverDelay = 6 * time.Second
 	// takeoverJitter spreads the takeover of a lease by the instances of a domain. One write is
 	// enough, and the others learn of it; without the jitter 34 of 35 wrote in vain and read
 	// the row again.
--- a/internal/instance/gatekeeper/headcount.go
+++ b/internal/instance/gatekeeper/headcount.go
@@ -27,8 +27,8 @@
 	assumedInstances = 400
 )
 
-// tell records a reported count; zero or less is ignored.
-func (h *headcount) tell(n int, now time.Time) {
+// observe records a reported count; zero or less is ignored.
+func (h *headcount) observe(n int, now time.Time) {
 	if n <= 0 {
 		return
 	}
@@ -45,14 +45,14 @@
 
 // get returns the count, or that of a large deployment without a recent report.
 func (h *headcount) get() int {
-	if n := h.told(); n > 0 {
+	if n := h.reported(); n > 0 {
 		return n
 	}
 	return assumedInstances
 }
 
-// told returns the largest count reported recently, 0 for none.
-func (h *headcount) told() int {
+// reported returns the largest count reported recently, 0 for none.
+func (h *headcount) reported() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return max(h.current, h.previous)
--- a/internal/instance/gatekeeper/headcount_test.go
+++ b/internal/instance/gatekeeper/headcount_test.go
@@ -26,14 +26,14 @@
 			time.Sleep(2 * time.Millisecond)
 			update, next, _ := leader.controllers["b"].updateFor("b-2", number, true)
 			number = next
-			member.links["b"].take(update)
+			member.links["b"].apply(update)
 			if got := member.Members(); got < instances {
 				t.Fatalf("%d members after %d have reported, want %d or more", got, n+1, instances)
 			}
 		}
 		time.Sleep(countSettleTime)
 		update, _, _ := leader.controllers["b"].updateFor("b-2", number, true)
-		member.links["b"].take(update)
+		member.links["b"].apply(update)
 		if got := member.Members(); got != instances {
 			t.Errorf("%d members when all have reported, want %d", got, instances)
 		}
@@ -57,7 +57,7 @@
 		{3*countWindow + 200*time.Millisecond, 3, 3},
 		{10 * countWindow, 9, 9},
 	} {
-		h.tell(step.reported, start.Add(step.at))
+		h.observe(step.reported, start.Add(step.at))
 		if got := h.get(); got != step.want {
 			t.Errorf("after %s, report of %d: %d instances, want %d", step.at, step.reported, got, step.want)
 		}
--- a/internal/instance/gatekeeper/lease.go
+++ b/internal/instance/gatekeeper/lease.go
@@ -45,7 +45,7 @@
 
 // lead maintains the leases and sends orders until ctx ends.
 func (g *Gatekeeper) lead(ctx context.Context) {
-	repeater.Now(ctx, leadInterval, g.kicks, func() {
+	repeater.Now(ctx, leadInterval, g.orderWake, func() {
 		for _, d := range g.controllers {
 			d.maintainLease(ctx)
 			d.tick(ctx)
@@ -54,8 +54,8 @@
 	})
 }
 
-// kickLead makes a leader check for due orders at once.
-func (g *Gatekeeper) kickLead() { signal(g.kicks) }
+// checkOrdersNow makes a leader check for due orders at once.
+func (g *Gatekeeper) checkOrdersNow() { signal(g.orderWake) }
 
 // leadsAny reports whether this instance leads any failure domain.
 func (g *Gatekeeper) leadsAny() bool {
@@ -119,7 +119,7 @@
 // pollPeriod returns the interval at which this instance polls the lease row.
 func (d *controller) pollPeriod() time.Duration {
 	g := d.gatekeeper
-	neighbours := g.headcount.told() / len(g.domains())
+	neighbours := g.headcount.reported() / len(g.domains())
 	return max(pollInterval, time.Duration(neighbours)*pollInterval/pollsPerInterval)
 }
 
@@ -127,9 +127,9 @@
 func (d *controller) leaderless() bool {
 	limit := leaderTimeout
 	if d.domain != d.gatekeeper.Config.Domain {
-		limit += foreignLate
+		limit += foreignTakeoverDelay
 	}
-	return d.gatekeeper.links[d.domain].silence() > limit
+	return d.gatekeeper.links[d.domain].sinceUpdate() > limit
 }
 
 // recordRenewal records a renewal of the lease that the leader published.
@@ -159,7 +159,7 @@
 func (d *controller) readLeaseRow(ctx context.Context) {
 	sent := time.Now()
 	row, err := d.gatekeeper.Store.Get(ctx, tableLeases+"/"+d.domain)
-	d.gatekeeper.sawStore(sent, err)
+	d.gatekeeper.recordStoreCall(sent, err)
 	var lease elector.Tenure
 	if err == nil && row.Version > 0 {
 		err = encoder.Unmarshal(row.Value, &lease)
@@ -167,7 +167,7 @@
 	if err == nil {
 		// The watch on the leaders may be a call that is never answered, in which case this
 		// instance would not follow the new leader.
-		d.gatekeeper.links[d.domain].setHolder(lease)
+		d.gatekeeper.links[d.domain].setLeader(lease)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -183,13 +183,13 @@
 	version, err := d.gatekeeper.Store.Write(ctx, d.leaseTxn(w))
 	var conflict *tabler.ConflictError
 	if !errors.As(err, &conflict) {
-		d.gatekeeper.sawStore(sent, err)
+		d.gatekeeper.recordStoreCall(sent, err)
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
 		d.elector.Lost()
-		d.retryAt = uptime() + again
+		d.retryAt = uptime() + minRetryDelay
 		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease write failed", "domain", d.domain, "fence", w.Row.Fence,
 			"takeover", w.Takeover, "err", err)
 		return
@@ -198,7 +198,7 @@
 	if w.Takeover {
 		d.firstReportAt = time.Time{} // members whose reports were relayed are not all members
 		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease acquired", "domain", d.domain, "fence", w.Row.Fence, "version", version)
-		d.gatekeeper.links[d.domain].setHolder(w.Row)
+		d.gatekeeper.links[d.domain].setLeader(w.Row)
 	}
 }
 
@@ -261,7 +261,7 @@
 // watchLeaders keeps track of the leaders of all domains.
 func (g *Gatekeeper) watchLeaders(ctx context.Context) {
 	g.setViews()
-	g.follow(ctx, &g.leaders, longWatch)
+	g.follow(ctx, &g.leaders, watchTimeout)
 }
 
 func (g *Gatekeeper) applyLeaderRow(r tabler.Row) {
@@ -276,7 +276,7 @@
 	}
 	domain := r.Key[len(tableLeaders)+1:]
 	if l, ok := g.links[domain]; ok {
-		l.setHolder(lease)
+		l.setLeader(lease)
 		if lease.Holder != g.Config.ID {
 			g.controllers[domain].recordRenewal(lease, r.Version, 0) // both rows were written by one transaction
 		}
--- a/internal/instance/gatekeeper/lease_test.go
+++ b/internal/instance/gatekeeper/lease_test.go
@@ -100,7 +100,7 @@
 			var all []*controller
 			for range instances {
 				g := newTestGatekeeper()
-				g.headcount.tell(instances, time.Now())
+				g.headcount.observe(instances, time.Now())
 				all = append(all, g.controllers["a"])
 			}
 			looks, firstPoll := 0, time.Duration(-1)
--- a/internal/instance/gatekeeper/link_test.go
+++ b/internal/instance/gatekeeper/link_test.go
@@ -37,15 +37,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		l := g.links["a"]
-		l.take(relayer.News{Fresh: true, Tenure: elector.Tenure{Holder: "front-1", Fence: 1}, Renewal: 5})
+		l.apply(relayer.News{Fresh: true, Tenure: elector.Tenure{Holder: "front-1", Fence: 1}, Renewal: 5})
 		if !g.runnersPublished() {
 			t.Fatal("does not rely on a fresh update")
 		}
 		for range 5 {
 			time.Sleep(updateInterval)
-			l.take(relayer.News{})
+			l.apply(relayer.News{})
 		}
-		if l.silence() > unheard {
+		if l.sinceUpdate() > updateTimeout {
 			t.Fatal("no update from the leader; the test proves nothing")
 		}
 		if g.runnersPublished() {
@@ -65,11 +65,11 @@
 		old := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}
 		g.setRunner(old, fromStore)
 		g.setRunner(tracker.Runner{ID: "i-2", Domain: "a", Service: "llm", Revision: 2}, fromStore)
-		l.take(relayer.News{Revision: 1, Whole: true, Runners: []tracker.Runner{old}})
+		l.apply(relayer.News{Revision: 1, Whole: true, Runners: []tracker.Runner{old}})
 		if _, there := g.Fleet.Get("i-2"); !there {
 			t.Error("a runner was dropped that the leader could not know")
 		}
-		l.take(relayer.News{Fresh: true, Revision: 2, Whole: true, Runners: []tracker.Runner{old}})
+		l.apply(relayer.News{Fresh: true, Revision: 2, Whole: true, Runners: []tracker.Runner{old}})
 		if _, there := g.Fleet.Get("i-2"); there {
 			t.Error("a runner that is gone was kept")
 		}
@@ -100,7 +100,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		l := g.links["a"]
-		l.setHolder(elector.Tenure{Holder: g.Config.ID, Fence: 1})
+		l.setLeader(elector.Tenure{Holder: g.Config.ID, Fence: 1})
 		ctx, cancel := context.WithCancel(t.Context())
 		go l.reportLoop(ctx)
 		time.Sleep(2 * leaderTimeout)
@@ -120,7 +120,7 @@
 		old := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 7}
 		g.setRunner(old, fromStore)
 		g.Fleet.Remove("i-1", 9)
-		g.links["a"].take(relayer.News{Whole: true, Runners: []tracker.Runner{old}})
+		g.links["a"].apply(relayer.News{Whole: true, Runners: []tracker.Runner{old}})
 		if _, there := g.Fleet.Get("i-1"); there {
 			t.Error("a removed runner is known again")
 		}
@@ -140,12 +140,12 @@
 		l := g.links["a"]
 		running := func() int { return g.Fleet.Candidates(tracker.Demand{Service: "llm"}, time.Now())[0].Running }
 		runner := tracker.Runner{ID: "i-1", Service: "llm", Domain: "a", Revision: 1}
-		l.take(relayer.News{Whole: true, Runners: []tracker.Runner{runner}, Loaded: true, Loads: map[string]tracker.Load{"i-1": {Running: 7}}})
-		l.take(relayer.News{})
+		l.apply(relayer.News{Whole: true, Runners: []tracker.Runner{runner}, Loaded: true, Loads: map[string]tracker.Load{"i-1": {Running: 7}}})
+		l.apply(relayer.News{})
 		if n := running(); n != 7 {
 			t.Errorf("%d requests of others after an update without loads, want 7", n)
 		}
-		l.take(relayer.News{Loaded: true})
+		l.apply(relayer.News{Loaded: true})
 		if n := running(); n != 0 {
 			t.Errorf("%d requests of others, want none", n)
 		}
@@ -155,12 +155,12 @@
 // The store rejects an instance for a while. Each call is billed, so the pause between them
 // grows; the first success resets it.
 func TestRetryDelayGrows(t *testing.T) {
-	failed := newPauses()
+	failed := newBackOff()
 	var got []time.Duration
 	for _, err := range []error{nil, io.EOF, io.EOF, io.EOF, io.EOF, io.EOF, nil, io.EOF} {
-		got = append(got, pauseAfter(err, failed))
+		got = append(got, retryDelay(err, failed))
 	}
-	want := []time.Duration{0, again, 2 * again, 4 * again, maxRetryDelay, maxRetryDelay, 0, again}
+	want := []time.Duration{0, minRetryDelay, 2 * minRetryDelay, 4 * minRetryDelay, maxRetryDelay, maxRetryDelay, 0, minRetryDelay}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
@@ -180,7 +180,7 @@
 		if diff := cmp.Diff(map[string]bool{"a": true, "b": false}, vacant()); diff != "" {
 			t.Error(diff)
 		}
-		time.Sleep(leaderTimeout + foreignLate + time.Second)
+		time.Sleep(leaderTimeout + foreignTakeoverDelay + time.Second)
 		if diff := cmp.Diff(map[string]bool{"a": true, "b": true}, vacant()); diff != "" {
 			t.Error(diff)
 		}
--- a/internal/instance/gatekeeper/needs.go
+++ b/internal/instance/gatekeeper/needs.go
@@ -10,21 +10,21 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/forwarder"
 )
 
-// needs is the demand at the domain's runners that is to be reported. Uses and waits are
+// pendingDemand is the demand at the domain's runners that is to be reported. Uses and waits are
 // reported as a full snapshot, so that the next report makes up for one that was lost; the
 // other fields hold what was observed since the last report.
-type needs struct {
+type pendingDemand struct {
 	short   int // responses with only short pauses
 	long    int // responses with a long pause
 	missing map[gatherer.Key]bool
 	spare   map[gatherer.Key]bool
-	there   map[gatherer.Key]found
+	hits   map[gatherer.Key]hitCount
 	uses    map[gatherer.Key]int
 	waits   map[gatherer.Key]map[string]waiter // by copy and request ID
 }
 
 // A found counts the requests that found a copy loaded on a runner.
-type found struct {
+type hitCount struct {
 	requests int
 	sent     time.Time // when the first of them was sent
 }
@@ -32,16 +32,16 @@
 // A waiter is a request that waits for a copy.
 type waiter struct {
 	inTime   bool
-	last     time.Time // when it was last refreshed
+	refreshedAt     time.Time // when it was last refreshed
 	priority int
 }
 
-// stillWaits is how long a request counts as waiting after its last refresh. A waiting
+// waitMaxAge is how long a request counts as waiting after its last refresh. A waiting
 // request refreshes every 10 ms.
-const stillWaits = 50 * time.Millisecond
+const waitMaxAge = 50 * time.Millisecond
 
-// tellSelf applies this instance's own demand if it leads the domain.
-func (g *Gatekeeper) tellSelf(domain string, demand relayer.Demand) {
+// applyOwnDemand applies this instance's own demand if it leads the domain.
+func (g *Gatekeeper) applyOwnDemand(domain string, demand relayer.Demand) {
 	d := g.controllers[domain]
 	d.applyDemand(g.Config.ID, demand)
 	now := time.Now()
@@ -57,11 +57,11 @@
 	g.Fleet.Staffed(domain, acts)
 	l := g.links[domain]
 	l.mu.Lock()
-	l.heard = now
+	l.lastUpdate = now
 	l.setMembers(members)
 	l.mu.Unlock()
 	if demand.Urgent() {
-		g.kickLead()
+		g.checkOrdersNow()
 	}
 }
 
@@ -84,17 +84,17 @@
 	now := time.Now()
 	k := keyOf(w.Runner, w.Copy)
 	l.mu.Lock()
-	if l.needs.waits == nil {
-		l.needs.waits = make(map[gatherer.Key]map[string]waiter)
+	if l.pendingDemand.waits == nil {
+		l.pendingDemand.waits = make(map[gatherer.Key]map[string]waiter)
 	}
-	if l.needs.waits[k] == nil {
-		l.needs.waits[k] = make(map[string]waiter)
+	if l.pendingDemand.waits[k] == nil {
+		l.pendingDemand.waits[k] = make(map[string]waiter)
 	}
-	l.needs.waits[k][w.Request] = waiter{inTime: w.InTime, last: now, priority: w.Priority}
-	fresh := l.newlyAsked(k, now)
+	l.pendingDemand.waits[k][w.Request] = waiter{inTime: w.InTime, refreshedAt: now, priority: w.Priority}
+	fresh := l.newlyRequested(k, now)
 	l.mu.Unlock()
 	if fresh {
-		l.hurry()
+		l.reportNow()
 	}
 }
 
@@ -108,29 +108,29 @@
 	defer l.mu.Unlock()
 	switch {
 	case admitter.Short(longest, limit):
-		l.needs.short++
+		l.pendingDemand.short++
 	case admitter.Long(longest, limit):
-		l.needs.long++
+		l.pendingDemand.long++
 	}
 }
 
 // Spare implements forwarder.Placement.
 func (g *Gatekeeper) Spare(runner string, c placer.Copy) {
 	if l, ok := g.linkOf(runner); ok {
-		l.markIn(&l.needs.spare, keyOf(runner, c))
+		l.markIn(&l.pendingDemand.spare, keyOf(runner, c))
 	}
 }
 
-// newlyAsked reports whether the copy was not requested within hurryAgain, so that the leader
+// newlyRequested reports whether the copy was not requested within urgentInterval, so that the leader
 // needs an immediate report.
-func (l *link) newlyAsked(k gatherer.Key, now time.Time) bool {
-	if now.Sub(l.asked[k]) <= hurryAgain {
+func (l *link) newlyRequested(k gatherer.Key, now time.Time) bool {
+	if now.Sub(l.urgentAt[k]) <= urgentInterval {
 		return false
 	}
-	if l.asked == nil {
-		l.asked = make(map[gatherer.Key]time.Time)
+	if l.urgentAt == nil {
+		l.urgentAt = make(map[gatherer.Key]time.Time)
 	}
-	l.asked[k] = now
+	l.urgentAt[k] = now
 	return true
 }
 
@@ -142,20 +142,20 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.needs.find(keyOf(runner, c), found{requests: 1, sent: sent})
+	l.pendingDemand.recordHits(keyOf(runner, c), hitCount{requests: 1, sent: sent})
 }
 
-// find records requests that found a copy.
-func (n *needs) find(k gatherer.Key, more found) {
-	if n.there == nil {
-		n.there = make(map[gatherer.Key]found)
+// recordHits records requests that found a copy.
+func (n *pendingDemand) recordHits(k gatherer.Key, more hitCount) {
+	if n.hits == nil {
+		n.hits = make(map[gatherer.Key]hitCount)
 	}
-	f := n.there[k]
+	f := n.hits[k]
 	if f.requests == 0 || more.sent.Before(f.sent) {
 		f.sent = more.sent
 	}
 	f.requests += more.requests
-	n.there[k] = f
+	n.hits[k] = f
 }
 
 // Use implements forwarder.Placement. The end of a use is reported at once if other copies
@@ -169,23 +169,23 @@
 	k := keyOf(runner, c)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.needs.uses == nil {
-		l.needs.uses = make(map[gatherer.Key]int)
+	if l.pendingDemand.uses == nil {
+		l.pendingDemand.uses = make(map[gatherer.Key]int)
 	}
-	l.needs.uses[k]++
+	l.pendingDemand.uses[k]++
 	return func() { l.endUse(k) }
 }
 
 func (l *link) endUse(k gatherer.Key) {
 	l.mu.Lock()
-	l.needs.uses[k]--
-	over := l.needs.uses[k] <= 0
+	l.pendingDemand.uses[k]--
+	over := l.pendingDemand.uses[k] <= 0
 	if over {
-		delete(l.needs.uses, k)
+		delete(l.pendingDemand.uses, k)
 	}
 	l.mu.Unlock()
 	if over && l.gatekeeper.Fleet.Tight(k.Runner) {
-		l.hurry()
+		l.reportNow()
 	}
 }
 
@@ -209,9 +209,9 @@
 	if !ok {
 		return
 	}
-	l.markIn(&l.needs.missing, keyOf(runner, c))
-	l.hurry()
+	l.markIn(&l.pendingDemand.missing, keyOf(runner, c))
+	l.reportNow()
 }
 
-// hurry makes the link send a report at once.
-func (l *link) hurry() { signal(l.kick) }
+// reportNow makes the link send a report at once.
+func (l *link) reportNow() { signal(l.wake) }
--- a/internal/instance/gatekeeper/quarantine_simulation_test.go
+++ b/internal/instance/gatekeeper/quarantine_simulation_test.go
@@ -202,7 +202,7 @@
 				t = h
 			}
 		}
-		if now.Sub(m.lastUpdate) < unheard {
+		if now.Sub(m.lastUpdate) < updateTimeout {
 			return // the member has not noticed yet
 		}
 	}
@@ -213,7 +213,7 @@
 	m.source, m.lastUpdate = t, now
 	s.deliver(t, m)
 	for domain := range s.leaders {
-		m.observeLeader(domain, now.Add(-t.g.links[domain].silence()))
+		m.observeLeader(domain, now.Add(-t.g.links[domain].sinceUpdate()))
 	}
 	to := source{id: t.id}
 	reports := m.g.quarantine.untold(to, now)
@@ -230,8 +230,8 @@
 	l := m.g.links[domain]
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if at.After(l.heard) {
-		l.heard = at
+	if at.After(l.lastUpdate) {
+		l.lastUpdate = at
 	}
 }
 
--- a/internal/instance/gatekeeper/quarantine_test.go
+++ b/internal/instance/gatekeeper/quarantine_test.go
@@ -58,7 +58,7 @@
 func TestStoredCrashes(t *testing.T) {
 	hears := func(g *Gatekeeper, at time.Time) {
 		for _, l := range g.links {
-			l.heard = at
+			l.lastUpdate = at
 		}
 	}
 	for _, tc := range []struct {
--- a/internal/instance/gatekeeper/quota.go
+++ b/internal/instance/gatekeeper/quota.go
@@ -142,7 +142,7 @@
 	if balances, ok := g.quotas.ledger.Settle(g.reporter(asked), want, asked); ok {
 		return g.applyAnswer(r, balances, asked), g.Config.ID
 	}
-	if to, ok := g.teller(); ok {
+	if to, ok := g.currentSource(); ok {
 		settled, err := g.exchange(ctx, to, relayer.Settle{Party: g.reporter(asked), Spent: want}, askTimeout)
 		if err == nil {
 			return g.applyAnswer(r, settled.Balances, asked), to.id
--- a/internal/instance/gatekeeper/relay.go
+++ b/internal/instance/gatekeeper/relay.go
@@ -71,7 +71,7 @@
 	l := d.gatekeeper.links[d.domain]
 	update.Tenure = d.elector.Holder()
 	update.Renewal, update.Age = d.elector.Renewal(uptime())
-	update.Silence = l.silence()
+	update.Silence = l.sinceUpdate()
 	if lacksLeaderState(*update) {
 		return
 	}
@@ -106,7 +106,7 @@
 // lacksLeaderState reports whether an update carries no leader state, as its sender receives no
 // updates from the domain's leader. It only lists the runners, which the sender reads from the
 // store itself.
-func lacksLeaderState(n relayer.News) bool { return n.Silence > unheard }
+func lacksLeaderState(n relayer.News) bool { return n.Silence > updateTimeout }
 
 func addLoads(sum, more map[string]tracker.Load) {
 	for runner, load := range more {
@@ -114,31 +114,31 @@
 	}
 }
 
-// pass merges a member's demand into this instance's next report to the leader, which is sent
+// relayDemand merges a member's demand into this instance's next report to the leader, which is sent
 // at once if the member's demand is urgent.
-func (l *link) pass(demand relayer.Demand) {
+func (l *link) relayDemand(demand relayer.Demand) {
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.needs.short += demand.Short
-	l.needs.long += demand.Long
+	l.pendingDemand.short += demand.Short
+	l.pendingDemand.long += demand.Long
 	for _, n := range demand.There {
-		l.needs.find(keyOf(n.Runner, n.Copy), found{requests: n.Requests, sent: now.Add(-n.Ago)})
+		l.pendingDemand.recordHits(keyOf(n.Runner, n.Copy), hitCount{requests: n.Requests, sent: now.Add(-n.Ago)})
 	}
 	for _, n := range demand.Spare {
-		l.needs.spare = mark(l.needs.spare, keyOf(n.Runner, n.Copy))
+		l.pendingDemand.spare = mark(l.pendingDemand.spare, keyOf(n.Runner, n.Copy))
 	}
 	urgent := len(demand.Missing) > 0
 	for _, n := range demand.Missing {
-		l.needs.missing = mark(l.needs.missing, keyOf(n.Runner, n.Copy))
+		l.pendingDemand.missing = mark(l.pendingDemand.missing, keyOf(n.Runner, n.Copy))
 	}
 	for _, w := range demand.Waits {
-		if l.newlyAsked(keyOf(w.Runner, w.Copy), now) {
+		if l.newlyRequested(keyOf(w.Runner, w.Copy), now) {
 			urgent = true
 		}
 	}
 	if urgent {
-		l.hurry()
+		l.reportNow()
 	}
 }
 
@@ -146,7 +146,7 @@
 // for its adapter slot.
 func (d *controller) freed(k gatherer.Key) {
 	if d.orderingFence == 0 && d.gatekeeper.Fleet.Tight(k.Runner) {
-		d.gatekeeper.links[d.domain].hurry()
+		d.gatekeeper.links[d.domain].reportNow()
 	}
 }
 
--- a/internal/instance/gatekeeper/relay_test.go
+++ b/internal/instance/gatekeeper/relay_test.go
@@ -47,8 +47,8 @@
 	hold(c.relay, "a")
 	c.relaySeq, c.memberSeq = -1, -1
 	for _, g := range []*Gatekeeper{c.relay, c.member} {
-		g.links["a"].setHolder(elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1})
-		g.links["b"].setHolder(elector.Tenure{Holder: "b-1", Address: "b-1", Fence: 1})
+		g.links["a"].setLeader(elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1})
+		g.links["b"].setLeader(elector.Tenure{Holder: "b-1", Address: "b-1", Fence: 1})
 	}
 }
 
@@ -59,7 +59,7 @@
 	c.relaySeq = next
 	l := c.relay.links["b"]
 	l.recordSource(source{"b-1", "b-1"}, update)
-	l.take(update)
+	l.apply(update)
 }
 
 func (c *chain) relayToMember() {
@@ -68,7 +68,7 @@
 	c.memberSeq = next
 	l := c.member.links["b"]
 	l.recordSource(source{"a-1", "a-1"}, update)
-	l.take(update)
+	l.apply(update)
 }
 
 // memberToRelay delivers the member's report to the relay, and relayToLeader the sums of the
@@ -210,7 +210,7 @@
 		if diff := cmp.Diff(map[string]int{"relay": 113, "member": 113, "leader": 113}, got); diff != "" {
 			t.Error(diff)
 		}
-		if got := c.member.headcount.told(); got != 4 {
+		if got := c.member.headcount.reported(); got != 4 {
 			t.Errorf("%d instances share the retries, want 4", got)
 		}
 	})
@@ -264,7 +264,7 @@
 		c.relay.runners.recordCall(nil, 1, time.Now())
 		c.leaderToRelay()
 		c.relayToMember()
-		if c.member.links["b"].silence() > 0 {
+		if c.member.links["b"].sinceUpdate() > 0 {
 			t.Fatal("no update from the leader; the test proves nothing")
 		}
 		c.relay.setRunner(tracker.Runner{ID: "i-9", Domain: "b", Service: "llm", Revision: 9}, fromStore)
@@ -273,7 +273,7 @@
 			c.relay.runners.recordCall(nil, 1, time.Now())
 			c.relayToMember()
 		}
-		if age := c.member.links["b"].silence(); age < unheard {
+		if age := c.member.links["b"].sinceUpdate(); age < updateTimeout {
 			t.Errorf("the last update of a failed leader was received %s ago", age)
 		}
 		if _, ok := c.member.links["b"].directLeader(); !ok {
@@ -326,13 +326,13 @@
 			pausedUntil = now.Add(time.Duration(rng.Int64N(int64(5 * time.Second))))
 		case n == 7: // restart without state
 			c.relay = newChained("a-1", "a")
-			c.relay.links["a"].setHolder(elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1})
+			c.relay.links["a"].setLeader(elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1})
 			hold(c.relay, "a")
 			c.addRunner()
 			pausedUntil = time.Time{}
 		}
 		paused := now.Before(pausedUntil)
-		if !direct && paused && pausedUntil.Sub(now) > unheard {
+		if !direct && paused && pausedUntil.Sub(now) > updateTimeout {
 			direct = true // the missing updates are detected within that time
 		}
 		if direct && !paused {
--- a/internal/instance/gatekeeper/removal.go
+++ b/internal/instance/gatekeeper/removal.go
@@ -49,12 +49,12 @@
 	}
 }
 
-// remove removes a runner, at once or after the grace period.
-func (g *Gatekeeper) remove(id string, revision uint64, by, why string) {
+// removeRunner removes a runner, at once or after the grace period.
+func (g *Gatekeeper) removeRunner(id string, revision uint64, by, why string) {
 	now := time.Now()
 	due := g.removalDue(now)
 	if !due.After(now) {
-		g.removeNow(id, revision, by, why)
+		g.removeRunnerNow(id, revision, by, why)
 		return
 	}
 	g.mu.Lock()
@@ -72,13 +72,13 @@
 
 // removalDue returns when the grace period ends; a time in the past if there is none.
 func (g *Gatekeeper) removalDue(now time.Time) time.Time {
-	returned, away := g.storeUp.returned(now)
+	returned, away := g.storeUp.recoveredAt(now)
 	if !away {
 		return time.Time{}
 	}
 	due := returned.Add(removalGrace)
-	lastFault := g.storeUp.lastAway()
-	if latest := lastFault.Add(graceAfterFault); returned.Sub(lastFault) <= nextCall && latest.Before(due) {
+	lastFault := g.storeUp.lastUnavailable()
+	if latest := lastFault.Add(graceAfterFault); returned.Sub(lastFault) <= maxCallInterval && latest.Before(due) {
 		return latest
 	}
 	return due
@@ -91,13 +91,13 @@
 
 // removeExpired executes the pending removals if the grace period is over.
 func (g *Gatekeeper) removeExpired() {
-	g.learning.Lock()
-	defer g.learning.Unlock()
+	g.runnerUpdateMu.Lock()
+	defer g.runnerUpdateMu.Unlock()
 	now := time.Now()
-	if !g.looked.IsZero() && now.Sub(g.looked) > pauseThreshold {
-		g.storeUp.stoodStill(now)
+	if !g.expiryCheckedAt.IsZero() && now.Sub(g.expiryCheckedAt) > pauseThreshold {
+		g.storeUp.recordStall(now)
 	}
-	g.looked = now
+	g.expiryCheckedAt = now
 	if !g.hasPending() || g.removalDue(now).After(now) {
 		return
 	}
@@ -106,7 +106,7 @@
 	g.pending = nil
 	g.mu.Unlock()
 	for id, r := range expired {
-		g.removeNow(id, r.revision, r.by, r.why)
+		g.removeRunnerNow(id, r.revision, r.by, r.why)
 	}
 }
 
--- a/internal/instance/gatekeeper/report.go
+++ b/internal/instance/gatekeeper/report.go
@@ -13,17 +13,17 @@
 
 // reportLoop reports the demand to the leader until ctx ends.
 func (l *link) reportLoop(ctx context.Context) {
-	repeater.Every(ctx, updateInterval, l.kick, func() { l.report(ctx) })
+	repeater.Every(ctx, updateInterval, l.wake, func() { l.report(ctx) })
 }
 
 // report reports the demand to the leader, directly or through the source of the domain.
 func (l *link) report(ctx context.Context) {
 	g := l.gatekeeper
-	if l.silence() > unheard {
+	if l.sinceUpdate() > updateTimeout {
 		g.Fleet.Staffed(l.domain, false)
 	}
 	if g.controllers[l.domain].leads() {
-		g.tellSelf(l.domain, l.demand())
+		g.applyOwnDemand(l.domain, l.demand())
 		return
 	}
 	l.reportToPrevious(ctx)
@@ -63,21 +63,21 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	d.Short, d.Long = l.needs.short, l.needs.long
-	for k := range l.needs.missing {
+	d.Short, d.Long = l.pendingDemand.short, l.pendingDemand.long
+	for k := range l.pendingDemand.missing {
 		d.Missing = append(d.Missing, relayer.Need{Runner: k.Runner, Copy: k.Copy})
 	}
-	for k, f := range l.needs.there {
+	for k, f := range l.pendingDemand.hits {
 		d.There = append(d.There, relayer.Need{Runner: k.Runner, Copy: k.Copy, Requests: f.requests, Ago: now.Sub(f.sent)})
 	}
-	for k := range l.needs.spare {
+	for k := range l.pendingDemand.spare {
 		d.Spare = append(d.Spare, relayer.Need{Runner: k.Runner, Copy: k.Copy})
 	}
-	l.needs.missing, l.needs.spare, l.needs.there = nil, nil, nil
-	l.needs.short, l.needs.long = 0, 0
-	for k, at := range l.asked {
-		if now.Sub(at) > hurryAgain {
-			delete(l.asked, k)
+	l.pendingDemand.missing, l.pendingDemand.spare, l.pendingDemand.hits = nil, nil, nil
+	l.pendingDemand.short, l.pendingDemand.long = 0, 0
+	for k, at := range l.urgentAt {
+		if now.Sub(at) > urgentInterval {
+			delete(l.urgentAt, k)
 		}
 	}
 	return d
@@ -111,14 +111,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := gatherer.Word{
-		Instances: 1, Loads: l.gatekeeper.Fleet.LoadsIn(l.domain), Uses: maps.Clone(l.needs.uses), Waits: make(map[gatherer.Key]placer.Waiting),
+		Instances: 1, Loads: l.gatekeeper.Fleet.LoadsIn(l.domain), Uses: maps.Clone(l.pendingDemand.uses), Waits: make(map[gatherer.Key]placer.Waiting),
 	}
 	now := time.Now()
-	for k, waiters := range l.needs.waits {
+	for k, waiters := range l.pendingDemand.waits {
 		if waiting := sumWaiters(waiters, now); waiting.Requests > 0 {
 			w.Waits[k] = waiting
 		} else {
-			delete(l.needs.waits, k)
+			delete(l.pendingDemand.waits, k)
 		}
 	}
 	return w
@@ -128,7 +128,7 @@
 func sumWaiters(waiters map[string]waiter, now time.Time) placer.Waiting {
 	w := placer.Waiting{Priority: placer.Spare}
 	for request, one := range waiters {
-		if now.Sub(one.last) > stillWaits {
+		if now.Sub(one.refreshedAt) > waitMaxAge {
 			delete(waiters, request)
 			continue
 		}
--- a/internal/instance/gatekeeper/request_slot.go
+++ b/internal/instance/gatekeeper/request_slot.go
@@ -25,7 +25,7 @@
 		}
 		return forwarder.Place{Done: done, Wait: wait}, nil, true
 	}
-	leader, _, ok := l.orderer()
+	leader, _, ok := l.leaderAndSource()
 	if !ok {
 		return forwarder.Place{}, nil, false
 	}
--- a/internal/instance/gatekeeper/reserve.go
+++ b/internal/instance/gatekeeper/reserve.go
@@ -26,13 +26,13 @@
 		reserved, err := d.reserve(g.Config.ID, r)
 		return g.reservation(a, reserved, err)
 	}
-	leader, via, ok := l.orderer()
+	leader, via, ok := l.leaderAndSource()
 	if !ok {
 		return forwarder.Room{}, nil, false
 	}
 	if via.id != leader.id {
 		r.By = via.id
-		l.hurry() // the report of the instance that relays this use must not arrive without it
+		l.reportNow() // the report of the instance that relays this use must not arrive without it
 	}
 	conversation, message, err := g.askPeer(ctx, leader.address, r, askTimeout)
 	if err != nil {
--- a/internal/instance/gatekeeper/runners.go
+++ b/internal/instance/gatekeeper/runners.go
@@ -18,7 +18,7 @@
 	g.cancelRemoval(r)
 	before, known := g.Fleet.Get(r.ID)
 	if earlier, ok := g.Fleet.Set(r); ok {
-		g.forget(earlier, by, whyReplaced)
+		g.dropRunnerState(earlier, by, whyReplaced)
 	}
 	current, taken := g.Fleet.Get(r.ID)
 	if !taken || current.Revision != r.Revision {
@@ -39,12 +39,12 @@
 	g.controller(r.Domain).setRunner(r, changed)
 }
 
-// removeNow removes a runner as reported by an instance or the store.
-func (g *Gatekeeper) removeNow(id string, revision uint64, by, why string) {
+// removeRunnerNow removes a runner as reported by an instance or the store.
+func (g *Gatekeeper) removeRunnerNow(id string, revision uint64, by, why string) {
 	runner, known := g.Fleet.Get(id)
 	g.Fleet.Remove(id, revision)
 	if known {
-		g.forget(runner, by, why)
+		g.dropRunnerState(runner, by, why)
 		return
 	}
 	for _, d := range g.controllers {
@@ -52,8 +52,8 @@
 	}
 }
 
-// forget drops the state of a removed runner other than its description.
-func (g *Gatekeeper) forget(r tracker.Runner, by, why string) {
+// dropRunnerState drops the state of a removed runner other than its description.
+func (g *Gatekeeper) dropRunnerState(r tracker.Runner, by, why string) {
 	g.Pool.Drop(r.ID)
 	gone := g.Fleet.Gone(r.ID)
 	g.controller(r.Domain).removeRunner(r.ID, gone)
--- a/internal/instance/gatekeeper/runners_test.go
+++ b/internal/instance/gatekeeper/runners_test.go
@@ -26,18 +26,18 @@
 	g := newChained("a-2", "a")
 	runner := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 5}
 	g.setRunner(runner, fromStore)
-	g.sawStore(time.Now(), errors.New("away"))
+	g.recordStoreCall(time.Now(), errors.New("away"))
 	time.Sleep(5*time.Second - r.earlierForOthers)
 	for end := time.Now().Add(r.earlierForOthers); time.Now().Before(end); time.Sleep(updateInterval) {
-		g.links["b"].take(relayer.News{Operator: relayer.Known{Newest: 1}}) // of a leader that reaches the store
+		g.links["b"].apply(relayer.News{Operator: relayer.Known{Newest: 1}}) // of a leader that reaches the store
 	}
-	g.sawStore(time.Now(), nil)
+	g.recordStoreCall(time.Now(), nil)
 	time.Sleep(100 * time.Millisecond)
 	known := func() bool {
 		_, ok := g.Fleet.Get(runner.ID)
 		return ok
 	}
-	g.remove(runner.ID, runner.Revision, fromStore, whyRow)
+	g.removeRunner(runner.ID, runner.Revision, fromStore, whyRow)
 	first = known()
 	for n := range int(drainDeadline / updateInterval) {
 		time.Sleep(updateInterval)
@@ -90,9 +90,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		g, started := newChained("a-1", "a"), newSource("b-1", "b", 60)
 		g.setRunner(tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 5}, fromStore)
-		g.sawStore(time.Now(), errNoAnswer)
+		g.recordStoreCall(time.Now(), errNoAnswer)
 		time.Sleep(5 * time.Second)
-		g.sawStore(time.Now(), nil)
+		g.recordStoreCall(time.Now(), nil)
 		sendSnapshot(started, g, "b")
 		if _, known := g.Fleet.Get("i-1"); !known {
 			t.Error("the runner was removed")
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -98,7 +98,7 @@
 
 // settleWithSource settles with the source of this instance.
 func (g *Gatekeeper) settleWithSource(ctx context.Context, now time.Time) {
-	to, ok := g.teller()
+	to, ok := g.currentSource()
 	if !ok {
 		return
 	}
@@ -172,7 +172,7 @@
 	seen := make(map[source]bool)
 	for _, l := range g.links {
 		l.mu.Lock()
-		s := sourceOf(l.holder)
+		s := sourceOf(l.leader)
 		l.mu.Unlock()
 		if s.id == "" || s.id == g.Config.ID || seen[s] {
 			continue
--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -16,7 +16,7 @@
 func sendSnapshot(from, to *Gatekeeper, domain string) {
 	update, _, _ := from.controllers[domain].updateFor(to.Config.ID, -1, true)
 	update.From = from.Config.ID
-	to.links[domain].take(update)
+	to.links[domain].apply(update)
 }
 
 // newSource returns an instance that leads a domain and has read the runners' table up to a
@@ -122,9 +122,9 @@
 		g.Decoder = siteDecoder{}
 		runner := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 5}
 		g.setRunner(runner, fromStore)
-		g.sawStore(time.Now(), errNoAnswer)
+		g.recordStoreCall(time.Now(), errNoAnswer)
 		time.Sleep(5 * time.Second)
-		g.sawStore(time.Now(), nil)
+		g.recordStoreCall(time.Now(), nil)
 		g.runnerRow(tabler.Row{Key: "runners/i-1", Version: 9, Removed: true})
 		runner.Revision = 7
 		g.setRunner(runner, "b-1")
@@ -141,8 +141,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newChained("a-2", "a")
 		g.setRunner(tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}, fromStore)
-		g.links["b"].take(relayer.News{Fresh: true})
-		g.links["a"].take(relayer.News{Fresh: true, Whole: true})
+		g.links["b"].apply(relayer.News{Fresh: true})
+		g.links["a"].apply(relayer.News{Fresh: true, Whole: true})
 		if _, known := g.Fleet.Get("i-1"); !known {
 			t.Error("a runner was removed")
 		}
--- a/internal/instance/gatekeeper/source.go
+++ b/internal/instance/gatekeeper/source.go
@@ -124,15 +124,15 @@
 func (c *sourceSelection) receiving(s source) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.last == s && time.Since(c.lastUpdate) <= unheard
+	return c.last == s && time.Since(c.lastUpdate) <= updateTimeout
 }
 
-// teller returns the source for this instance, and selects another one if necessary. Leaders
+// currentSource returns the source for this instance, and selects another one if necessary. Leaders
 // follow each other; every other instance follows the leader of its own domain. When that one
 // is gone another leader takes its place, a different one for each instance: without that all
 // instances of the domain polled the store several times a second, and followed each of the
 // other leaders, until the domain had a leader again ten seconds later.
-func (g *Gatekeeper) teller() (source, bool) {
+func (g *Gatekeeper) currentSource() (source, bool) {
 	s := g.selectSource(time.Now())
 	if g.source.set(s, time.Now()) {
 		g.Recorder.Log(recorder.Belief, "msg", "source selected", "instance", s.id)
@@ -149,11 +149,11 @@
 	for _, domain := range g.sourceDomains {
 		l := g.links[domain]
 		l.mu.Lock()
-		s, sinceUpdate := sourceOf(l.holder), now.Sub(l.heard)
+		s, sinceUpdate := sourceOf(l.leader), now.Sub(l.lastUpdate)
 		l.mu.Unlock()
 		switch {
 		case s.id == "" || s.id == g.Config.ID || !g.source.eligible(s, now):
-		case sending && s != last && sinceUpdate > unheard:
+		case sending && s != last && sinceUpdate > updateTimeout:
 			// The current source receives nothing from that leader. When it was tried all the
 			// same every second, a leader that was stalled for seven seconds left its instances
 			// without updates for half of them.
--- a/internal/instance/gatekeeper/source_test.go
+++ b/internal/instance/gatekeeper/source_test.go
@@ -21,15 +21,15 @@
 		g := newChained("a-2", "a")
 		ownLease := elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1}
 		otherLease := elector.Tenure{Holder: "b-1", Address: "b-1", Fence: 1}
-		g.links["a"].setHolder(ownLease)
-		g.links["b"].setHolder(otherLease)
+		g.links["a"].setLeader(ownLease)
+		g.links["b"].setLeader(otherLease)
 		receive := func(from source, a relayer.News) {
 			g.source.received(from, time.Now())
-			g.links["a"].take(a)
-			g.links["b"].take(relayer.News{Tenure: otherLease})
+			g.links["a"].apply(a)
+			g.links["b"].apply(relayer.News{Tenure: otherLease})
 		}
 		selected := func() source {
-			s, _ := g.teller()
+			s, _ := g.currentSource()
 			return s
 		}
 		if diff := cmp.Diff("a-1", selected().id); diff != "" {
--- a/internal/instance/gatekeeper/staleness_test.go
+++ b/internal/instance/gatekeeper/staleness_test.go
@@ -83,7 +83,7 @@
 			if serving {
 				n.Operator = relayer.Known{Newest: newest}
 			}
-			g.links["a"].take(n)
+			g.links["a"].apply(n)
 			pause(ctx, farUpdateInterval)
 		}
 	}
@@ -131,8 +131,8 @@
 		defer start(t, g.watchOperator, g.watchRunners)()
 		for range 40 {
 			time.Sleep(130 * time.Millisecond)
-			g.sawStore(time.Now(), errNoAnswer)
-			g.sawStore(time.Now(), nil)
+			g.recordStoreCall(time.Now(), errNoAnswer)
+			g.recordStoreCall(time.Now(), nil)
 			synctest.Wait()
 			if _, down := g.storeUp.status(); down {
 				t.Fatal("the store counts as lost after its return")
@@ -172,7 +172,7 @@
 		time.Sleep(time.Second)
 		store.hangCalls()
 		store.configure(2)
-		g.links["a"].take(relayer.News{Operator: relayer.Known{Newest: 2}})
+		g.links["a"].apply(relayer.News{Operator: relayer.Known{Newest: 2}})
 		time.Sleep(deliveryTime + 2*checkInterval)
 		if got := g.version(); got != 2 {
 			t.Errorf("version %d, want 2", got)
@@ -194,7 +194,7 @@
 		g.setViews()
 		g.operator.recordCall([]tabler.Row{{Version: 5}}, 5, time.Now())
 		time.Sleep(time.Minute)
-		g.links["a"].take(relayer.News{Operator: relayer.Known{Newest: 5}})
+		g.links["a"].apply(relayer.News{Operator: relayer.Known{Newest: 5}})
 		if s := g.operator.state(time.Now()); s.Age != 0 {
 			t.Errorf("age %s after the report, want 0", s.Age)
 		}
@@ -262,14 +262,14 @@
 func TestNewLeaderIsKnownFromItsLeaseRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newFedGatekeeper()
-		g.links["a"].setHolder(elector.Tenure{Holder: "front-1", Fence: 1})
+		g.links["a"].setLeader(elector.Tenure{Holder: "front-1", Fence: 1})
 		value, err := encoder.Marshal(elector.Tenure{Holder: "front-3", Fence: 2})
 		if err != nil {
 			t.Fatal(err)
 		}
 		store.put(tabler.Row{Key: tableLeases + "/a", Value: value})
 		g.controllers["a"].readLeaseRow(t.Context())
-		if got := g.links["a"].holder.Holder; got != "front-3" {
+		if got := g.links["a"].leader.Holder; got != "front-3" {
 			t.Errorf("follows %s, want front-3", got)
 		}
 	})
--- a/internal/instance/gatekeeper/startup.go
+++ b/internal/instance/gatekeeper/startup.go
@@ -30,8 +30,8 @@
 	pause(ctx, rand.N(startJitter))
 	sent := time.Now()
 	g.discoveryEnds.set(sent.Add(discoveryTimeout))
-	err := g.refresh(ctx, &g.leaders, longWatch)
-	g.sawStore(sent, err)
+	err := g.refresh(ctx, &g.leaders, watchTimeout)
+	g.recordStoreCall(sent, err)
 	g.discoveryEnds.set(time.Now())
 }
 
@@ -44,7 +44,7 @@
 // what the loop would read from the store.
 func (g *Gatekeeper) unlessPublished(loop func(context.Context), published func(now time.Time) bool) func(context.Context) {
 	return g.delayed(loop, func(known time.Time) bool {
-		_, hasSource := g.teller()
+		_, hasSource := g.currentSource()
 		now := time.Now()
 		return !hasSource || published(now) || now.Sub(known) > firstUpdateTimeout
 	})
--- a/internal/instance/gatekeeper/stepdown.go
+++ b/internal/instance/gatekeeper/stepdown.go
@@ -94,7 +94,7 @@
 // shown by the times of successful calls that they publish.
 func (d *controller) cutOffFromStore(now time.Time) bool {
 	_, age := d.elector.Renewal(uptime())
-	reached, ok := d.gatekeeper.reached.get()
+	reached, ok := d.gatekeeper.othersReachedStoreAt.get()
 	if age < maxRenewalAge || !ok || now.Sub(reached) > cutOffTimeout {
 		d.cutOffSince = time.Time{}
 		return false
--- a/internal/instance/gatekeeper/stepdown_test.go
+++ b/internal/instance/gatekeeper/stepdown_test.go
@@ -51,7 +51,7 @@
 func TestTakeoverIsDeferredWithoutReachableRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
-		g.links["a"].heard = time.Now()
+		g.links["a"].lastUpdate = time.Now()
 		for n := range 4 {
 			id := string(rune('a' + n))
 			g.Fleet.Set(tracker.Runner{ID: id, Domain: "a", Service: "llm", Revision: 1})
@@ -102,7 +102,7 @@
 			for at := time.Duration(0); at <= tc.after; at += leadInterval {
 				now := start.Add(at)
 				if tc.reached >= 0 {
-					g.reached.advance(now.Add(-tc.reached))
+					g.othersReachedStoreAt.advance(now.Add(-tc.reached))
 				}
 				got = d.cutOffFromStore(now)
 			}
@@ -123,13 +123,13 @@
 		d.elector.Late = 0
 		held := elector.Tenure{Holder: "front-1", Fence: 3}
 		putLease(t, store, held)
-		l.take(relayer.News{Tenure: held, Renewal: store.version})
+		l.apply(relayer.News{Tenure: held, Renewal: store.version})
 		d.maintainLease(t.Context())
 		time.Sleep(100 * time.Millisecond)
 		if leader := readLease(t, store).Holder; leader != "front-1" {
 			t.Fatalf("lease row names %q before the leader stepped down", leader)
 		}
-		l.take(relayer.News{Ended: 3})
+		l.apply(relayer.News{Ended: 3})
 		d.maintainLease(t.Context())
 		time.Sleep(100 * time.Millisecond)
 		if leader := readLease(t, store).Holder; leader != g.Config.ID {
--- a/internal/instance/gatekeeper/subscribe.go
+++ b/internal/instance/gatekeeper/subscribe.go
@@ -13,7 +13,7 @@
 // followSource subscribes to the source, which relays the leader's updates, until ctx ends.
 func (l *link) followSource(ctx context.Context) {
 	for ctx.Err() == nil {
-		t, ok := l.gatekeeper.teller()
+		t, ok := l.gatekeeper.currentSource()
 		switch {
 		case !ok:
 			pause(ctx, reconnectDelay)
@@ -21,7 +21,7 @@
 			pause(ctx, sourcePollInterval)
 		default:
 			l.subscribe(ctx, t, func() bool {
-				current, ok := l.gatekeeper.teller()
+				current, ok := l.gatekeeper.currentSource()
 				return ok && current == t
 			})
 			pause(ctx, resubscribeDelay)
@@ -53,17 +53,17 @@
 // directLeader returns the leader if it is to be followed directly: there is no source, or the
 // source has received no update from the leader for a while.
 func (l *link) directLeader() (source, bool) {
-	_, hasSource := l.gatekeeper.teller()
+	_, hasSource := l.gatekeeper.currentSource()
 	selectedAt := l.gatekeeper.source.selectedAt()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.holder.Holder == "" || l.holder.Holder == l.self() {
+	if l.leader.Holder == "" || l.leader.Holder == l.self() {
 		return source{}, false
 	}
 	if hasSource && time.Since(later(l.relayedAt, selectedAt)) <= l.relayTimeout {
 		return source{}, false
 	}
-	return sourceOf(l.holder), true
+	return sourceOf(l.leader), true
 }
 
 // minRelayTimeout is how long an instance waits for its source to receive updates of a leader
@@ -96,7 +96,7 @@
 		g.quarantine.begun(from)
 	}
 	for follow() {
-		bounded, cancel := context.WithTimeout(ctx, unheard)
+		bounded, cancel := context.WithTimeout(ctx, updateTimeout)
 		message, err := conversation.Next(bounded)
 		cancel()
 		update, ok := message.(relayer.News)
@@ -106,7 +106,7 @@
 		}
 		update.From = from.id
 		l.recordSource(from, update)
-		l.take(update)
+		l.apply(update)
 		if l.needsResync() {
 			return // a new subscription begins with a snapshot
 		}
@@ -134,7 +134,7 @@
 func (l *link) subscription(from source) relayer.Subscribe {
 	g := l.gatekeeper
 	s := relayer.Subscribe{Domain: l.domain, Passes: g.leadsAny()}
-	t, hasSource := g.teller()
+	t, hasSource := g.currentSource()
 	// Crash reports are requested once from each source: they are the same for all domains.
 	s.Crashes = !hasSource || t != from || l.domain == g.Config.Domain
 	if hasSource && t == from && l.domain == g.Config.Domain {
@@ -148,7 +148,7 @@
 	g := l.gatekeeper
 	g.quarantine.toldBack(from, n.Crashes)
 	g.hearWords(n.Crashes, from.id)
-	if t, ok := g.teller(); ok && t == from {
+	if t, ok := g.currentSource(); ok && t == from {
 		g.source.received(from, time.Now())
 	}
 	if lacksLeaderState(n) {
@@ -167,7 +167,7 @@
 		l.previous, l.unsubscribeAt = l.source, now.Add(handoverOverlap)
 	}
 	l.source = from
-	g.Recorder.Log(recorder.Belief, "msg", "source of domain changed", "domain", l.domain, "instance", from.id, "holder", l.holder.Holder)
+	g.Recorder.Log(recorder.Belief, "msg", "source of domain changed", "domain", l.domain, "instance", from.id, "holder", l.leader.Holder)
 }
 
 // handoverOverlap is how long an instance also reports to its previous source after a change:
@@ -179,7 +179,7 @@
 func (l *link) reportTarget() (source, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.source, l.source != (source{}) && time.Since(l.heard) <= unheard
+	return l.source, l.source != (source{}) && time.Since(l.lastUpdate) <= updateTimeout
 }
 
 // reportToPrevious reports the demand to the previous source for a while, and then unsubscribes
--- a/internal/instance/gatekeeper/view.go
+++ b/internal/instance/gatekeeper/view.go
@@ -237,7 +237,7 @@
 	recent := now.Sub(at) <= v.maxAge() // before locking: maxAge takes the locks of the controllers, and publishing takes them before this one
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return ok && recent && now.Sub(v.publishedAt) <= unheard
+	return ok && recent && now.Sub(v.publishedAt) <= updateTimeout
 }
 
 // invalidate records that the changes since the last call are no longer available: the whole
--- a/internal/instance/gatekeeper/views.go
+++ b/internal/instance/gatekeeper/views.go
@@ -15,7 +15,7 @@
 		v = &g.leaders
 		v.name, v.applyRow = tableLeaders, g.applyLeaderRow
 		v.publishedAsOf = func() (time.Time, bool) {
-			received, all := g.earliest(func(l *link) time.Time { return l.heard })
+			received, all := g.earliest(func(l *link) time.Time { return l.lastUpdate })
 			if confirmed, ok := g.leaders.confirmedAt.get(); ok && confirmed.After(received) {
 				return confirmed, true
 			}
--- a/internal/instance/gatekeeper/watch.go
+++ b/internal/instance/gatekeeper/watch.go
@@ -24,8 +24,8 @@
 	maxLeaderRetryDelay = 500 * time.Millisecond
 	// unpublishedPollPause is the pause of an instance to which nobody publishes.
 	unpublishedPollPause = 600 * time.Millisecond
-	// unheard is how long without an update an instance considers a source alive.
-	unheard = 700 * time.Millisecond
+	// updateTimeout is how long without an update an instance considers a source alive.
+	updateTimeout = 700 * time.Millisecond
 	// freshTimeout is how long an instance relies on published runners without an update whose
 	// sender has recently reached the store, and checkInterval how often that is checked.
 	// Together with freshFor, an instance learns within 1.4 s that a runner drains, even if the
@@ -34,8 +34,8 @@
 	checkInterval = 100 * time.Millisecond
 )
 
-// sawStore records the result of a call to the store that was sent at the given time.
-func (g *Gatekeeper) sawStore(sent time.Time, err error) {
+// recordStoreCall records the result of a call to the store that was sent at the given time.
+func (g *Gatekeeper) recordStoreCall(sent time.Time, err error) {
 	if !g.storeUp.observe(err == nil, sent, time.Now()) {
 		return
 	}
@@ -55,7 +55,7 @@
 // watchOperator keeps the configuration and the versions of adapters up to date.
 func (g *Gatekeeper) watchOperator(ctx context.Context) {
 	g.setViews()
-	g.follow(ctx, &g.operator, longWatch)
+	g.follow(ctx, &g.operator, watchTimeout)
 }
 
 // operatorRow applies a row of the operator. A configuration older than the one in force
@@ -108,7 +108,7 @@
 func (g *Gatekeeper) watchRunners(ctx context.Context) {
 	g.setViews()
 	v := &g.runners
-	failed := newPauses()
+	failed := newBackOff()
 	for ctx.Err() == nil {
 		if g.runnersPublished() {
 			pause(ctx, checkInterval)
@@ -119,8 +119,8 @@
 		if ctx.Err() != nil {
 			return
 		}
-		g.sawStore(began, err)
-		pause(ctx, g.pollPause(pauseAfter(err, failed)-time.Since(began)))
+		g.recordStoreCall(began, err)
+		pause(ctx, g.pollPause(retryDelay(err, failed)-time.Since(began)))
 	}
 }
 
@@ -164,14 +164,14 @@
 	}
 	id := g.Fleet.Named(runner.ID)
 	if known, ok := g.Fleet.Get(id); !ok || known.Revision < r.Version { // else it was described again since
-		g.remove(id, r.Version, fromStore, whyRow)
+		g.removeRunner(id, r.Version, fromStore, whyRow)
 	}
 }
 
 // applyRunnerRows applies the runners' rows that have changed up to a version.
 func (g *Gatekeeper) applyRunnerRows(rows []tabler.Row, version uint64) {
-	g.learning.Lock()
-	defer g.learning.Unlock()
+	g.runnerUpdateMu.Lock()
+	defer g.runnerUpdateMu.Unlock()
 	for _, r := range rows {
 		g.runnerRow(r)
 	}
@@ -195,8 +195,8 @@
 // applyRunnerTable applies the whole table as of a version: runners that are not in it, and
 // were not described later by another instance, are gone.
 func (g *Gatekeeper) applyRunnerTable(rows []tabler.Row, version uint64) {
-	g.learning.Lock()
-	defer g.learning.Unlock()
+	g.runnerUpdateMu.Lock()
+	defer g.runnerUpdateMu.Unlock()
 	listed := make(map[string]bool, len(rows))
 	for _, r := range rows {
 		runner, err := g.Decoder.Runner(r)
@@ -210,7 +210,7 @@
 	for _, d := range g.controllers {
 		for _, known := range d.runnerDescriptions() {
 			if !listed[known.ID] && known.Revision <= version {
-				g.remove(known.ID, version, fromStore, whyUnlisted)
+				g.removeRunner(known.ID, version, fromStore, whyUnlisted)
 			}
 		}
 	}
