--- a/internal/instance/gatekeeper/age_test.go
+++ b/internal/instance/gatekeeper/age_test.go
@@ -23,7 +23,7 @@
 // instance that received the change and lost it.
 func TestAgeOfTheConfigurationAndItsCauseAreExported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, store := newFedGatekeeper()
+		g, store := newGatekeeperWithStore()
 		var log, page bytes.Buffer
 		g.Metrics = metrics.NewSet()
 		g.Recorder = &recorder.Recorder{Metrics: g.Metrics, Out: &log}
@@ -73,7 +73,7 @@
 // when an instance may have served an older configuration, and why.
 func TestAnOldConfigurationIsLoggedUntilItIsCurrentAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, store := newFedGatekeeper()
+		g, store := newGatekeeperWithStore()
 		var log bytes.Buffer
 		g.Recorder = &recorder.Recorder{Metrics: metrics.NewSet(), Out: &log}
 		ctx, cancel := context.WithCancel(t.Context())
--- a/internal/instance/gatekeeper/checker_test.go
+++ b/internal/instance/gatekeeper/checker_test.go
@@ -4,7 +4,7 @@
 
 // A checker checks invariants of runners.
 type checker struct {
-	site       *site
+	sim       *simulation
 	check      func(w *checker, p instanceRunner, now time.Time)
 	usedSince  map[instanceRunner]time.Time // since when the instance has used the runner
 	usedBefore map[instanceRunner]bool      // the instance used the runner before the outage, and there was no other fault
@@ -13,17 +13,17 @@
 // An instanceRunner is a runner and an instance that may use it.
 type instanceRunner struct {
 	member *member
-	runner *siteRunner
+	runner *simRunner
 }
 
-// newWitness returns a checker of runners that leave, and of runners that do not.
-func newWitness(s *site) *checker {
-	return &checker{site: s, check: (*checker).checkUndisturbed, usedSince: make(map[instanceRunner]time.Time)}
+// newChecker returns a checker of runners that leave, and of runners that do not.
+func newChecker(s *simulation) *checker {
+	return &checker{sim: s, check: (*checker).checkWithoutFaults, usedSince: make(map[instanceRunner]time.Time)}
 }
 
 // newExpiryChecker returns one that checks living runners whose rows expire.
-func newExpiryChecker(s *site) *checker {
-	return &checker{site: s, check: (*checker).checkAfterOutage, usedBefore: make(map[instanceRunner]bool)}
+func newExpiryChecker(s *simulation) *checker {
+	return &checker{sim: s, check: (*checker).checkAfterOutage, usedBefore: make(map[instanceRunner]bool)}
 }
 
 // rowReturnTime is how long after the store's return an expired row may be missing.
@@ -35,24 +35,24 @@
 
 func (w *checker) checkAll() {
 	now := time.Now()
-	for _, m := range w.site.instances {
-		for _, r := range w.site.runners {
+	for _, m := range w.sim.instances {
+		for _, r := range w.sim.runners {
 			w.check(w, instanceRunner{m, r}, now)
 		}
 	}
 }
 
-// checkUndisturbed checks that an instance without recent faults uses no runner that has left,
+// checkWithoutFaults checks that an instance without recent faults uses no runner that has left,
 // and removes none that is alive.
-func (w *checker) checkUndisturbed(p instanceRunner, now time.Time) {
-	s, m, r := w.site, p.member, p.runner
-	if now.Sub(m.undisturbedSince()) < stableTime || !s.undisturbed(stableTime) {
+func (w *checker) checkWithoutFaults(p instanceRunner, now time.Time) {
+	s, m, r := w.sim, p.member, p.runner
+	if now.Sub(m.faultFreeSince()) < stableTime || !s.faultFreeFor(stableTime) {
 		delete(w.usedSince, p)
 		return
 	}
 	uses, since := m.uses(r.id), w.usedSince[p]
 	switch {
-	case uses && r.drainedUndisturbed && !r.drainedAt.IsZero() && now.Sub(r.drainedAt) > drainDeadline:
+	case uses && r.drainedWithoutFaults && !r.drainedAt.IsZero() && now.Sub(r.drainedAt) > drainDeadline:
 		s.t.Errorf("%s: %s uses %s %s after the store accepted that it drains", now.Sub(s.began), m.id, r.id, now.Sub(r.drainedAt))
 	case !uses && w.alive(r, now) && !since.IsZero() && r.rowSince.Before(since):
 		s.t.Errorf("%s: %s has removed %s, whose row has existed for %s", now.Sub(s.began), m.id, r.id, now.Sub(r.rowSince))
@@ -70,14 +70,14 @@
 // checkAfterOutage checks that an instance without other faults keeps the living runners whose
 // rows expired while the store was unavailable.
 func (w *checker) checkAfterOutage(p instanceRunner, now time.Time) {
-	s, m, r := w.site, p.member, p.runner
+	s, m, r := w.sim, p.member, p.runner
 	uses := m.uses(r.id)
 	switch {
 	case s.store.down():
-		if now.Sub(s.lastAvailable) <= 2*siteStep {
+		if now.Sub(s.lastAvailable) <= 2*checkStep {
 			w.usedBefore[p] = uses
 		}
-	case m.undisturbedSince().After(s.outageStart.Add(-removalTime)), s.lastFault.After(s.outageEnd.Add(siteStep)), r.leaving, r.ended:
+	case m.faultFreeSince().After(s.outageStart.Add(-removalTime)), s.lastFault.After(s.outageEnd.Add(checkStep)), r.leaving, r.ended:
 		w.usedBefore[p] = false
 	case now.Sub(s.outageEnd) < rowReturnTime && w.usedBefore[p] && !uses:
 		s.t.Errorf("%s: %s has removed %s, whose row expired; the store has been back for %s", now.Sub(s.began), m.id, r.id, now.Sub(s.outageEnd))
@@ -86,6 +86,6 @@
 }
 
 // alive reports whether a runner accepts requests, and its row has not expired recently.
-func (w *checker) alive(r *siteRunner, now time.Time) bool {
+func (w *checker) alive(r *simRunner, now time.Time) bool {
 	return !r.leaving && !r.ended && !r.rowSince.IsZero() && now.Sub(r.expiredAt) > removalTime
 }
--- a/internal/instance/gatekeeper/crash_test.go
+++ b/internal/instance/gatekeeper/crash_test.go
@@ -58,7 +58,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newChained("a-1", "a")
+				g := newDomainGatekeeper("a-1", "a")
 				g.Engine = &scriptedEngine{lives: tc.lives}
 				r := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}
 				g.setRunner(r, fromStore)
@@ -85,7 +85,7 @@
 // crashed runner is no suspect.
 func TestRunnerIsProbedOncePerCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newChained("a-1", "a")
+		g := newDomainGatekeeper("a-1", "a")
 		engine := &scriptedEngine{lives: []tracker.Life{tracker.Refuses}}
 		g.Engine = engine
 		r := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}
--- a/internal/instance/gatekeeper/headcount_test.go
+++ b/internal/instance/gatekeeper/headcount_test.go
@@ -15,8 +15,8 @@
 func TestRetryShareIsSafeAfterARestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const instances = 195
-		leader, member := newChained("b-1", "b"), newChained("b-2", "b")
-		hold(leader, "b")
+		leader, member := newDomainGatekeeper("b-1", "b"), newDomainGatekeeper("b-2", "b")
+		makeLeader(leader, "b")
 		if got := member.Members(); got < instances {
 			t.Errorf("%d members before the first update, want %d or more", got, instances)
 		}
--- a/internal/instance/gatekeeper/lease.go
+++ b/internal/instance/gatekeeper/lease.go
@@ -261,7 +261,7 @@
 // watchLeaders keeps track of the leaders of all domains.
 func (g *Gatekeeper) watchLeaders(ctx context.Context) {
 	g.setViews()
-	g.follow(ctx, &g.leaders, watchTimeout)
+	g.maintainView(ctx, &g.leaders, watchTimeout)
 }
 
 func (g *Gatekeeper) applyLeaderRow(r tabler.Row) {
--- a/internal/instance/gatekeeper/lease_test.go
+++ b/internal/instance/gatekeeper/lease_test.go
@@ -41,7 +41,7 @@
 // expired, for nine seconds.
 func TestGracefulStopReleasesLeaseDuringRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, store := newFedGatekeeper()
+		g, store := newGatekeeperWithStore()
 		d := g.controllers["a"]
 		held := elector.Tenure{Holder: g.Config.ID, Fence: 1, Serial: 7, Settled: true}
 		putLease(t, store, held)
@@ -60,9 +60,9 @@
 // Guards against a stopping instance that clears the row of the next leader.
 func TestGracefulStopKeepsLeaseOfNextLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, store := newFedGatekeeper()
+		g, store := newGatekeeperWithStore()
 		d := g.controllers["a"]
-		hold(g, "a")
+		makeLeader(g, "a")
 		putLease(t, store, elector.Tenure{Holder: "front-9", Fence: 2})
 		release, _ := d.elector.Leave(uptime())
 		d.releaseRow(t.Context(), release)
@@ -76,7 +76,7 @@
 // their polls, callers of the domain had no adapters for five seconds.
 func TestFreeLeaseIsAcquiredAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, store := newFedGatekeeper()
+		g, store := newGatekeeperWithStore()
 		d := g.controllers["a"]
 		d.elector.Late = 0
 		d.elector.Heard(elector.Tenure{Holder: "front-1", Fence: 1}, store.version, 0, uptime())
@@ -146,7 +146,7 @@
 	for _, answers := range []bool{true, false} {
 		t.Run(fmt.Sprint("answers: ", answers), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g, store := newFedGatekeeper()
+				g, store := newGatekeeperWithStore()
 				g.Engine = probedEngine{answers: answers}
 				g.setRunner(tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Slots: 8, Models: []string{"m"}, Revision: 1}, fromStore)
 				d := g.controllers["a"]
--- a/internal/instance/gatekeeper/link_test.go
+++ b/internal/instance/gatekeeper/link_test.go
@@ -81,9 +81,9 @@
 // domain and refused every request, until each runner had written its row again.
 func TestLeaderPublishesNothingBeforeItHasReadTheRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, _ := newFedGatekeeper()
+		g, _ := newGatekeeperWithStore()
 		g.setViews()
-		hold(g, "a")
+		makeLeader(g, "a")
 		err := g.Answer(t.Context(), heartbeater.Instance{ID: "front-1", Domain: "a"}, relayer.Subscribe{Domain: "a"}, nil)
 		var refused *judge.Error
 		if !errors.As(err, &refused) || refused.Reason != judge.ReasonStarting {
--- a/internal/instance/gatekeeper/quarantine_simulation_test.go
+++ b/internal/instance/gatekeeper/quarantine_simulation_test.go
@@ -165,7 +165,7 @@
 		h := s.leaders[domain]
 		backAt := laterOf(h.downUntil, h.pausedUntil)
 		if !now.Before(backAt) || backAt.Sub(now) < time.Second {
-			hold(h.g, domain)
+			makeLeader(h.g, domain)
 			continue
 		}
 		for _, n := range s.rng.Perm(len(s.members)) {
--- a/internal/instance/gatekeeper/quarantine_test.go
+++ b/internal/instance/gatekeeper/quarantine_test.go
@@ -18,7 +18,7 @@
 // to one that has restarted; so is a completed run.
 func TestCrashIsReportedUntilPublishedBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newChained("a-2", "a")
+		g := newDomainGatekeeper("a-2", "a")
 		first, second := source{"a-1", "a-1"}, source{"b-1", "b-1"}
 		untold := func(to source) int { return len(g.quarantine.unacknowledged(to, time.Now())) }
 		crash := quarantiner.Word{Digest: "d", Runner: "i-1"}
@@ -93,18 +93,18 @@
 			g.Whole("d")
 		}, tabler.Txn{Deletes: []string{"holder/crash/d/i-1", "holder/crash/d/i-2"}}},
 		{"row read after it was cleared elsewhere", func(g *Gatekeeper) {
-			hold(g, "a")
+			makeLeader(g, "a")
 			g.applyCrashReports([]quarantiner.Word{{Digest: "d", Runner: "i-1", Cleared: true}}, "a-1")
 			g.applyCrashRow(quarantiner.Crash{Digest: "d", Runner: "i-1"}, tabler.Row{Value: encodeCrashRow(quarantiner.Row{At: time.Now().Unix()})})
 		}, tabler.Txn{Deletes: []string{"holder/crash/d/i-1"}}},
 		{"expired row", func(g *Gatekeeper) {
-			hold(g, "a")
+			makeLeader(g, "a")
 			g.applyCrashRow(quarantiner.Crash{Digest: "d", Runner: "i-1"}, tabler.Row{Value: encodeCrashRow(quarantiner.Row{At: time.Now().Add(-25 * time.Hour).Unix()})})
 		}, tabler.Txn{Deletes: []string{"holder/crash/d/i-1"}}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := newChained("a-2", "a")
+				g := newDomainGatekeeper("a-2", "a")
 				hears(g, time.Now())
 				tc.do(g)
 				got, _ := g.quarantine.pendingWrites(time.Now())
@@ -124,7 +124,7 @@
 // must run when its rows are deleted because it was cleared.
 func TestCrashRowsAreApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newChained("a-2", "a")
+		g := newDomainGatekeeper("a-2", "a")
 		held := func() bool {
 			_, is := g.Held("d")
 			return is
--- a/internal/instance/gatekeeper/quota_test.go
+++ b/internal/instance/gatekeeper/quota_test.go
@@ -15,19 +15,19 @@
 
 var millLimit = limiter.Limit{Rate: 1000, Burst: 1000}
 
-// newQuotaSite returns a deployment of two failure domains whose configuration has an account
+// newQuotaSimulation returns a deployment of two failure domains whose configuration has an account
 // with a quota.
-func newQuotaSite(t *testing.T) *site {
-	s := newSite(t, rand.New(rand.NewPCG(1, 1)), 2, 6)
+func newQuotaSimulation(t *testing.T) *simulation {
+	s := newSimulation(t, rand.New(rand.NewPCG(1, 1)), 2, 6)
 	for _, m := range s.instances {
 		s.settleQuotas(t, m)
 	}
-	s.pass(3*time.Second, newWitness(s))
+	s.advance(3*time.Second, newChecker(s))
 	return s
 }
 
 // settleQuotas configures the account on an instance and starts settling, as its process does.
-func (s *site) settleQuotas(t *testing.T, m *member) {
+func (s *simulation) settleQuotas(t *testing.T, m *member) {
 	g, ctx := m.running()
 	accounts := &identifier.Directory{}
 	if err := accounts.Add(identifier.Account{Name: "mill", Limit: millLimit}, nil); err != nil {
@@ -46,7 +46,7 @@
 
 // admitted sends requests of 50 tokens to the instances in turn, and returns how many tokens were
 // admitted.
-func (s *site) admitted(span, every time.Duration) (tokens int64) {
+func (s *simulation) admitted(span, every time.Duration) (tokens int64) {
 	for end, n := time.Now().Add(span), 0; time.Now().Before(end); n++ {
 		if m := s.instances[n%len(s.instances)]; m.admits(50) == nil {
 			tokens += 50
@@ -65,7 +65,7 @@
 
 func TestQuotaAppliesAcrossInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newQuotaSite(t)
+		s := newQuotaSimulation(t)
 		if got := s.admitted(5*time.Second, floodPause); got < 5000 || got > 6600 {
 			t.Errorf("%d tokens admitted in 5 s, with rate 1000 and burst 1000", got)
 		}
@@ -76,15 +76,15 @@
 // Guards against a quota that is refilled, or empty, after its leader has been replaced.
 func TestQuotaSurvivesLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newQuotaSite(t)
+		s := newQuotaSimulation(t)
 		spent := s.admitted(3*time.Second, floodPause)
-		leader := s.holder("a")
+		leader := s.leader("a")
 		leader.kill()
 		leader.start()
 		s.settleQuotas(t, leader)
 		for _, m := range s.instances {
 			if m != leader && m.domain == "a" {
-				s.give("a", m)
+				s.giveLease("a", m)
 				break
 			}
 		}
@@ -99,10 +99,10 @@
 // Guards against an instance that is cut off and spends the whole quota.
 func TestPartitionedInstanceKeepsItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newQuotaSite(t)
+		s := newQuotaSimulation(t)
 		s.admitted(10*time.Second, calmPause) // its share becomes a sixth
 		alone := s.instances[5]
-		alone.disturb(&alone.cut, time.Now().Add(20*time.Second))
+		alone.recordFault(&alone.partitionedUntil, time.Now().Add(20*time.Second))
 		tokens := int64(0)
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
 			if alone.admits(10) == nil {
@@ -120,9 +120,9 @@
 // Guards against a request that is refused although its tokens were charged to the account.
 func TestUnknownQuotaIsRefusedAsStarting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newQuotaSite(t)
+		s := newQuotaSimulation(t)
 		m := s.instances[5]
-		m.disturb(&m.cut, time.Now().Add(time.Minute))
+		m.recordFault(&m.partitionedUntil, time.Now().Add(time.Minute))
 		m.kill()
 		m.start()
 		s.settleQuotas(t, m)
--- a/internal/instance/gatekeeper/relay_test.go
+++ b/internal/instance/gatekeeper/relay_test.go
@@ -26,12 +26,12 @@
 }
 
 func newChain() *chain {
-	c := &chain{leader: newChained("b-1", "b"), relay: newChained("a-1", "a"), member: newChained("a-2", "a")}
+	c := &chain{leader: newDomainGatekeeper("b-1", "b"), relay: newDomainGatekeeper("a-1", "a"), member: newDomainGatekeeper("a-2", "a")}
 	c.begin()
 	return c
 }
 
-func newChained(id, domain string) *Gatekeeper {
+func newDomainGatekeeper(id, domain string) *Gatekeeper {
 	g := newTestGatekeeper()
 	g.Config.ID, g.Config.Domain, g.Config.Domains = id, domain, []string{"a", "b"}
 	g.Fleet = &tracker.Fleet{Domain: domain}
@@ -43,8 +43,8 @@
 }
 
 func (c *chain) begin() {
-	hold(c.leader, "b")
-	hold(c.relay, "a")
+	makeLeader(c.leader, "b")
+	makeLeader(c.relay, "a")
 	c.relaySeq, c.memberSeq = -1, -1
 	for _, g := range []*Gatekeeper{c.relay, c.member} {
 		g.links["a"].setLeader(elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1})
@@ -81,7 +81,7 @@
 	c.leader.Demanded(heartbeater.Instance{ID: "a-1", Domain: "a"}, c.relay.links["b"].demand())
 }
 
-var chainedKey = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}}
+var testCopyKey = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}}
 
 func (c *chain) addRunner() {
 	for _, g := range []*Gatekeeper{c.leader, c.relay, c.member} {
@@ -104,10 +104,10 @@
 			c.relayToLeader()
 		}, 1},
 		{"a slot was reserved, and neither report has arrived yet", func(c *chain, _ func()) {
-			c.leader.controllers["b"].recordUse("a-1", chainedKey)
+			c.leader.controllers["b"].recordUse("a-1", testCopyKey)
 		}, 1},
 		{"a slot was reserved, and both reports have arrived", func(c *chain, _ func()) {
-			c.leader.controllers["b"].recordUse("a-1", chainedKey)
+			c.leader.controllers["b"].recordUse("a-1", testCopyKey)
 			c.memberToRelay()
 			c.relayToLeader()
 		}, 1},
@@ -175,8 +175,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newChain()
 				c.addRunner()
-				tc.event(c, c.member.Use(chainedKey.Runner, chainedKey.Copy))
-				if diff := cmp.Diff(tc.want, c.leader.controllers["b"].aggregator.Uses(chainedKey)); diff != "" {
+				tc.event(c, c.member.Use(testCopyKey.Runner, testCopyKey.Copy))
+				if diff := cmp.Diff(tc.want, c.leader.controllers["b"].aggregator.Uses(testCopyKey)); diff != "" {
 					t.Error(diff)
 				}
 			})
@@ -226,16 +226,16 @@
 		defer done()
 		holds := func() bool {
 			held, _ := c.member.Fleet.Standing("i-1")
-			_, ok := held[chainedKey.Copy]
+			_, ok := held[testCopyKey.Copy]
 			return ok
 		}
 		at := time.Now()
-		c.leader.controllers["b"].changes.add(event{copy: &copyEvent{runner: "i-1", copy: chainedKey.Copy, at: at, present: true}})
+		c.leader.controllers["b"].changes.add(event{copy: &copyEvent{runner: "i-1", copy: testCopyKey.Copy, at: at, present: true}})
 		c.leaderToRelay()
 		c.relayToMember()
 		c.leaderToRelay() // in case the first update was a snapshot
 		c.relayToMember()
-		c.leader.controllers["b"].changes.add(event{copy: &copyEvent{runner: "i-1", copy: chainedKey.Copy, at: at, present: true}})
+		c.leader.controllers["b"].changes.add(event{copy: &copyEvent{runner: "i-1", copy: testCopyKey.Copy, at: at, present: true}})
 		c.leader.controllers["b"].changes.add(event{slotWait: &slotEvent{runner: "i-1", wait: time.Second}})
 		c.leaderToRelay()
 		c.relayToMember()
@@ -245,7 +245,7 @@
 		if !c.member.Fleet.Tight("i-1") {
 			t.Error("a wait for a slot was not relayed")
 		}
-		c.leader.controllers["b"].changes.add(event{copy: &copyEvent{runner: "i-1", copy: chainedKey.Copy}})
+		c.leader.controllers["b"].changes.add(event{copy: &copyEvent{runner: "i-1", copy: testCopyKey.Copy}})
 		c.leaderToRelay()
 		c.relayToMember()
 		if holds() {
@@ -313,21 +313,21 @@
 			if len(running) == 0 {
 				used = now
 			}
-			running = append(running, c.member.Use(chainedKey.Runner, chainedKey.Copy))
+			running = append(running, c.member.Use(testCopyKey.Runner, testCopyKey.Copy))
 			reporter := "a-1"
 			if direct {
 				reporter = "a-2"
 			}
-			c.leader.controllers["b"].recordUse(reporter, chainedKey)
+			c.leader.controllers["b"].recordUse(reporter, testCopyKey)
 		case n < 6 && len(running) > 0:
 			running[0]()
 			running = running[1:]
 		case n == 6:
 			pausedUntil = now.Add(time.Duration(rng.Int64N(int64(5 * time.Second))))
 		case n == 7: // restart without state
-			c.relay = newChained("a-1", "a")
+			c.relay = newDomainGatekeeper("a-1", "a")
 			c.relay.links["a"].setLeader(elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1})
-			hold(c.relay, "a")
+			makeLeader(c.relay, "a")
 			c.addRunner()
 			pausedUntil = time.Time{}
 		}
@@ -350,7 +350,7 @@
 			c.relayToLeader()
 		}
 		c.leader.controllers["b"].loadsExcept("", now)
-		if uses := c.leader.controllers["b"].aggregator.Uses(chainedKey); uses == 0 && len(running) > 0 && now.Sub(used) > time.Second {
+		if uses := c.leader.controllers["b"].aggregator.Uses(testCopyKey); uses == 0 && len(running) > 0 && now.Sub(used) > time.Second {
 			t.Fatalf("%d requests use a copy that counts as free", len(running))
 		}
 		time.Sleep(updateInterval)
@@ -364,7 +364,7 @@
 		c.leader.controllers["b"].loadsExcept("", time.Now())
 		time.Sleep(updateInterval)
 	}
-	if uses := c.leader.controllers["b"].aggregator.Uses(chainedKey); uses != 0 {
+	if uses := c.leader.controllers["b"].aggregator.Uses(testCopyKey); uses != 0 {
 		t.Errorf("%d uses are counted after all have ended", uses)
 	}
 }
--- a/internal/instance/gatekeeper/request_slot_test.go
+++ b/internal/instance/gatekeeper/request_slot_test.go
@@ -12,7 +12,7 @@
 // slots of a runner by themselves.
 func TestRequestSlotsAreCountedByTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, _ := newCalmSite(t, 4)
+		s, _ := newSettledSimulation(t, 4)
 		defer s.end()
 		runner := s.runners[0].id
 		var waits []bool
--- a/internal/instance/gatekeeper/runners_random_test.go
+++ b/internal/instance/gatekeeper/runners_random_test.go
@@ -10,19 +10,19 @@
 )
 
 var (
-	siteFirst     = flag.Uint64("site.first", 0, "first seed of the simulation of runners")
-	siteSeeds     = flag.Uint64("site.seeds", 60, "number of seeds to run")
-	siteInstances = flag.Int("site.instances", 0, "instances in each run; 0 for five to ten")
+	firstSeed     = flag.Uint64("site.first", 0, "first seed of the simulation of runners")
+	seedCount     = flag.Uint64("site.seeds", 60, "number of seeds to run")
+	instanceCount = flag.Int("site.instances", 0, "instances in each run; 0 for five to ten")
 )
 
-// siteStep is the interval between checks of the invariants.
-const siteStep = 25 * time.Millisecond
+// checkStep is the interval between checks of the invariants.
+const checkStep = 25 * time.Millisecond
 
 // Guards against runners that are used after they have left, or removed while they are alive,
 // whichever instances fail, in whatever order.
 func TestRunnersAreThoseOfTheStoreWhoeverTellsOfThem(t *testing.T) {
-	for seed := *siteFirst; seed < *siteFirst+*siteSeeds; seed++ {
-		runSimulation(t, seed, newWitness)
+	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
+		runSimulation(t, seed, newChecker)
 	}
 }
 
@@ -30,56 +30,56 @@
 // was alive, after the first fixes.
 func TestRunnersOfSeedsThatFailed(t *testing.T) {
 	for _, seed := range []uint64{375, 926, 1100, 1600, 1824, 2055, 2110, 2121, 2209, 2344, 2591, 2646} {
-		runSimulation(t, seed, newWitness)
+		runSimulation(t, seed, newChecker)
 	}
 }
 
 // Guards against living runners that are removed because their rows expired during an outage.
 func TestRunnersWhoseRowsLapsedAreKeptWhoeverTellsOfThem(t *testing.T) {
-	for seed := *siteFirst; seed < *siteFirst+*siteSeeds; seed++ {
+	for seed := *firstSeed; seed < *firstSeed+*seedCount; seed++ {
 		runSimulation(t, seed, newExpiryChecker)
 	}
 }
 
-func runSimulation(t *testing.T, seed uint64, newChecker func(s *site) *checker) {
+func runSimulation(t *testing.T, seed uint64, newChecker func(s *simulation) *checker) {
 	t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 		t.Parallel()
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, seed))
 			domains, instances := 2+rng.IntN(2), 5+rng.IntN(6)
-			if *siteInstances > 0 {
-				domains, instances = 3+rng.IntN(4), *siteInstances
+			if *instanceCount > 0 {
+				domains, instances = 3+rng.IntN(4), *instanceCount
 			}
-			s := newSite(t, rng, domains, instances)
-			s.play(newChecker(s))
+			s := newSimulation(t, rng, domains, instances)
+			s.run(newChecker(s))
 		})
 	})
 }
 
-func (s *site) play(w *checker) {
+func (s *simulation) run(w *checker) {
 	for n := range 12 {
 		s.addRunner(s.domains[n%len(s.domains)])
 	}
-	s.pass(3*time.Second, w)
+	s.advance(3*time.Second, w)
 	for range 20 + s.rng.IntN(20) {
 		s.injectFault()
-		s.pass(time.Duration(s.rng.Int64N(int64(1500*time.Millisecond))), w)
+		s.advance(time.Duration(s.rng.Int64N(int64(1500*time.Millisecond))), w)
 		if s.t.Failed() {
 			return
 		}
 	}
-	s.pass(6*time.Second, w)
+	s.advance(6*time.Second, w)
 	for _, r := range s.runners[:2] {
 		if !r.leaving && !r.ended {
-			s.leave(r, s.rng.IntN(2) == 0)
+			s.stopRunner(r, s.rng.IntN(2) == 0)
 		}
 	}
-	s.pass(5*time.Second, w)
+	s.advance(5*time.Second, w)
 }
 
-// pass lets time pass, and checks the invariants.
-func (s *site) pass(span time.Duration, w *checker) {
-	for end := time.Now().Add(span); time.Now().Before(end) && !s.t.Failed(); time.Sleep(siteStep) {
+// advance lets time pass, and checks the invariants.
+func (s *simulation) advance(span time.Duration, w *checker) {
+	for end := time.Now().Add(span); time.Now().Before(end) && !s.t.Failed(); time.Sleep(checkStep) {
 		s.writeHeartbeats()
 		if s.store.down() && s.rng.IntN(8) == 0 {
 			s.expireRow(s.runners[s.rng.IntN(len(s.runners))])
@@ -91,7 +91,7 @@
 }
 
 // recordFaults records whether the store fails for any instance.
-func (s *site) recordFaults() {
+func (s *simulation) recordFaults() {
 	faulty := s.store.down()
 	if !faulty {
 		s.lastAvailable = time.Now()
@@ -107,10 +107,10 @@
 }
 
 // injectFault injects one random fault or change.
-func (s *site) injectFault() {
+func (s *simulation) injectFault() {
 	m := s.instances[s.rng.IntN(len(s.instances))]
 	if s.rng.IntN(2) == 0 {
-		if h := s.holder(s.domains[s.rng.IntN(len(s.domains))]); h != nil {
+		if h := s.leader(s.domains[s.rng.IntN(len(s.domains))]); h != nil {
 			m = h
 		}
 	}
@@ -118,8 +118,8 @@
 	r := s.runners[s.rng.IntN(len(s.runners))]
 	switch n := s.rng.IntN(16); {
 	case n < 4 && !r.leaving && !r.ended && !s.store.down():
-		s.leave(r, n < 2)
-		if h := s.holder(r.domain); h != nil && s.rng.IntN(2) == 0 {
+		s.stopRunner(r, n < 2)
+		if h := s.leader(r.domain); h != nil && s.rng.IntN(2) == 0 {
 			time.Sleep(time.Duration(s.rng.Int64N(int64(400 * time.Millisecond)))) // some have learned of it by then
 			s.disrupt(h, span)
 		}
@@ -142,7 +142,7 @@
 }
 
 // expireRow removes the row of a living runner if the store has been unavailable for long enough.
-func (s *site) expireRow(r *siteRunner) {
+func (s *simulation) expireRow(r *simRunner) {
 	if now := time.Now(); !r.ended && !r.rowSince.IsZero() && now.Sub(s.lastAvailable) > 2*heartbeatInterval {
 		r.expiredAt = now
 		s.removeRow(r)
@@ -150,7 +150,7 @@
 }
 
 // restoreStore lets the store serve all instances. Expired rows are back within two seconds.
-func (s *site) restoreStore() {
+func (s *simulation) restoreStore() {
 	if s.store.down() {
 		s.outageStart, s.outageEnd = s.lastAvailable, time.Now()
 		for _, r := range s.runners {
@@ -166,22 +166,22 @@
 }
 
 // disrupt restarts or pauses an instance, or cuts it off from the others, for a time.
-func (s *site) disrupt(m *member, span time.Duration) {
+func (s *simulation) disrupt(m *member, span time.Duration) {
 	now := time.Now()
 	switch s.rng.IntN(4) {
 	case 0, 1:
 		m.kill()
-		m.disturb(nil, now)
+		m.recordFault(nil, now)
 		m.start()
 	case 2:
-		m.disturb(&m.pausedUntil, now.Add(span))
+		m.recordFault(&m.pausedUntil, now.Add(span))
 	default:
-		m.disturb(&m.cut, now.Add(span))
+		m.recordFault(&m.partitionedUntil, now.Add(span))
 	}
 }
 
-// holder returns an instance that believes that it leads a domain.
-func (s *site) holder(domain string) *member {
+// leader returns an instance that believes that it leads a domain.
+func (s *simulation) leader(domain string) *member {
 	for _, m := range s.instances {
 		if m.leads(domain) {
 			return m
@@ -192,7 +192,7 @@
 
 // replaceLeaders gives the leases of domains whose leader is missing or paused to others. A
 // leader that was paused goes on for a moment before it notices.
-func (s *site) replaceLeaders() {
+func (s *simulation) replaceLeaders() {
 	now := time.Now()
 	for _, domain := range s.domains {
 		var live []*member
@@ -210,7 +210,7 @@
 		switch {
 		case len(live) == 0 && s.rng.IntN(40) == 0 && !s.store.down():
 			if m := s.instances[s.rng.IntN(len(s.instances))]; !now.Before(m.pausedUntil) {
-				s.give(domain, m)
+				s.giveLease(domain, m)
 			}
 		case len(live) > 1 && s.rng.IntN(8) == 0:
 			live[s.rng.IntN(len(live))].stepDown(domain)
--- a/internal/instance/gatekeeper/runners_test.go
+++ b/internal/instance/gatekeeper/runners_test.go
@@ -23,7 +23,7 @@
 // run returns whether the runner is known right after the removal of its row, and when
 // drainDeadline is over.
 func (r removedRow) run() (first, last bool) {
-	g := newChained("a-2", "a")
+	g := newDomainGatekeeper("a-2", "a")
 	runner := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 5}
 	g.setRunner(runner, fromStore)
 	g.recordStoreCall(time.Now(), errors.New("away"))
@@ -66,15 +66,15 @@
 // Guards against an outage of the store that removes all living runners.
 func TestFirstAnswerAfterAnOutageRemovesNoRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newCalmSite(t, 3)
+		s, w := newSettledSimulation(t, 3)
 		s.store.set(rejects)
-		s.pass(4*time.Second, w)
+		s.advance(4*time.Second, w)
 		expired := s.runners[0]
 		s.expireRow(expired)
 		s.restoreStore()
 		expired.nextHeartbeat = time.Now().Add(1900 * time.Millisecond)
 		for range 40 {
-			s.pass(50*time.Millisecond, w)
+			s.advance(50*time.Millisecond, w)
 			for _, m := range s.instances {
 				if !m.uses(expired.id) {
 					t.Fatalf("%s removed the runner", m.id)
@@ -88,7 +88,7 @@
 // after the outage.
 func TestSnapshotOfASourceStartedAfterTheOutageRemovesNoRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, started := newChained("a-1", "a"), newSource("b-1", "b", 60)
+		g, started := newDomainGatekeeper("a-1", "a"), newSource("b-1", "b", 60)
 		g.setRunner(tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 5}, fromStore)
 		g.recordStoreCall(time.Now(), errNoAnswer)
 		time.Sleep(5 * time.Second)
--- a/internal/instance/gatekeeper/simulation_peers_test.go
+++ b/internal/instance/gatekeeper/simulation_peers_test.go
@@ -19,24 +19,24 @@
 
 var errConnection = errors.New("the connection failed")
 
-// sitePeers are the connections of one instance of a simulated deployment.
-type sitePeers struct{ from *member }
+// simPeers are the connections of one instance of a simulated deployment.
+type simPeers struct{ from *member }
 
 // Cut implements Peers.
-func (sitePeers) Cut(string) {}
+func (simPeers) Cut(string) {}
 
 // Linked implements Peers.
-func (sitePeers) Linked(string) (any, bool) { return nil, false }
+func (simPeers) Linked(string) (any, bool) { return nil, false }
 
 // Serve implements Peers.
-func (sitePeers) Serve(*fasthttp.RequestCtx) { panic("a simulated deployment has no sockets") }
+func (simPeers) Serve(*fasthttp.RequestCtx) { panic("a simulated deployment has no sockets") }
 
 // Tell implements Peers.
-func (sitePeers) Tell(context.Context, string, relayer.Message) error { return nil }
+func (simPeers) Tell(context.Context, string, relayer.Message) error { return nil }
 
 // Open implements Peers.
-func (p sitePeers) Open(ctx context.Context, address string, m relayer.Message) (Conversation, error) {
-	to := p.from.site.at(address)
+func (p simPeers) Open(ctx context.Context, address string, m relayer.Message) (Conversation, error) {
+	to := p.from.sim.at(address)
 	p.from.awaitResumed(ctx)
 	if !p.from.reaches(to) {
 		pause(ctx, linkTimeout)
@@ -47,34 +47,34 @@
 		return nil, errConnection
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	c := &siteConversation{from: p.from, to: to, lives: running, ctx: ctx, cancel: cancel, messages: make(chan siteMessage, 64)}
+	c := &simConversation{from: p.from, to: to, lives: running, ctx: ctx, cancel: cancel, messages: make(chan simMessage, 64)}
 	go func() {
 		pause(ctx, linkLatency)
 		to.awaitResumed(ctx)
 		err := g.handle(ctx, p.from.self(), m, c)
-		c.put(siteMessage{err: err, at: time.Now().Add(linkLatency), over: true})
+		c.put(simMessage{err: err, at: time.Now().Add(linkLatency), final: true})
 	}()
 	return c, nil
 }
 
-// A siteConversation is a conversation between two instances of a simulated deployment.
-type siteConversation struct {
+// A simConversation is a conversation between two instances of a simulated deployment.
+type simConversation struct {
 	from, to *member
 	lives    context.Context // of the answering process
 	ctx      context.Context
 	cancel   context.CancelFunc
-	messages chan siteMessage
+	messages chan simMessage
 }
 
-// A siteMessage is a message in transit.
-type siteMessage struct {
+// A simMessage is a message in transit.
+type simMessage struct {
 	at      time.Time // when it arrives
 	message relayer.Message
 	err     error
-	over    bool
+	final    bool
 }
 
-func (c *siteConversation) put(w siteMessage) {
+func (c *simConversation) put(w simMessage) {
 	select {
 	case c.messages <- w:
 	case <-c.ctx.Done():
@@ -82,23 +82,23 @@
 }
 
 // Close implements Conversation.
-func (c *siteConversation) Close() { c.cancel() }
+func (c *simConversation) Close() { c.cancel() }
 
 // Finish implements replier.
-func (c *siteConversation) Finish(m relayer.Message) error { return c.Send(m) }
+func (c *simConversation) Finish(m relayer.Message) error { return c.Send(m) }
 
 // Send implements replier.
-func (c *siteConversation) Send(m relayer.Message) error {
+func (c *simConversation) Send(m relayer.Message) error {
 	c.to.awaitResumed(c.ctx)
 	if c.lives.Err() != nil || c.ctx.Err() != nil {
 		return errConnection
 	}
-	c.put(siteMessage{at: time.Now().Add(linkLatency), message: m})
+	c.put(simMessage{at: time.Now().Add(linkLatency), message: m})
 	return nil
 }
 
 // Next implements Conversation. Messages in transit during a partition arrive when it is over.
-func (c *siteConversation) Next(ctx context.Context) (relayer.Message, error) {
+func (c *simConversation) Next(ctx context.Context) (relayer.Message, error) {
 	for {
 		c.from.awaitResumed(ctx)
 		if ctx.Err() != nil {
@@ -113,7 +113,7 @@
 			pause(ctx, time.Until(w.at))
 			_, running := c.from.running()
 			c.from.awaitResumed(running)
-			if w.over && w.err == nil {
+			if w.final && w.err == nil {
 				w.err = errConnection
 			}
 			return w.message, w.err
--- a/internal/instance/gatekeeper/simulation_runner_test.go
+++ b/internal/instance/gatekeeper/simulation_runner_test.go
@@ -9,8 +9,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// A siteRunner is a runner of a simulated deployment.
-type siteRunner struct {
+// A simRunner is a runner of a simulated deployment.
+type simRunner struct {
 	id     string
 	domain string
 
@@ -18,7 +18,7 @@
 	leaving            bool
 	ended              bool
 	drainedAt          time.Time // when the store accepted that it drains or its row was removed; zero if neither
-	drainedUndisturbed bool      // the store had been available to everybody for stableTime then
+	drainedWithoutFaults bool      // the store had been available to everybody for stableTime then
 	nextHeartbeat      time.Time // time of its next heartbeat
 	endsAt             time.Time // when it ends; zero if no end is set
 	expiredAt          time.Time // when its row last expired although it is alive
@@ -26,7 +26,7 @@
 }
 
 // register writes the row of a runner.
-func (s *site) register(r *siteRunner) {
+func (s *simulation) register(r *simRunner) {
 	value, err := encoder.Marshal(tracker.Runner{ID: r.id, Domain: r.domain, Service: "llm", Slots: 2, Leaving: r.leaving})
 	if err != nil {
 		s.t.Fatal(err)
@@ -39,21 +39,21 @@
 }
 
 // removeRow removes the row of a runner.
-func (s *site) removeRow(r *siteRunner) {
+func (s *simulation) removeRow(r *simRunner) {
 	s.store.put(tabler.Row{Key: "runners/" + r.id, Removed: true})
 	r.rowSince = time.Time{}
 }
 
-func (s *site) addRunner(domain string) {
-	r := &siteRunner{id: fmt.Sprint("i-", len(s.runners)), domain: domain}
+func (s *simulation) addRunner(domain string) {
+	r := &simRunner{id: fmt.Sprint("i-", len(s.runners)), domain: domain}
 	s.runners = append(s.runners, r)
 	s.register(r)
 	r.nextHeartbeat = time.Now().Add(time.Duration(s.rng.Int64N(int64(heartbeatInterval))))
 }
 
-// leave makes a runner drain, or removes its row without that.
-func (s *site) leave(r *siteRunner, abrupt bool) {
-	r.drainedAt, r.drainedUndisturbed = time.Now(), s.undisturbed(stableTime)
+// stopRunner makes a runner drain, or removes its row without that.
+func (s *simulation) stopRunner(r *simRunner, abrupt bool) {
+	r.drainedAt, r.drainedWithoutFaults = time.Now(), s.faultFreeFor(stableTime)
 	if abrupt {
 		r.ended = true
 		s.removeRow(r)
@@ -71,13 +71,13 @@
 	stableTime = 3 * time.Second
 )
 
-// undisturbed reports whether the store has been available to everybody for a time.
-func (s *site) undisturbed(span time.Duration) bool {
+// faultFreeFor reports whether the store has been available to everybody for a time.
+func (s *simulation) faultFreeFor(span time.Duration) bool {
 	return time.Since(s.lastFault) >= span
 }
 
 // writeHeartbeats writes the rows whose heartbeats are due.
-func (s *site) writeHeartbeats() {
+func (s *simulation) writeHeartbeats() {
 	if s.store.down() {
 		return
 	}
--- a/internal/instance/gatekeeper/simulation_store_test.go
+++ b/internal/instance/gatekeeper/simulation_store_test.go
@@ -81,11 +81,11 @@
 	return rows, version, err
 }
 
-// A siteDecoder decodes the rows of a simulated deployment.
-type siteDecoder struct{ feedDecoder }
+// A simDecoder decodes the rows of a simulated deployment.
+type simDecoder struct{ feedDecoder }
 
 // Runner implements Decoder.
-func (siteDecoder) Runner(r tabler.Row) (tracker.Runner, error) {
+func (simDecoder) Runner(r tabler.Row) (tracker.Runner, error) {
 	runner := tracker.Runner{ID: r.Key[len("runners/"):], Revision: r.Version}
 	if r.Removed {
 		return runner, nil
--- a/internal/instance/gatekeeper/simulation_test.go
+++ b/internal/instance/gatekeeper/simulation_test.go
@@ -19,19 +19,19 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/pooler"
 )
 
-// A site is a simulated deployment in virtual time: complete instances with their connections,
+// A simulation is a simulated deployment in virtual time: complete instances with their connections,
 // the store, and the rows that runners write. The test decides who leads each domain.
-type site struct {
+type simulation struct {
 	t       *testing.T
 	rng     *rand.Rand
 	domains []string
 	store   *feedStore
-	log     *siteLog
+	log     *simLog
 
 	mu            sync.Mutex
 	instances     []*member
 	fences        map[string]uint64
-	runners       []*siteRunner
+	runners       []*simRunner
 	lastAvailable time.Time // when the store was last available
 	outageStart   time.Time // when it was last available before it came back
 	outageEnd     time.Time // when it last came back
@@ -41,7 +41,7 @@
 
 // A member is one instance of a simulated deployment.
 type member struct {
-	site   *site
+	sim   *simulation
 	id     string
 	domain string
 	store  *storeClient // connection to the store
@@ -51,41 +51,41 @@
 	ctx         context.Context
 	stop        context.CancelFunc
 	pausedUntil time.Time // until when it is paused
-	cut         time.Time // until when it is partitioned from the other instances
+	partitionedUntil         time.Time // until when it is partitioned from the other instances
 	faultUntil  time.Time // until when any fault lasts
 }
 
 // quotaWindow is the window in which quotas are checked.
 const quotaWindow = 8 * time.Second
 
-// A siteLog collects the logs of all instances, with the virtual time.
-type siteLog struct {
+// A simLog collects the logs of all instances, with the virtual time.
+type simLog struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
 // Write implements io.Writer.
-func (l *siteLog) Write(line []byte) (int, error) {
+func (l *simLog) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.buf.Write(line)
 }
 
-// newSite returns a deployment that has just started, with the first instance of each domain as
+// newSimulation returns a deployment that has just started, with the first instance of each domain as
 // its leader.
-func newSite(t *testing.T, rng *rand.Rand, domains, instances int) *site {
-	s := &site{t: t, rng: rng, store: newFeedStore(), log: &siteLog{}, fences: make(map[string]uint64), began: time.Now()}
+func newSimulation(t *testing.T, rng *rand.Rand, domains, instances int) *simulation {
+	s := &simulation{t: t, rng: rng, store: newFeedStore(), log: &simLog{}, fences: make(map[string]uint64), began: time.Now()}
 	s.store.configure(1)
 	for n := range domains {
 		s.domains = append(s.domains, string(rune('a'+n)))
 	}
 	for n := range instances {
-		m := &member{site: s, id: fmt.Sprint("front-", n), domain: s.domains[n%domains]}
+		m := &member{sim: s, id: fmt.Sprint("front-", n), domain: s.domains[n%domains]}
 		m.store = &storeClient{feedStore: s.store, owner: m}
 		s.instances = append(s.instances, m)
 		m.start()
 		if n < domains {
-			s.give(m.domain, m)
+			s.giveLease(m.domain, m)
 		}
 	}
 	t.Cleanup(func() {
@@ -99,14 +99,14 @@
 }
 
 // end stops all instances.
-func (s *site) end() {
+func (s *simulation) end() {
 	for _, m := range s.instances {
 		m.kill()
 	}
 }
 
 // at returns the instance with an address.
-func (s *site) at(address string) *member {
+func (s *simulation) at(address string) *member {
 	for _, m := range s.instances {
 		if m.id == address {
 			return m
@@ -115,23 +115,23 @@
 	return nil
 }
 
-// newCalmSite returns a deployment of one failure domain with one runner, which all instances
+// newSettledSimulation returns a deployment of one failure domain with one runner, which all instances
 // have known for a while.
-func newCalmSite(t *testing.T, instances int) (*site, *checker) {
-	s := newSite(t, rand.New(rand.NewPCG(1, 1)), 1, instances)
+func newSettledSimulation(t *testing.T, instances int) (*simulation, *checker) {
+	s := newSimulation(t, rand.New(rand.NewPCG(1, 1)), 1, instances)
 	s.addRunner("a")
-	w := newWitness(s)
-	s.pass(5*time.Second, w)
+	w := newChecker(s)
+	s.advance(5*time.Second, w)
 	return s, w
 }
 
-// give makes an instance the leader of a domain.
-func (s *site) give(domain string, m *member) {
+// giveLease makes an instance the leader of a domain.
+func (s *simulation) giveLease(domain string, m *member) {
 	s.mu.Lock()
 	s.fences[domain]++
 	fence := s.fences[domain]
 	s.mu.Unlock()
-	m.lead(domain, fence)
+	m.acquireLease(domain, fence)
 	value, err := encoder.Marshal(elector.Tenure{Holder: m.id, Address: m.id, Fence: fence})
 	if err != nil {
 		s.t.Fatal(err)
@@ -142,7 +142,7 @@
 // leads reports whether an instance believes that it leads a domain.
 func (m *member) leads(domain string) bool { return m.gatekeeper().controllers[domain].leads() }
 
-func (m *member) lead(domain string, fence uint64) {
+func (m *member) acquireLease(domain string, fence uint64) {
 	d := m.gatekeeper().controllers[domain]
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -150,7 +150,7 @@
 	d.elector.Read(elector.Tenure{Fence: fence - 1}, fence, uptime())
 	w, ok := d.elector.Next(uptime())
 	if !ok {
-		m.site.t.Fatal("the lease cannot be acquired")
+		m.sim.t.Fatal("the lease cannot be acquired")
 	}
 	d.elector.Written(w, fence+1, uptime())
 	m.gatekeeper().Recorder.Log("belief", "msg", "acquires the lease", "domain", domain, "fence", fence)
@@ -167,11 +167,11 @@
 // start starts the instance without state.
 func (m *member) start() {
 	g := newTestGatekeeper()
-	g.Config.ID, g.Config.Domain, g.Config.Domains = m.id, m.domain, m.site.domains
+	g.Config.ID, g.Config.Domain, g.Config.Domains = m.id, m.domain, m.sim.domains
 	g.Fleet = &tracker.Fleet{Domain: m.domain}
 	g.Pool = &pooler.Pool{}
-	g.Store, g.Decoder, g.Peers = m.store, siteDecoder{}, sitePeers{m}
-	g.Recorder.Instance, g.Recorder.Out = m.id, m.site.log
+	g.Store, g.Decoder, g.Peers = m.store, simDecoder{}, simPeers{m}
+	g.Recorder.Instance, g.Recorder.Out = m.id, m.sim.log
 	g.Config.Bounds.Quota = quotaWindow
 	g.init()
 	g.setViews()
@@ -223,9 +223,9 @@
 	return heartbeater.Instance{ID: m.id, Domain: m.domain, Address: m.id}
 }
 
-// disturb records a fault of the instance that lasts until a time. field is the kind of fault,
+// recordFault records a fault of the instance that lasts until a time. field is the kind of fault,
 // or nil.
-func (m *member) disturb(field *time.Time, until time.Time) {
+func (m *member) recordFault(field *time.Time, until time.Time) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if field != nil && until.After(*field) {
@@ -236,8 +236,8 @@
 	}
 }
 
-// undisturbedSince returns when the last fault of the instance ended.
-func (m *member) undisturbedSince() time.Time {
+// faultFreeSince returns when the last fault of the instance ended.
+func (m *member) faultFreeSince() time.Time {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.faultUntil
@@ -266,9 +266,9 @@
 func (m *member) reaches(other *member) bool {
 	now := time.Now()
 	m.mu.Lock()
-	cut := m.cut
+	cut := m.partitionedUntil
 	m.mu.Unlock()
 	other.mu.Lock()
 	defer other.mu.Unlock()
-	return !now.Before(cut) && !now.Before(other.cut)
+	return !now.Before(cut) && !now.Before(other.partitionedUntil)
 }
--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -22,8 +22,8 @@
 // newSource returns an instance that leads a domain and has read the runners' table up to a
 // version.
 func newSource(id, domain string, upTo uint64) *Gatekeeper {
-	g := newChained(id, domain)
-	hold(g, domain)
+	g := newDomainGatekeeper(id, domain)
+	makeLeader(g, domain)
 	g.runners.recordCall(nil, upTo, time.Now())
 	return g
 }
@@ -39,7 +39,7 @@
 		ready := tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 7}
 		leaves := ready
 		leaves.Revision, leaves.Leaving = 58, true
-		source, behind, member := newSource("a-1", "a", 60), newSource("b-1", "b", 50), newChained("a-2", "a")
+		source, behind, member := newSource("a-1", "a", 60), newSource("b-1", "b", 50), newDomainGatekeeper("a-2", "a")
 		behind.setRunner(ready, fromStore)
 		source.setRunner(ready, fromStore)
 		source.setRunner(leaves, fromStore)
@@ -57,7 +57,7 @@
 // Guards against a runner that is used forever after a change of the source.
 func TestRunnerMissingFromAStaleSnapshotIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second, member := newSource("a-1", "a", 50), newSource("a-3", "a", 60), newChained("a-2", "a")
+		first, second, member := newSource("a-1", "a", 50), newSource("a-3", "a", 60), newDomainGatekeeper("a-2", "a")
 		one := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 40}
 		two := tracker.Runner{ID: "i-2", Domain: "a", Service: "llm", Revision: 41}
 		first.setRunner(one, fromStore)
@@ -95,8 +95,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g, s := newChained("a-1", "a"), newFeedStore()
-				g.Store, g.Decoder = s, siteDecoder{}
+				g, s := newDomainGatekeeper("a-1", "a"), newFeedStore()
+				g.Store, g.Decoder = s, simDecoder{}
 				for _, r := range tc.before {
 					g.setRunner(r, fromStore)
 				}
@@ -118,8 +118,8 @@
 // Guards against a runner that is used forever because its pending removal was cancelled.
 func TestOlderDescriptionCancelsNoRemoval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newChained("a-1", "a")
-		g.Decoder = siteDecoder{}
+		g := newDomainGatekeeper("a-1", "a")
+		g.Decoder = simDecoder{}
 		runner := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 5}
 		g.setRunner(runner, fromStore)
 		g.recordStoreCall(time.Now(), errNoAnswer)
@@ -139,7 +139,7 @@
 // Guards against snapshots of instances of an earlier version, which carry no revision.
 func TestSnapshotWithoutRevisionIsNotTrusted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newChained("a-2", "a")
+		g := newDomainGatekeeper("a-2", "a")
 		g.setRunner(tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}, fromStore)
 		g.links["b"].apply(relayer.News{Fresh: true})
 		g.links["a"].apply(relayer.News{Fresh: true, Whole: true})
@@ -155,11 +155,11 @@
 // Guards against instances whose runners differ forever, as only deltas are sent.
 func TestSnapshotIsRequestedAfterADivergence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newCalmSite(t, 2)
+		s, w := newSettledSimulation(t, 2)
 		member := s.instances[1].gatekeeper()
 		ghost := tracker.Runner{ID: "i-9", Domain: "a", Service: "llm", Revision: s.store.version + 1}
 		member.setRunner(ghost, "test")
-		s.pass(drainDeadline, w)
+		s.advance(drainDeadline, w)
 		if _, known := member.Fleet.Get(ghost.ID); known {
 			t.Errorf("a runner that nobody else knows is known for %s", drainDeadline)
 		}
--- a/internal/instance/gatekeeper/source_test.go
+++ b/internal/instance/gatekeeper/source_test.go
@@ -18,7 +18,7 @@
 // again.
 func TestInstancesKeepAWorkingSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newChained("a-2", "a")
+		g := newDomainGatekeeper("a-2", "a")
 		ownLease := elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1}
 		otherLease := elector.Tenure{Holder: "b-1", Address: "b-1", Fence: 1}
 		g.links["a"].setLeader(ownLease)
--- a/internal/instance/gatekeeper/staleness_test.go
+++ b/internal/instance/gatekeeper/staleness_test.go
@@ -32,7 +32,7 @@
 }
 
 func runFaults(t *testing.T, rng *rand.Rand) {
-	g, store := newFedGatekeeper()
+	g, store := newGatekeeperWithStore()
 	defer start(t, g.watchOperator, g.watchRunners)()
 	if rng.IntN(2) == 0 {
 		defer start(t, publishFrom(g, store))()
@@ -106,7 +106,7 @@
 // until the next staleness check to be in force, for half a minute.
 func TestWatchCallsSentDuringAnOutageAreReplacedAfterIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, store := newFedGatekeeper()
+		g, store := newGatekeeperWithStore()
 		defer start(t, g.watchOperator, g.watchRunners)()
 		time.Sleep(time.Second)
 		store.set(hangs)
@@ -127,7 +127,7 @@
 // return would replace the next calls, over and over.
 func TestReplacedWatchCallsAreNoStoreFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, _ := newFedGatekeeper()
+		g, _ := newGatekeeperWithStore()
 		defer start(t, g.watchOperator, g.watchRunners)()
 		for range 40 {
 			time.Sleep(130 * time.Millisecond)
@@ -145,7 +145,7 @@
 // calls for changes, and against counting a call that was not made as an answer of the store.
 func TestNoStalenessCheckDuringAFullRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, store := newFedGatekeeper()
+		g, store := newGatekeeperWithStore()
 		g.setViews()
 		g.operator.recordCall(nil, 1, time.Now())
 		time.Sleep(time.Minute)
@@ -167,7 +167,7 @@
 // staleness check: it has to be read as soon as it should have arrived.
 func TestReportOfANewerRowTriggersAPoll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, store := newFedGatekeeper()
+		g, store := newGatekeeperWithStore()
 		defer start(t, g.watchOperator)()
 		time.Sleep(time.Second)
 		store.hangCalls()
@@ -190,7 +190,7 @@
 // callers by the configuration from before the store was lost.
 func TestConfirmationsByOthersAreNotRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, _ := newFedGatekeeper()
+		g, _ := newGatekeeperWithStore()
 		g.setViews()
 		g.operator.recordCall([]tabler.Row{{Version: 5}}, 5, time.Now())
 		time.Sleep(time.Minute)
@@ -218,9 +218,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g, store := newFedGatekeeper()
+				g, store := newGatekeeperWithStore()
 				if tc.leads {
-					hold(g, "a")
+					makeLeader(g, "a")
 				}
 				defer start(t, g.watchOperator)()
 				if !tc.leads {
@@ -248,7 +248,7 @@
 	} {
 		g.init()
 		if tc.holds != "" {
-			hold(g, tc.holds)
+			makeLeader(g, tc.holds)
 		}
 		if got := g.operatorMaxAge(); got != tc.want {
 			t.Errorf("leader of %q polls after %s, want %s", tc.holds, got, tc.want)
@@ -261,7 +261,7 @@
 // in that domain get no adapter loaded.
 func TestNewLeaderIsKnownFromItsLeaseRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, store := newFedGatekeeper()
+		g, store := newGatekeeperWithStore()
 		g.links["a"].setLeader(elector.Tenure{Holder: "front-1", Fence: 1})
 		value, err := encoder.Marshal(elector.Tenure{Holder: "front-3", Fence: 2})
 		if err != nil {
--- a/internal/instance/gatekeeper/stepdown_test.go
+++ b/internal/instance/gatekeeper/stepdown_test.go
@@ -118,7 +118,7 @@
 // acquire the lease at once, although the row still names the old leader.
 func TestMemberAcquiresLeasePublishedAsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, store := newFedGatekeeper()
+		g, store := newGatekeeperWithStore()
 		d, l := g.controllers["a"], g.links["a"]
 		d.elector.Late = 0
 		held := elector.Tenure{Holder: "front-1", Fence: 3}
--- a/internal/instance/gatekeeper/store_test.go
+++ b/internal/instance/gatekeeper/store_test.go
@@ -197,8 +197,8 @@
 // Version implements Decoder.
 func (feedDecoder) Version(tabler.Row) (placer.Copy, bool, error) { return placer.Copy{}, false, nil }
 
-// newFedGatekeeper returns an instance with a store that has version 1 of the configuration.
-func newFedGatekeeper() (*Gatekeeper, *feedStore) {
+// newGatekeeperWithStore returns an instance with a store that has version 1 of the configuration.
+func newGatekeeperWithStore() (*Gatekeeper, *feedStore) {
 	g := newTestGatekeeper()
 	s := newFeedStore()
 	s.configure(1)
--- a/internal/instance/gatekeeper/table_test.go
+++ b/internal/instance/gatekeeper/table_test.go
@@ -50,11 +50,11 @@
 
 // newPair returns a source, a member that follows it, and the store of each.
 func newPair() (source, member *Gatekeeper, sourceStore, memberStore *feedStore) {
-	source, sourceStore = newFedGatekeeper()
-	member, memberStore = newFedGatekeeper()
+	source, sourceStore = newGatekeeperWithStore()
+	member, memberStore = newGatekeeperWithStore()
 	source.setViews()
 	member.setViews()
-	hold(source, "a")
+	makeLeader(source, "a")
 	return source, member, sourceStore, memberStore
 }
 
--- a/internal/instance/gatekeeper/watch.go
+++ b/internal/instance/gatekeeper/watch.go
@@ -55,7 +55,7 @@
 // watchOperator keeps the configuration and the versions of adapters up to date.
 func (g *Gatekeeper) watchOperator(ctx context.Context) {
 	g.setViews()
-	g.follow(ctx, &g.operator, watchTimeout)
+	g.maintainView(ctx, &g.operator, watchTimeout)
 }
 
 // applyOperatorRow applies a row of the operator. A configuration older than the one in force
--- a/internal/instance/gatekeeper/watch_hang_test.go
+++ b/internal/instance/gatekeeper/watch_hang_test.go
@@ -19,7 +19,7 @@
 // calls for other tables succeeded. Only that call distinguishes the two kinds of instance.
 func TestConfigurationIsCurrentSoonAfterHangingCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g, store := newFedGatekeeper()
+		g, store := newGatekeeperWithStore()
 		ctx, cancel := context.WithCancel(t.Context())
 		go g.watchOperator(ctx)
 		time.Sleep(time.Second)
--- a/internal/instance/gatekeeper/watch_test.go
+++ b/internal/instance/gatekeeper/watch_test.go
@@ -11,21 +11,21 @@
 	"github.com/sardinetiller/sardinetiller/internal/platform/tabler"
 )
 
-// A stillStore is a store in which nothing changes. Each call takes a few milliseconds more
+// A staticStore is a store in which nothing changes. Each call takes a few milliseconds more
 // than it waits.
-type stillStore struct{ tabler.Feed }
+type staticStore struct{ tabler.Feed }
 
-func (stillStore) Scan(context.Context, string) ([]tabler.Row, uint64, error) { return nil, 1, nil }
+func (staticStore) Scan(context.Context, string) ([]tabler.Row, uint64, error) { return nil, 1, nil }
 
-func (stillStore) Watch(ctx context.Context, _ string, after uint64, wait time.Duration) ([]tabler.Row, uint64, error) {
+func (staticStore) Watch(ctx context.Context, _ string, after uint64, wait time.Duration) ([]tabler.Row, uint64, error) {
 	pause(ctx, wait+5*time.Millisecond)
 	return nil, after, ctx.Err()
 }
 
-// stillDecoder names tables and decodes nothing.
-type stillDecoder struct{ Decoder }
+// staticDecoder names tables and decodes nothing.
+type staticDecoder struct{ Decoder }
 
-func (stillDecoder) Tables() (operator, runners string) { return "operator", "runners" }
+func (staticDecoder) Tables() (operator, runners string) { return "operator", "runners" }
 
 // A leader reads the runners from the store all the time, and nothing changes. Guards against
 // taking its view to be as old as the start of the last call: its members would not rely on it
@@ -33,8 +33,8 @@
 func TestLeaderThatReachesTheStoreStaysFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
-		g.Store, g.Decoder = stillStore{}, stillDecoder{}
-		hold(g, "a")
+		g.Store, g.Decoder = staticStore{}, staticDecoder{}
+		makeLeader(g, "a")
 		if !g.leadsAny() {
 			t.Fatal("is not leader; the test proves nothing")
 		}
@@ -52,8 +52,8 @@
 	})
 }
 
-// hold makes an instance the leader of a domain.
-func hold(g *Gatekeeper, domain string) {
+// makeLeader makes an instance the leader of a domain.
+func makeLeader(g *Gatekeeper, domain string) {
 	d := g.controllers[domain]
 	d.elector.Late = 0
 	d.elector.Read(elector.Tenure{}, 0, uptime())
@@ -65,7 +65,7 @@
 // Guards against the older one replacing the newer one: it stayed in force once, with no
 // further row to correct it.
 func TestOlderConfigurationDoesNotReplaceAConcurrentNewerOne(t *testing.T) {
-	g, store := newFedGatekeeper()
+	g, store := newGatekeeperWithStore()
 	row := func(version uint64) tabler.Row {
 		store.configure(version)
 		return store.rows["operator/config"]
@@ -87,9 +87,9 @@
 // takes in the other order: the instance deadlocked for good, and its callers were served an
 // outdated configuration.
 func TestPublishingAndStalenessChecksDoNotDeadlock(t *testing.T) {
-	g, _ := newFedGatekeeper()
+	g, _ := newGatekeeperWithStore()
 	g.setViews()
-	hold(g, "a")
+	makeLeader(g, "a")
 	g.operator.recordCall([]tabler.Row{{Key: "operator/config", Version: 1}}, 1, time.Now())
 	g.operator.publishedAt = time.Now().Add(time.Hour)
 	done := make(chan struct{})
