--- a/internal/instance/gatekeeper/changelog.go
+++ b/internal/instance/gatekeeper/changelog.go
@@ -17,18 +17,18 @@
 
 // An event is one change. Exactly one of its fields is set.
 type event struct {
-	gone   *relayer.Gone
-	copy   *copyEvent
-	slotWait   *slotEvent
-	runner *tracker.Runner
+	removal  *relayer.Gone
+	copy     *copyEvent
+	slotWait *slotEvent
+	runner   *tracker.Runner
 }
 
 // A copyEvent is a change of an adapter copy at a runner.
 type copyEvent struct {
-	runner string
-	copy   placer.Copy
-	at     time.Time // when it becomes usable
-	present  bool
+	runner  string
+	copy    placer.Copy
+	at      time.Time // when it becomes usable
+	present bool
 }
 
 // A slotEvent is a change of how long a copy waits for an adapter slot at a runner.
--- a/internal/instance/gatekeeper/checker_test.go
+++ b/internal/instance/gatekeeper/checker_test.go
@@ -4,7 +4,7 @@
 
 // A checker checks invariants of runners.
 type checker struct {
-	sim       *simulation
+	sim        *simulation
 	check      func(w *checker, p instanceRunner, now time.Time)
 	usedSince  map[instanceRunner]time.Time // since when the instance has used the runner
 	usedBefore map[instanceRunner]bool      // the instance used the runner before the outage, and there was no other fault
--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -23,26 +23,26 @@
 	gatekeeper *Gatekeeper
 	domain     string
 
-	mu           sync.Mutex
-	elector      elector.Elector
-	orderingFence       uint64        // fencing token for which the placers were created; 0 for none
-	retryAt      time.Duration // earliest time of the next store call, after a failed one
-	nextPoll     time.Duration // earliest time of the next poll of the lease row
-	callInFlight bool          // a store call for the lease is in flight
-	polling      bool          // the domain appears to have no leader, and the lease row is polled
-	runners      map[string]*runnerState
-	sum          uint64            // checksum of the runner descriptions
-	aggregator       gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that relays them to it
-	firstReportAt     time.Time         // when this instance received the first demand report as leader
-	changes         changeLog
-	window       placer.Window
-	share        admitter.Share
-	partition    partitionDetector
-	cutOffSince  time.Time // since when other leaders have reached the store and this one has not
-	releasedFence        uint64    // fencing token of the lease that was released last
-	relayed        relayedState    // last update from the leader, while another instance leads
+	mu            sync.Mutex
+	elector       elector.Elector
+	orderingFence uint64        // fencing token for which the placers were created; 0 for none
+	retryAt       time.Duration // earliest time of the next store call, after a failed one
+	nextPoll      time.Duration // earliest time of the next poll of the lease row
+	callInFlight  bool          // a store call for the lease is in flight
+	polling       bool          // the domain appears to have no leader, and the lease row is polled
+	runners       map[string]*runnerState
+	checksum      uint64            // checksum of the runner descriptions
+	aggregator    gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that relays them to it
+	firstReportAt time.Time         // when this instance received the first demand report as leader
+	changes       changeLog
+	window        placer.Window
+	share         admitter.Share
+	partition     partitionDetector
+	cutOffSince   time.Time    // since when other leaders have reached the store and this one has not
+	releasedFence uint64       // fencing token of the lease that was released last
+	relayed       relayedState // last update from the leader, while another instance leads
 
-	subscribers   int           // members that subscribe to the domain here
+	subscribers int           // members that subscribe to the domain here
 	queueWait   time.Duration // expected wait until a further load begins, as of queueWaitAt
 	queueWaitAt time.Time
 }
@@ -51,12 +51,12 @@
 type runnerState struct {
 	runner          tracker.Runner
 	placer          *placer.Placer // nil while this instance sends no orders, and for a plain service
-	busy            bool           // an order or a report request is in flight
+	callInFlight    bool           // an order or a report request is in flight
 	reportRequested time.Time      // when the last report was requested
 	prefillQueue    admitter.Timeline
 	slots           tracker.Places // request slots of a plain service
-	published            map[placer.Copy]time.Time
-	publishedWait            time.Duration // for an adapter slot, as last published
+	published       map[placer.Copy]time.Time
+	publishedWait   time.Duration // for an adapter slot, as last published
 	failures        failureScore
 }
 
@@ -103,7 +103,7 @@
 	}
 	d.toggleChecksum(c.runner)
 	delete(d.runners, id)
-	d.changes.add(event{gone: &relayer.Gone{Runner: id, Revision: revision}})
+	d.changes.add(event{removal: &relayer.Gone{Runner: id, Revision: revision}})
 }
 
 // mayOrder returns the fencing token of the lease and whether orders may be sent now.
@@ -148,7 +148,7 @@
 		if c.placer == nil {
 			c.placer = d.newPlacer(catalog, c.runner)
 		}
-		if c.placer == nil || c.busy || c.runner.Leaving {
+		if c.placer == nil || c.callInFlight || c.runner.Leaving {
 			continue
 		}
 		c.placer.Load, c.placer.Return = d.gatekeeper.LoadTime(), d.gatekeeper.ReturnTime()
@@ -222,13 +222,13 @@
 
 // requestReport asks a runner which adapters it holds.
 func (d *controller) requestReport(ctx context.Context, c *runnerState) {
-	c.busy = true
+	c.callInFlight = true
 	p, runner := c.placer, c.runner
 	go func() {
 		report, err := d.gatekeeper.Engine.Report(ctx, runner)
 		d.mu.Lock()
 		defer d.mu.Unlock()
-		c.busy = false
+		c.callInFlight = false
 		c.failures.recordReport(err)
 		if err != nil {
 			d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "runner report failed", "runner", runner.ID, "err", err)
@@ -242,7 +242,7 @@
 
 // sendOrder sends an order, provided that the lease is still valid when it goes out.
 func (d *controller) sendOrder(ctx context.Context, c *runnerState, o placer.Order) {
-	c.busy = true
+	c.callInFlight = true
 	p, runner, fence := c.placer, c.runner, d.orderingFence
 	go func() {
 		began := time.Now()
@@ -253,7 +253,7 @@
 		d.mu.Lock()
 		p.Finish(outcome, time.Now())
 		c.failures.recordOrder(outcome)
-		c.busy = false
+		c.callInFlight = false
 		d.mu.Unlock()
 		d.gatekeeper.logOrder(runner, o, outcome, fence, time.Since(began), err)
 		d.gatekeeper.checkOrdersNow()
--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -78,24 +78,24 @@
 	Store      tabler.Feed
 	Unreadable func(c *fasthttp.RequestCtx, err error)
 
-	catalog atomic.Pointer[matcher.Catalog]
-	orderWake   chan struct{}
-	loads   estimate // of adapters loaded from the weight store
-	returns estimate // of adapters that the runner held before
+	catalog    atomic.Pointer[matcher.Catalog]
+	orderWake  chan struct{}
+	loadTime   estimate // of adapters loaded from the weight store
+	reloadTime estimate // of adapters that the runner held before
 
 	viewsSet sync.Once
 	operator view // configuration and adapter versions
 	leaders  view // leader of each failure domain
 	runners  view // runners
 
-	sourceDomains []string        // failure domains in the order in which their leaders are considered as the source
-	source        sourceSelection // the source in use
-	headcount     headcount
-	othersReachedStoreAt       atomicTime // when another leader last reached the store
-	discoveryEnds atomicTime // until then the store is not read for rows that others may publish
+	sourceDomains        []string        // failure domains in the order in which their leaders are considered as the source
+	source               sourceSelection // the source in use
+	headcount            headcount
+	othersReachedStoreAt atomicTime // when another leader last reached the store
+	discoveryEnds        atomicTime // until then the store is not read for rows that others may publish
 
-	runnerUpdateMu sync.Mutex // held while the known runners are compared with published ones
-	expiryCheckedAt   time.Time  // when due removals were last checked; guarded by learning
+	runnerUpdateMu  sync.Mutex // held while the known runners are compared with published ones
+	expiryCheckedAt time.Time  // when due removals were last checked; guarded by learning
 
 	mu              sync.Mutex
 	adapterVersions map[adapterKey]int     // newest version of adapters whose version is not the default one
@@ -158,8 +158,8 @@
 	g.adapterVersions = make(map[adapterKey]int)
 	g.controllers = make(map[string]*controller)
 	g.links = make(map[string]*link)
-	g.loads.set(initialLoadTime)
-	g.returns.set(initialReturnTime)
+	g.loadTime.set(initialLoadTime)
+	g.reloadTime.set(initialReloadTime)
 	g.sourceDomains = g.orderSourceDomains()
 	for _, domain := range g.domains() {
 		late, lastUpdate := rand.N(takeoverJitter)+g.Config.Link.Late(), time.Time{}
--- a/internal/instance/gatekeeper/lease.go
+++ b/internal/instance/gatekeeper/lease.go
@@ -21,7 +21,7 @@
 // every instance watches.
 const (
 	tableLeaders = "holder"
-	tableLeases = "tenure"
+	tableLeases  = "tenure"
 )
 
 const (
@@ -34,8 +34,8 @@
 	minLeadPause = 4 * time.Millisecond
 	// leaderTimeout is how long an instance receives no update from the leader of its own
 	// domain before it polls the lease row, and pollInterval the interval of the polls.
-	leaderTimeout  = time.Second
-	pollInterval = time.Second
+	leaderTimeout = time.Second
+	pollInterval  = time.Second
 	// pollsPerInterval is the target for the total number of polls in pollInterval by all instances of a
 	// domain, if there are more instances than that. A leader that stopped gracefully is then
 	// replaced within an eighth of a second; with one poll a second by each instance, the
--- a/internal/instance/gatekeeper/link.go
+++ b/internal/instance/gatekeeper/link.go
@@ -15,20 +15,20 @@
 	domain     string
 	wake       chan struct{}
 
-	mu            sync.Mutex
-	urgentAt         map[gatherer.Key]time.Time // when the leader was last sent an urgent request for a copy
-	diverged      divergence
-	previousSource      source    // previous source, to which this instance reported before
-	freshAt       time.Time // when the source last had current runners that matched this instance's
-	lastUpdate         time.Time // when the last update of the leader was received
-	leader        elector.Tenure
-	lastEmpty     bool // the last report was empty
-	pendingDemand         pendingDemand
-	relayedAt     time.Time     // when the leader sent its last update that arrived through another instance
-	unsubscribeAt time.Time     // until when this instance also reports to previous
-	reportedAt    time.Time     // when the last report was sent
-	relayTimeout  time.Duration // how long the source may receive no update from the leader before the leader is followed directly
-	source        source        // source of the last update of the domain; reports go to it
+	mu             sync.Mutex
+	urgentAt       map[gatherer.Key]time.Time // when the leader was last sent an urgent request for a copy
+	diverged       divergence
+	previousSource source    // previous source, to which this instance reported before
+	freshAt        time.Time // when the source last had current runners that matched this instance's
+	lastUpdate     time.Time // when the last update of the leader was received
+	leader         elector.Tenure
+	lastEmpty      bool // the last report was empty
+	pendingDemand  pendingDemand
+	relayedAt      time.Time     // when the leader sent its last update that arrived through another instance
+	unsubscribeAt  time.Time     // until when this instance also reports to previous
+	reportedAt     time.Time     // when the last report was sent
+	relayTimeout   time.Duration // how long the source may receive no update from the leader before the leader is followed directly
+	source         source        // source of the last update of the domain; reports go to it
 }
 
 const (
--- a/internal/instance/gatekeeper/load_time.go
+++ b/internal/instance/gatekeeper/load_time.go
@@ -43,7 +43,7 @@
 	// initialLoadTime is the initial estimate for loading an adapter from the weight store, and
 	// initialReturnTime for loading one that the runner held before.
 	initialLoadTime   = 270 * time.Millisecond
-	initialReturnTime = 35 * time.Millisecond
+	initialReloadTime = 35 * time.Millisecond
 )
 
 func (e *estimate) get() time.Duration {
@@ -88,10 +88,10 @@
 	switch {
 	case !ok:
 	case a.Return:
-		d.gatekeeper.returns.observe(a, time.Now())
+		d.gatekeeper.reloadTime.observe(a, time.Now())
 	default:
 		now := time.Now()
-		d.gatekeeper.loads.observe(a, now)
+		d.gatekeeper.loadTime.observe(a, now)
 		d.window.Learn(d.gatekeeper.LoadTime(), now)
 	}
 }
@@ -121,7 +121,7 @@
 }
 
 // LoadTime returns the estimated time to load an adapter from the weight store.
-func (g *Gatekeeper) LoadTime() time.Duration { return g.loads.get() }
+func (g *Gatekeeper) LoadTime() time.Duration { return g.loadTime.get() }
 
 // ReturnTime returns the estimated time to load an adapter that the runner held before.
-func (g *Gatekeeper) ReturnTime() time.Duration { return g.returns.get() }
+func (g *Gatekeeper) ReturnTime() time.Duration { return g.reloadTime.get() }
--- a/internal/instance/gatekeeper/pending_demand.go
+++ b/internal/instance/gatekeeper/pending_demand.go
@@ -14,13 +14,13 @@
 // reported as a full snapshot, so that the next report makes up for one that was lost; the
 // other fields hold what was observed since the last report.
 type pendingDemand struct {
-	short   int // responses with only short pauses
-	long    int // responses with a long pause
-	missing map[gatherer.Key]bool
-	spare   map[gatherer.Key]bool
-	hits   map[gatherer.Key]hitCount
-	uses    map[gatherer.Key]int
-	waits   map[gatherer.Key]map[string]waiter // by copy and request ID
+	shortGaps int // responses with only short pauses
+	longGaps  int // responses with a long pause
+	misses    map[gatherer.Key]bool
+	spare     map[gatherer.Key]bool
+	hits      map[gatherer.Key]hitCount
+	uses      map[gatherer.Key]int
+	waits     map[gatherer.Key]map[string]waiter // by copy and request ID
 }
 
 // A found counts the requests that found a copy loaded on a runner.
@@ -31,9 +31,9 @@
 
 // A waiter is a request that waits for a copy.
 type waiter struct {
-	inTime   bool
-	refreshedAt     time.Time // when it was last refreshed
-	priority int
+	inTime      bool
+	refreshedAt time.Time // when it was last refreshed
+	priority    int
 }
 
 // waitMaxAge is how long a request counts as waiting after its last refresh. A waiting
@@ -108,9 +108,9 @@
 	defer l.mu.Unlock()
 	switch {
 	case admitter.Short(longest, limit):
-		l.pendingDemand.short++
+		l.pendingDemand.shortGaps++
 	case admitter.Long(longest, limit):
-		l.pendingDemand.long++
+		l.pendingDemand.longGaps++
 	}
 }
 
@@ -209,7 +209,7 @@
 	if !ok {
 		return
 	}
-	l.markIn(&l.pendingDemand.missing, keyOf(runner, c))
+	l.markIn(&l.pendingDemand.misses, keyOf(runner, c))
 	l.reportNow()
 }
 
--- a/internal/instance/gatekeeper/publish.go
+++ b/internal/instance/gatekeeper/publish.go
@@ -174,7 +174,7 @@
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	update.Fresh, update.Revision, update.Checksum = d.gatekeeper.runnersFresh(), d.gatekeeper.runners.upTo(), d.sum
+	update.Fresh, update.Revision, update.Checksum = d.gatekeeper.runnersFresh(), d.gatekeeper.runners.upTo(), d.checksum
 	if d.elector.Holds(uptime()) {
 		d.addLeaderState(&update, member, due, now)
 	} else {
@@ -189,8 +189,8 @@
 		switch {
 		case e.runner != nil:
 			update.Runners = append(update.Runners, *e.runner)
-		case e.gone != nil:
-			update.Gone = append(update.Gone, *e.gone)
+		case e.removal != nil:
+			update.Gone = append(update.Gone, *e.removal)
 		case e.copy != nil:
 			update.AddHeld(e.copy.runner, e.copy.copy, e.copy.delay(now))
 		case e.slotWait != nil:
--- a/internal/instance/gatekeeper/quarantine.go
+++ b/internal/instance/gatekeeper/quarantine.go
@@ -25,13 +25,13 @@
 type quarantine struct {
 	ledger quarantiner.Ledger
 
-	mu         sync.Mutex
-	lastReport time.Time                      // when a crash report last brought something new
-	ownReports        map[quarantiner.Crash]ownReport  // crashes and clearances observed by this instance
-	logged     map[quarantiner.Digest]bool    // requests in quarantine, as last logged
-	rowStates  map[quarantiner.Crash]rowState // desired states of the store's rows
-	wakeWriter      chan struct{}                  // wakes the loop that writes rows
-	wakeReporter       chan struct{}                  // wakes the loop that reports crashes
+	mu           sync.Mutex
+	lastReport   time.Time                       // when a crash report last brought something new
+	ownReports   map[quarantiner.Crash]ownReport // crashes and clearances observed by this instance
+	logged       map[quarantiner.Digest]bool     // requests in quarantine, as last logged
+	rowStates    map[quarantiner.Crash]rowState  // desired states of the store's rows
+	wakeWriter   chan struct{}                   // wakes the loop that writes rows
+	wakeReporter chan struct{}                   // wakes the loop that reports crashes
 }
 
 func (q *quarantine) init() {
--- a/internal/instance/gatekeeper/relay.go
+++ b/internal/instance/gatekeeper/relay.go
@@ -19,9 +19,9 @@
 
 // A retold is the state that the leader of another failure domain published last.
 type relayedState struct {
-	mayOrder     bool
-	returnTime time.Duration // load time of an adapter that the runner held before
-	queueWait       time.Duration
+	mayOrder   bool
+	reloadTime time.Duration // load time of an adapter that the runner held before
+	queueWait  time.Duration
 	loadTime   time.Duration           // load time of an adapter from the weight store
 	loads      map[string]tracker.Load // of the instances that do not report through this one
 	members    int
@@ -33,7 +33,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.relayed.mayOrder, d.relayed.queueWait = n.Acting, n.Line
-	d.relayed.loadTime, d.relayed.returnTime = n.Load, n.Return
+	d.relayed.loadTime, d.relayed.reloadTime = n.Load, n.Return
 	if n.Loaded {
 		d.relayed.loads, d.relayed.members = n.Loads, n.Members
 	}
@@ -76,7 +76,7 @@
 		return
 	}
 	update.Acting, update.Line = d.relayed.mayOrder, d.relayed.queueWait
-	update.Load, update.Return = d.relayed.loadTime, d.relayed.returnTime
+	update.Load, update.Return = d.relayed.loadTime, d.relayed.reloadTime
 	if !due {
 		return
 	}
@@ -120,8 +120,8 @@
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.pendingDemand.short += demand.Short
-	l.pendingDemand.long += demand.Long
+	l.pendingDemand.shortGaps += demand.Short
+	l.pendingDemand.longGaps += demand.Long
 	for _, n := range demand.There {
 		l.pendingDemand.recordHits(keyOf(n.Runner, n.Copy), hitCount{requests: n.Requests, sent: now.Add(-n.Ago)})
 	}
@@ -130,7 +130,7 @@
 	}
 	urgent := len(demand.Missing) > 0
 	for _, n := range demand.Missing {
-		l.pendingDemand.missing = mark(l.pendingDemand.missing, keyOf(n.Runner, n.Copy))
+		l.pendingDemand.misses = mark(l.pendingDemand.misses, keyOf(n.Runner, n.Copy))
 	}
 	for _, w := range demand.Waits {
 		if l.newlyRequested(keyOf(w.Runner, w.Copy), now) {
--- a/internal/instance/gatekeeper/relay_test.go
+++ b/internal/instance/gatekeeper/relay_test.go
@@ -258,7 +258,7 @@
 // against members that take the relay's updates for the leader's: they would wait for adapters
 // that nobody loads. Runners that come and go are published all the same, as the relay reads
 // them from the store.
-func TestRelayDoesNotHideThatTheLeaderIsSilent(t *testing.T) {
+func TestRelayDoesNotHideThatTheLeaderSendsNoUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
 		c.relay.runners.recordCall(nil, 1, time.Now())
--- a/internal/instance/gatekeeper/report.go
+++ b/internal/instance/gatekeeper/report.go
@@ -63,8 +63,8 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	d.Short, d.Long = l.pendingDemand.short, l.pendingDemand.long
-	for k := range l.pendingDemand.missing {
+	d.Short, d.Long = l.pendingDemand.shortGaps, l.pendingDemand.longGaps
+	for k := range l.pendingDemand.misses {
 		d.Missing = append(d.Missing, relayer.Need{Runner: k.Runner, Copy: k.Copy})
 	}
 	for k, f := range l.pendingDemand.hits {
@@ -73,8 +73,8 @@
 	for k := range l.pendingDemand.spare {
 		d.Spare = append(d.Spare, relayer.Need{Runner: k.Runner, Copy: k.Copy})
 	}
-	l.pendingDemand.missing, l.pendingDemand.spare, l.pendingDemand.hits = nil, nil, nil
-	l.pendingDemand.short, l.pendingDemand.long = 0, 0
+	l.pendingDemand.misses, l.pendingDemand.spare, l.pendingDemand.hits = nil, nil, nil
+	l.pendingDemand.shortGaps, l.pendingDemand.longGaps = 0, 0
 	for k, at := range l.urgentAt {
 		if now.Sub(at) > urgentInterval {
 			delete(l.urgentAt, k)
--- a/internal/instance/gatekeeper/resync.go
+++ b/internal/instance/gatekeeper/resync.go
@@ -20,7 +20,7 @@
 	divergenceTimeout = 2 * updateInterval
 	// minResyncDelay and maxResyncDelay bound the exponential delay between two requests.
 	minResyncDelay = 500 * time.Millisecond
-	maxResyncDelay  = 8 * time.Second
+	maxResyncDelay = 8 * time.Second
 )
 
 // A divergence tracks for how long the known runners have differed from those of the source.
@@ -68,7 +68,7 @@
 // toggleChecksum adds a runner to the checksum of the domain, or removes it.
 func (d *controller) toggleChecksum(r tracker.Runner) {
 	if r.Domain == d.domain {
-		d.sum ^= checksum(r)
+		d.checksum ^= checksum(r)
 	}
 }
 
@@ -77,7 +77,7 @@
 func (g *Gatekeeper) matches(domain string, n relayer.News) bool {
 	d := g.controllers[domain]
 	d.mu.Lock()
-	known := d.sum
+	known := d.checksum
 	d.mu.Unlock()
 	if n.Checksum == known {
 		g.deferToSource(domain, n.Revision)
--- a/internal/instance/gatekeeper/runners.go
+++ b/internal/instance/gatekeeper/runners.go
@@ -7,10 +7,10 @@
 
 // Reasons for the removal of a runner, for the log.
 const (
-	whyReplaced = "it has started again"
-	whyRow      = "its row is gone"
-	whyPublished     = "told"
-	whyUnlisted = "it is not listed"
+	whyReplaced  = "it has started again"
+	whyRow       = "its row is gone"
+	whyPublished = "told"
+	whyUnlisted  = "it is not listed"
 )
 
 // setRunner applies the description of a runner that came from an instance or from the store.
--- a/internal/instance/gatekeeper/simulation_peers_test.go
+++ b/internal/instance/gatekeeper/simulation_peers_test.go
@@ -71,7 +71,7 @@
 	at      time.Time // when it arrives
 	message relayer.Message
 	err     error
-	final    bool
+	final   bool
 }
 
 func (c *simConversation) put(w simMessage) {
--- a/internal/instance/gatekeeper/simulation_runner_test.go
+++ b/internal/instance/gatekeeper/simulation_runner_test.go
@@ -14,15 +14,15 @@
 	id     string
 	domain string
 
-	rowSince           time.Time // since when its row has existed without interruption; zero if it does not exist
-	leaving            bool
-	ended              bool
-	drainedAt          time.Time // when the store accepted that it drains or its row was removed; zero if neither
+	rowSince             time.Time // since when its row has existed without interruption; zero if it does not exist
+	leaving              bool
+	ended                bool
+	drainedAt            time.Time // when the store accepted that it drains or its row was removed; zero if neither
 	drainedWithoutFaults bool      // the store had been available to everybody for stableTime then
-	nextHeartbeat      time.Time // time of its next heartbeat
-	endsAt             time.Time // when it ends; zero if no end is set
-	expiredAt          time.Time // when its row last expired although it is alive
-	revisions          int
+	nextHeartbeat        time.Time // time of its next heartbeat
+	endsAt               time.Time // when it ends; zero if no end is set
+	expiredAt            time.Time // when its row last expired although it is alive
+	revisions            int
 }
 
 // register writes the row of a runner.
--- a/internal/instance/gatekeeper/simulation_test.go
+++ b/internal/instance/gatekeeper/simulation_test.go
@@ -41,18 +41,18 @@
 
 // A member is one instance of a simulated deployment.
 type member struct {
-	sim   *simulation
+	sim    *simulation
 	id     string
 	domain string
 	store  *storeClient // connection to the store
 
-	mu          sync.Mutex
-	g           *Gatekeeper
-	ctx         context.Context
-	stop        context.CancelFunc
-	pausedUntil time.Time // until when it is paused
-	partitionedUntil         time.Time // until when it is partitioned from the other instances
-	faultUntil  time.Time // until when any fault lasts
+	mu               sync.Mutex
+	g                *Gatekeeper
+	ctx              context.Context
+	stop             context.CancelFunc
+	pausedUntil      time.Time // until when it is paused
+	partitionedUntil time.Time // until when it is partitioned from the other instances
+	faultUntil       time.Time // until when any fault lasts
 }
 
 // quotaWindow is the window in which quotas are checked.
--- a/internal/instance/gatekeeper/view.go
+++ b/internal/instance/gatekeeper/view.go
@@ -14,25 +14,25 @@
 // A view is this instance's copy of a table of the store, and as of when it is current. The
 // fields before mu are set before its loops begin.
 type view struct {
-	name          string
-	applyTable    func(rows []tabler.Row, version uint64) // applies a whole table; nil: each row is applied as a change
-	applyRow      func(row tabler.Row)                    // applies one row, of a table whose rows other instances publish
-	applyRows     func(rows []tabler.Row, version uint64) // applies a set of changes; nil: one after the other
-	othersAsOf func() (asOf time.Time, ok bool)        // as of when other instances show the table to be current
-	maxAge        func() time.Duration                    // age at which the store is polled
-	confirmedAt   atomicTime                              // as of when others confirmed it to be as known here
+	name        string
+	applyTable  func(rows []tabler.Row, version uint64) // applies a whole table; nil: each row is applied as a change
+	applyRow    func(row tabler.Row)                    // applies one row, of a table whose rows other instances publish
+	applyRows   func(rows []tabler.Row, version uint64) // applies a set of changes; nil: one after the other
+	othersAsOf  func() (asOf time.Time, ok bool)        // as of when other instances show the table to be current
+	maxAge      func() time.Duration                    // age at which the store is polled
+	confirmedAt atomicTime                              // as of when others confirmed it to be as known here
 
-	mu          sync.Mutex
-	rows        map[string]relayer.Row // by key, as published to others; not for tables with applyTable
-	publishedAt time.Time              // when an instance that polls the store for this one last published it
-	known       bool
-	after       uint64    // the version up to which it is known
-	newest      uint64    // version of the newest row received
-	currentAt   time.Time // as of when calls showed it to be current
-	othersNewest       uint64    // newest version known to another instance
-	othersNewestAt     time.Time // when that was first reported
+	mu             sync.Mutex
+	rows           map[string]relayer.Row // by key, as published to others; not for tables with applyTable
+	publishedAt    time.Time              // when an instance that polls the store for this one last published it
+	known          bool
+	after          uint64    // the version up to which it is known
+	newest         uint64    // version of the newest row received
+	currentAt      time.Time // as of when calls showed it to be current
+	othersNewest   uint64    // newest version known to another instance
+	othersNewestAt time.Time // when that was first reported
 
-	lastWatchAt        time.Time               // when the last watch call was sent
+	lastWatchAt time.Time               // when the last watch call was sent
 	watchSentAt time.Time               // the same; zero if it has ended
 	cancel      context.CancelCauseFunc // cancels it
 	failed      int                     // calls that failed since the last one that succeeded
--- a/internal/instance/gatekeeper/view_refresh.go
+++ b/internal/instance/gatekeeper/view_refresh.go
@@ -20,7 +20,7 @@
 	// calls are billed like others, and a third of the instances, rejected for seconds, made
 	// half of a day's calls. maxRetryDelay also bounds when an instance that the store serves
 	// minRetryDelay catches up; time limits apply to it again three seconds after the store's return.
-	minRetryDelay         = 250 * time.Millisecond
+	minRetryDelay = 250 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
 	// maxCallInterval is more than the time between two calls while the store is unavailable.
 	maxCallInterval = maxRetryDelay + time.Second
