--- a/internal/instance/gatekeeper/age.go
+++ b/internal/instance/gatekeeper/age.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// logAges logs the ages of the views, so that it can be found out later why an instance served
-// an older configuration than another.
+// logAges logs the ages of the views. They show why an instance served an older configuration
+// than another one.
 func (g *Gatekeeper) logAges(ctx context.Context) {
 	repeater.Every(ctx, logInterval, nil, func() {
 		now := time.Now()
--- a/internal/instance/gatekeeper/apply.go
+++ b/internal/instance/gatekeeper/apply.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// leaderEnded records that the leader has stepped down. Its lease counts as vacant at once.
+// leaderEnded records that the leader has stepped down. The domain counts as leaderless at once.
 func (l *link) leaderEnded(fence uint64) {
 	l.gatekeeper.controllers[l.domain].recordRelease(fence)
 	l.mu.Lock()
@@ -93,9 +93,9 @@
 	for _, r := range n.Runners {
 		g.setRunner(r, n.From)
 	}
-	for _, gone := range n.Gone {
-		if known, ok := g.Fleet.Get(gone.Runner); !ok || known.Revision <= gone.Revision { // else it was described again since
-			g.removeRunnerNow(gone.Runner, gone.Revision, n.From, whyPublished)
+	for _, removal := range n.Gone {
+		if known, ok := g.Fleet.Get(removal.Runner); !ok || known.Revision <= removal.Revision { // else it was described again since
+			g.removeRunnerNow(removal.Runner, removal.Revision, n.From, whyPublished)
 		}
 	}
 	if n.Whole {
@@ -104,7 +104,8 @@
 	return g.matches(l.domain, n)
 }
 
-// applyCopies applies what the runners hold.
+// applyCopies applies which copies the runners hold, and how long copies wait for an adapter
+// slot.
 func (l *link) applyCopies(n relayer.News, now time.Time) {
 	fleet := l.gatekeeper.Fleet
 	if n.Whole {
@@ -128,11 +129,11 @@
 		}
 	}
 	if len(n.Rooms) > 0 {
-		rooms := make(map[string]time.Duration, len(n.Rooms))
+		waits := make(map[string]time.Duration, len(n.Rooms))
 		for _, r := range n.Rooms {
-			rooms[r.Runner] = r.Wait
+			waits[r.Runner] = r.Wait
 		}
-		fleet.Rooms(rooms)
+		fleet.Rooms(waits)
 	}
 }
 
@@ -144,17 +145,17 @@
 	for _, r := range n.Runners {
 		listed[r.ID] = true
 	}
-	dropped, later := 0, 0
+	dropped, newer := 0, 0
 	for _, r := range g.controllers[domain].runnerDescriptions() {
 		switch {
 		case r.Domain != domain, listed[r.ID]:
 		case r.Revision > n.Revision:
-			later++
+			newer++
 		default:
 			dropped++
 			g.removeRunner(r.ID, n.Revision, n.From, whyUnlisted) // the sender may have started after an outage; remove then waits for the grace time
 		}
 	}
 	g.Recorder.Log(recorder.Belief, "msg", "snapshot", "domain", domain, "by", n.From, "fresh", n.Fresh, "revision", n.Revision,
-		"runners", len(n.Runners), "dropped", dropped, "later", later)
+		"runners", len(n.Runners), "dropped", dropped, "later", newer)
 }
--- a/internal/instance/gatekeeper/changelog.go
+++ b/internal/instance/gatekeeper/changelog.go
@@ -8,8 +8,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// A journal is a log of the changes in a domain, from which each member is sent only those that
-// it lacks.
+// A changeLog is a log of the changes in a domain, from which each member is sent only those
+// that it lacks.
 type changeLog struct {
 	events []event
 	first  int // sequence number of the oldest retained event
@@ -41,29 +41,29 @@
 // receives a snapshot.
 const minRetainedEvents = 2048
 
-func (j *changeLog) add(e event) {
-	j.events = append(j.events, e)
-	if len(j.events) > 2*minRetainedEvents {
-		drop := len(j.events) - minRetainedEvents
-		j.events = append([]event(nil), j.events[drop:]...)
-		j.first += drop
+func (l *changeLog) add(e event) {
+	l.events = append(l.events, e)
+	if len(l.events) > 2*minRetainedEvents {
+		drop := len(l.events) - minRetainedEvents
+		l.events = append([]event(nil), l.events[drop:]...)
+		l.first += drop
 	}
 }
 
 // reset drops all events, so that every member receives a snapshot.
-func (j *changeLog) reset() {
-	j.first = j.end() + 1
-	j.events = nil
+func (l *changeLog) reset() {
+	l.first = l.end() + 1
+	l.events = nil
 }
 
 // end returns the sequence number after the last event.
-func (j *changeLog) end() int { return j.first + len(j.events) }
+func (l *changeLog) end() int { return l.first + len(l.events) }
 
 // since returns the events from a sequence number on; ok is false if some of them are no longer
 // retained.
-func (j *changeLog) since(number int) (events []event, ok bool) {
-	if number < j.first {
+func (l *changeLog) since(number int) (events []event, ok bool) {
+	if number < l.first {
 		return nil, false
 	}
-	return j.events[number-j.first:], true
+	return l.events[number-l.first:], true
 }
--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -17,8 +17,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// A controller manages one failure domain. The instance that holds the domain's lease,
-// its leader, sends orders to the domain's runners and publishes which adapters they hold.
+// A controller manages one failure domain. The instance with the domain's lease, its leader,
+// sends orders to the domain's runners and publishes which adapters they hold.
 type controller struct {
 	gatekeeper *Gatekeeper
 	domain     string
@@ -125,8 +125,8 @@
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	fence, acts := d.elector.Acts(uptime())
-	if !acts {
+	fence, ok := d.elector.Acts(uptime())
+	if !ok {
 		d.stopOrdering()
 		return
 	}
@@ -171,8 +171,8 @@
 	}
 }
 
-// startOrdering discards all placer state: another leader may have changed what the runners hold
-// since the earlier lease.
+// startOrdering discards all placer state: another leader may have changed which adapters the
+// runners hold since the earlier lease.
 func (d *controller) startOrdering(fence uint64) {
 	d.orderingFence = fence
 	for _, c := range d.runners {
@@ -234,20 +234,20 @@
 			d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "runner report failed", "runner", runner.ID, "err", err)
 			return
 		}
-		taken := p.Take(report, time.Now())
+		applied := p.Take(report, time.Now())
 		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "report", "runner", runner.ID, "sequence", report.Sequence,
-			"resident", len(report.Resident), "incoming", len(report.Incoming), "models", len(report.Models), "busy", report.Busy, "taken", taken)
+			"resident", len(report.Resident), "incoming", len(report.Incoming), "models", len(report.Models), "busy", report.Busy, "taken", applied)
 	}()
 }
 
-// sendOrder sends an order, provided that the lease is still valid when it goes out.
+// sendOrder sends an order, provided that the lease is still valid when it is sent.
 func (d *controller) sendOrder(ctx context.Context, c *runnerState, o placer.Order) {
 	c.callInFlight = true
 	p, runner, fence := c.placer, c.runner, d.orderingFence
 	go func() {
 		began := time.Now()
 		outcome, err := placer.Refused, error(nil)
-		if now, acts := d.mayOrder(); acts && now == fence {
+		if current, ok := d.mayOrder(); ok && current == fence {
 			outcome, err = d.gatekeeper.Engine.Order(ctx, runner, o, d.gatekeeper.Config.ID, fence)
 		}
 		d.mu.Lock()
@@ -260,7 +260,7 @@
 	}()
 }
 
-// publishCopies publishes the changes in what a runner holds since the last call.
+// publishCopies publishes which copies a runner has gained or lost since the last call.
 func (d *controller) publishCopies(c *runnerState) {
 	held := c.placer.Held()
 	now := time.Now()
--- a/internal/instance/gatekeeper/crash.go
+++ b/internal/instance/gatekeeper/crash.go
@@ -60,18 +60,18 @@
 	if c.byRunner == nil {
 		c.byRunner = make(map[string]*crashCheck)
 	}
-	one, ok := c.byRunner[runner]
+	check, ok := c.byRunner[runner]
 	if !ok {
-		one = &crashCheck{started: now, requests: make(map[quarantiner.Digest]time.Duration)}
-		c.byRunner[runner] = one
+		check = &crashCheck{started: now, requests: make(map[quarantiner.Digest]time.Duration)}
+		c.byRunner[runner] = check
 	}
-	if sent.After(one.started) {
+	if sent.After(check.started) {
 		return false, false
 	}
-	if len(one.requests) < maxCheckRequests {
-		one.requests[d] = now.Sub(sent)
+	if len(check.requests) < maxCheckRequests {
+		check.requests[d] = now.Sub(sent)
 	}
-	return !ok, one.crashed
+	return !ok, check.crashed
 }
 
 // end ends a check and returns the requests that waited for it. A check that showed a crash
@@ -79,14 +79,14 @@
 func (c *crashChecks) end(runner string, crashed bool) map[quarantiner.Digest]time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	one := c.byRunner[runner]
-	one.crashed = crashed
+	check := c.byRunner[runner]
+	check.crashed = crashed
 	if crashed {
 		time.AfterFunc(crashRetention, func() { c.forget(runner) })
 	} else {
 		delete(c.byRunner, runner)
 	}
-	return maps.Clone(one.requests)
+	return maps.Clone(check.requests)
 }
 
 func (c *crashChecks) forget(runner string) {
--- a/internal/instance/gatekeeper/crashreport.go
+++ b/internal/instance/gatekeeper/crashreport.go
@@ -14,7 +14,7 @@
 // An ownReport records a crash or a clearance that this instance observed itself.
 type ownReport struct {
 	since          time.Time
-	acknowledgedBy source // source that has published it in turn, and so knows it
+	acknowledgedBy source // source that has published it back
 }
 
 // reportRepeatTime is how long an instance repeats its own crash reports to its sources, even after
--- a/internal/instance/gatekeeper/dependency.go
+++ b/internal/instance/gatekeeper/dependency.go
@@ -45,7 +45,7 @@
 	d.adoptEarlierRecovery(now)
 }
 
-// adoptEarlierRecovery moves the time of the return back to when other instances first reached
+// adoptEarlierRecovery moves the time of the recovery back to when other instances first reached
 // the dependency, if that was earlier.
 func (d *dependency) adoptEarlierRecovery(now time.Time) {
 	if !d.down && d.others.current(now) && d.others.first.Before(d.changedAt) {
@@ -67,10 +67,10 @@
 }
 
 // recoveredAt returns when the dependency became available again for the first instance to reach
-// it; away is false if it was never unavailable to this instance. When the time was counted
-// from this instance's own return, runners that had left were used for longer, by as much as it
-// came later than that of the others.
-func (d *dependency) recoveredAt(now time.Time) (at time.Time, away bool) {
+// it; wasDown is false if it was never unavailable to this instance. When the time was counted
+// from this instance's own recovery, runners that had been removed were used for longer, by as
+// much as it recovered later than the others.
+func (d *dependency) recoveredAt(now time.Time) (at time.Time, wasDown bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -46,7 +46,7 @@
 // An Engine sends orders and queries to runners.
 type Engine interface {
 	// Order sends an order. The error explains an outcome other than Accepted and Holds.
-	Order(ctx context.Context, to tracker.Runner, o placer.Order, holder string, fence uint64) (placer.Outcome, error)
+	Order(ctx context.Context, to tracker.Runner, o placer.Order, leader string, fence uint64) (placer.Outcome, error)
 	// Lives checks whether a runner is alive.
 	Lives(ctx context.Context, runner tracker.Runner) tracker.Life
 	// Report queries which adapters a runner holds.
@@ -94,7 +94,7 @@
 	othersReachedStoreAt atomicTime // when another leader last reached the store
 	discoveryEnds        atomicTime // until then the store is not read for rows that others may publish
 
-	runnerUpdateMu  sync.Mutex // held while the known runners are compared with published ones
+	runnerUpdateMu  sync.Mutex // serializes the updates of the known runners
 	expiryCheckedAt time.Time  // when due removals were last checked; guarded by learning
 
 	mu              sync.Mutex
--- a/internal/instance/gatekeeper/headcount.go
+++ b/internal/instance/gatekeeper/headcount.go
@@ -18,9 +18,9 @@
 	// countWindow is the window whose largest count stays valid until the end of the next one.
 	countWindow = 1500 * time.Millisecond
 	// countSettleTime is how long a leader must have received reports from members before it
-	// publishes their number: after a restart it starts from zero, and instances that took the
-	// few that had reported for all of hundreds would each spend the retries of a hundred
-	// others. All have reported within three intervals.
+	// publishes their number: after a restart it starts from zero, and with a count of a few
+	// instead of hundreds, each instance would spend the retries of a hundred others. All have
+	// reported within three intervals.
 	countSettleTime = 3*updateInterval + 50*time.Millisecond
 	// assumedInstances is the number of instances that is assumed without a recent report: a
 	// share of the retries that is safe among hundreds is safe in a small deployment too.
--- a/internal/instance/gatekeeper/lease.go
+++ b/internal/instance/gatekeeper/lease.go
@@ -16,9 +16,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// The tables of this program. Renewals change rows of the tenure table several times a
-// minute, and nobody waits for them; a takeover changes a row of the holder table, which
-// every instance watches.
+// The tables that the instances write. Renewals change rows of the table of leases several times
+// a minute, and nobody waits for them; a takeover also changes a row of the table of leaders,
+// which every instance watches.
 const (
 	tableLeaders = "holder"
 	tableLeases  = "tenure"
@@ -78,8 +78,8 @@
 	if d.callInFlight || now < d.retryAt {
 		return
 	}
-	holds := d.elector.Holds(now)
-	if !holds && !d.leaderless() {
+	leads := d.elector.Holds(now)
+	if !leads && !d.leaderless() {
 		d.polling = false
 		return
 	}
@@ -87,7 +87,7 @@
 		d.startCall(func() { d.readLeaseRow(ctx) })
 		return
 	}
-	if w, ok := d.elector.Next(now); ok && (holds || !d.defersTakeover()) {
+	if w, ok := d.elector.Next(now); ok && (leads || !d.defersTakeover()) {
 		if w.Takeover && w.Row.Fence > 1 && d.elector.Holder().Holder != d.gatekeeper.Config.ID {
 			runners := d.probeTargets(maxProbes)
 			d.startCall(func() { d.takeOver(ctx, w, runners) })
@@ -96,7 +96,7 @@
 		}
 		return
 	}
-	if !holds && d.pollDue(now) {
+	if !leads && d.pollDue(now) {
 		d.startCall(func() { d.readLeaseRow(ctx) })
 	}
 }
@@ -156,6 +156,7 @@
 	}()
 }
 
+// readLeaseRow reads the lease row from the store.
 func (d *controller) readLeaseRow(ctx context.Context) {
 	sent := time.Now()
 	row, err := d.gatekeeper.Store.Get(ctx, tableLeases+"/"+d.domain)
@@ -207,10 +208,10 @@
 func (g *Gatekeeper) releaseLeases(ctx context.Context) {
 	for _, d := range g.controllers {
 		d.mu.Lock()
-		w, held := d.elector.Leave(uptime())
+		w, led := d.elector.Leave(uptime())
 		d.stopOrdering()
 		d.mu.Unlock()
-		if held {
+		if led {
 			go d.releaseRow(ctx, w)
 		}
 	}
@@ -248,7 +249,7 @@
 func (d *controller) leaseTxn(w elector.Write) tabler.Txn {
 	value, err := encoder.Marshal(w.Row)
 	if err != nil {
-		panic(err) // a Tenure can always be encoded
+		panic(err) // a lease row can always be encoded
 	}
 	key := tableLeases + "/" + d.domain
 	txn := tabler.Txn{Checks: []tabler.Check{{Key: key, Version: w.Version}}, Puts: []tabler.Put{{Key: key, Value: value}}}
--- a/internal/instance/gatekeeper/lease_test.go
+++ b/internal/instance/gatekeeper/lease_test.go
@@ -103,12 +103,12 @@
 				g.headcount.observe(instances, time.Now())
 				all = append(all, g.controllers["a"])
 			}
-			looks, firstPoll := 0, time.Duration(-1)
+			polls, firstPoll := 0, time.Duration(-1)
 			const step, span = 25 * time.Millisecond, 9 * time.Second
 			for now := time.Duration(0); now < span; now += step {
 				for _, d := range all {
 					if d.pollDue(now) {
-						looks++
+						polls++
 						if firstPoll < 0 {
 							firstPoll = now
 						}
@@ -118,8 +118,8 @@
 			if firstPoll > pollInterval {
 				t.Errorf("first poll after %s", firstPoll)
 			}
-			if most := int(span/pollInterval+1) * max(pollsPerInterval+1, min(instances, pollsPerInterval+1)); looks > most {
-				t.Errorf("%d polls, want at most %d", looks, most)
+			if limit := int(span/pollInterval+1) * max(pollsPerInterval+1, min(instances, pollsPerInterval+1)); polls > limit {
+				t.Errorf("%d polls, want at most %d", polls, limit)
 			}
 		})
 	}
--- a/internal/instance/gatekeeper/link_test.go
+++ b/internal/instance/gatekeeper/link_test.go
@@ -174,14 +174,14 @@
 		g := newTestGatekeeper()
 		g.Config.Domains = []string{"a", "b"}
 		g.init()
-		vacant := func() map[string]bool {
+		leaderless := func() map[string]bool {
 			return map[string]bool{"a": g.controllers["a"].leaderless(), "b": g.controllers["b"].leaderless()}
 		}
-		if diff := cmp.Diff(map[string]bool{"a": true, "b": false}, vacant()); diff != "" {
+		if diff := cmp.Diff(map[string]bool{"a": true, "b": false}, leaderless()); diff != "" {
 			t.Error(diff)
 		}
 		time.Sleep(leaderTimeout + foreignTakeoverDelay + time.Second)
-		if diff := cmp.Diff(map[string]bool{"a": true, "b": true}, vacant()); diff != "" {
+		if diff := cmp.Diff(map[string]bool{"a": true, "b": true}, leaderless()); diff != "" {
 			t.Error(diff)
 		}
 	})
@@ -209,7 +209,7 @@
 		}
 	}
 	for {
-		if _, acts := e.Acts(now); acts || now > began+time.Minute {
+		if _, ok := e.Acts(now); ok || now > began+time.Minute {
 			break
 		}
 		if w, ok := e.Next(now); ok {
--- a/internal/instance/gatekeeper/load_time.go
+++ b/internal/instance/gatekeeper/load_time.go
@@ -41,7 +41,7 @@
 	minLoadTime = 10 * time.Millisecond
 	maxLoadTime = 3 * time.Second
 	// initialLoadTime is the initial estimate for loading an adapter from the weight store, and
-	// initialReturnTime for loading one that the runner held before.
+	// initialReloadTime for loading one that the runner held before.
 	initialLoadTime   = 270 * time.Millisecond
 	initialReloadTime = 35 * time.Millisecond
 )
--- a/internal/instance/gatekeeper/loads.go
+++ b/internal/instance/gatekeeper/loads.go
@@ -34,9 +34,8 @@
 }
 
 // allows returns which adapters may be fetched. Prefetching a copy that no request waits for
-// must not compete for the weight store with one that requests wait for: on a fault-free day
-// of the Association, where adapter loads are the bottleneck, that cost 0.025 of the day's
-// value.
+// must not compete for the weight store with one that requests wait for: on a fault-free
+// recorded day on which adapter loads were the bottleneck, that cost 0.025 of the day's value.
 func (l loadStats) allows() placer.Room {
 	switch {
 	case l.fetching >= l.limit:
--- a/internal/instance/gatekeeper/peers.go
+++ b/internal/instance/gatekeeper/peers.go
@@ -50,7 +50,7 @@
 	return conversation, message, nil
 }
 
-// A replier sends the answer to a request of a peer.
+// A responder sends the answer to a request of a peer.
 type responder interface {
 	// Finish sends a message that completes the answer.
 	Finish(m relayer.Message) error
--- a/internal/instance/gatekeeper/pending_demand.go
+++ b/internal/instance/gatekeeper/pending_demand.go
@@ -23,7 +23,7 @@
 	waits     map[gatherer.Key]map[string]waiter // by copy and request ID
 }
 
-// A found counts the requests that found a copy loaded on a runner.
+// A hitCount counts the requests that found a copy loaded on a runner.
 type hitCount struct {
 	requests int
 	sent     time.Time // when the first of them was sent
@@ -47,14 +47,14 @@
 	now := time.Now()
 	d.mu.Lock()
 	others, members := d.loadsExcept(g.Config.ID, now), d.instances(now)
-	line := d.loadQueueWait(now)
-	rooms := d.slotWaits(now)
+	queueWait := d.loadQueueWait(now)
+	slotWaits := d.slotWaits(now)
 	d.mu.Unlock()
-	g.Fleet.Line(domain, line)
-	g.Fleet.Rooms(rooms)
+	g.Fleet.Line(domain, queueWait)
+	g.Fleet.Rooms(slotWaits)
 	g.Fleet.OthersIn(domain, others)
-	_, acts := d.mayOrder()
-	g.Fleet.Staffed(domain, acts)
+	_, mayOrder := d.mayOrder()
+	g.Fleet.Staffed(domain, mayOrder)
 	l := g.links[domain]
 	l.mu.Lock()
 	l.lastUpdate = now
@@ -91,9 +91,9 @@
 		l.pendingDemand.waits[k] = make(map[string]waiter)
 	}
 	l.pendingDemand.waits[k][w.Request] = waiter{inTime: w.InTime, refreshedAt: now, priority: w.Priority}
-	fresh := l.newlyRequested(k, now)
+	isNew := l.newlyRequested(k, now)
 	l.mu.Unlock()
-	if fresh {
+	if isNew {
 		l.reportNow()
 	}
 }
@@ -160,7 +160,7 @@
 
 // Use implements forwarder.Placement. The end of a use is reported at once if other copies
 // wait for a slot: the next periodic report would come up to one interval later, a large
-// part of the time for which a short run needs its slot.
+// part of the time for which a short run occupies its slot.
 func (g *Gatekeeper) Use(runner string, c placer.Copy) (done func()) {
 	l, ok := g.linkOf(runner)
 	if !ok {
--- a/internal/instance/gatekeeper/quarantine_test.go
+++ b/internal/instance/gatekeeper/quarantine_test.go
@@ -20,26 +20,26 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newDomainGatekeeper("a-2", "a")
 		first, second := source{"a-1", "a-1"}, source{"b-1", "b-1"}
-		untold := func(to source) int { return len(g.quarantine.unacknowledged(to, time.Now())) }
+		unacknowledged := func(to source) int { return len(g.quarantine.unacknowledged(to, time.Now())) }
 		crash := quarantiner.Word{Digest: "d", Runner: "i-1"}
 		g.suspect(crash.Runner, map[quarantiner.Digest]time.Duration{crash.Digest: 0})
-		got := []int{untold(first), untold(first)}
+		got := []int{unacknowledged(first), unacknowledged(first)}
 		g.quarantine.acknowledge(first, []quarantiner.Word{crash})
-		got = append(got, untold(first), untold(second))
+		got = append(got, unacknowledged(first), unacknowledged(second))
 		g.quarantine.acknowledge(second, []quarantiner.Word{crash})
-		got = append(got, untold(second))
+		got = append(got, unacknowledged(second))
 		g.quarantine.sourceStarted(second) // it has restarted with no state
-		got = append(got, untold(second))
+		got = append(got, unacknowledged(second))
 		g.quarantine.acknowledge(second, []quarantiner.Word{crash})
 		g.Whole("d")
-		got = append(got, untold(second))
+		got = append(got, unacknowledged(second))
 		g.quarantine.acknowledge(second, []quarantiner.Word{crash}) // published before the clearance
-		got = append(got, untold(second))
+		got = append(got, unacknowledged(second))
 		crash.Cleared = true
 		g.quarantine.acknowledge(second, []quarantiner.Word{crash})
-		got = append(got, untold(second))
+		got = append(got, unacknowledged(second))
 		time.Sleep(reportRepeatTime + time.Second)
-		got = append(got, untold(first))
+		got = append(got, unacknowledged(first))
 		if diff := cmp.Diff([]int{1, 1, 0, 1, 0, 1, 1, 1, 0, 0}, got); diff != "" {
 			t.Error(diff)
 		}
@@ -56,7 +56,7 @@
 // would write thousands of rows. Only requests suspected a second time are stored, or all of them
 // while another leader may not have received the first report.
 func TestStoredCrashes(t *testing.T) {
-	hears := func(g *Gatekeeper, at time.Time) {
+	setLastUpdates := func(g *Gatekeeper, at time.Time) {
 		for _, l := range g.links {
 			l.lastUpdate = at
 		}
@@ -79,12 +79,12 @@
 			g.applyCrashReports([]quarantiner.Word{{Digest: "d", Runner: "i-1"}, {Digest: "d", Runner: "i-2"}}, "a-1")
 		}, tabler.Txn{}},
 		{"first crash, without updates from a leader", func(g *Gatekeeper) {
-			hears(g, time.Now().Add(-time.Second))
+			setLastUpdates(g, time.Now().Add(-time.Second))
 			g.suspect("i-1", map[quarantiner.Digest]time.Duration{"d": 0})
 		}, tabler.Txn{Puts: []tabler.Put{{Key: "holder/crash/d/i-1"}}}},
 		{"first crash, with updates from a leader ending later", func(g *Gatekeeper) {
 			g.suspect("i-1", map[quarantiner.Digest]time.Duration{"d": 0})
-			hears(g, time.Now().Add(-time.Second))
+			setLastUpdates(g, time.Now().Add(-time.Second))
 			g.storeOwnCrashes()
 		}, tabler.Txn{Puts: []tabler.Put{{Key: "holder/crash/d/i-1"}}}},
 		{"cleared before it was written", func(g *Gatekeeper) {
@@ -105,7 +105,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := newDomainGatekeeper("a-2", "a")
-				hears(g, time.Now())
+				setLastUpdates(g, time.Now())
 				tc.do(g)
 				got, _ := g.quarantine.pendingWrites(time.Now())
 				for i := range got.Puts {
--- a/internal/instance/gatekeeper/quota_test.go
+++ b/internal/instance/gatekeeper/quota_test.go
@@ -56,8 +56,8 @@
 	return tokens
 }
 
-// floodPause is the pause between requests that add up to 25 times the quota, and calm between those
-// that add up to 0.8 of it.
+// floodPause is the pause between requests that add up to 25 times the quota, and calmPause between
+// those that add up to 0.8 of it.
 const (
 	floodPause = 2 * time.Millisecond
 	calmPause  = 60 * time.Millisecond
--- a/internal/instance/gatekeeper/relay.go
+++ b/internal/instance/gatekeeper/relay.go
@@ -17,7 +17,7 @@
 // Updates are relayed complete, and each instance relays only what it received directly from a
 // leader: there is at most one relay on the way.
 
-// A retold is the state that the leader of another failure domain published last.
+// A relayedState is the state that the leader of another failure domain published last.
 type relayedState struct {
 	mayOrder   bool
 	reloadTime time.Duration // load time of an adapter that the runner held before
--- a/internal/instance/gatekeeper/removal.go
+++ b/internal/instance/gatekeeper/removal.go
@@ -72,13 +72,13 @@
 
 // removalDue returns when the grace period ends; a time in the past if there is none.
 func (g *Gatekeeper) removalDue(now time.Time) time.Time {
-	returned, away := g.storeUp.recoveredAt(now)
-	if !away {
+	recovered, wasDown := g.storeUp.recoveredAt(now)
+	if !wasDown {
 		return time.Time{}
 	}
-	due := returned.Add(removalGrace)
+	due := recovered.Add(removalGrace)
 	lastFault := g.storeUp.lastUnavailable()
-	if latest := lastFault.Add(graceAfterFault); returned.Sub(lastFault) <= maxCallInterval && latest.Before(due) {
+	if latest := lastFault.Add(graceAfterFault); recovered.Sub(lastFault) <= maxCallInterval && latest.Before(due) {
 		return latest
 	}
 	return due
--- a/internal/instance/gatekeeper/runners.go
+++ b/internal/instance/gatekeeper/runners.go
@@ -20,21 +20,21 @@
 	if earlier, ok := g.Fleet.Set(r); ok {
 		g.dropRunnerState(earlier, by, whyReplaced)
 	}
-	current, taken := g.Fleet.Get(r.ID)
-	if !taken || current.Revision != r.Revision {
-		// The runner is gone, or the description is an older one. Published, that one would
-		// hide from others that the runner leaves: a known runner is no change any more.
+	current, ok := g.Fleet.Get(r.ID)
+	if !ok || current.Revision != r.Revision {
+		// The runner is removed, or the description is an older one. If that one were published,
+		// others would not learn that the runner drains: a known runner is no change for them.
 		return
 	}
 	r = current
 	changed := !known || before.Leaving != r.Leaving
 	if changed {
-		gone := g.Fleet.Gone(r.ID)
-		if !known && gone > 0 && !r.Leaving {
+		removedAt := g.Fleet.Gone(r.ID)
+		if !known && removedAt > 0 && !r.Leaving {
 			g.Metrics.GetOrCreateCounter("sardinetiller_runners_back_total").Inc()
 		}
 		g.Recorder.Log(recorder.Belief, "msg", "runner", "runner", r.ID, "service", r.Service, "domain", r.Domain,
-			"leaving", r.Leaving, "revision", r.Revision, "by", by, "gone", gone)
+			"leaving", r.Leaving, "revision", r.Revision, "by", by, "gone", removedAt)
 	}
 	g.controller(r.Domain).setRunner(r, changed)
 }
@@ -55,10 +55,10 @@
 // dropRunnerState drops the state of a removed runner other than its description.
 func (g *Gatekeeper) dropRunnerState(r tracker.Runner, by, why string) {
 	g.Pool.Drop(r.ID)
-	gone := g.Fleet.Gone(r.ID)
-	g.controller(r.Domain).removeRunner(r.ID, gone)
+	removedAt := g.Fleet.Gone(r.ID)
+	g.controller(r.Domain).removeRunner(r.ID, removedAt)
 	g.Recorder.Log(recorder.Belief, "msg", "runner gone", "runner", r.ID, "service", r.Service,
-		"known", r.Revision, "gone", gone, "by", by, "why", why)
+		"known", r.Revision, "gone", removedAt, "by", by, "why", why)
 }
 
 // controller returns the controller of a failure domain, or that of this instance's own for a
--- a/internal/instance/gatekeeper/serve.go
+++ b/internal/instance/gatekeeper/serve.go
@@ -95,12 +95,12 @@
 	g.Recorder.Log(recorder.Failed, "request", id, "verdict", err.Verdict, "reason", err.Reason, "retry", err.Retry, "err", err.Message)
 }
 
-// Burst returns this instance's share of the retries that a service may make beyond its part of
+// Burst returns this instance's share of the retries that a service may make beyond its share of
 // the requests.
 func (g *Gatekeeper) Burst() float64 {
 	return g.Config.Bounds.Slack * burstFraction / float64(g.Members())
 }
 
-// burstFraction is the part of the allowed burst that is used: the number of members lags behind
+// burstFraction is the fraction of the allowed burst that is used: the number of members lags behind
 // when one restarts.
 const burstFraction = 0.7
--- a/internal/instance/gatekeeper/simulation_test.go
+++ b/internal/instance/gatekeeper/simulation_test.go
@@ -156,7 +156,7 @@
 	m.gatekeeper().Recorder.Log("belief", "msg", "acquires the lease", "domain", domain, "fence", fence)
 }
 
-// stepDown makes an instance give up the lease of a domain.
+// stepDown makes an instance release the lease of a domain.
 func (m *member) stepDown(domain string) {
 	d := m.gatekeeper().controllers[domain]
 	d.mu.Lock()
--- a/internal/instance/gatekeeper/slot_wait.go
+++ b/internal/instance/gatekeeper/slot_wait.go
@@ -14,8 +14,8 @@
 	if ahead <= 0 || p.Places == 0 {
 		return 0
 	}
-	hold := d.gatekeeper.LoadTime() + d.gatekeeper.Fleet.Run(c.runner.Service)
-	return time.Duration(ahead) * hold / time.Duration(p.Places)
+	occupied := d.gatekeeper.LoadTime() + d.gatekeeper.Fleet.Run(c.runner.Service)
+	return time.Duration(ahead) * occupied / time.Duration(p.Places)
 }
 
 // publishSlotWait publishes how long a copy waits for an adapter slot at a runner, if that has
--- a/internal/instance/gatekeeper/source.go
+++ b/internal/instance/gatekeeper/source.go
@@ -39,7 +39,7 @@
 const (
 	// excludeFor is how long an instance that sent nothing is excluded, and maxExclude how long
 	// at most if that happens again and again: an instance that selects a stalled source
-	// receives nothing until the silence is detected.
+	// receives nothing until the missing updates are detected.
 	excludeFor = time.Second
 	maxExclude = 8 * time.Second
 	// refusalGrace is how long a source that answers, but has nothing to publish yet, is
--- a/internal/instance/gatekeeper/source_test.go
+++ b/internal/instance/gatekeeper/source_test.go
@@ -12,8 +12,8 @@
 )
 
 // The leader of a domain is paused for seconds, and its instances follow the leader of another
-// domain. They must stay with it: when the paused leader was tried again every second, its
-// silence had to be detected each time, and for half of the time callers were refused for
+// domain. They must stay with it: when the paused leader was tried again every second, the
+// missing updates had to be detected each time, and for half of the time callers were refused for
 // adapters whose state was unknown. Once the paused leader sends updates again it is the source
 // again.
 func TestInstancesKeepAWorkingSource(t *testing.T) {
--- a/internal/instance/gatekeeper/stepdown.go
+++ b/internal/instance/gatekeeper/stepdown.go
@@ -68,11 +68,11 @@
 // stepDown steps down in favour of an instance that reaches what this one does not.
 func (d *controller) stepDown(ctx context.Context, why string) {
 	fence := d.elector.Holder().Fence
-	w, held := d.elector.Yield(uptime(), stepDownBackoff)
+	w, led := d.elector.Yield(uptime(), stepDownBackoff)
 	d.stopOrdering()
 	d.releasedFence = fence
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "stepping down", "domain", d.domain, "fence", fence, "why", why)
-	if held {
+	if led {
 		go d.releaseRow(ctx, w)
 	}
 }
--- a/internal/instance/gatekeeper/stepdown_test.go
+++ b/internal/instance/gatekeeper/stepdown_test.go
@@ -135,7 +135,7 @@
 		if leader := readLease(t, store).Holder; leader != g.Config.ID {
 			t.Errorf("lease row names %q, want this instance", leader)
 		}
-		if _, acts := d.mayOrder(); acts {
+		if _, ok := d.mayOrder(); ok {
 			t.Error("sends orders within the quiet time")
 		}
 	})
--- a/internal/instance/gatekeeper/store_test.go
+++ b/internal/instance/gatekeeper/store_test.go
@@ -137,7 +137,7 @@
 	}
 	asked, end := time.Now(), time.After(wait)
 	s.mu.Lock()
-	deaf := s.hung
+	hung := s.hung
 	s.mu.Unlock()
 	for {
 		state := s.since(table, after)
@@ -151,7 +151,7 @@
 		case <-state.changed:
 		case <-end:
 			return nil, state.version, nil
-		case <-deaf:
+		case <-hung:
 			pause(ctx, wait+callTimeout-time.Since(asked))
 			return nil, 0, errNoAnswer
 		case <-ctx.Done():
--- a/internal/instance/gatekeeper/subscribe.go
+++ b/internal/instance/gatekeeper/subscribe.go
@@ -69,7 +69,8 @@
 // minRelayTimeout is how long an instance waits for its source to receive updates of a leader
 // again, and relayTimeoutJitter the bound of a random time added to it. A failed leader reaches
 // no relay either, and its successor soon reaches all of them; when all instances subscribed to
-// the successor directly, it took a second to tell each of 195 instances what its runners hold.
+// the successor directly, it took a second to publish to each of 195 instances which
+// adapters the runners hold.
 const (
 	minRelayTimeout    = 2 * time.Second
 	relayTimeoutJitter = time.Second
--- a/internal/instance/gatekeeper/view.go
+++ b/internal/instance/gatekeeper/view.go
@@ -144,7 +144,7 @@
 
 // confirmed returns what to report to other instances: the version of the newest row, and how
 // long ago a call of this instance showed that there is no newer one. Reports of others are not
-// passed on: two instances that reported to each other in turn would consider each other
+// relayed: two instances that reported to each other in turn would consider each other
 // current forever.
 func (v *view) confirmed(now time.Time) (newest uint64, age time.Duration, ok bool) {
 	v.mu.Lock()
--- a/internal/instance/gatekeeper/view_refresh.go
+++ b/internal/instance/gatekeeper/view_refresh.go
@@ -49,7 +49,7 @@
 // A watch call may never be answered although its connection is alive: the store lost it in an
 // outage, or the connection hangs. Callers then got 404 for half a minute on routes that all
 // other instances served. So the view is also polled whenever it may be stale: it exceeds its
-// maximum age for no longer than one short call takes, whatever becomes of the watch call.
+// maximum age for no longer than one short call takes, even if the watch call never ends.
 func (g *Gatekeeper) maintainView(ctx context.Context, v *view, wait time.Duration) {
 	var checks sync.WaitGroup
 	defer checks.Wait()
--- a/internal/instance/gatekeeper/watch.go
+++ b/internal/instance/gatekeeper/watch.go
@@ -19,8 +19,8 @@
 	leaderPollPause = 400 * time.Millisecond
 	// pendingPollPause is the pause of a leader while it waits for expired rows to come back.
 	pendingPollPause = 100 * time.Millisecond
-	// maxLeaderRetryDelay bounds the pause of a leader between two failed calls. It tells
-	// others when the store is back: which runners have left must be known soon after.
+	// maxLeaderRetryDelay bounds the pause of a leader between two failed calls. It
+	// publishes when the store is back: soon after, others must know which runners were removed.
 	maxLeaderRetryDelay = 500 * time.Millisecond
 	// unpublishedPollPause is the pause of an instance to which nobody publishes.
 	unpublishedPollPause = 600 * time.Millisecond
