--- a/internal/instance/gatekeeper/changelog.go
+++ b/internal/instance/gatekeeper/changelog.go
@@ -17,10 +17,10 @@
 
 // An event is one change. Exactly one of its fields is set.
 type event struct {
-	removal  *relayer.Gone
-	copy     *copyEvent
-	slotWait *slotEvent
-	runner   *tracker.Runner
+	removal    *relayer.Gone
+	copyChange *copyEvent
+	slotWait   *slotEvent
+	runner     *tracker.Runner
 }
 
 // A copyEvent is a change of an adapter copy at a runner.
--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -35,8 +35,8 @@
 	aggregator    gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that relays them to it
 	firstReportAt time.Time         // when this instance received the first demand report as leader
 	changes       changeLog
-	window        placer.Window
-	share         admitter.Share
+	loadWindow    placer.Window  // limits the concurrent loads from the weight store
+	prefillShare  admitter.Share // learned from the gaps in responses
 	partition     partitionDetector
 	cutOffSince   time.Time    // since when other leaders have reached the store and this one has not
 	releasedFence uint64       // fencing token of the lease that was released last
@@ -120,8 +120,8 @@
 	return d.elector.Holds(uptime())
 }
 
-// tick sends the orders and report requests that are due.
-func (d *controller) tick(ctx context.Context) {
+// sendDue sends the orders and report requests that are due.
+func (d *controller) sendDue(ctx context.Context) {
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -267,12 +267,12 @@
 	for copied, at := range held {
 		before, ok := c.published[copied]
 		if !ok || !before.Equal(at) && (at.After(now) || before.After(now)) { // a load that completes as expected is no change for members
-			d.changes.add(event{copy: &copyEvent{runner: c.runner.ID, copy: copied, at: at, present: true}})
+			d.changes.add(event{copyChange: &copyEvent{runner: c.runner.ID, copy: copied, at: at, present: true}})
 		}
 	}
 	for copied := range c.published {
 		if _, ok := held[copied]; !ok {
-			d.changes.add(event{copy: &copyEvent{runner: c.runner.ID, copy: copied}})
+			d.changes.add(event{copyChange: &copyEvent{runner: c.runner.ID, copy: copied}})
 		}
 	}
 	if c.placer.Known() || c.published != nil {
--- a/internal/instance/gatekeeper/crash.go
+++ b/internal/instance/gatekeeper/crash.go
@@ -119,7 +119,7 @@
 // off there.
 func (g *Gatekeeper) checkRunner(runner tracker.Runner) {
 	began := time.Now()
-	life := g.probeLife(runner)
+	life := g.probeLiveness(runner)
 	crashed := (life == tracker.Refuses || life == tracker.Replaced) && !g.isLeaving(runner)
 	requests := g.crashes.end(runner.ID, crashed)
 	g.Recorder.Log(recorder.Suspect, "msg", "runner checked", "runner", runner.ID, "life", life, "crashed", crashed,
@@ -135,8 +135,8 @@
 	return ok && known.Leaving
 }
 
-// probeLife probes a runner until it is clear whether it is alive, or until probeTimeout is over.
-func (g *Gatekeeper) probeLife(runner tracker.Runner) tracker.Life {
+// probeLiveness probes a runner until it is clear whether it is alive, or until probeTimeout is over.
+func (g *Gatekeeper) probeLiveness(runner tracker.Runner) tracker.Life {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	refused := 0
--- a/internal/instance/gatekeeper/crash_rows.go
+++ b/internal/instance/gatekeeper/crash_rows.go
@@ -104,14 +104,14 @@
 }
 
 // recordStored records whether a row exists in the store.
-func (q *quarantine) recordStored(c quarantiner.Crash, there bool) {
+func (q *quarantine) recordStored(c quarantiner.Crash, exists bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.rowStates == nil {
 		q.rowStates = make(map[quarantiner.Crash]rowState)
 	}
 	switch state, known := q.rowStates[c]; {
-	case !there:
+	case !exists:
 		delete(q.rowStates, c)
 	case !known || state == rowPut:
 		q.rowStates[c] = rowWritten
--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -55,7 +55,7 @@
 	if from != d.gatekeeper.Config.ID && reportsResponse(demand) {
 		d.partition.respondedElsewhere = now
 	}
-	d.share.Learn(demand.Short, demand.Long)
+	d.prefillShare.Learn(demand.Short, demand.Long)
 	for _, n := range demand.There {
 		d.withPlacer(n.Runner, func(p *placer.Placer) { d.observeArrival(p.There(n.Copy, n.Requests, now.Add(-n.Ago))) })
 	}
--- a/internal/instance/gatekeeper/demand_test.go
+++ b/internal/instance/gatekeeper/demand_test.go
@@ -92,9 +92,9 @@
 			demand.Waits = append(demand.Waits, relayer.Wait{Runner: "i-1", Copy: c, Waiting: placer.Waiting{Requests: 1}})
 		}
 		d.applyDemand("front-1", demand)
-		hold := g.LoadTime() + g.Fleet.Run("llm")
-		if wait := d.slotWait(d.runners["i-1"], time.Now()); wait != 4*hold/2 {
-			t.Errorf("wait %s behind three others for two slots held %s each", wait, hold)
+		occupied := g.LoadTime() + g.Fleet.Run("llm")
+		if wait := d.slotWait(d.runners["i-1"], time.Now()); wait != 4*occupied/2 {
+			t.Errorf("wait %s behind three others for two slots held %s each", wait, occupied)
 		}
 		d.applyDemand("front-1", relayer.Demand{})
 		if wait := d.slotWait(d.runners["i-1"], time.Now()); wait != 0 {
--- a/internal/instance/gatekeeper/lease.go
+++ b/internal/instance/gatekeeper/lease.go
@@ -48,7 +48,7 @@
 	repeater.Now(ctx, leadInterval, g.orderWake, func() {
 		for _, d := range g.controllers {
 			d.maintainLease(ctx)
-			d.tick(ctx)
+			d.sendDue(ctx)
 		}
 		pause(ctx, minLeadPause)
 	})
--- a/internal/instance/gatekeeper/lease_test.go
+++ b/internal/instance/gatekeeper/lease_test.go
@@ -43,9 +43,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newGatekeeperWithStore()
 		d := g.controllers["a"]
-		held := elector.Tenure{Holder: g.Config.ID, Fence: 1, Serial: 7, Settled: true}
-		putLease(t, store, held)
-		d.elector.Read(held, store.version, uptime())
+		lease := elector.Tenure{Holder: g.Config.ID, Fence: 1, Serial: 7, Settled: true}
+		putLease(t, store, lease)
+		d.elector.Read(lease, store.version, uptime())
 		w, _ := d.elector.Next(uptime())
 		d.elector.Written(w, store.version, uptime())
 		putLease(t, store, w.Row) // the renewal; its response has not arrived yet
@@ -151,9 +151,9 @@
 				g.setRunner(tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Slots: 8, Models: []string{"m"}, Revision: 1}, fromStore)
 				d := g.controllers["a"]
 				d.elector.Late = 0
-				freed := elector.Tenure{Fence: 4}
-				putLease(t, store, freed)
-				d.elector.Read(freed, store.version, uptime())
+				released := elector.Tenure{Fence: 4}
+				putLease(t, store, released)
+				d.elector.Read(released, store.version, uptime())
 				d.maintainLease(t.Context())
 				time.Sleep(100 * time.Millisecond)
 				if took := readLease(t, store).Holder == g.Config.ID; took != answers {
--- a/internal/instance/gatekeeper/link_test.go
+++ b/internal/instance/gatekeeper/link_test.go
@@ -66,11 +66,11 @@
 		g.setRunner(old, fromStore)
 		g.setRunner(tracker.Runner{ID: "i-2", Domain: "a", Service: "llm", Revision: 2}, fromStore)
 		l.apply(relayer.News{Revision: 1, Whole: true, Runners: []tracker.Runner{old}})
-		if _, there := g.Fleet.Get("i-2"); !there {
+		if _, known := g.Fleet.Get("i-2"); !known {
 			t.Error("a runner was dropped that the leader could not know")
 		}
 		l.apply(relayer.News{Fresh: true, Revision: 2, Whole: true, Runners: []tracker.Runner{old}})
-		if _, there := g.Fleet.Get("i-2"); there {
+		if _, known := g.Fleet.Get("i-2"); known {
 			t.Error("a runner that is gone was kept")
 		}
 	})
@@ -121,12 +121,12 @@
 		g.setRunner(old, fromStore)
 		g.Fleet.Remove("i-1", 9)
 		g.links["a"].apply(relayer.News{Whole: true, Runners: []tracker.Runner{old}})
-		if _, there := g.Fleet.Get("i-1"); there {
+		if _, known := g.Fleet.Get("i-1"); known {
 			t.Error("a removed runner is known again")
 		}
 		old.Revision = 12 // the runner has registered again
 		g.setRunner(old, fromStore)
-		if _, there := g.Fleet.Get("i-1"); !there {
+		if _, known := g.Fleet.Get("i-1"); !known {
 			t.Error("a runner that registered again is not known")
 		}
 	})
--- a/internal/instance/gatekeeper/load_time.go
+++ b/internal/instance/gatekeeper/load_time.go
@@ -92,7 +92,7 @@
 	default:
 		now := time.Now()
 		d.gatekeeper.loadTime.observe(a, now)
-		d.window.Learn(d.gatekeeper.LoadTime(), now)
+		d.loadWindow.Learn(d.gatekeeper.LoadTime(), now)
 	}
 }
 
--- a/internal/instance/gatekeeper/loads.go
+++ b/internal/instance/gatekeeper/loads.go
@@ -29,7 +29,7 @@
 			}
 		}
 	}
-	l.limit = d.window.Room(l.engines)
+	l.limit = d.loadWindow.Room(l.engines)
 	return l
 }
 
--- a/internal/instance/gatekeeper/pending_demand.go
+++ b/internal/instance/gatekeeper/pending_demand.go
@@ -117,7 +117,7 @@
 // Spare implements forwarder.Placement.
 func (g *Gatekeeper) Spare(runner string, c placer.Copy) {
 	if l, ok := g.linkOf(runner); ok {
-		l.markIn(&l.pendingDemand.spare, keyOf(runner, c))
+		l.addPending(&l.pendingDemand.spare, keyOf(runner, c))
 	}
 }
 
@@ -189,7 +189,7 @@
 	}
 }
 
-func (l *link) markIn(set *map[gatherer.Key]bool, k gatherer.Key) {
+func (l *link) addPending(set *map[gatherer.Key]bool, k gatherer.Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	*set = mark(*set, k)
@@ -209,7 +209,7 @@
 	if !ok {
 		return
 	}
-	l.markIn(&l.pendingDemand.misses, keyOf(runner, c))
+	l.addPending(&l.pendingDemand.misses, keyOf(runner, c))
 	l.reportNow()
 }
 
--- a/internal/instance/gatekeeper/publish.go
+++ b/internal/instance/gatekeeper/publish.go
@@ -191,8 +191,8 @@
 			update.Runners = append(update.Runners, *e.runner)
 		case e.removal != nil:
 			update.Gone = append(update.Gone, *e.removal)
-		case e.copy != nil:
-			update.AddHeld(e.copy.runner, e.copy.copy, e.copy.delay(now))
+		case e.copyChange != nil:
+			update.AddHeld(e.copyChange.runner, e.copyChange.copy, e.copyChange.delay(now))
 		case e.slotWait != nil:
 			update.Rooms = append(update.Rooms, relayer.Room{Runner: e.slotWait.runner, Wait: e.slotWait.wait})
 		}
--- a/internal/instance/gatekeeper/quota.go
+++ b/internal/instance/gatekeeper/quota.go
@@ -19,7 +19,7 @@
 	unknownWaitLimit     = 400 * time.Millisecond
 	unknownRetryInterval = 25 * time.Millisecond
 	// tokensWaitLimit is the longest time that a request waits for tokens. A refused caller would
-	// be told to stay away for at least as long.
+	// be given a retry time of at least as long.
 	tokensWaitLimit = 250 * time.Millisecond
 	// initialFraction is the fraction of the tolerance that is divided among ledgers that start
 	// without usage data; the rest is for network partitions.
@@ -137,15 +137,15 @@
 // no answer; by is the instance that decided.
 func (g *Gatekeeper) askLedger(ctx context.Context, r limiter.Request) (d limiter.Decision, by string) {
 	s := &g.quotas.spender
-	asked := time.Now()
+	sentAt := time.Now()
 	want := []limiter.Spent{s.Want(r)}
-	if balances, ok := g.quotas.ledger.Settle(g.reporter(asked), want, asked); ok {
-		return g.applyAnswer(r, balances, asked), g.Config.ID
+	if balances, ok := g.quotas.ledger.Settle(g.reporter(sentAt), want, sentAt); ok {
+		return g.applyAnswer(r, balances, sentAt), g.Config.ID
 	}
 	if to, ok := g.currentSource(); ok {
-		settled, err := g.exchange(ctx, to, relayer.Settle{Party: g.reporter(asked), Spent: want}, askTimeout)
+		settled, err := g.exchange(ctx, to, relayer.Settle{Party: g.reporter(sentAt), Spent: want}, askTimeout)
 		if err == nil {
-			return g.applyAnswer(r, settled.Balances, asked), to.id
+			return g.applyAnswer(r, settled.Balances, sentAt), to.id
 		}
 	}
 	s.Unanswered(r)
@@ -154,14 +154,14 @@
 
 // applyAnswer applies a ledger's answer. A ledger that does not know the quota has an older
 // configuration.
-func (g *Gatekeeper) applyAnswer(r limiter.Request, balances []limiter.Balance, asked time.Time) limiter.Decision {
+func (g *Gatekeeper) applyAnswer(r limiter.Request, balances []limiter.Balance, sentAt time.Time) limiter.Decision {
 	s := &g.quotas.spender
 	now := time.Now()
 	if len(balances) != 1 {
 		s.Unanswered(r)
 		return s.SpendAlone(r, now)
 	}
-	return s.Answered(r, balances[0], asked, now)
+	return s.Answered(r, balances[0], sentAt, now)
 }
 
 // maxLimitsLogged bounds the log lines for quotas changed by one configuration. The first
--- a/internal/instance/gatekeeper/quota_test.go
+++ b/internal/instance/gatekeeper/quota_test.go
@@ -13,7 +13,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/matcher"
 )
 
-var millLimit = limiter.Limit{Rate: 1000, Burst: 1000}
+var testLimit = limiter.Limit{Rate: 1000, Burst: 1000}
 
 // newQuotaSimulation returns a deployment of two failure domains whose configuration has an account
 // with a quota.
@@ -30,7 +30,7 @@
 func (s *simulation) settleQuotas(t *testing.T, m *member) {
 	g, ctx := m.running()
 	accounts := &identifier.Directory{}
-	if err := accounts.Add(identifier.Account{Name: "mill", Limit: millLimit}, nil); err != nil {
+	if err := accounts.Add(identifier.Account{Name: "mill", Limit: testLimit}, nil); err != nil {
 		t.Fatal(err)
 	}
 	g.catalog.Store(&matcher.Catalog{Version: 1 << 40, Accounts: accounts})
@@ -41,7 +41,7 @@
 	g, ctx := m.running()
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	return g.Admit(ctx, limiter.Request{Account: "mill", Limit: millLimit, Tokens: tokens})
+	return g.Admit(ctx, limiter.Request{Account: "mill", Limit: testLimit, Tokens: tokens})
 }
 
 // admitted sends requests of 50 tokens to the instances in turn, and returns how many tokens were
--- a/internal/instance/gatekeeper/relay.go
+++ b/internal/instance/gatekeeper/relay.go
@@ -46,7 +46,7 @@
 	}
 	for _, h := range n.Held {
 		for _, s := range h.Copies {
-			d.changes.add(event{copy: &copyEvent{runner: h.Runner, copy: h.Copy(s), at: now.Add(s.In), present: s.In >= 0}})
+			d.changes.add(event{copyChange: &copyEvent{runner: h.Runner, copy: h.Copy(s), at: now.Add(s.In), present: s.In >= 0}})
 		}
 	}
 	for _, r := range n.Rooms {
--- a/internal/instance/gatekeeper/relay_test.go
+++ b/internal/instance/gatekeeper/relay_test.go
@@ -230,12 +230,12 @@
 			return ok
 		}
 		at := time.Now()
-		c.leader.controllers["b"].changes.add(event{copy: &copyEvent{runner: "i-1", copy: testCopyKey.Copy, at: at, present: true}})
+		c.leader.controllers["b"].changes.add(event{copyChange: &copyEvent{runner: "i-1", copy: testCopyKey.Copy, at: at, present: true}})
 		c.leaderToRelay()
 		c.relayToMember()
 		c.leaderToRelay() // in case the first update was a snapshot
 		c.relayToMember()
-		c.leader.controllers["b"].changes.add(event{copy: &copyEvent{runner: "i-1", copy: testCopyKey.Copy, at: at, present: true}})
+		c.leader.controllers["b"].changes.add(event{copyChange: &copyEvent{runner: "i-1", copy: testCopyKey.Copy, at: at, present: true}})
 		c.leader.controllers["b"].changes.add(event{slotWait: &slotEvent{runner: "i-1", wait: time.Second}})
 		c.leaderToRelay()
 		c.relayToMember()
@@ -245,7 +245,7 @@
 		if !c.member.Fleet.Tight("i-1") {
 			t.Error("a wait for a slot was not relayed")
 		}
-		c.leader.controllers["b"].changes.add(event{copy: &copyEvent{runner: "i-1", copy: testCopyKey.Copy}})
+		c.leader.controllers["b"].changes.add(event{copyChange: &copyEvent{runner: "i-1", copy: testCopyKey.Copy}})
 		c.leaderToRelay()
 		c.relayToMember()
 		if holds() {
--- a/internal/instance/gatekeeper/reserve.go
+++ b/internal/instance/gatekeeper/reserve.go
@@ -80,7 +80,7 @@
 	}
 	fleet := d.gatekeeper.Fleet
 	wait, ok := c.prefillQueue.Reserve(admitter.Prompt{
-		Pause: r.Pause, Queue: fleet.Places(r.Runner), Read: fleet.Read(c.runner.Service, r.Tokens), Share: d.share.Value(), Within: r.Within,
+		Pause: r.Pause, Queue: fleet.Places(r.Runner), Read: fleet.Read(c.runner.Service, r.Tokens), Share: d.prefillShare.Value(), Within: r.Within,
 	}, now)
 	if !ok {
 		refused := judge.Refuse(judge.ReasonQueue, "%s of prompts are to be read there", c.prefillQueue.Backlog(now).Round(time.Millisecond))
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -64,7 +64,7 @@
 	var exchanged time.Time
 	repeater.Every(ctx, settleInterval, nil, func() {
 		now := time.Now()
-		if !g.keepsLedger(now) {
+		if !g.ensureLedger(now) {
 			exchanged = time.Time{}
 			g.settleWithSource(ctx, now)
 			return
@@ -80,9 +80,9 @@
 	})
 }
 
-// keepsLedger reports whether this instance keeps a ledger for others, as every leader does. It
-// starts and stops the ledger as required.
-func (g *Gatekeeper) keepsLedger(now time.Time) bool {
+// ensureLedger starts or stops the ledger that this instance keeps for others, as every leader
+// does, and reports whether it keeps one now.
+func (g *Gatekeeper) ensureLedger(now time.Time) bool {
 	keeps := g.leadsAny() && !g.Leaving()
 	_, kept := g.quotas.ledger.Began()
 	switch {
@@ -133,11 +133,11 @@
 }
 
 // applyBalances applies balances that were requested at the given time.
-func (g *Gatekeeper) applyBalances(balances []limiter.Balance, asked time.Time) {
+func (g *Gatekeeper) applyBalances(balances []limiter.Balance, sentAt time.Time) {
 	now := time.Now()
 	for _, b := range balances {
 		if limit, ok := g.limitOf(b.Account); ok {
-			g.quotas.spender.Settled(b, limit, asked, now)
+			g.quotas.spender.Settled(b, limit, sentAt, now)
 		}
 	}
 }
--- a/internal/instance/gatekeeper/simulation_peers_test.go
+++ b/internal/instance/gatekeeper/simulation_peers_test.go
@@ -36,7 +36,7 @@
 
 // Open implements Peers.
 func (p simPeers) Open(ctx context.Context, address string, m relayer.Message) (Conversation, error) {
-	to := p.from.sim.at(address)
+	to := p.from.sim.instanceAt(address)
 	p.from.awaitResumed(ctx)
 	if !p.from.reaches(to) {
 		pause(ctx, linkTimeout)
--- a/internal/instance/gatekeeper/simulation_test.go
+++ b/internal/instance/gatekeeper/simulation_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// at returns the instance with an address.
-func (s *simulation) at(address string) *member {
+// instanceAt returns the instance with an address.
+func (s *simulation) instanceAt(address string) *member {
 	for _, m := range s.instances {
 		if m.id == address {
 			return m
--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -37,18 +37,18 @@
 func TestOlderSnapshotDoesNotHideThatARunnerDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ready := tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 7}
-		leaves := ready
-		leaves.Revision, leaves.Leaving = 58, true
+		draining := ready
+		draining.Revision, draining.Leaving = 58, true
 		source, behind, member := newSource("a-1", "a", 60), newSource("b-1", "b", 50), newDomainGatekeeper("a-2", "a")
 		behind.setRunner(ready, fromStore)
 		source.setRunner(ready, fromStore)
-		source.setRunner(leaves, fromStore)
+		source.setRunner(draining, fromStore)
 		sendSnapshot(behind, source, "b")
 		sendSnapshot(source, member, "b")
-		behind.setRunner(leaves, fromStore)
+		behind.setRunner(draining, fromStore)
 		sendSnapshot(behind, source, "b")
 		got, _ := member.Fleet.Get("i-1")
-		if diff := cmp.Diff(leaves, got); diff != "" {
+		if diff := cmp.Diff(draining, got); diff != "" {
 			t.Error(diff)
 		}
 	})
--- a/internal/instance/gatekeeper/stepdown_test.go
+++ b/internal/instance/gatekeeper/stepdown_test.go
@@ -121,9 +121,9 @@
 		g, store := newGatekeeperWithStore()
 		d, l := g.controllers["a"], g.links["a"]
 		d.elector.Late = 0
-		held := elector.Tenure{Holder: "front-1", Fence: 3}
-		putLease(t, store, held)
-		l.apply(relayer.News{Tenure: held, Renewal: store.version})
+		lease := elector.Tenure{Holder: "front-1", Fence: 3}
+		putLease(t, store, lease)
+		l.apply(relayer.News{Tenure: lease, Renewal: store.version})
 		d.maintainLease(t.Context())
 		time.Sleep(100 * time.Millisecond)
 		if leader := readLease(t, store).Holder; leader != "front-1" {
