--- a/internal/instance/gatekeeper/apply.go
+++ b/internal/instance/gatekeeper/apply.go
@@ -153,7 +153,7 @@
 			newer++
 		default:
 			dropped++
-			g.removeRunner(r.ID, n.Revision, n.From, whyUnlisted) // the sender may have started after an outage; remove then waits for the grace time
+			g.removeRunner(r.ID, n.Revision, n.From, whyUnlisted) // the sender may have started after an outage; removeRunner then waits for the grace period
 		}
 	}
 	g.Recorder.Log(recorder.Belief, "msg", "snapshot", "domain", domain, "by", n.From, "fresh", n.Fresh, "revision", n.Revision,
--- a/internal/instance/gatekeeper/checker_test.go
+++ b/internal/instance/gatekeeper/checker_test.go
@@ -16,7 +16,7 @@
 	runner *simRunner
 }
 
-// newChecker returns a checker of runners that leave, and of runners that do not.
+// newChecker returns a checker of runners that drain or are removed, and of runners that are not.
 func newChecker(s *simulation) *checker {
 	return &checker{sim: s, check: (*checker).checkWithoutFaults, usedSince: make(map[instanceRunner]time.Time)}
 }
--- a/internal/instance/gatekeeper/crash.go
+++ b/internal/instance/gatekeeper/crash.go
@@ -135,7 +135,8 @@
 	return ok && known.Leaving
 }
 
-// probeLiveness probes a runner until it is clear whether it is alive, or until probeTimeout is over.
+// probeLiveness probes a runner until it is clear whether it is alive, or until probeTimeout is
+// over.
 func (g *Gatekeeper) probeLiveness(runner tracker.Runner) tracker.Life {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
--- a/internal/instance/gatekeeper/crash_rows.go
+++ b/internal/instance/gatekeeper/crash_rows.go
@@ -68,8 +68,8 @@
 	signal(q.wakeWriter)
 }
 
-// storeOwnCrashes marks for storage the crashes that this instance observed itself, while some leaders
-// send no updates: its source may have been unable to relay them.
+// storeOwnCrashes marks for storage the crashes that this instance observed itself, while some
+// leaders send no updates: its source may have been unable to relay them.
 func (g *Gatekeeper) storeOwnCrashes() {
 	if g.receivesFromAllLeaders() {
 		return
--- a/internal/instance/gatekeeper/crash_test.go
+++ b/internal/instance/gatekeeper/crash_test.go
@@ -79,10 +79,10 @@
 	}
 }
 
-// Guards against missed suspects and repeated probes. Twenty requests of one instance break off as a
-// runner crashes, some later than others. All are suspected, the runner is probed once for all of
-// them, and one that breaks off afterwards needs no further probe. A request that is sent to the
-// crashed runner is no suspect.
+// Guards against missed suspects and repeated probes. Twenty requests of one instance break off
+// as a runner crashes, some later than others. All are suspected, the runner is probed once for
+// all of them, and one that breaks off afterwards needs no further probe. A request that is sent
+// to the crashed runner is no suspect.
 func TestRunnerIsProbedOncePerCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newDomainGatekeeper("a-1", "a")
--- a/internal/instance/gatekeeper/crashreport.go
+++ b/internal/instance/gatekeeper/crashreport.go
@@ -48,7 +48,7 @@
 		g.storeOwnCrashes()
 		for _, to := range g.crashSources() {
 			if reports := g.quarantine.unacknowledged(to, time.Now()); len(reports) > 0 {
-				_ = g.Peers.Tell(ctx, to.address, relayer.Crashes{Words: reports}) // repeated until the source publishes it in turn
+				_ = g.Peers.Tell(ctx, to.address, relayer.Crashes{Words: reports}) // repeated until the source publishes them back
 			}
 		}
 	})
@@ -76,7 +76,7 @@
 	g.applyCrashReports(c.Words, from.ID)
 }
 
-// unacknowledged returns this instance's reports that a source has not published in turn.
+// unacknowledged returns this instance's reports that a source has not published back.
 func (q *quarantine) unacknowledged(to source, now time.Time) []quarantiner.Word {
 	return q.ownReportsWhere(now, func(w ownReport) bool { return w.acknowledgedBy != to })
 }
@@ -98,8 +98,8 @@
 	return reports
 }
 
-// sourceStarted records that a source starts to publish to this instance. It may have restarted under
-// the same name with no state, and is sent the reports until it publishes them once more.
+// sourceStarted records that a source starts to publish to this instance. It may have restarted
+// under the same name with no state, and is sent the reports until it publishes them once more.
 func (q *quarantine) sourceStarted(from source) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -95,7 +95,7 @@
 	discoveryEnds        atomicTime // until then the store is not read for rows that others may publish
 
 	runnerUpdateMu  sync.Mutex // serializes the updates of the known runners
-	expiryCheckedAt time.Time  // when due removals were last checked; guarded by learning
+	expiryCheckedAt time.Time  // when due removals were last checked; guarded by runnerUpdateMu
 
 	mu              sync.Mutex
 	adapterVersions map[adapterKey]int     // newest version of adapters whose version is not the default one
@@ -197,8 +197,8 @@
 	// quietMargin is added to the configured quiet time between the orders of two leaders, for
 	// an order in transit.
 	quietMargin = 500 * time.Millisecond
-	// foreignTakeoverDelay is how much longer an instance waits before it acquires the lease of a domain
-	// other than its own: that domain's own instances go first.
+	// foreignTakeoverDelay is how much longer an instance waits before it acquires the lease of
+	// a domain other than its own: that domain's own instances go first.
 	foreignTakeoverDelay = 6 * time.Second
 	// takeoverJitter spreads the takeover of a lease by the instances of a domain. One write is
 	// enough, and the others learn of it; without the jitter 34 of 35 wrote in vain and read
--- a/internal/instance/gatekeeper/link.go
+++ b/internal/instance/gatekeeper/link.go
@@ -18,14 +18,14 @@
 	mu             sync.Mutex
 	urgentAt       map[gatherer.Key]time.Time // when the leader was last sent an urgent request for a copy
 	diverged       divergence
-	previousSource source    // previous source, to which this instance reported before
-	freshAt        time.Time // when the source last had current runners that matched this instance's
-	lastUpdate     time.Time // when the last update of the leader was received
-	leader         elector.Tenure
-	lastEmpty      bool // the last report was empty
+	previousSource source         // previous source, to which this instance reported before
+	freshAt        time.Time      // when the source last had current runners that matched this instance's
+	lastUpdate     time.Time      // when the last update of the leader was received
+	leader         elector.Tenure // lease of the domain's leader
+	lastEmpty      bool           // the last report was empty
 	pendingDemand  pendingDemand
 	relayedAt      time.Time     // when the leader sent its last update that arrived through another instance
-	unsubscribeAt  time.Time     // until when this instance also reports to previous
+	unsubscribeAt  time.Time     // until when this instance also reports to previousSource
 	reportedAt     time.Time     // when the last report was sent
 	relayTimeout   time.Duration // how long the source may receive no update from the leader before the leader is followed directly
 	source         source        // source of the last update of the domain; reports go to it
@@ -59,8 +59,9 @@
 	l.gatekeeper.Recorder.Log(recorder.Belief, "msg", "leader changed", "domain", l.domain, "holder", t.Holder, "fence", t.Fence)
 }
 
-// leaderAndSource returns the leader, which sends orders in the domain, and the source of its updates;
-// ok is false if the leader is not to be called, as no recent update was received from it.
+// leaderAndSource returns the leader, which sends orders in the domain, and the source of its
+// updates; ok is false if the leader is not to be called, as no recent update was received from
+// it.
 func (l *link) leaderAndSource() (leader, via source, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/instance/gatekeeper/link_test.go
+++ b/internal/instance/gatekeeper/link_test.go
@@ -93,7 +93,7 @@
 }
 
 // The store is unavailable for longer than a lease, and no other instance of the domain is
-// alive to take over. The leader must see that the lease is vacant and acquire it again when
+// alive to take over. The leader must see that the domain is leaderless and acquire its lease again when
 // the store is back. When it took its own name in the row for a sign of life, its callers got
 // no further adapters for good.
 func TestLeaderDetectsThatItsOwnLeaseExpired(t *testing.T) {
--- a/internal/instance/gatekeeper/pending_demand.go
+++ b/internal/instance/gatekeeper/pending_demand.go
@@ -14,10 +14,10 @@
 // reported as a full snapshot, so that the next report makes up for one that was lost; the
 // other fields hold what was observed since the last report.
 type pendingDemand struct {
-	shortGaps int // responses with only short pauses
-	longGaps  int // responses with a long pause
-	misses    map[gatherer.Key]bool
-	spare     map[gatherer.Key]bool
+	shortGaps int                   // responses with only short gaps
+	longGaps  int                   // responses with a long gap
+	misses    map[gatherer.Key]bool // copies that requests did not find loaded
+	spare     map[gatherer.Key]bool // further copies requested, for later requests
 	hits      map[gatherer.Key]hitCount
 	uses      map[gatherer.Key]int
 	waits     map[gatherer.Key]map[string]waiter // by copy and request ID
@@ -121,8 +121,8 @@
 	}
 }
 
-// newlyRequested reports whether the copy was not requested within urgentInterval, so that the leader
-// needs an immediate report.
+// newlyRequested reports whether the copy was not requested within urgentInterval, so that the
+// leader needs an immediate report.
 func (l *link) newlyRequested(k gatherer.Key, now time.Time) bool {
 	if now.Sub(l.urgentAt[k]) <= urgentInterval {
 		return false
--- a/internal/instance/gatekeeper/quarantine_simulation_test.go
+++ b/internal/instance/gatekeeper/quarantine_simulation_test.go
@@ -11,8 +11,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
 )
 
-// A crashSimulation simulates a deployment step by step: its instances exchange crash reports while some
-// requests crash the runners that run them.
+// A crashSimulation simulates a deployment step by step: its instances exchange crash reports
+// while some requests crash the runners that run them.
 type crashSimulation struct {
 	rng              *rand.Rand
 	domains          []string
@@ -191,8 +191,8 @@
 	s.readStore(m, now)
 }
 
-// stepMember lets a member receive updates from the leader of its domain, or from another one; without
-// a source it reads the store.
+// stepMember lets a member receive updates from the leader of its domain, or from another one;
+// without a source it reads the store.
 func (s *crashSimulation) stepMember(m *simMember, now time.Time) {
 	t := s.leaders[m.domain]
 	if !s.connected(m, t, now) {
--- a/internal/instance/gatekeeper/quarantine_test.go
+++ b/internal/instance/gatekeeper/quarantine_test.go
@@ -12,10 +12,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/quarantiner"
 )
 
-// Guards against a crash report that is lost: reports to a source are not acknowledged, and if the
-// report is lost, or the source dies with it, the next crash of the same request counts as its first
-// everywhere else. So it is sent until the source publishes it back, and again to the next source or
-// to one that has restarted; so is a completed run.
+// Guards against a crash report that is lost: reports to a source are not acknowledged, and if
+// the report is lost, or the source dies with it, the next crash of the same request counts as
+// its first everywhere else. So it is sent until the source publishes it back, and again to the
+// next source or to one that has restarted; so is a completed run.
 func TestCrashIsReportedUntilPublishedBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newDomainGatekeeper("a-2", "a")
@@ -119,9 +119,9 @@
 	}
 }
 
-// Guards against a quarantine that is lost when all instances restart at once, and one that outlasts
-// its rows. A request with three stored crashes must be held before it crashes a fourth runner, and
-// must run when its rows are deleted because it was cleared.
+// Guards against a quarantine that is lost when all instances restart at once, and one that
+// outlasts its rows. A request with three stored crashes must be held before it crashes a fourth
+// runner, and must run when its rows are deleted because it was cleared.
 func TestCrashRowsAreApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newDomainGatekeeper("a-2", "a")
--- a/internal/instance/gatekeeper/relay.go
+++ b/internal/instance/gatekeeper/relay.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// relayDemand merges a member's demand into this instance's next report to the leader, which is sent
-// at once if the member's demand is urgent.
+// relayDemand merges a member's demand into this instance's next report to the leader, which is
+// sent at once if the member's demand is urgent.
 func (l *link) relayDemand(demand relayer.Demand) {
 	now := time.Now()
 	l.mu.Lock()
@@ -142,8 +142,8 @@
 	}
 }
 
-// reportFreed requests an urgent report when the last use of a relayed copy has ended and others wait
-// for its adapter slot.
+// reportFreed requests an urgent report when the last use of a relayed copy has ended and others
+// wait for its adapter slot.
 func (d *controller) reportFreed(k gatherer.Key) {
 	if d.orderingFence == 0 && d.gatekeeper.Fleet.Tight(k.Runner) {
 		d.gatekeeper.links[d.domain].reportNow()
--- a/internal/instance/gatekeeper/runners_random_test.go
+++ b/internal/instance/gatekeeper/runners_random_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func runSimulation(t *testing.T, seed uint64, newChecker func(s *simulation) *checker) {
+func runSimulation(t *testing.T, seed uint64, create func(s *simulation) *checker) {
 	t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 		t.Parallel()
 		synctest.Test(t, func(t *testing.T) {
@@ -51,7 +51,7 @@
 				domains, instances = 3+rng.IntN(4), *instanceCount
 			}
 			s := newSimulation(t, rng, domains, instances)
-			s.run(newChecker(s))
+			s.run(create(s))
 		})
 	})
 }
--- a/internal/instance/gatekeeper/serve.go
+++ b/internal/instance/gatekeeper/serve.go
@@ -16,9 +16,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
-// callerIdleTimeout is how long a caller's connection may stay unused. The operator's limit, which callers
-// know and stay within, is not read; it was 15 s where this was tested, so a request never
-// races with the closing of its connection.
+// callerIdleTimeout is how long a caller's connection may stay unused. The operator's limit,
+// which callers know and stay within, is not read; it was 15 s where this was tested, so a
+// request never races with the closing of its connection.
 const callerIdleTimeout = time.Minute
 
 // metricsPath is the path of the metrics page.
@@ -95,12 +95,12 @@
 	g.Recorder.Log(recorder.Failed, "request", id, "verdict", err.Verdict, "reason", err.Reason, "retry", err.Retry, "err", err.Message)
 }
 
-// Burst returns this instance's share of the retries that a service may make beyond its share of
+// Burst returns this instance's part of the retries that a service may make beyond its share of
 // the requests.
 func (g *Gatekeeper) Burst() float64 {
 	return g.Config.Bounds.Slack * burstFraction / float64(g.Members())
 }
 
-// burstFraction is the fraction of the allowed burst that is used: the number of members lags behind
-// when one restarts.
+// burstFraction is the fraction of the allowed burst that is used: the number of members lags
+// behind when one restarts.
 const burstFraction = 0.7
--- a/internal/instance/gatekeeper/simulation_test.go
+++ b/internal/instance/gatekeeper/simulation_test.go
@@ -19,8 +19,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/pooler"
 )
 
-// A simulation is a simulated deployment in virtual time: complete instances with their connections,
-// the store, and the rows that runners write. The test decides who leads each domain.
+// A simulation is a simulated deployment in virtual time: complete instances with their
+// connections, the store, and the rows that runners write. The test decides who leads each
+// domain.
 type simulation struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -71,8 +72,8 @@
 	return l.buf.Write(line)
 }
 
-// newSimulation returns a deployment that has just started, with the first instance of each domain as
-// its leader.
+// newSimulation returns a deployment that has just started, with the first instance of each
+// domain as its leader.
 func newSimulation(t *testing.T, rng *rand.Rand, domains, instances int) *simulation {
 	s := &simulation{t: t, rng: rng, store: newFeedStore(), log: &simLog{}, fences: make(map[string]uint64), began: time.Now()}
 	s.store.configure(1)
@@ -115,8 +116,8 @@
 	return nil
 }
 
-// newSettledSimulation returns a deployment of one failure domain with one runner, which all instances
-// have known for a while.
+// newSettledSimulation returns a deployment of one failure domain with one runner, which all
+// instances have known for a while.
 func newSettledSimulation(t *testing.T, instances int) (*simulation, *checker) {
 	s := newSimulation(t, rand.New(rand.NewPCG(1, 1)), 1, instances)
 	s.addRunner("a")
--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -28,12 +28,12 @@
 	return g
 }
 
-// Requests reached a runner seconds after it had started to drain, from a few of many
-// instances, soon after a change of leaders. An instance that had read that the runner drains
-// received a slightly older snapshot, and from then on sent the older description in its own
-// snapshots; received once more, the draining was no delta any more. The logs of the simulation
-// (runners_random_test.go) proved it: "leaving=true revision=58", then "leaving=false revision=7" at
-// the same instance.
+// Requests reached a runner seconds after it had started to drain, from a few of many instances,
+// soon after a change of leaders. An instance that had read that the runner drains received a
+// slightly older snapshot, and from then on sent the older description in its own snapshots;
+// received once more, the draining was no delta any more. The logs of the simulation
+// (runners_random_test.go) proved it: "leaving=true revision=58", then "leaving=false
+// revision=7" at the same instance.
 func TestOlderSnapshotDoesNotHideThatARunnerDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ready := tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 7}
--- a/internal/instance/gatekeeper/stepdown_test.go
+++ b/internal/instance/gatekeeper/stepdown_test.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// Guards against a domain without a leader for the rest of a lease: a leader that does not reach the
-// store cannot clear its row, and publishes to its members that it stepped down. One of them must
-// acquire the lease at once, although the row still names the old leader.
+// Guards against a domain without a leader for the rest of a lease: a leader that does not reach
+// the store cannot clear its row, and publishes to its members that it stepped down. One of them
+// must acquire the lease at once, although the row still names the old leader.
 func TestMemberAcquiresLeasePublishedAsReleased(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newGatekeeperWithStore()
--- a/internal/instance/gatekeeper/view.go
+++ b/internal/instance/gatekeeper/view.go
@@ -25,12 +25,12 @@
 	mu             sync.Mutex
 	rows           map[string]relayer.Row // by key, as published to others; not for tables with applyTable
 	publishedAt    time.Time              // when an instance that polls the store for this one last published it
-	known          bool
-	after          uint64    // the version up to which it is known
-	newest         uint64    // version of the newest row received
-	currentAt      time.Time // as of when calls showed it to be current
-	othersNewest   uint64    // newest version known to another instance
-	othersNewestAt time.Time // when that was first reported
+	known          bool                   // the whole table was received up to after
+	after          uint64                 // version up to which the table is known
+	newest         uint64                 // version of the newest row received
+	currentAt      time.Time              // as of when calls showed it to be current
+	othersNewest   uint64                 // newest version known to another instance
+	othersNewestAt time.Time              // when that was first reported
 
 	lastWatchAt time.Time               // when the last watch call was sent
 	watchSentAt time.Time               // the same; zero if it has ended
--- a/internal/instance/gatekeeper/view_refresh.go
+++ b/internal/instance/gatekeeper/view_refresh.go
@@ -19,7 +19,7 @@
 	// minRetryDelay is the pause between two failed calls. It doubles up to maxRetryDelay: rejected
 	// calls are billed like others, and a third of the instances, rejected for seconds, made
 	// half of a day's calls. maxRetryDelay also bounds when an instance that the store serves
-	// minRetryDelay catches up; time limits apply to it again three seconds after the store's return.
+	// again catches up; time limits apply to it again three seconds after the store's return.
 	minRetryDelay = 250 * time.Millisecond
 	maxRetryDelay = 2 * time.Second
 	// maxCallInterval is more than the time between two calls while the store is unavailable.
@@ -94,9 +94,9 @@
 	}
 }
 
-// skipStoreCall reports whether a call to the store would only fail again: the store is lost, and the
-// calls for the runners show when it is back. Without this check the calls during an outage
-// would double.
+// skipStoreCall reports whether a call to the store would only fail again: the store is lost,
+// and the calls for the runners show when it is back. Without this check the calls during an
+// outage would double.
 func (g *Gatekeeper) skipStoreCall() bool {
 	_, down := g.storeUp.status()
 	return down && !g.runnersPublished() && g.runners.calledRecently(time.Now())
