--- a/internal/instance/gatekeeper/checker_test.go
+++ b/internal/instance/gatekeeper/checker_test.go
@@ -5,7 +5,7 @@
 // A checker checks invariants of runners.
 type checker struct {
 	sim        *simulation
-	check      func(w *checker, p instanceRunner, now time.Time)
+	check      func(c *checker, p instanceRunner, now time.Time)
 	usedSince  map[instanceRunner]time.Time // since when the instance has used the runner
 	usedBefore map[instanceRunner]bool      // the instance used the runner before the outage, and there was no other fault
 }
@@ -33,59 +33,59 @@
 // had faults of its own meanwhile.
 const removalTime = 5 * time.Second
 
-func (w *checker) checkAll() {
+func (c *checker) checkAll() {
 	now := time.Now()
-	for _, m := range w.sim.instances {
-		for _, r := range w.sim.runners {
-			w.check(w, instanceRunner{m, r}, now)
+	for _, m := range c.sim.instances {
+		for _, r := range c.sim.runners {
+			c.check(c, instanceRunner{m, r}, now)
 		}
 	}
 }
 
 // checkWithoutFaults checks that an instance without recent faults uses no runner that has left,
 // and removes none that is alive.
-func (w *checker) checkWithoutFaults(p instanceRunner, now time.Time) {
-	s, m, r := w.sim, p.member, p.runner
+func (c *checker) checkWithoutFaults(p instanceRunner, now time.Time) {
+	s, m, r := c.sim, p.member, p.runner
 	if now.Sub(m.faultFreeSince()) < stableTime || !s.faultFreeFor(stableTime) {
-		delete(w.usedSince, p)
+		delete(c.usedSince, p)
 		return
 	}
-	uses, since := m.uses(r.id), w.usedSince[p]
+	uses, since := m.uses(r.id), c.usedSince[p]
 	switch {
 	case uses && r.drainedWithoutFaults && !r.drainedAt.IsZero() && now.Sub(r.drainedAt) > drainDeadline:
 		s.t.Errorf("%s: %s uses %s %s after the store accepted that it drains", now.Sub(s.began), m.id, r.id, now.Sub(r.drainedAt))
-	case !uses && w.alive(r, now) && !since.IsZero() && r.rowSince.Before(since):
+	case !uses && c.alive(r, now) && !since.IsZero() && r.rowSince.Before(since):
 		s.t.Errorf("%s: %s has removed %s, whose row has existed for %s", now.Sub(s.began), m.id, r.id, now.Sub(r.rowSince))
-	case !uses && w.alive(r, now) && now.Sub(r.rowSince) > stableTime:
+	case !uses && c.alive(r, now) && now.Sub(r.rowSince) > stableTime:
 		s.t.Errorf("%s: %s does not know %s, whose row has existed for %s", now.Sub(s.began), m.id, r.id, now.Sub(r.rowSince))
 	}
 	switch {
 	case !uses:
-		delete(w.usedSince, p)
+		delete(c.usedSince, p)
 	case since.IsZero():
-		w.usedSince[p] = now
+		c.usedSince[p] = now
 	}
 }
 
 // checkAfterOutage checks that an instance without other faults keeps the living runners whose
 // rows expired while the store was unavailable.
-func (w *checker) checkAfterOutage(p instanceRunner, now time.Time) {
-	s, m, r := w.sim, p.member, p.runner
+func (c *checker) checkAfterOutage(p instanceRunner, now time.Time) {
+	s, m, r := c.sim, p.member, p.runner
 	uses := m.uses(r.id)
 	switch {
 	case s.store.down():
 		if now.Sub(s.lastAvailable) <= 2*checkStep {
-			w.usedBefore[p] = uses
+			c.usedBefore[p] = uses
 		}
 	case m.faultFreeSince().After(s.outageStart.Add(-removalTime)), s.lastFault.After(s.outageEnd.Add(checkStep)), r.leaving, r.ended:
-		w.usedBefore[p] = false
-	case now.Sub(s.outageEnd) < rowReturnTime && w.usedBefore[p] && !uses:
+		c.usedBefore[p] = false
+	case now.Sub(s.outageEnd) < rowReturnTime && c.usedBefore[p] && !uses:
 		s.t.Errorf("%s: %s has removed %s, whose row expired; the store has been back for %s", now.Sub(s.began), m.id, r.id, now.Sub(s.outageEnd))
-		w.usedBefore[p] = false
+		c.usedBefore[p] = false
 	}
 }
 
 // alive reports whether a runner accepts requests, and its row has not expired recently.
-func (w *checker) alive(r *simRunner, now time.Time) bool {
+func (c *checker) alive(r *simRunner, now time.Time) bool {
 	return !r.leaving && !r.ended && !r.rowSince.IsZero() && now.Sub(r.expiredAt) > removalTime
 }
--- a/internal/instance/gatekeeper/crash_rows.go
+++ b/internal/instance/gatekeeper/crash_rows.go
@@ -52,12 +52,12 @@
 	now := time.Now()
 	q := &g.quarantine
 	partitioned := !g.receivesFromAllLeaders()
-	for _, w := range reports {
-		if w.Cleared {
-			q.setDesired(w.Crash(), rowDeleted)
+	for _, r := range reports {
+		if r.Cleared {
+			q.setDesired(r.Crash(), rowDeleted)
 			continue
 		}
-		open := q.ledger.Open(w.Digest, now)
+		open := q.ledger.Open(r.Digest, now)
 		if len(open) < quarantiner.KeptFrom && !partitioned {
 			continue
 		}
--- a/internal/instance/gatekeeper/crashreport.go
+++ b/internal/instance/gatekeeper/crashreport.go
@@ -31,9 +31,9 @@
 		seen[c.Digest] = true
 	}
 	var own []quarantiner.Word
-	for _, w := range reports {
-		if seen[w.Digest] {
-			own = append(own, w)
+	for _, r := range reports {
+		if seen[r.Digest] {
+			own = append(own, r)
 		}
 	}
 	return own
@@ -56,8 +56,8 @@
 
 // crashSources returns the instances that publish crash reports to this one.
 func (g *Gatekeeper) crashSources() []source {
-	if t, ok := g.currentSource(); ok {
-		return []source{t}
+	if src, ok := g.currentSource(); ok {
+		return []source{src}
 	}
 	if g.leadsAny() {
 		return nil // others subscribe to it
@@ -78,7 +78,7 @@
 
 // unacknowledged returns this instance's reports that a source has not published back.
 func (q *quarantine) unacknowledged(to source, now time.Time) []quarantiner.Word {
-	return q.ownReportsWhere(now, func(w ownReport) bool { return w.acknowledgedBy != to })
+	return q.ownReportsWhere(now, func(r ownReport) bool { return r.acknowledgedBy != to })
 }
 
 // ownReportsWhere returns this instance's reports that match, and drops those that are too old.
@@ -91,8 +91,8 @@
 			delete(q.ownReports, c)
 			continue
 		}
-		if w, ok := q.ledger.Word(c, now); ok && match(own) {
-			reports = append(reports, w)
+		if r, ok := q.ledger.Word(c, now); ok && match(own) {
+			reports = append(reports, r)
 		}
 	}
 	return reports
@@ -115,11 +115,11 @@
 func (q *quarantine) acknowledge(from source, reports []quarantiner.Word) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	for _, w := range reports {
-		own, ok := q.ownReports[w.Crash()]
-		if current, _ := q.ledger.Word(w.Crash(), time.Now()); ok && current.Cleared == w.Cleared {
+	for _, r := range reports {
+		own, ok := q.ownReports[r.Crash()]
+		if current, _ := q.ledger.Word(r.Crash(), time.Now()); ok && current.Cleared == r.Cleared {
 			own.acknowledgedBy = from
-			q.ownReports[w.Crash()] = own
+			q.ownReports[r.Crash()] = own
 		}
 	}
 }
--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -69,18 +69,18 @@
 
 // summedReport returns the part of a demand report that is summed up over all members.
 func summedReport(demand relayer.Demand) gatherer.Word {
-	w := gatherer.Word{
+	sums := gatherer.Word{
 		Instances: 1 + demand.Others, Loads: demand.Loads,
 		Uses:  make(map[gatherer.Key]int, len(demand.Uses)),
 		Waits: make(map[gatherer.Key]placer.Waiting, len(demand.Waits)),
 	}
 	for _, u := range demand.Uses {
-		w.Uses[keyOf(u.Runner, u.Copy)] += u.Requests
+		sums.Uses[keyOf(u.Runner, u.Copy)] += u.Requests
 	}
 	for _, wait := range demand.Waits {
-		w.Waits[keyOf(wait.Runner, wait.Copy)] = wait.Waiting
+		sums.Waits[keyOf(wait.Runner, wait.Copy)] = wait.Waiting
 	}
-	return w
+	return sums
 }
 
 func keyOf(runner string, c placer.Copy) gatherer.Key { return gatherer.Key{Runner: runner, Copy: c} }
--- a/internal/instance/gatekeeper/link.go
+++ b/internal/instance/gatekeeper/link.go
@@ -46,17 +46,17 @@
 )
 
 // setLeader records the current lease.
-func (l *link) setLeader(t elector.Tenure) {
+func (l *link) setLeader(lease elector.Tenure) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t.Fence <= l.leader.Fence {
+	if lease.Fence <= l.leader.Fence {
 		return
 	}
-	if l.lastUpdate.IsZero() && t.Holder != "" && t.Holder != l.self() {
+	if l.lastUpdate.IsZero() && lease.Holder != "" && lease.Holder != l.self() {
 		l.lastUpdate = time.Now() // gives a new leader time to send its first update before the lease counts as vacant
 	}
-	l.leader = t
-	l.gatekeeper.Recorder.Log(recorder.Belief, "msg", "leader changed", "domain", l.domain, "holder", t.Holder, "fence", t.Fence)
+	l.leader = lease
+	l.gatekeeper.Recorder.Log(recorder.Belief, "msg", "leader changed", "domain", l.domain, "holder", lease.Holder, "fence", lease.Fence)
 }
 
 // leaderAndSource returns the leader, which sends orders in the domain, and the source of its
--- a/internal/instance/gatekeeper/link_test.go
+++ b/internal/instance/gatekeeper/link_test.go
@@ -93,9 +93,9 @@
 }
 
 // The store is unavailable for longer than a lease, and no other instance of the domain is
-// alive to take over. The leader must see that the domain is leaderless and acquire its lease again when
-// the store is back. When it took its own name in the row for a sign of life, its callers got
-// no further adapters for good.
+// alive to take over. The leader must see that the domain is leaderless and acquire its lease
+// again when the store is back. When it took its own name in the row for a sign of life, its
+// callers got no further adapters for good.
 func TestLeaderDetectsThatItsOwnLeaseExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
--- a/internal/instance/gatekeeper/quarantine.go
+++ b/internal/instance/gatekeeper/quarantine.go
@@ -70,9 +70,9 @@
 		reports = append(reports, quarantiner.Word{Digest: d, Runner: runner, Ran: ran})
 	}
 	added := g.quarantine.ledger.Take(reports, time.Now())
-	for _, w := range added {
+	for _, r := range added {
 		g.Metrics.GetOrCreateCounter("sardinetiller_suspected_total").Inc()
-		g.logCrash(w, "self")
+		g.logCrash(r, "self")
 	}
 	g.recordOwn(added)
 }
@@ -89,8 +89,8 @@
 	if q.ownReports == nil {
 		q.ownReports = make(map[quarantiner.Crash]ownReport)
 	}
-	for _, w := range reports {
-		q.ownReports[w.Crash()] = ownReport{since: now}
+	for _, r := range reports {
+		q.ownReports[r.Crash()] = ownReport{since: now}
 	}
 	q.mu.Unlock()
 	g.logVerdicts()
@@ -107,9 +107,9 @@
 	if len(added) == 0 {
 		return
 	}
-	for _, w := range added {
-		if !w.Cleared && len(g.quarantine.ledger.Open(w.Digest, time.Now())) >= quarantiner.KeptFrom {
-			g.logCrash(w, from) // other crashes are logged only where they were observed, as many innocent requests run beside each culprit
+	for _, r := range added {
+		if !r.Cleared && len(g.quarantine.ledger.Open(r.Digest, time.Now())) >= quarantiner.KeptFrom {
+			g.logCrash(r, from) // other crashes are logged only where they were observed, as many innocent requests run beside each culprit
 		}
 	}
 	q := &g.quarantine
--- a/internal/instance/gatekeeper/quarantine_simulation_test.go
+++ b/internal/instance/gatekeeper/quarantine_simulation_test.go
@@ -162,10 +162,10 @@
 // replaceLeaders replaces leaders that are down or paused for long.
 func (s *crashSimulation) replaceLeaders(now time.Time) {
 	for _, domain := range s.domains {
-		h := s.leaders[domain]
-		backAt := laterOf(h.downUntil, h.pausedUntil)
+		leader := s.leaders[domain]
+		backAt := laterOf(leader.downUntil, leader.pausedUntil)
 		if !now.Before(backAt) || backAt.Sub(now) < time.Second {
-			makeLeader(h.g, domain)
+			makeLeader(leader.g, domain)
 			continue
 		}
 		for _, n := range s.rng.Perm(len(s.members)) {
@@ -180,12 +180,12 @@
 // stepLeader lets a leader receive updates from the others and from the store.
 func (s *crashSimulation) stepLeader(m *simMember, now time.Time) {
 	m.source = nil
-	for domain, h := range s.leaders {
-		if h == m || s.connected(m, h, now) {
+	for domain, leader := range s.leaders {
+		if leader == m || s.connected(m, leader, now) {
 			m.observeLeader(domain, now)
 		}
-		if h != m && s.connected(m, h, now) {
-			s.deliver(h, m)
+		if leader != m && s.connected(m, leader, now) {
+			s.deliver(leader, m)
 		}
 	}
 	s.readStore(m, now)
@@ -194,28 +194,28 @@
 // stepMember lets a member receive updates from the leader of its domain, or from another one;
 // without a source it reads the store.
 func (s *crashSimulation) stepMember(m *simMember, now time.Time) {
-	t := s.leaders[m.domain]
-	if !s.connected(m, t, now) {
-		t = nil
+	src := s.leaders[m.domain]
+	if !s.connected(m, src, now) {
+		src = nil
 		for _, domain := range s.domains {
-			if h := s.leaders[domain]; s.connected(m, h, now) {
-				t = h
+			if leader := s.leaders[domain]; s.connected(m, leader, now) {
+				src = leader
 			}
 		}
 		if now.Sub(m.lastUpdate) < updateTimeout {
 			return // the member has not noticed yet
 		}
 	}
-	if t == nil {
+	if src == nil {
 		s.readStore(m, now)
 		return
 	}
-	m.source, m.lastUpdate = t, now
-	s.deliver(t, m)
+	m.source, m.lastUpdate = src, now
+	s.deliver(src, m)
 	for domain := range s.leaders {
-		m.observeLeader(domain, now.Add(-t.g.links[domain].sinceUpdate()))
+		m.observeLeader(domain, now.Add(-src.g.links[domain].sinceUpdate()))
 	}
-	to := source{id: t.id}
+	to := source{id: src.id}
 	reports := m.g.quarantine.unacknowledged(to, now)
 	if s.disabled == noReports || len(reports) == 0 {
 		return
@@ -223,7 +223,7 @@
 	if now.Before(s.lossyUntil) || s.rng.IntN(4) == 0 {
 		return // the report is lost
 	}
-	t.g.HeardCrashes(heartbeater.Instance{ID: m.id}, relayer.Crashes{Words: reports})
+	src.g.HeardCrashes(heartbeater.Instance{ID: m.id}, relayer.Crashes{Words: reports})
 }
 
 func (m *simMember) observeLeader(domain string, at time.Time) {
--- a/internal/instance/gatekeeper/report.go
+++ b/internal/instance/gatekeeper/report.go
@@ -84,12 +84,12 @@
 }
 
 // demandOf returns the message that reports the sums.
-func demandOf(domain string, w gatherer.Word) relayer.Demand {
-	d := relayer.Demand{Domain: domain, Others: w.Instances - 1, Loads: w.Loads}
-	for k, n := range w.Uses {
+func demandOf(domain string, sums gatherer.Word) relayer.Demand {
+	d := relayer.Demand{Domain: domain, Others: sums.Instances - 1, Loads: sums.Loads}
+	for k, n := range sums.Uses {
 		d.Uses = append(d.Uses, relayer.Need{Runner: k.Runner, Copy: k.Copy, Requests: n})
 	}
-	for k, waiting := range w.Waits {
+	for k, waiting := range sums.Waits {
 		d.Waits = append(d.Waits, relayer.Wait{Runner: k.Runner, Copy: k.Copy, Waiting: waiting})
 	}
 	return d
@@ -98,45 +98,45 @@
 // totalDemand returns the sums of this instance's requests in the domain, and those of the
 // instances whose reports it relays.
 func (l *link) totalDemand() gatherer.Word {
-	w := l.ownDemand()
+	sums := l.ownDemand()
 	g := l.gatekeeper
 	if d := g.controllers[l.domain]; !d.leads() {
-		w.Add(d.relayedDemand(time.Now()))
+		sums.Add(d.relayedDemand(time.Now()))
 	}
-	return w
+	return sums
 }
 
 // ownDemand returns the sums of this instance's requests in the domain.
 func (l *link) ownDemand() gatherer.Word {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := gatherer.Word{
+	sums := gatherer.Word{
 		Instances: 1, Loads: l.gatekeeper.Fleet.LoadsIn(l.domain), Uses: maps.Clone(l.pendingDemand.uses), Waits: make(map[gatherer.Key]placer.Waiting),
 	}
 	now := time.Now()
 	for k, waiters := range l.pendingDemand.waits {
 		if waiting := sumWaiters(waiters, now); waiting.Requests > 0 {
-			w.Waits[k] = waiting
+			sums.Waits[k] = waiting
 		} else {
 			delete(l.pendingDemand.waits, k)
 		}
 	}
-	return w
+	return sums
 }
 
 // sumWaiters drops the requests that no longer wait and adds up the others.
 func sumWaiters(waiters map[string]waiter, now time.Time) placer.Waiting {
-	w := placer.Waiting{Priority: placer.Spare}
-	for request, one := range waiters {
-		if now.Sub(one.refreshedAt) > waitMaxAge {
+	sum := placer.Waiting{Priority: placer.Spare}
+	for request, w := range waiters {
+		if now.Sub(w.refreshedAt) > waitMaxAge {
 			delete(waiters, request)
 			continue
 		}
-		w.Requests++
-		w.Priority = min(w.Priority, one.priority)
-		if one.inTime {
-			w.InTime++
+		sum.Requests++
+		sum.Priority = min(sum.Priority, w.priority)
+		if w.inTime {
+			sum.InTime++
 		}
 	}
-	return w
+	return sum
 }
--- a/internal/instance/gatekeeper/runners_random_test.go
+++ b/internal/instance/gatekeeper/runners_random_test.go
@@ -56,29 +56,29 @@
 	})
 }
 
-func (s *simulation) run(w *checker) {
+func (s *simulation) run(c *checker) {
 	for n := range 12 {
 		s.addRunner(s.domains[n%len(s.domains)])
 	}
-	s.advance(3*time.Second, w)
+	s.advance(3*time.Second, c)
 	for range 20 + s.rng.IntN(20) {
 		s.injectFault()
-		s.advance(time.Duration(s.rng.Int64N(int64(1500*time.Millisecond))), w)
+		s.advance(time.Duration(s.rng.Int64N(int64(1500*time.Millisecond))), c)
 		if s.t.Failed() {
 			return
 		}
 	}
-	s.advance(6*time.Second, w)
+	s.advance(6*time.Second, c)
 	for _, r := range s.runners[:2] {
 		if !r.leaving && !r.ended {
 			s.stopRunner(r, s.rng.IntN(2) == 0)
 		}
 	}
-	s.advance(5*time.Second, w)
+	s.advance(5*time.Second, c)
 }
 
 // advance lets time pass, and checks the invariants.
-func (s *simulation) advance(span time.Duration, w *checker) {
+func (s *simulation) advance(span time.Duration, c *checker) {
 	for end := time.Now().Add(span); time.Now().Before(end) && !s.t.Failed(); time.Sleep(checkStep) {
 		s.writeHeartbeats()
 		if s.store.down() && s.rng.IntN(8) == 0 {
@@ -86,7 +86,7 @@
 		}
 		s.replaceLeaders()
 		s.recordFaults()
-		w.checkAll()
+		c.checkAll()
 	}
 }
 
@@ -110,8 +110,8 @@
 func (s *simulation) injectFault() {
 	m := s.instances[s.rng.IntN(len(s.instances))]
 	if s.rng.IntN(2) == 0 {
-		if h := s.leader(s.domains[s.rng.IntN(len(s.domains))]); h != nil {
-			m = h
+		if leader := s.leader(s.domains[s.rng.IntN(len(s.domains))]); leader != nil {
+			m = leader
 		}
 	}
 	span := time.Duration(s.rng.Int64N(int64(6 * time.Second)))
@@ -119,9 +119,9 @@
 	switch n := s.rng.IntN(16); {
 	case n < 4 && !r.leaving && !r.ended && !s.store.down():
 		s.stopRunner(r, n < 2)
-		if h := s.leader(r.domain); h != nil && s.rng.IntN(2) == 0 {
+		if leader := s.leader(r.domain); leader != nil && s.rng.IntN(2) == 0 {
 			time.Sleep(time.Duration(s.rng.Int64N(int64(400 * time.Millisecond)))) // some have learned of it by then
-			s.disrupt(h, span)
+			s.disrupt(leader, span)
 		}
 	case n < 6 && !s.store.down():
 		s.addRunner(s.domains[s.rng.IntN(len(s.domains))])
--- a/internal/instance/gatekeeper/runners_test.go
+++ b/internal/instance/gatekeeper/runners_test.go
@@ -66,15 +66,15 @@
 // Guards against an outage of the store that removes all living runners.
 func TestFirstAnswerAfterAnOutageRemovesNoRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newSettledSimulation(t, 3)
+		s, c := newSettledSimulation(t, 3)
 		s.store.set(rejects)
-		s.advance(4*time.Second, w)
+		s.advance(4*time.Second, c)
 		expired := s.runners[0]
 		s.expireRow(expired)
 		s.restoreStore()
 		expired.nextHeartbeat = time.Now().Add(1900 * time.Millisecond)
 		for range 40 {
-			s.advance(50*time.Millisecond, w)
+			s.advance(50*time.Millisecond, c)
 			for _, m := range s.instances {
 				if !m.uses(expired.id) {
 					t.Fatalf("%s removed the runner", m.id)
--- a/internal/instance/gatekeeper/simulation_peers_test.go
+++ b/internal/instance/gatekeeper/simulation_peers_test.go
@@ -74,9 +74,9 @@
 	final   bool
 }
 
-func (c *simConversation) put(w simMessage) {
+func (c *simConversation) put(m simMessage) {
 	select {
-	case c.messages <- w:
+	case c.messages <- m:
 	case <-c.ctx.Done():
 	}
 }
@@ -109,14 +109,14 @@
 			continue
 		}
 		select {
-		case w := <-c.messages:
-			pause(ctx, time.Until(w.at))
+		case m := <-c.messages:
+			pause(ctx, time.Until(m.at))
 			_, running := c.from.running()
 			c.from.awaitResumed(running)
-			if w.final && w.err == nil {
-				w.err = errConnection
+			if m.final && m.err == nil {
+				m.err = errConnection
 			}
-			return w.message, w.err
+			return m.message, m.err
 		case <-c.lives.Done():
 			return nil, errConnection
 		case <-ctx.Done():
--- a/internal/instance/gatekeeper/simulation_test.go
+++ b/internal/instance/gatekeeper/simulation_test.go
@@ -121,9 +121,9 @@
 func newSettledSimulation(t *testing.T, instances int) (*simulation, *checker) {
 	s := newSimulation(t, rand.New(rand.NewPCG(1, 1)), 1, instances)
 	s.addRunner("a")
-	w := newChecker(s)
-	s.advance(5*time.Second, w)
-	return s, w
+	c := newChecker(s)
+	s.advance(5*time.Second, c)
+	return s, c
 }
 
 // giveLease makes an instance the leader of a domain.
--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -155,11 +155,11 @@
 // Guards against instances whose runners differ forever, as only deltas are sent.
 func TestSnapshotIsRequestedAfterADivergence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, w := newSettledSimulation(t, 2)
+		s, c := newSettledSimulation(t, 2)
 		member := s.instances[1].gatekeeper()
 		ghost := tracker.Runner{ID: "i-9", Domain: "a", Service: "llm", Revision: s.store.version + 1}
 		member.setRunner(ghost, "test")
-		s.advance(drainDeadline, w)
+		s.advance(drainDeadline, c)
 		if _, known := member.Fleet.Get(ghost.ID); known {
 			t.Errorf("a runner that nobody else knows is known for %s", drainDeadline)
 		}
--- a/internal/instance/gatekeeper/subscribe.go
+++ b/internal/instance/gatekeeper/subscribe.go
@@ -13,16 +13,16 @@
 // followSource subscribes to the source, which relays the leader's updates, until ctx ends.
 func (l *link) followSource(ctx context.Context) {
 	for ctx.Err() == nil {
-		t, ok := l.gatekeeper.currentSource()
+		src, ok := l.gatekeeper.currentSource()
 		switch {
 		case !ok:
 			pause(ctx, reconnectDelay)
-		case !l.sourceAnswers(t):
+		case !l.sourceAnswers(src):
 			pause(ctx, sourcePollInterval)
 		default:
-			l.subscribe(ctx, t, func() bool {
+			l.subscribe(ctx, src, func() bool {
 				current, ok := l.gatekeeper.currentSource()
-				return ok && current == t
+				return ok && current == src
 			})
 			pause(ctx, resubscribeDelay)
 		}
@@ -32,9 +32,9 @@
 // sourceAnswers reports whether to request the domain from a source. The instance's own domain
 // is requested first: if the source does not answer that, five more requests would go
 // unanswered too.
-func (l *link) sourceAnswers(t source) bool {
+func (l *link) sourceAnswers(src source) bool {
 	own := l.gatekeeper.links[l.gatekeeper.Config.Domain]
-	return l == own || l.gatekeeper.source.receiving(t)
+	return l == own || l.gatekeeper.source.receiving(src)
 }
 
 // followLeader subscribes to the leader itself while nobody relays its updates, until ctx ends.
@@ -135,10 +135,10 @@
 func (l *link) subscription(from source) relayer.Subscribe {
 	g := l.gatekeeper
 	s := relayer.Subscribe{Domain: l.domain, Passes: g.leadsAny()}
-	t, hasSource := g.currentSource()
+	src, hasSource := g.currentSource()
 	// Crash reports are requested once from each source: they are the same for all domains.
-	s.Crashes = !hasSource || t != from || l.domain == g.Config.Domain
-	if hasSource && t == from && l.domain == g.Config.Domain {
+	s.Crashes = !hasSource || src != from || l.domain == g.Config.Domain
+	if hasSource && src == from && l.domain == g.Config.Domain {
 		s.Tables = map[string]uint64{g.operator.name: g.operator.upTo(), g.leaders.name: g.leaders.upTo()}
 	}
 	return s
@@ -149,7 +149,7 @@
 	g := l.gatekeeper
 	g.quarantine.acknowledge(from, n.Crashes)
 	g.applyCrashReports(n.Crashes, from.id)
-	if t, ok := g.currentSource(); ok && t == from {
+	if src, ok := g.currentSource(); ok && src == from {
 		g.source.received(from, time.Now())
 	}
 	if lacksLeaderState(n) {
@@ -158,7 +158,7 @@
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if t, ok := g.source.selected(); ok && t == from {
+	if src, ok := g.source.selected(); ok && src == from {
 		l.relayedAt = now.Add(-n.Silence)
 	}
 	if l.source == from {
