--- a/internal/instance/gatekeeper/publish.go
+++ b/internal/instance/gatekeeper/publish.go
@@ -152,10 +152,10 @@
 // subscription began.
 func (d *controller) endStream(reply responder, fence uint64) error {
 	d.mu.Lock()
-	ended := d.releasedFence
+	released := d.releasedFence
 	d.mu.Unlock()
-	if ended > 0 && ended == fence {
-		if err := reply.Send(relayer.News{Ended: ended}); err != nil {
+	if released > 0 && released == fence {
+		if err := reply.Send(relayer.News{Ended: released}); err != nil {
 			return fmt.Errorf("tell of the end: %w", err)
 		}
 	}
--- a/internal/instance/gatekeeper/simulation_peers_test.go
+++ b/internal/instance/gatekeeper/simulation_peers_test.go
@@ -84,10 +84,10 @@
 // Close implements Conversation.
 func (c *simConversation) Close() { c.cancel() }
 
-// Finish implements replier.
+// Finish implements responder.
 func (c *simConversation) Finish(m relayer.Message) error { return c.Send(m) }
 
-// Send implements replier.
+// Send implements responder.
 func (c *simConversation) Send(m relayer.Message) error {
 	c.to.awaitResumed(c.ctx)
 	if c.lives.Err() != nil || c.ctx.Err() != nil {
--- a/internal/instance/gatekeeper/store_test.go
+++ b/internal/instance/gatekeeper/store_test.go
@@ -135,7 +135,7 @@
 	if err := s.admit(ctx, wait); err != nil {
 		return nil, 0, err
 	}
-	asked, end := time.Now(), time.After(wait)
+	sentAt, end := time.Now(), time.After(wait)
 	s.mu.Lock()
 	hung := s.hung
 	s.mu.Unlock()
@@ -152,7 +152,7 @@
 		case <-end:
 			return nil, state.version, nil
 		case <-hung:
-			pause(ctx, wait+callTimeout-time.Since(asked))
+			pause(ctx, wait+callTimeout-time.Since(sentAt))
 			return nil, 0, errNoAnswer
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
--- a/internal/instance/gatekeeper/watch.go
+++ b/internal/instance/gatekeeper/watch.go
@@ -156,7 +156,7 @@
 func (g *Gatekeeper) applyRunnerRow(r tabler.Row) {
 	runner, err := g.Decoder.Runner(r)
 	if err != nil {
-		g.skipForeignRow(r.Key, err)
+		g.recordForeignRow(r.Key, err)
 	}
 	if err == nil && !r.Removed {
 		g.setRunner(runner, fromStore)
@@ -185,9 +185,9 @@
 	}
 }
 
-// skipForeignRow logs and counts a row in the runners' table that is not the row of a runner. It is
+// recordForeignRow logs and counts a row in the runners' table that is not the row of a runner. It is
 // skipped, and every other row is valid.
-func (g *Gatekeeper) skipForeignRow(key string, err error) {
+func (g *Gatekeeper) recordForeignRow(key string, err error) {
 	g.Metrics.GetOrCreateCounter("sardinetiller_foreign_rows_total").Inc()
 	g.Recorder.Log(recorder.Belief, "msg", "row in the runners' table is not a runner; skipped", "row", key, "err", err)
 }
@@ -201,7 +201,7 @@
 	for _, r := range rows {
 		runner, err := g.Decoder.Runner(r)
 		if err != nil {
-			g.skipForeignRow(r.Key, err)
+			g.recordForeignRow(r.Key, err)
 			continue
 		}
 		listed[runner.ID] = true
