--- a/internal/instance/gatekeeper/watch.go
+++ b/internal/instance/gatekeeper/watch.go
@@ -185,8 +185,8 @@
 	}
 }
 
-// recordForeignRow logs and counts a row in the runners' table that is not the row of a runner. It is
-// skipped, and every other row is valid.
+// recordForeignRow logs and counts a row in the runners' table that is not the row of a runner.
+// Such a row adds no runner, and every other row is valid.
 func (g *Gatekeeper) recordForeignRow(key string, err error) {
 	g.Metrics.GetOrCreateCounter("sardinetiller_foreign_rows_total").Inc()
 	g.Recorder.Log(recorder.Belief, "msg", "row in the runners' table is not a runner; skipped", "row", key, "err", err)
