--- a/internal/instance/composer/composer.go
+++ b/internal/instance/composer/composer.go
@@ -149,7 +149,7 @@
 func newFleet(p Parts) *monitor.Fleet { return &monitor.Fleet{Domain: p.Config.Domain} }
 
 func newHolder(p Parts, i incarnation) *leaser.Holder {
-	return &leaser.Holder{Self: leaser.Member{ID: p.Config.ID, Incarnation: string(i)}, Time: p.Config.Lease}
+	return &leaser.Holder{Self: leaser.Member{ID: p.Config.ID, Incarnation: string(i)}, LeaseDuration: p.Config.Lease}
 }
 
 func newIncarnation(p Parts) incarnation { return incarnation(p.Config.ID + "-" + token()) }
@@ -176,7 +176,7 @@
 }
 
 func newMonitor(p Parts) *heartbeater.Monitor {
-	return &heartbeater.Monitor{Silence: missedHeartbeats * p.Config.Beat, Patience: p.Config.Lease}
+	return &heartbeater.Monitor{SuspectAfter: missedHeartbeats * p.Config.Beat, GoneAfter: p.Config.Lease}
 }
 
 func newSharer(p Parts) *loader.Sharer {
--- a/internal/instance/gatekeeper/age.go
+++ b/internal/instance/gatekeeper/age.go
@@ -48,7 +48,7 @@
 		g.Metrics.GetOrCreateGauge("sardinetiller_told_passed"+label, func() float64 {
 			l.mu.Lock()
 			defer l.mu.Unlock()
-			if l.source.id == l.leader.Holder {
+			if l.source.id == l.leader.Leader {
 				return 0
 			}
 			return 1
--- a/internal/instance/gatekeeper/apply.go
+++ b/internal/instance/gatekeeper/apply.go
@@ -14,8 +14,8 @@
 func (l *link) apply(n relayer.News) {
 	now := time.Now()
 	g := l.gatekeeper
-	if n.Ended > 0 {
-		l.leaderEnded(n.Ended)
+	if n.ReleasedFence > 0 {
+		l.leaderEnded(n.ReleasedFence)
 		return
 	}
 	g.applyReachability(n, now)
@@ -25,15 +25,15 @@
 	if n.Fresh && matches {
 		l.freshAt = now
 	}
-	if sent := now.Add(-n.Silence); sent.After(l.lastUpdate) {
+	if sent := now.Add(-n.SinceLeaderUpdate); sent.After(l.lastUpdate) {
 		l.lastUpdate = sent
 	}
-	if n.Loaded {
+	if n.HasLoads {
 		l.setMembers(n.Members)
 	}
 	l.mu.Unlock()
-	if n.Tenure.Holder != "" {
-		l.setLeader(n.Tenure)
+	if n.Lease.Leader != "" {
+		l.setLeader(n.Lease)
 	}
 	g.applyTables(n.Tables, now)
 	if n.Operator.Newest > 0 && g.operator.observeVersion(n.Operator.Newest, now) {
@@ -45,7 +45,7 @@
 	l.applyCopies(n, now)
 	d := g.controllers[l.domain]
 	d.recordUpdate(n, now)
-	if n.Loaded {
+	if n.HasLoads {
 		others := maps.Clone(n.Loads)
 		if others == nil {
 			others = make(map[string]tracker.Load)
@@ -54,9 +54,9 @@
 		g.Fleet.OthersIn(l.domain, others)
 	}
 	g.Fleet.Staffed(l.domain, n.Acting)
-	g.Fleet.Line(l.domain, n.Line)
-	g.Fleet.LoadTimes(l.domain, tracker.Times{Load: n.Load, Return: n.Return})
-	d.recordRenewal(n.Tenure, n.Renewal, n.Age)
+	g.Fleet.Line(l.domain, n.LoadQueueWait)
+	g.Fleet.LoadTimes(l.domain, tracker.Times{Load: n.LoadTime, Return: n.ReloadTime})
+	d.recordRenewal(n.Lease, n.Renewal, n.Age)
 }
 
 // applyReachability records since when another leader has reached the store.
@@ -66,8 +66,8 @@
 		g.othersReachedStoreAt.advance(at)
 		g.storeUp.observeOthers(at, at, now)
 	}
-	if n.Reached != (relayer.Span{}) {
-		g.storeUp.observeOthers(now.Add(-n.Reached.First), now.Add(-n.Reached.Last), now)
+	if n.StoreReached != (relayer.Span{}) {
+		g.storeUp.observeOthers(now.Add(-n.StoreReached.First), now.Add(-n.StoreReached.Last), now)
 	}
 }
 
@@ -87,18 +87,18 @@
 	g := l.gatekeeper
 	g.runnerUpdateMu.Lock()
 	defer g.runnerUpdateMu.Unlock()
-	if n.Whole {
+	if n.Snapshot {
 		g.applySnapshot(l.domain, n)
 	}
 	for _, r := range n.Runners {
 		g.setRunner(r, n.From)
 	}
-	for _, removal := range n.Gone {
+	for _, removal := range n.Removed {
 		if known, ok := g.Fleet.Get(removal.Runner); !ok || known.Revision <= removal.Revision { // else it was described again since
 			g.removeRunnerNow(removal.Runner, removal.Revision, n.From, whyPublished)
 		}
 	}
-	if n.Whole {
+	if n.Snapshot {
 		g.Fleet.CompleteTo(l.domain, n.Revision)
 	}
 	return g.matches(l.domain, n)
@@ -108,14 +108,14 @@
 // slot.
 func (l *link) applyCopies(n relayer.News, now time.Time) {
 	fleet := l.gatekeeper.Fleet
-	if n.Whole {
+	if n.Snapshot {
 		copies := make(map[string]map[placer.Copy]time.Time)
 		for _, h := range n.Held {
 			if copies[h.Runner] == nil {
 				copies[h.Runner] = make(map[placer.Copy]time.Time)
 			}
 			for _, s := range h.Copies {
-				copies[h.Runner][h.Copy(s)] = now.Add(s.In)
+				copies[h.Runner][h.Copy(s)] = now.Add(s.ReadyIn)
 			}
 		}
 		for runner, held := range copies {
@@ -124,13 +124,13 @@
 	} else {
 		for _, h := range n.Held {
 			for _, s := range h.Copies {
-				fleet.HeldOne(h.Runner, h.Copy(s), now.Add(s.In), s.In >= 0)
+				fleet.HeldOne(h.Runner, h.Copy(s), now.Add(s.ReadyIn), s.ReadyIn >= 0)
 			}
 		}
 	}
-	if len(n.Rooms) > 0 {
-		waits := make(map[string]time.Duration, len(n.Rooms))
-		for _, r := range n.Rooms {
+	if len(n.SlotWaits) > 0 {
+		waits := make(map[string]time.Duration, len(n.SlotWaits))
+		for _, r := range n.SlotWaits {
 			waits[r.Runner] = r.Wait
 		}
 		fleet.Rooms(waits)
--- a/internal/instance/gatekeeper/changelog.go
+++ b/internal/instance/gatekeeper/changelog.go
@@ -17,7 +17,7 @@
 
 // An event is one change. Exactly one of its fields is set.
 type event struct {
-	removal    *relayer.Gone
+	removal    *relayer.RemovedRunner
 	copyChange *copyEvent
 	slotWait   *slotEvent
 	runner     *tracker.Runner
--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -31,9 +31,9 @@
 	callInFlight  bool          // a store call for the lease is in flight
 	polling       bool          // the domain appears to have no leader, and the lease row is polled
 	runners       map[string]*runnerState
-	checksum      uint64            // checksum of the runner descriptions
-	aggregator    gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that relays them to it
-	firstReportAt time.Time         // when this instance received the first demand report as leader
+	checksum      uint64              // checksum of the runner descriptions
+	aggregator    gatherer.Aggregator // sums up members' demand reports, on the leader or on an instance that relays them to it
+	firstReportAt time.Time           // when this instance received the first demand report as leader
 	changes       changeLog
 	loadWindow    placer.Window  // limits the concurrent loads from the weight store
 	prefillShare  admitter.Share // learned from the gaps in responses
@@ -103,21 +103,21 @@
 	}
 	d.toggleChecksum(c.runner)
 	delete(d.runners, id)
-	d.changes.add(event{removal: &relayer.Gone{Runner: id, Revision: revision}})
+	d.changes.add(event{removal: &relayer.RemovedRunner{Runner: id, Revision: revision}})
 }
 
 // mayOrder returns the fencing token of the lease and whether orders may be sent now.
 func (d *controller) mayOrder() (uint64, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.elector.Acts(uptime())
+	return d.elector.MaySendOrders(uptime())
 }
 
 // leads reports whether this instance leads the domain.
 func (d *controller) leads() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.elector.Holds(uptime())
+	return d.elector.IsLeader(uptime())
 }
 
 // sendDue sends the orders and report requests that are due.
@@ -125,7 +125,7 @@
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	fence, ok := d.elector.Acts(uptime())
+	fence, ok := d.elector.MaySendOrders(uptime())
 	if !ok {
 		d.stopOrdering()
 		return
@@ -151,7 +151,7 @@
 		if c.placer == nil || c.callInFlight || c.runner.Leaving {
 			continue
 		}
-		c.placer.Load, c.placer.Return = d.gatekeeper.LoadTime(), d.gatekeeper.ReturnTime()
+		c.placer.Load, c.placer.Return = d.gatekeeper.LoadTime(), d.gatekeeper.ReloadTime()
 		switch {
 		case !c.placer.Known():
 			if now.Sub(c.reportRequested) >= reportInterval {
--- a/internal/instance/gatekeeper/crashreport.go
+++ b/internal/instance/gatekeeper/crashreport.go
@@ -48,7 +48,7 @@
 		g.storeOwnCrashes()
 		for _, to := range g.crashSources() {
 			if reports := g.quarantine.unacknowledged(to, time.Now()); len(reports) > 0 {
-				_ = g.Peers.Tell(ctx, to.address, relayer.Crashes{Words: reports}) // repeated until the source publishes them back
+				_ = g.Peers.Send(ctx, to.address, relayer.Crashes{Reports: reports}) // repeated until the source publishes them back
 			}
 		}
 	})
@@ -71,9 +71,9 @@
 	return all
 }
 
-// HeardCrashes implements relayer.Suspecter.
-func (g *Gatekeeper) HeardCrashes(from heartbeater.Instance, c relayer.Crashes) {
-	g.applyCrashReports(c.Words, from.ID)
+// HandleCrashReports implements relayer.CrashHandler.
+func (g *Gatekeeper) HandleCrashReports(from heartbeater.Instance, c relayer.Crashes) {
+	g.applyCrashReports(c.Reports, from.ID)
 }
 
 // unacknowledged returns this instance's reports that a source has not published back.
--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -13,9 +13,9 @@
 // memberTimeout is the time after its last demand report at which a member is dropped.
 const memberTimeout = 3 * time.Second
 
-// Demanded implements relayer.Demander: it handles a member's demand report as the leader of
+// HandleDemand implements relayer.DemandHandler: it handles a member's demand report as the leader of
 // the domain, or relays it to the leader.
-func (g *Gatekeeper) Demanded(from heartbeater.Instance, demand relayer.Demand) {
+func (g *Gatekeeper) HandleDemand(from heartbeater.Instance, demand relayer.Demand) {
 	d, ok := g.controllers[demand.Domain]
 	switch {
 	case !ok:
@@ -36,7 +36,7 @@
 func (d *controller) relaysFor(member string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.aggregator.Knows(member)
+	return d.aggregator.IsMember(member)
 }
 
 // applyDemand applies a member's demand report.
@@ -44,22 +44,22 @@
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if demand.Parted {
-		d.aggregator.Drop(from)
+	if demand.Unsubscribed {
+		d.aggregator.Remove(from)
 		return
 	}
 	if d.firstReportAt.IsZero() {
 		d.firstReportAt = now
 	}
-	d.aggregator.Tell(from, summedReport(demand), now)
+	d.aggregator.Report(from, summedReport(demand), now)
 	if from != d.gatekeeper.Config.ID && reportsResponse(demand) {
 		d.partition.respondedElsewhere = now
 	}
-	d.prefillShare.Learn(demand.Short, demand.Long)
-	for _, n := range demand.There {
-		d.withPlacer(n.Runner, func(p *placer.Placer) { d.observeArrival(p.There(n.Copy, n.Requests, now.Add(-n.Ago))) })
+	d.prefillShare.Learn(demand.ShortGaps, demand.LongGaps)
+	for _, n := range demand.Hits {
+		d.withPlacer(n.Runner, func(p *placer.Placer) { d.observeArrival(p.There(n.Copy, n.Requests, now.Add(-n.Age))) })
 	}
-	for _, n := range demand.Missing {
+	for _, n := range demand.Misses {
 		d.withPlacer(n.Runner, func(p *placer.Placer) { p.Late(n.Copy, now) })
 	}
 	for _, n := range demand.Spare {
@@ -68,9 +68,9 @@
 }
 
 // summedReport returns the part of a demand report that is summed up over all members.
-func summedReport(demand relayer.Demand) gatherer.Word {
-	sums := gatherer.Word{
-		Instances: 1 + demand.Others, Loads: demand.Loads,
+func summedReport(demand relayer.Demand) gatherer.Report {
+	sums := gatherer.Report{
+		Instances: 1 + demand.OtherInstances, Loads: demand.Loads,
 		Uses:  make(map[gatherer.Key]int, len(demand.Uses)),
 		Waits: make(map[gatherer.Key]placer.Waiting, len(demand.Waits)),
 	}
@@ -105,7 +105,7 @@
 }
 
 // recordUse counts a use that a member has begun.
-func (d *controller) recordUse(by string, k gatherer.Key) { d.aggregator.Use(by, k, time.Now()) }
+func (d *controller) recordUse(by string, k gatherer.Key) { d.aggregator.AddUse(by, k, time.Now()) }
 
 func (d *controller) withPlacer(runner string, do func(p *placer.Placer)) {
 	if c, ok := d.runners[runner]; ok && c.placer != nil {
--- a/internal/instance/gatekeeper/demand_test.go
+++ b/internal/instance/gatekeeper/demand_test.go
@@ -19,7 +19,7 @@
 	c := placer.Copy{Model: "m", Adapter: "a1", Version: 1}
 	k := keyOf("i-1", c)
 	uses := func(n int) relayer.Demand {
-		return relayer.Demand{Uses: []relayer.Need{{Runner: "i-1", Copy: c, Requests: n}}}
+		return relayer.Demand{Uses: []relayer.CopyUse{{Runner: "i-1", Copy: c, Requests: n}}}
 	}
 	for _, tc := range []struct {
 		name   string
@@ -87,7 +87,7 @@
 		if wait := d.slotWait(d.runners["i-1"], time.Now()); wait != 0 {
 			t.Errorf("wait %s for slots that no request needs", wait)
 		}
-		demand := relayer.Demand{Uses: []relayer.Need{{Runner: "i-1", Copy: copies[0], Requests: 1}, {Runner: "i-1", Copy: copies[1], Requests: 1}}}
+		demand := relayer.Demand{Uses: []relayer.CopyUse{{Runner: "i-1", Copy: copies[0], Requests: 1}, {Runner: "i-1", Copy: copies[1], Requests: 1}}}
 		for _, c := range copies[2:] {
 			demand.Waits = append(demand.Waits, relayer.Wait{Runner: "i-1", Copy: c, Waiting: placer.Waiting{Requests: 1}})
 		}
--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -171,10 +171,10 @@
 		d := &controller{
 			gatekeeper: g, domain: domain, runners: make(map[string]*runnerState),
 			elector: elector.Elector{
-				Self: g.Config.ID, Address: g.Config.Reached(), Lease: leaseDuration, Quiet: g.Config.Bounds.Quiet + quietMargin, Late: late,
+				Self: g.Config.ID, Address: g.Config.Reached(), LeaseDuration: leaseDuration, QuietPeriod: g.Config.Bounds.Quiet + quietMargin, TakeoverDelay: late,
 			},
 		}
-		d.aggregator = gatherer.Gatherer{Freed: d.reportFreed, Silent: memberTimeout, Waits: d.applyWaits}
+		d.aggregator = gatherer.Aggregator{OnFreed: d.reportFreed, MemberTimeout: memberTimeout, OnWaiting: d.applyWaits}
 		g.controllers[domain] = d
 		g.links[domain] = &link{gatekeeper: g, domain: domain, lastUpdate: lastUpdate, wake: make(chan struct{}, 1), relayTimeout: minRelayTimeout + rand.N(relayTimeoutJitter)}
 	}
--- a/internal/instance/gatekeeper/lease.go
+++ b/internal/instance/gatekeeper/lease.go
@@ -78,17 +78,17 @@
 	if d.callInFlight || now < d.retryAt {
 		return
 	}
-	leads := d.elector.Holds(now)
+	leads := d.elector.IsLeader(now)
 	if !leads && !d.leaderless() {
 		d.polling = false
 		return
 	}
-	if d.elector.Stale() {
+	if d.elector.NeedsRead() {
 		d.startCall(func() { d.readLeaseRow(ctx) })
 		return
 	}
 	if w, ok := d.elector.Next(now); ok && (leads || !d.defersTakeover()) {
-		if w.Takeover && w.Row.Fence > 1 && d.elector.Holder().Holder != d.gatekeeper.Config.ID {
+		if w.Takeover && w.Row.Fence > 1 && d.elector.Row().Leader != d.gatekeeper.Config.ID {
 			runners := d.probeTargets(maxProbes)
 			d.startCall(func() { d.takeOver(ctx, w, runners) })
 		} else {
@@ -133,17 +133,17 @@
 }
 
 // recordRenewal records a renewal of the lease that the leader published.
-func (d *controller) recordRenewal(row elector.Tenure, version uint64, age time.Duration) {
+func (d *controller) recordRenewal(row elector.Lease, version uint64, age time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.elector.Heard(row, version, age, uptime())
+	d.elector.ObserveRemote(row, version, age, uptime())
 }
 
 // recordRelease records that the leader with the given fencing token has stepped down.
 func (d *controller) recordRelease(fence uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.elector.Ended(fence, uptime())
+	d.elector.ObserveStepDown(fence, uptime())
 }
 
 func (d *controller) startCall(do func()) {
@@ -161,7 +161,7 @@
 	sent := time.Now()
 	row, err := d.gatekeeper.Store.Get(ctx, tableLeases+"/"+d.domain)
 	d.gatekeeper.recordStoreCall(sent, err)
-	var lease elector.Tenure
+	var lease elector.Lease
 	if err == nil && row.Version > 0 {
 		err = encoder.Unmarshal(row.Value, &lease)
 	}
@@ -176,7 +176,7 @@
 		d.retryAt = uptime() + pollInterval
 		return
 	}
-	d.elector.Read(lease, row.Version, uptime())
+	d.elector.ObserveRow(lease, row.Version, uptime())
 }
 
 func (d *controller) writeLease(ctx context.Context, w elector.Write) {
@@ -189,13 +189,13 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if err != nil {
-		d.elector.Lost()
+		d.elector.WriteFailed()
 		d.retryAt = uptime() + minRetryDelay
 		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease write failed", "domain", d.domain, "fence", w.Row.Fence,
 			"takeover", w.Takeover, "err", err)
 		return
 	}
-	d.elector.Written(w, version, uptime())
+	d.elector.WriteSucceeded(w, version, uptime())
 	if w.Takeover {
 		d.firstReportAt = time.Time{} // members whose reports were relayed are not all members
 		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease acquired", "domain", d.domain, "fence", w.Row.Fence, "version", version)
@@ -233,11 +233,11 @@
 	if err != nil {
 		return err
 	}
-	var lease elector.Tenure
+	var lease elector.Lease
 	if err := encoder.Unmarshal(row.Value, &lease); err != nil {
 		return err
 	}
-	if lease.Holder != d.gatekeeper.Config.ID || lease.Fence != w.Row.Fence {
+	if lease.Leader != d.gatekeeper.Config.ID || lease.Fence != w.Row.Fence {
 		return nil // another instance leads already
 	}
 	w.Version = row.Version
@@ -270,7 +270,7 @@
 		g.applyCrashRow(c, r)
 		return
 	}
-	var lease elector.Tenure
+	var lease elector.Lease
 	if err := encoder.Unmarshal(r.Value, &lease); err != nil {
 		g.Recorder.Log(recorder.Belief, "msg", "malformed lease row", "row", r.Key, "err", err)
 		return
@@ -278,7 +278,7 @@
 	domain := r.Key[len(tableLeaders)+1:]
 	if l, ok := g.links[domain]; ok {
 		l.setLeader(lease)
-		if lease.Holder != g.Config.ID {
+		if lease.Leader != g.Config.ID {
 			g.controllers[domain].recordRenewal(lease, r.Version, 0) // both rows were written by one transaction
 		}
 	}
--- a/internal/instance/gatekeeper/lease_test.go
+++ b/internal/instance/gatekeeper/lease_test.go
@@ -15,11 +15,11 @@
 )
 
 // readLease decodes the lease row of domain a.
-func readLease(t *testing.T, s *feedStore) elector.Tenure {
+func readLease(t *testing.T, s *feedStore) elector.Lease {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var lease elector.Tenure
+	var lease elector.Lease
 	if err := encoder.Unmarshal(s.rows[tableLeases+"/a"].Value, &lease); err != nil {
 		t.Fatal(err)
 	}
@@ -27,7 +27,7 @@
 }
 
 // putLease writes the lease row of domain a.
-func putLease(t *testing.T, s *feedStore, lease elector.Tenure) {
+func putLease(t *testing.T, s *feedStore, lease elector.Lease) {
 	t.Helper()
 	value, err := encoder.Marshal(lease)
 	if err != nil {
@@ -43,15 +43,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newGatekeeperWithStore()
 		d := g.controllers["a"]
-		lease := elector.Tenure{Holder: g.Config.ID, Fence: 1, Serial: 7, Settled: true}
+		lease := elector.Lease{Leader: g.Config.ID, Fence: 1, Serial: 7, Settled: true}
 		putLease(t, store, lease)
-		d.elector.Read(lease, store.version, uptime())
+		d.elector.ObserveRow(lease, store.version, uptime())
 		w, _ := d.elector.Next(uptime())
-		d.elector.Written(w, store.version, uptime())
+		d.elector.WriteSucceeded(w, store.version, uptime())
 		putLease(t, store, w.Row) // the renewal; its response has not arrived yet
 		release, _ := d.elector.Leave(uptime())
 		d.releaseRow(t.Context(), release)
-		if leader := readLease(t, store).Holder; leader != "" {
+		if leader := readLease(t, store).Leader; leader != "" {
 			t.Errorf("lease row names %s, want no leader", leader)
 		}
 	})
@@ -63,10 +63,10 @@
 		g, store := newGatekeeperWithStore()
 		d := g.controllers["a"]
 		makeLeader(g, "a")
-		putLease(t, store, elector.Tenure{Holder: "front-9", Fence: 2})
+		putLease(t, store, elector.Lease{Leader: "front-9", Fence: 2})
 		release, _ := d.elector.Leave(uptime())
 		d.releaseRow(t.Context(), release)
-		if leader := readLease(t, store).Holder; leader != "front-9" {
+		if leader := readLease(t, store).Leader; leader != "front-9" {
 			t.Errorf("lease row names %q, want front-9", leader)
 		}
 	})
@@ -78,15 +78,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newGatekeeperWithStore()
 		d := g.controllers["a"]
-		d.elector.Late = 0
-		d.elector.Heard(elector.Tenure{Holder: "front-1", Fence: 1}, store.version, 0, uptime())
-		putLease(t, store, elector.Tenure{Fence: 1, Serial: 9})
+		d.elector.TakeoverDelay = 0
+		d.elector.ObserveRemote(elector.Lease{Leader: "front-1", Fence: 1}, store.version, 0, uptime())
+		putLease(t, store, elector.Lease{Fence: 1, Serial: 9})
 		d.polling, d.nextPoll = true, uptime()
 		d.maintainLease(t.Context()) // polls the row
 		time.Sleep(100 * time.Millisecond)
 		d.maintainLease(t.Context())
 		time.Sleep(100 * time.Millisecond)
-		if leader := readLease(t, store).Holder; leader != g.Config.ID {
+		if leader := readLease(t, store).Leader; leader != g.Config.ID {
 			t.Errorf("lease row names %q, want this instance", leader)
 		}
 	})
@@ -150,13 +150,13 @@
 				g.Engine = probedEngine{answers: answers}
 				g.setRunner(tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Slots: 8, Models: []string{"m"}, Revision: 1}, fromStore)
 				d := g.controllers["a"]
-				d.elector.Late = 0
-				released := elector.Tenure{Fence: 4}
+				d.elector.TakeoverDelay = 0
+				released := elector.Lease{Fence: 4}
 				putLease(t, store, released)
-				d.elector.Read(released, store.version, uptime())
+				d.elector.ObserveRow(released, store.version, uptime())
 				d.maintainLease(t.Context())
 				time.Sleep(100 * time.Millisecond)
-				if took := readLease(t, store).Holder == g.Config.ID; took != answers {
+				if took := readLease(t, store).Leader == g.Config.ID; took != answers {
 					t.Errorf("acquired the lease: %v", took)
 				}
 			})
--- a/internal/instance/gatekeeper/link.go
+++ b/internal/instance/gatekeeper/link.go
@@ -18,11 +18,11 @@
 	mu             sync.Mutex
 	urgentAt       map[gatherer.Key]time.Time // when the leader was last sent an urgent request for a copy
 	diverged       divergence
-	previousSource source         // previous source, to which this instance reported before
-	freshAt        time.Time      // when the source last had current runners that matched this instance's
-	lastUpdate     time.Time      // when the last update of the leader was received
-	leader         elector.Tenure // lease of the domain's leader
-	lastEmpty      bool           // the last report was empty
+	previousSource source        // previous source, to which this instance reported before
+	freshAt        time.Time     // when the source last had current runners that matched this instance's
+	lastUpdate     time.Time     // when the last update of the leader was received
+	leader         elector.Lease // lease of the domain's leader
+	lastEmpty      bool          // the last report was empty
 	pendingDemand  pendingDemand
 	relayedAt      time.Time     // when the leader sent its last update that arrived through another instance
 	unsubscribeAt  time.Time     // until when this instance also reports to previousSource
@@ -46,17 +46,17 @@
 )
 
 // setLeader records the current lease.
-func (l *link) setLeader(lease elector.Tenure) {
+func (l *link) setLeader(lease elector.Lease) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if lease.Fence <= l.leader.Fence {
 		return
 	}
-	if l.lastUpdate.IsZero() && lease.Holder != "" && lease.Holder != l.self() {
+	if l.lastUpdate.IsZero() && lease.Leader != "" && lease.Leader != l.self() {
 		l.lastUpdate = time.Now() // gives a new leader time to send its first update before the lease counts as vacant
 	}
 	l.leader = lease
-	l.gatekeeper.Recorder.Log(recorder.Belief, "msg", "leader changed", "domain", l.domain, "holder", lease.Holder, "fence", lease.Fence)
+	l.gatekeeper.Recorder.Log(recorder.Belief, "msg", "leader changed", "domain", l.domain, "holder", lease.Leader, "fence", lease.Fence)
 }
 
 // leaderAndSource returns the leader, which sends orders in the domain, and the source of its
@@ -65,7 +65,7 @@
 func (l *link) leaderAndSource() (leader, via source, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return sourceOf(l.leader), l.source, l.leader.Holder != "" && time.Since(l.lastUpdate) <= updateTimeout
+	return sourceOf(l.leader), l.source, l.leader.Leader != "" && time.Since(l.lastUpdate) <= updateTimeout
 }
 
 // setMembers records the number of instances.
--- a/internal/instance/gatekeeper/link_test.go
+++ b/internal/instance/gatekeeper/link_test.go
@@ -37,7 +37,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		l := g.links["a"]
-		l.apply(relayer.News{Fresh: true, Tenure: elector.Tenure{Holder: "front-1", Fence: 1}, Renewal: 5})
+		l.apply(relayer.News{Fresh: true, Lease: elector.Lease{Leader: "front-1", Fence: 1}, Renewal: 5})
 		if !g.runnersPublished() {
 			t.Fatal("does not rely on a fresh update")
 		}
@@ -65,11 +65,11 @@
 		old := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}
 		g.setRunner(old, fromStore)
 		g.setRunner(tracker.Runner{ID: "i-2", Domain: "a", Service: "llm", Revision: 2}, fromStore)
-		l.apply(relayer.News{Revision: 1, Whole: true, Runners: []tracker.Runner{old}})
+		l.apply(relayer.News{Revision: 1, Snapshot: true, Runners: []tracker.Runner{old}})
 		if _, known := g.Fleet.Get("i-2"); !known {
 			t.Error("a runner was dropped that the leader could not know")
 		}
-		l.apply(relayer.News{Fresh: true, Revision: 2, Whole: true, Runners: []tracker.Runner{old}})
+		l.apply(relayer.News{Fresh: true, Revision: 2, Snapshot: true, Runners: []tracker.Runner{old}})
 		if _, known := g.Fleet.Get("i-2"); known {
 			t.Error("a runner that is gone was kept")
 		}
@@ -84,7 +84,7 @@
 		g, _ := newGatekeeperWithStore()
 		g.setViews()
 		makeLeader(g, "a")
-		err := g.Answer(t.Context(), heartbeater.Instance{ID: "front-1", Domain: "a"}, relayer.Subscribe{Domain: "a"}, nil)
+		err := g.HandleRequest(t.Context(), heartbeater.Instance{ID: "front-1", Domain: "a"}, relayer.Subscribe{Domain: "a"}, nil)
 		var refused *judge.Error
 		if !errors.As(err, &refused) || refused.Reason != judge.ReasonStarting {
 			t.Errorf("got %v, want a refusal because the instance is starting", err)
@@ -100,7 +100,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		l := g.links["a"]
-		l.setLeader(elector.Tenure{Holder: g.Config.ID, Fence: 1})
+		l.setLeader(elector.Lease{Leader: g.Config.ID, Fence: 1})
 		ctx, cancel := context.WithCancel(t.Context())
 		go l.reportLoop(ctx)
 		time.Sleep(2 * leaderTimeout)
@@ -120,7 +120,7 @@
 		old := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 7}
 		g.setRunner(old, fromStore)
 		g.Fleet.Remove("i-1", 9)
-		g.links["a"].apply(relayer.News{Whole: true, Runners: []tracker.Runner{old}})
+		g.links["a"].apply(relayer.News{Snapshot: true, Runners: []tracker.Runner{old}})
 		if _, known := g.Fleet.Get("i-1"); known {
 			t.Error("a removed runner is known again")
 		}
@@ -140,12 +140,12 @@
 		l := g.links["a"]
 		running := func() int { return g.Fleet.Candidates(tracker.Demand{Service: "llm"}, time.Now())[0].Running }
 		runner := tracker.Runner{ID: "i-1", Service: "llm", Domain: "a", Revision: 1}
-		l.apply(relayer.News{Whole: true, Runners: []tracker.Runner{runner}, Loaded: true, Loads: map[string]tracker.Load{"i-1": {Running: 7}}})
+		l.apply(relayer.News{Snapshot: true, Runners: []tracker.Runner{runner}, HasLoads: true, Loads: map[string]tracker.Load{"i-1": {Running: 7}}})
 		l.apply(relayer.News{})
 		if n := running(); n != 7 {
 			t.Errorf("%d requests of others after an update without loads, want 7", n)
 		}
-		l.apply(relayer.News{Loaded: true})
+		l.apply(relayer.News{HasLoads: true})
 		if n := running(); n != 0 {
 			t.Errorf("%d requests of others, want none", n)
 		}
@@ -196,12 +196,12 @@
 	g.init()
 	e := &g.controllers["a"].elector
 	began := uptime()
-	e.Read(elector.Tenure{Holder: "front-1", Fence: 1}, 5, began)
+	e.ObserveRow(elector.Lease{Leader: "front-1", Fence: 1}, 5, began)
 	const step = 50 * time.Millisecond
 	now := began
 	for {
 		if w, ok := e.Next(now); ok {
-			e.Written(w, 6, now)
+			e.WriteSucceeded(w, 6, now)
 			break
 		}
 		if now += step; now > began+time.Minute {
@@ -209,11 +209,11 @@
 		}
 	}
 	for {
-		if _, ok := e.Acts(now); ok || now > began+time.Minute {
+		if _, ok := e.MaySendOrders(now); ok || now > began+time.Minute {
 			break
 		}
 		if w, ok := e.Next(now); ok {
-			e.Written(w, 7, now)
+			e.WriteSucceeded(w, 7, now)
 		}
 		now += step
 	}
--- a/internal/instance/gatekeeper/load_time.go
+++ b/internal/instance/gatekeeper/load_time.go
@@ -112,7 +112,7 @@
 			}
 			base, read := g.Fleet.Paces(name)
 			g.Recorder.Log(recorder.Belief, "msg", "paces", "service", name, "first", base, "token", read,
-				"load", g.LoadTime(), "return", g.ReturnTime(), "members", g.Members())
+				"load", g.LoadTime(), "return", g.ReloadTime(), "members", g.Members())
 		}
 		for _, d := range g.controllers {
 			d.logLoads()
@@ -123,5 +123,5 @@
 // LoadTime returns the estimated time to load an adapter from the weight store.
 func (g *Gatekeeper) LoadTime() time.Duration { return g.loadTime.get() }
 
-// ReturnTime returns the estimated time to load an adapter that the runner held before.
-func (g *Gatekeeper) ReturnTime() time.Duration { return g.reloadTime.get() }
+// ReloadTime returns the estimated time to load an adapter that the runner held before.
+func (g *Gatekeeper) ReloadTime() time.Duration { return g.reloadTime.get() }
--- a/internal/instance/gatekeeper/peers.go
+++ b/internal/instance/gatekeeper/peers.go
@@ -11,8 +11,8 @@
 
 // Peers manages the connections to other instances.
 type Peers interface {
-	// Cut closes the connection to an address.
-	Cut(address string)
+	// CloseLink closes the connection to an address.
+	CloseLink(address string)
 	// Linked reports whether there is a connection to an address now, and returns an identity
 	// of it.
 	Linked(address string) (link any, ok bool)
@@ -21,8 +21,8 @@
 	Open(ctx context.Context, address string, m relayer.Message) (Conversation, error)
 	// Serve accepts a connection from a peer.
 	Serve(c *fasthttp.RequestCtx)
-	// Tell sends a message that is not answered.
-	Tell(ctx context.Context, address string, m relayer.Message) error
+	// Send sends a message that is not answered.
+	Send(ctx context.Context, address string, m relayer.Message) error
 }
 
 // A Conversation is a stream of answers to one request.
--- a/internal/instance/gatekeeper/publish.go
+++ b/internal/instance/gatekeeper/publish.go
@@ -26,9 +26,9 @@
 	farUpdateInterval     = 250 * time.Millisecond
 )
 
-// Answer implements relayer.Handler. It handles subscriptions, reservations, requests for a
+// HandleRequest implements relayer.Handler. It handles subscriptions, reservations, requests for a
 // request slot and settlements of quotas.
-func (g *Gatekeeper) Answer(ctx context.Context, from heartbeater.Instance, m relayer.Message, reply *relayer.Reply) error {
+func (g *Gatekeeper) HandleRequest(ctx context.Context, from heartbeater.Instance, m relayer.Message, reply *relayer.Reply) error {
 	return g.handle(ctx, from, m, reply)
 }
 
@@ -83,9 +83,9 @@
 	return d, nil
 }
 
-// Heard implements relayer.Handler. It ignores heartbeats: the demand reports of members show
+// HandleHeartbeat implements relayer.Handler. It ignores heartbeats: the demand reports of members show
 // that they are alive.
-func (g *Gatekeeper) Heard(heartbeater.Instance, relayer.Beat) {}
+func (g *Gatekeeper) HandleHeartbeat(heartbeater.Instance, relayer.Beat) {}
 
 // publishes reports whether this instance publishes updates of the domain: as its leader, or as
 // the leader of another domain, which relays what it receives.
@@ -102,7 +102,7 @@
 // intervals returns how often a member is sent updates.
 func (d *controller) intervals(member heartbeater.Instance, s relayer.Subscribe) publishIntervals {
 	switch {
-	case s.Passes, member.Domain == d.domain:
+	case s.Relays, member.Domain == d.domain:
 		return publishIntervals{changeInterval, updateInterval}
 	case member.Domain == d.gatekeeper.Config.Domain:
 		return publishIntervals{relayedChangeInterval, updateInterval}
@@ -155,7 +155,7 @@
 	released := d.releasedFence
 	d.mu.Unlock()
 	if released > 0 && released == fence {
-		if err := reply.Send(relayer.News{Ended: released}); err != nil {
+		if err := reply.Send(relayer.News{ReleasedFence: released}); err != nil {
 			return fmt.Errorf("tell of the end: %w", err)
 		}
 	}
@@ -165,7 +165,7 @@
 func (d *controller) currentFence() uint64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.elector.Holder().Fence
+	return d.elector.Row().Fence
 }
 
 // updateFor returns the changes since a sequence number as an update for a member, and the next
@@ -175,7 +175,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	update.Fresh, update.Revision, update.Checksum = d.gatekeeper.runnersFresh(), d.gatekeeper.runners.upTo(), d.checksum
-	if d.elector.Holds(uptime()) {
+	if d.elector.IsLeader(uptime()) {
 		d.addLeaderState(&update, member, due, now)
 	} else {
 		d.addRelayedState(&update, member, due, now)
@@ -190,11 +190,11 @@
 		case e.runner != nil:
 			update.Runners = append(update.Runners, *e.runner)
 		case e.removal != nil:
-			update.Gone = append(update.Gone, *e.removal)
+			update.Removed = append(update.Removed, *e.removal)
 		case e.copyChange != nil:
 			update.AddHeld(e.copyChange.runner, e.copyChange.copy, e.copyChange.delay(now))
 		case e.slotWait != nil:
-			update.Rooms = append(update.Rooms, relayer.Room{Runner: e.slotWait.runner, Wait: e.slotWait.wait})
+			update.SlotWaits = append(update.SlotWaits, relayer.SlotWait{Runner: e.slotWait.runner, Wait: e.slotWait.wait})
 		}
 	}
 	return update, d.changes.end(), len(events) > 0
@@ -204,15 +204,15 @@
 func (d *controller) addLeaderState(update *relayer.News, member string, due bool, now time.Time) {
 	if due {
 		update.Loads, update.Members = d.loadsExcept(member, now), d.instances(now)
-		update.Loaded = true
+		update.HasLoads = true
 		update.Operator = d.gatekeeper.operatorVersion(now)
-		update.Reached = d.gatekeeper.reachableSpan(now)
+		update.StoreReached = d.gatekeeper.reachableSpan(now)
 	}
-	update.Line = d.loadQueueWait(now)
-	update.Load, update.Return = d.gatekeeper.LoadTime(), d.gatekeeper.ReturnTime()
-	_, update.Acting = d.elector.Acts(uptime())
+	update.LoadQueueWait = d.loadQueueWait(now)
+	update.LoadTime, update.ReloadTime = d.gatekeeper.LoadTime(), d.gatekeeper.ReloadTime()
+	_, update.Acting = d.elector.MaySendOrders(uptime())
 	update.Renewal, update.Age = d.elector.Renewal(uptime())
-	update.Tenure = d.elector.Holder()
+	update.Lease = d.elector.Row()
 }
 
 // reachableSpan returns the span during which the store was reachable.
@@ -226,17 +226,17 @@
 
 // operatorVersion returns the newest version of the operator's rows that this instance knows,
 // and how long ago it was confirmed to be the newest.
-func (g *Gatekeeper) operatorVersion(now time.Time) relayer.Known {
+func (g *Gatekeeper) operatorVersion(now time.Time) relayer.TableVersion {
 	newest, age, ok := g.operator.confirmed(now)
 	if !ok {
-		return relayer.Known{}
+		return relayer.TableVersion{}
 	}
-	return relayer.Known{Newest: newest, Age: age.Round(time.Millisecond)}
+	return relayer.TableVersion{Newest: newest, Age: age.Round(time.Millisecond)}
 }
 
 // addSnapshot fills in a snapshot of the domain.
 func (d *controller) addSnapshot(update *relayer.News, now time.Time) {
-	update.Whole = true
+	update.Snapshot = true
 	for _, c := range d.runners {
 		r := c.runner
 		held, wait := d.copyState(c)
@@ -244,7 +244,7 @@
 			r.Adapters = nil // the list from its own row is older
 		}
 		update.Runners = append(update.Runners, r)
-		update.Rooms = append(update.Rooms, relayer.Room{Runner: r.ID, Wait: wait})
+		update.SlotWaits = append(update.SlotWaits, relayer.SlotWait{Runner: r.ID, Wait: wait})
 		for copied, at := range held {
 			update.AddHeld(r.ID, copied, max(0, at.Sub(now)))
 		}
--- a/internal/instance/gatekeeper/quarantine_simulation_test.go
+++ b/internal/instance/gatekeeper/quarantine_simulation_test.go
@@ -223,7 +223,7 @@
 	if now.Before(s.lossyUntil) || s.rng.IntN(4) == 0 {
 		return // the report is lost
 	}
-	src.g.HeardCrashes(heartbeater.Instance{ID: m.id}, relayer.Crashes{Words: reports})
+	src.g.HandleCrashReports(heartbeater.Instance{ID: m.id}, relayer.Crashes{Reports: reports})
 }
 
 func (m *simMember) observeLeader(domain string, at time.Time) {
--- a/internal/instance/gatekeeper/quota.go
+++ b/internal/instance/gatekeeper/quota.go
@@ -143,7 +143,7 @@
 		return g.applyAnswer(r, balances, sentAt), g.Config.ID
 	}
 	if to, ok := g.currentSource(); ok {
-		settled, err := g.exchange(ctx, to, relayer.Settle{Party: g.reporter(sentAt), Spent: want}, askTimeout)
+		settled, err := g.exchange(ctx, to, relayer.Settle{Reporter: g.reporter(sentAt), Spent: want}, askTimeout)
 		if err == nil {
 			return g.applyAnswer(r, settled.Balances, sentAt), to.id
 		}
--- a/internal/instance/gatekeeper/relay.go
+++ b/internal/instance/gatekeeper/relay.go
@@ -32,24 +32,24 @@
 func (d *controller) recordUpdate(n relayer.News, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.relayed.mayOrder, d.relayed.queueWait = n.Acting, n.Line
-	d.relayed.loadTime, d.relayed.reloadTime = n.Load, n.Return
-	if n.Loaded {
+	d.relayed.mayOrder, d.relayed.queueWait = n.Acting, n.LoadQueueWait
+	d.relayed.loadTime, d.relayed.reloadTime = n.LoadTime, n.ReloadTime
+	if n.HasLoads {
 		d.relayed.loads, d.relayed.members = n.Loads, n.Members
 	}
 	if d.subscribers == 0 {
 		return
 	}
-	if n.Whole {
+	if n.Snapshot {
 		d.changes.reset()
 		return
 	}
 	for _, h := range n.Held {
 		for _, s := range h.Copies {
-			d.changes.add(event{copyChange: &copyEvent{runner: h.Runner, copy: h.Copy(s), at: now.Add(s.In), present: s.In >= 0}})
+			d.changes.add(event{copyChange: &copyEvent{runner: h.Runner, copy: h.Copy(s), at: now.Add(s.ReadyIn), present: s.ReadyIn >= 0}})
 		}
 	}
-	for _, r := range n.Rooms {
+	for _, r := range n.SlotWaits {
 		d.changes.add(event{slotWait: &slotEvent{runner: r.Runner, wait: r.Wait}})
 	}
 }
@@ -69,18 +69,18 @@
 // addRelayedState adds the state that the leader of the domain published last.
 func (d *controller) addRelayedState(update *relayer.News, member string, due bool, now time.Time) {
 	l := d.gatekeeper.links[d.domain]
-	update.Tenure = d.elector.Holder()
+	update.Lease = d.elector.Row()
 	update.Renewal, update.Age = d.elector.Renewal(uptime())
-	update.Silence = l.sinceUpdate()
+	update.SinceLeaderUpdate = l.sinceUpdate()
 	if lacksLeaderState(*update) {
 		return
 	}
-	update.Acting, update.Line = d.relayed.mayOrder, d.relayed.queueWait
-	update.Load, update.Return = d.relayed.loadTime, d.relayed.reloadTime
+	update.Acting, update.LoadQueueWait = d.relayed.mayOrder, d.relayed.queueWait
+	update.LoadTime, update.ReloadTime = d.relayed.loadTime, d.relayed.reloadTime
 	if !due {
 		return
 	}
-	update.Loaded = true
+	update.HasLoads = true
 	update.Loads = d.loadsExcept(member, now)
 	addLoads(update.Loads, d.relayed.loads)
 	addLoads(update.Loads, d.gatekeeper.Fleet.LoadsIn(d.domain))
@@ -88,12 +88,12 @@
 }
 
 // relayedDemand returns the sum of the demand that is relayed to the leader of the domain.
-func (d *controller) relayedDemand(now time.Time) gatherer.Word {
+func (d *controller) relayedDemand(now time.Time) gatherer.Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.aggregator.Drop(d.gatekeeper.Config.ID) // recorded while this instance was leader
+	d.aggregator.Remove(d.gatekeeper.Config.ID) // recorded while this instance was leader
 	d.aggregator.Expire(now)
-	return d.aggregator.Word()
+	return d.aggregator.Sum()
 }
 
 // relayedLoads returns the load that is relayed to the leader of the domain.
@@ -106,7 +106,7 @@
 // lacksLeaderState reports whether an update carries no leader state, as its sender receives no
 // updates from the domain's leader. It only lists the runners, which the sender reads from the
 // store itself.
-func lacksLeaderState(n relayer.News) bool { return n.Silence > updateTimeout }
+func lacksLeaderState(n relayer.News) bool { return n.SinceLeaderUpdate > updateTimeout }
 
 func addLoads(sum, more map[string]tracker.Load) {
 	for runner, load := range more {
@@ -120,16 +120,16 @@
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.pendingDemand.shortGaps += demand.Short
-	l.pendingDemand.longGaps += demand.Long
-	for _, n := range demand.There {
-		l.pendingDemand.recordHits(keyOf(n.Runner, n.Copy), hitCount{requests: n.Requests, sent: now.Add(-n.Ago)})
+	l.pendingDemand.shortGaps += demand.ShortGaps
+	l.pendingDemand.longGaps += demand.LongGaps
+	for _, n := range demand.Hits {
+		l.pendingDemand.recordHits(keyOf(n.Runner, n.Copy), hitCount{requests: n.Requests, sent: now.Add(-n.Age)})
 	}
 	for _, n := range demand.Spare {
 		l.pendingDemand.spare = mark(l.pendingDemand.spare, keyOf(n.Runner, n.Copy))
 	}
-	urgent := len(demand.Missing) > 0
-	for _, n := range demand.Missing {
+	urgent := len(demand.Misses) > 0
+	for _, n := range demand.Misses {
 		l.pendingDemand.misses = mark(l.pendingDemand.misses, keyOf(n.Runner, n.Copy))
 	}
 	for _, w := range demand.Waits {
@@ -153,7 +153,7 @@
 // copyState returns which copies a runner holds and from when on, and how long a copy that it
 // does not hold waits for an adapter slot.
 func (d *controller) copyState(c *runnerState) (map[placer.Copy]time.Time, time.Duration) {
-	if d.elector.Holds(uptime()) {
+	if d.elector.IsLeader(uptime()) {
 		return c.published, c.publishedWait
 	}
 	return d.gatekeeper.Fleet.Standing(c.runner.ID)
--- a/internal/instance/gatekeeper/relay_test.go
+++ b/internal/instance/gatekeeper/relay_test.go
@@ -47,8 +47,8 @@
 	makeLeader(c.relay, "a")
 	c.relaySeq, c.memberSeq = -1, -1
 	for _, g := range []*Gatekeeper{c.relay, c.member} {
-		g.links["a"].setLeader(elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1})
-		g.links["b"].setLeader(elector.Tenure{Holder: "b-1", Address: "b-1", Fence: 1})
+		g.links["a"].setLeader(elector.Lease{Leader: "a-1", Address: "a-1", Fence: 1})
+		g.links["b"].setLeader(elector.Lease{Leader: "b-1", Address: "b-1", Fence: 1})
 	}
 }
 
@@ -74,11 +74,11 @@
 // memberToRelay delivers the member's report to the relay, and relayToLeader the sums of the
 // relay to the leader.
 func (c *chain) memberToRelay() {
-	c.relay.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
+	c.relay.HandleDemand(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
 }
 
 func (c *chain) relayToLeader() {
-	c.leader.Demanded(heartbeater.Instance{ID: "a-1", Domain: "a"}, c.relay.links["b"].demand())
+	c.leader.HandleDemand(heartbeater.Instance{ID: "a-1", Domain: "a"}, c.relay.links["b"].demand())
 }
 
 var testCopyKey = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}}
@@ -157,15 +157,15 @@
 			c.memberToRelay()
 			c.relayToLeader()
 			c.relay.controllers["a"].elector.Leave(uptime())
-			c.leader.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
-			c.relay.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Parted: true})
+			c.leader.HandleDemand(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
+			c.relay.HandleDemand(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Unsubscribed: true})
 			c.relayToLeader()
 		}, 1},
 		{"the member reported to the leader itself before, and has unsubscribed since", func(c *chain, done func()) {
-			c.leader.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
+			c.leader.HandleDemand(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
 			c.memberToRelay()
 			c.relayToLeader()
-			c.leader.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Parted: true})
+			c.leader.HandleDemand(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Unsubscribed: true})
 			done()
 			c.memberToRelay()
 			c.relayToLeader()
@@ -193,11 +193,11 @@
 		loads := func(n int) relayer.Demand {
 			return relayer.Demand{Domain: "b", Loads: map[string]tracker.Load{"i-1": {Running: n}}}
 		}
-		c.leader.Demanded(heartbeater.Instance{ID: "b-2", Domain: "b"}, loads(100))
+		c.leader.HandleDemand(heartbeater.Instance{ID: "b-2", Domain: "b"}, loads(100))
 		c.relay.Fleet.Begin("i-1", 0, time.Now())
 		c.member.Fleet.Begin("i-1", 0, time.Now())
 		c.member.Fleet.Begin("i-1", 0, time.Now())
-		c.relay.Demanded(heartbeater.Instance{ID: "a-3", Domain: "a"}, loads(10))
+		c.relay.HandleDemand(heartbeater.Instance{ID: "a-3", Domain: "a"}, loads(10))
 		c.memberToRelay()
 		c.relayToLeader()
 		time.Sleep(countSettleTime)
@@ -326,7 +326,7 @@
 			pausedUntil = now.Add(time.Duration(rng.Int64N(int64(5 * time.Second))))
 		case n == 7: // restart without state
 			c.relay = newDomainGatekeeper("a-1", "a")
-			c.relay.links["a"].setLeader(elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1})
+			c.relay.links["a"].setLeader(elector.Lease{Leader: "a-1", Address: "a-1", Fence: 1})
 			makeLeader(c.relay, "a")
 			c.addRunner()
 			pausedUntil = time.Time{}
@@ -339,12 +339,12 @@
 			direct = false
 			c.memberToRelay()
 			c.relayToLeader()
-			c.leader.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Parted: true})
+			c.leader.HandleDemand(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Demand{Domain: "b", Unsubscribed: true})
 		}
 		lost := rng.IntN(10) == 0
 		switch {
 		case direct:
-			c.leader.Demanded(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
+			c.leader.HandleDemand(heartbeater.Instance{ID: "a-2", Domain: "a"}, c.member.links["b"].demand())
 		case !paused && !lost:
 			c.memberToRelay()
 			c.relayToLeader()
--- a/internal/instance/gatekeeper/report.go
+++ b/internal/instance/gatekeeper/report.go
@@ -35,13 +35,13 @@
 	if l.skipReport(demand) {
 		return
 	}
-	_ = g.Peers.Tell(ctx, target.address, demand) // a failed connection shows in missing updates
+	_ = g.Peers.Send(ctx, target.address, demand) // a failed connection shows in missing updates
 }
 
 // skipReport reports whether a report may be omitted, as neither it nor the previous one
 // carries any demand. An instance has no requests in most failure domains most of the time.
 func (l *link) skipReport(demand relayer.Demand) bool {
-	empty := demand.Others == 0 && demand.Empty()
+	empty := demand.OtherInstances == 0 && demand.Empty()
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,15 +63,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	d.Short, d.Long = l.pendingDemand.shortGaps, l.pendingDemand.longGaps
+	d.ShortGaps, d.LongGaps = l.pendingDemand.shortGaps, l.pendingDemand.longGaps
 	for k := range l.pendingDemand.misses {
-		d.Missing = append(d.Missing, relayer.Need{Runner: k.Runner, Copy: k.Copy})
+		d.Misses = append(d.Misses, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy})
 	}
 	for k, f := range l.pendingDemand.hits {
-		d.There = append(d.There, relayer.Need{Runner: k.Runner, Copy: k.Copy, Requests: f.requests, Ago: now.Sub(f.sent)})
+		d.Hits = append(d.Hits, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy, Requests: f.requests, Age: now.Sub(f.sent)})
 	}
 	for k := range l.pendingDemand.spare {
-		d.Spare = append(d.Spare, relayer.Need{Runner: k.Runner, Copy: k.Copy})
+		d.Spare = append(d.Spare, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy})
 	}
 	l.pendingDemand.misses, l.pendingDemand.spare, l.pendingDemand.hits = nil, nil, nil
 	l.pendingDemand.shortGaps, l.pendingDemand.longGaps = 0, 0
@@ -84,10 +84,10 @@
 }
 
 // demandOf returns the message that reports the sums.
-func demandOf(domain string, sums gatherer.Word) relayer.Demand {
-	d := relayer.Demand{Domain: domain, Others: sums.Instances - 1, Loads: sums.Loads}
+func demandOf(domain string, sums gatherer.Report) relayer.Demand {
+	d := relayer.Demand{Domain: domain, OtherInstances: sums.Instances - 1, Loads: sums.Loads}
 	for k, n := range sums.Uses {
-		d.Uses = append(d.Uses, relayer.Need{Runner: k.Runner, Copy: k.Copy, Requests: n})
+		d.Uses = append(d.Uses, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy, Requests: n})
 	}
 	for k, waiting := range sums.Waits {
 		d.Waits = append(d.Waits, relayer.Wait{Runner: k.Runner, Copy: k.Copy, Waiting: waiting})
@@ -97,7 +97,7 @@
 
 // totalDemand returns the sums of this instance's requests in the domain, and those of the
 // instances whose reports it relays.
-func (l *link) totalDemand() gatherer.Word {
+func (l *link) totalDemand() gatherer.Report {
 	sums := l.ownDemand()
 	g := l.gatekeeper
 	if d := g.controllers[l.domain]; !d.leads() {
@@ -107,10 +107,10 @@
 }
 
 // ownDemand returns the sums of this instance's requests in the domain.
-func (l *link) ownDemand() gatherer.Word {
+func (l *link) ownDemand() gatherer.Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sums := gatherer.Word{
+	sums := gatherer.Report{
 		Instances: 1, Loads: l.gatekeeper.Fleet.LoadsIn(l.domain), Uses: maps.Clone(l.pendingDemand.uses), Waits: make(map[gatherer.Key]placer.Waiting),
 	}
 	now := time.Now()
--- a/internal/instance/gatekeeper/request_slot.go
+++ b/internal/instance/gatekeeper/request_slot.go
@@ -29,7 +29,7 @@
 	if !ok {
 		return forwarder.Place{}, nil, false
 	}
-	conversation, message, err := g.askPeer(ctx, leader.address, relayer.Place{Domain: l.domain, Runner: runner, Within: within}, askTimeout)
+	conversation, message, err := g.askPeer(ctx, leader.address, relayer.Place{Domain: l.domain, Runner: runner, Timeout: within}, askTimeout)
 	if err != nil {
 		return noSlot(err)
 	}
@@ -82,7 +82,7 @@
 
 // holdSlot answers a Place, and holds the request slot until the sender cancels.
 func (d *controller) holdSlot(ctx context.Context, m relayer.Place, reply responder) error {
-	wait, done, err := d.acquireSlot(m.Runner, m.Within)
+	wait, done, err := d.acquireSlot(m.Runner, m.Timeout)
 	if err != nil {
 		return err
 	}
--- a/internal/instance/gatekeeper/reserve.go
+++ b/internal/instance/gatekeeper/reserve.go
@@ -21,7 +21,7 @@
 	if !found {
 		return forwarder.Room{}, nil, false
 	}
-	r := relayer.Reserve{Domain: l.domain, Runner: a.Runner, Copy: a.Copy, Tokens: a.Tokens, Pause: a.Pause, Within: a.Within}
+	r := relayer.Reserve{Domain: l.domain, Runner: a.Runner, Copy: a.Copy, Tokens: a.Tokens, MaxGap: a.Pause, Timeout: a.Within}
 	if d := g.controllers[l.domain]; d.leads() {
 		reserved, err := d.reserve(g.Config.ID, r)
 		return g.reservation(a, reserved, err)
@@ -31,7 +31,7 @@
 		return forwarder.Room{}, nil, false
 	}
 	if via.id != leader.id {
-		r.By = via.id
+		r.Reporter = via.id
 		l.reportNow() // the report of the instance that relays this use must not arrive without it
 	}
 	conversation, message, err := g.askPeer(ctx, leader.address, r, askTimeout)
@@ -51,9 +51,9 @@
 func (g *Gatekeeper) reservation(a forwarder.Ask, reserved relayer.Reserved, err error) (forwarder.Room, *judge.Error, bool) {
 	if err == nil {
 		if !reserved.Absent {
-			g.Fleet.Reading(a.Runner, reserved.Reading)
+			g.Fleet.Reading(a.Runner, reserved.PrefillBacklog)
 		}
-		return forwarder.Room{Absent: reserved.Absent, Wait: reserved.Wait}, nil, true
+		return forwarder.Room{Absent: reserved.Absent, Wait: reserved.Delay}, nil, true
 	}
 	if refused := capacityRefusal(err); refused != nil {
 		g.Fleet.Reading(a.Runner, a.Within+refused.Retry)
@@ -76,15 +76,15 @@
 			return relayer.Reserved{Absent: true}, nil
 		}
 		c.placer.Use(r.Copy, now)
-		d.recordUse(cmp.Or(r.By, from), keyOf(r.Runner, r.Copy))
+		d.recordUse(cmp.Or(r.Reporter, from), keyOf(r.Runner, r.Copy))
 	}
 	fleet := d.gatekeeper.Fleet
 	wait, ok := c.prefillQueue.Reserve(admitter.Prompt{
-		Pause: r.Pause, Queue: fleet.Places(r.Runner), Read: fleet.Read(c.runner.Service, r.Tokens), Share: d.prefillShare.Value(), Within: r.Within,
+		Pause: r.MaxGap, Queue: fleet.Places(r.Runner), Read: fleet.Read(c.runner.Service, r.Tokens), Share: d.prefillShare.Value(), Within: r.Timeout,
 	}, now)
 	if !ok {
 		refused := judge.Refuse(judge.ReasonQueue, "%s of prompts are to be read there", c.prefillQueue.Backlog(now).Round(time.Millisecond))
 		return relayer.Reserved{}, refused.After(wait)
 	}
-	return relayer.Reserved{Wait: wait, Reading: c.prefillQueue.Backlog(now)}, nil
+	return relayer.Reserved{Delay: wait, PrefillBacklog: c.prefillQueue.Backlog(now)}, nil
 }
--- a/internal/instance/gatekeeper/runners_test.go
+++ b/internal/instance/gatekeeper/runners_test.go
@@ -29,7 +29,7 @@
 	g.recordStoreCall(time.Now(), errors.New("away"))
 	time.Sleep(5*time.Second - r.earlierForOthers)
 	for end := time.Now().Add(r.earlierForOthers); time.Now().Before(end); time.Sleep(updateInterval) {
-		g.links["b"].apply(relayer.News{Operator: relayer.Known{Newest: 1}}) // of a leader that reaches the store
+		g.links["b"].apply(relayer.News{Operator: relayer.TableVersion{Newest: 1}}) // of a leader that reaches the store
 	}
 	g.recordStoreCall(time.Now(), nil)
 	time.Sleep(100 * time.Millisecond)
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -46,12 +46,12 @@
 
 // settle answers a Settle.
 func (g *Gatekeeper) settle(m relayer.Settle) (relayer.Settled, error) {
-	if m.Parted {
-		g.quotas.ledger.Part(m.Party.Instance)
+	if m.Unsubscribed {
+		g.quotas.ledger.Part(m.Reporter.Instance)
 		return relayer.Settled{}, nil
 	}
 	now := time.Now()
-	balances, ok := g.quotas.ledger.Settle(m.Party, m.Spent, now)
+	balances, ok := g.quotas.ledger.Settle(m.Reporter, m.Spent, now)
 	since, keeps := g.quotas.ledger.Began()
 	if !ok || !keeps {
 		return relayer.Settled{}, judge.Refuse(judge.ReasonOwner, "no quotas are settled here")
@@ -108,7 +108,7 @@
 		return
 	}
 	// Failures need no handling: the spender notices that its balances get old.
-	if settled, err := g.exchange(ctx, to, relayer.Settle{Party: g.reporter(now), Spent: report}, settleTimeout); err == nil {
+	if settled, err := g.exchange(ctx, to, relayer.Settle{Reporter: g.reporter(now), Spent: report}, settleTimeout); err == nil {
 		g.applyBalances(settled.Balances, now)
 	}
 }
@@ -124,7 +124,7 @@
 	if former == to || former == (source{}) {
 		return
 	}
-	update := relayer.Settle{Party: g.reporter(now), Parted: true}
+	update := relayer.Settle{Reporter: g.reporter(now), Unsubscribed: true}
 	go func() {
 		if _, err := g.exchange(ctx, former, update, settleTimeout); err != nil {
 			g.Recorder.Log(recorder.Belief, "msg", "quota unsubscribe failed", "instance", former.id, "err", err)
@@ -150,8 +150,8 @@
 		return
 	}
 	update := relayer.Settle{
-		Party: limiter.Party{Instance: g.Config.ID, Born: since.UnixNano(), Domain: g.Config.Domain, Age: now.Sub(since)},
-		Spent: g.quotas.ledger.Report(now),
+		Reporter: limiter.Party{Instance: g.Config.ID, Born: since.UnixNano(), Domain: g.Config.Domain, Age: now.Sub(since)},
+		Spent:    g.quotas.ledger.Report(now),
 	}
 	for _, to := range g.otherLeaders() {
 		go g.settleWithLeader(ctx, to, update)
--- a/internal/instance/gatekeeper/simulation_peers_test.go
+++ b/internal/instance/gatekeeper/simulation_peers_test.go
@@ -22,8 +22,8 @@
 // simPeers are the connections of one instance of a simulated deployment.
 type simPeers struct{ from *member }
 
-// Cut implements Peers.
-func (simPeers) Cut(string) {}
+// CloseLink implements Peers.
+func (simPeers) CloseLink(string) {}
 
 // Linked implements Peers.
 func (simPeers) Linked(string) (any, bool) { return nil, false }
@@ -31,8 +31,8 @@
 // Serve implements Peers.
 func (simPeers) Serve(*fasthttp.RequestCtx) { panic("a simulated deployment has no sockets") }
 
-// Tell implements Peers.
-func (simPeers) Tell(context.Context, string, relayer.Message) error { return nil }
+// Send implements Peers.
+func (simPeers) Send(context.Context, string, relayer.Message) error { return nil }
 
 // Open implements Peers.
 func (p simPeers) Open(ctx context.Context, address string, m relayer.Message) (Conversation, error) {
--- a/internal/instance/gatekeeper/simulation_test.go
+++ b/internal/instance/gatekeeper/simulation_test.go
@@ -133,7 +133,7 @@
 	fence := s.fences[domain]
 	s.mu.Unlock()
 	m.acquireLease(domain, fence)
-	value, err := encoder.Marshal(elector.Tenure{Holder: m.id, Address: m.id, Fence: fence})
+	value, err := encoder.Marshal(elector.Lease{Leader: m.id, Address: m.id, Fence: fence})
 	if err != nil {
 		s.t.Fatal(err)
 	}
@@ -147,13 +147,13 @@
 	d := m.gatekeeper().controllers[domain]
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.elector = elector.Elector{Self: m.id, Address: m.id, Lease: time.Hour}
-	d.elector.Read(elector.Tenure{Fence: fence - 1}, fence, uptime())
+	d.elector = elector.Elector{Self: m.id, Address: m.id, LeaseDuration: time.Hour}
+	d.elector.ObserveRow(elector.Lease{Fence: fence - 1}, fence, uptime())
 	w, ok := d.elector.Next(uptime())
 	if !ok {
 		m.sim.t.Fatal("the lease cannot be acquired")
 	}
-	d.elector.Written(w, fence+1, uptime())
+	d.elector.WriteSucceeded(w, fence+1, uptime())
 	m.gatekeeper().Recorder.Log("belief", "msg", "acquires the lease", "domain", domain, "fence", fence)
 }
 
@@ -162,7 +162,7 @@
 	d := m.gatekeeper().controllers[domain]
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.elector = elector.Elector{Self: m.id, Address: m.id, Lease: time.Hour}
+	d.elector = elector.Elector{Self: m.id, Address: m.id, LeaseDuration: time.Hour}
 }
 
 // start starts the instance without state.
--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -142,7 +142,7 @@
 		g := newDomainGatekeeper("a-2", "a")
 		g.setRunner(tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}, fromStore)
 		g.links["b"].apply(relayer.News{Fresh: true})
-		g.links["a"].apply(relayer.News{Fresh: true, Whole: true})
+		g.links["a"].apply(relayer.News{Fresh: true, Snapshot: true})
 		if _, known := g.Fleet.Get("i-1"); !known {
 			t.Error("a runner was removed")
 		}
--- a/internal/instance/gatekeeper/source.go
+++ b/internal/instance/gatekeeper/source.go
@@ -13,7 +13,7 @@
 // A source is an instance that publishes updates to others.
 type source struct{ id, address string }
 
-func sourceOf(lease elector.Tenure) source { return source{id: lease.Holder, address: lease.Address} }
+func sourceOf(lease elector.Lease) source { return source{id: lease.Leader, address: lease.Address} }
 
 // A sourceSelection is the source from which this instance receives the updates of all domains:
 // the leader of its own failure domain, or in its place the leader of another one. Its zero
--- a/internal/instance/gatekeeper/source_test.go
+++ b/internal/instance/gatekeeper/source_test.go
@@ -19,14 +19,14 @@
 func TestInstancesKeepAWorkingSource(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newDomainGatekeeper("a-2", "a")
-		ownLease := elector.Tenure{Holder: "a-1", Address: "a-1", Fence: 1}
-		otherLease := elector.Tenure{Holder: "b-1", Address: "b-1", Fence: 1}
+		ownLease := elector.Lease{Leader: "a-1", Address: "a-1", Fence: 1}
+		otherLease := elector.Lease{Leader: "b-1", Address: "b-1", Fence: 1}
 		g.links["a"].setLeader(ownLease)
 		g.links["b"].setLeader(otherLease)
 		receive := func(from source, a relayer.News) {
 			g.source.received(from, time.Now())
 			g.links["a"].apply(a)
-			g.links["b"].apply(relayer.News{Tenure: otherLease})
+			g.links["b"].apply(relayer.News{Lease: otherLease})
 		}
 		selected := func() source {
 			s, _ := g.currentSource()
@@ -35,7 +35,7 @@
 		if diff := cmp.Diff("a-1", selected().id); diff != "" {
 			t.Fatal("before the pause:", diff)
 		}
-		receive(sourceOf(ownLease), relayer.News{Tenure: ownLease})
+		receive(sourceOf(ownLease), relayer.News{Lease: ownLease})
 		g.source.failed(sourceOf(ownLease), time.Now())
 		pauseStart := time.Now()
 		var sources []string
@@ -43,7 +43,7 @@
 			s := selected()
 			sources = append(sources, s.id)
 			if s == sourceOf(otherLease) {
-				receive(s, relayer.News{Tenure: ownLease, Silence: time.Since(pauseStart)})
+				receive(s, relayer.News{Lease: ownLease, SinceLeaderUpdate: time.Since(pauseStart)})
 			}
 			time.Sleep(updateInterval)
 		}
@@ -52,7 +52,7 @@
 				t.Fatalf("left the source: %v", sources)
 			}
 		}
-		receive(sourceOf(otherLease), relayer.News{Tenure: ownLease})
+		receive(sourceOf(otherLease), relayer.News{Lease: ownLease})
 		if diff := cmp.Diff("a-1", selected().id); diff != "" {
 			t.Error("after the pause:", diff)
 		}
--- a/internal/instance/gatekeeper/staleness_test.go
+++ b/internal/instance/gatekeeper/staleness_test.go
@@ -79,9 +79,9 @@
 			store.mu.Lock()
 			newest, serving := store.rows["operator/config"].Version, store.mode == serves
 			store.mu.Unlock()
-			n := relayer.News{Fresh: serving, Tenure: elector.Tenure{Holder: "front-1", Fence: 1}, Renewal: 1}
+			n := relayer.News{Fresh: serving, Lease: elector.Lease{Leader: "front-1", Fence: 1}, Renewal: 1}
 			if serving {
-				n.Operator = relayer.Known{Newest: newest}
+				n.Operator = relayer.TableVersion{Newest: newest}
 			}
 			g.links["a"].apply(n)
 			pause(ctx, farUpdateInterval)
@@ -172,7 +172,7 @@
 		time.Sleep(time.Second)
 		store.hangCalls()
 		store.configure(2)
-		g.links["a"].apply(relayer.News{Operator: relayer.Known{Newest: 2}})
+		g.links["a"].apply(relayer.News{Operator: relayer.TableVersion{Newest: 2}})
 		time.Sleep(deliveryTime + 2*checkInterval)
 		if got := g.version(); got != 2 {
 			t.Errorf("version %d, want 2", got)
@@ -194,7 +194,7 @@
 		g.setViews()
 		g.operator.recordCall([]tabler.Row{{Version: 5}}, 5, time.Now())
 		time.Sleep(time.Minute)
-		g.links["a"].apply(relayer.News{Operator: relayer.Known{Newest: 5}})
+		g.links["a"].apply(relayer.News{Operator: relayer.TableVersion{Newest: 5}})
 		if s := g.operator.state(time.Now()); s.Age != 0 {
 			t.Errorf("age %s after the report, want 0", s.Age)
 		}
@@ -262,14 +262,14 @@
 func TestNewLeaderIsKnownFromItsLeaseRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newGatekeeperWithStore()
-		g.links["a"].setLeader(elector.Tenure{Holder: "front-1", Fence: 1})
-		value, err := encoder.Marshal(elector.Tenure{Holder: "front-3", Fence: 2})
+		g.links["a"].setLeader(elector.Lease{Leader: "front-1", Fence: 1})
+		value, err := encoder.Marshal(elector.Lease{Leader: "front-3", Fence: 2})
 		if err != nil {
 			t.Fatal(err)
 		}
 		store.put(tabler.Row{Key: tableLeases + "/a", Value: value})
 		g.controllers["a"].readLeaseRow(t.Context())
-		if got := g.links["a"].leader.Holder; got != "front-3" {
+		if got := g.links["a"].leader.Leader; got != "front-3" {
 			t.Errorf("follows %s, want front-3", got)
 		}
 	})
--- a/internal/instance/gatekeeper/stepdown.go
+++ b/internal/instance/gatekeeper/stepdown.go
@@ -46,7 +46,7 @@
 
 // reportsResponse reports whether a member has reported a response of a runner.
 func reportsResponse(demand relayer.Demand) bool {
-	return len(demand.There)+demand.Short+demand.Long > 0
+	return len(demand.Hits)+demand.ShortGaps+demand.LongGaps > 0
 }
 
 // partitioned reports whether this instance is to step down because it does not reach the
@@ -67,8 +67,8 @@
 
 // stepDown steps down in favour of an instance that reaches what this one does not.
 func (d *controller) stepDown(ctx context.Context, why string) {
-	fence := d.elector.Holder().Fence
-	w, led := d.elector.Yield(uptime(), stepDownBackoff)
+	fence := d.elector.Row().Fence
+	w, led := d.elector.StepDown(uptime(), stepDownBackoff)
 	d.stopOrdering()
 	d.releasedFence = fence
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "stepping down", "domain", d.domain, "fence", fence, "why", why)
--- a/internal/instance/gatekeeper/stepdown_test.go
+++ b/internal/instance/gatekeeper/stepdown_test.go
@@ -93,11 +93,11 @@
 		t.Run(tc.name, func(t *testing.T) {
 			g := newTestGatekeeper()
 			d := g.controllers["a"]
-			d.elector.Late = 0
+			d.elector.TakeoverDelay = 0
 			sent := uptime() - tc.renewed
-			d.elector.Read(elector.Tenure{}, 0, sent)
+			d.elector.ObserveRow(elector.Lease{}, 0, sent)
 			w, _ := d.elector.Next(sent)
-			d.elector.Written(w, 1, sent)
+			d.elector.WriteSucceeded(w, 1, sent)
 			start, got := time.Now(), false
 			for at := time.Duration(0); at <= tc.after; at += leadInterval {
 				now := start.Add(at)
@@ -120,19 +120,19 @@
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newGatekeeperWithStore()
 		d, l := g.controllers["a"], g.links["a"]
-		d.elector.Late = 0
-		lease := elector.Tenure{Holder: "front-1", Fence: 3}
+		d.elector.TakeoverDelay = 0
+		lease := elector.Lease{Leader: "front-1", Fence: 3}
 		putLease(t, store, lease)
-		l.apply(relayer.News{Tenure: lease, Renewal: store.version})
+		l.apply(relayer.News{Lease: lease, Renewal: store.version})
 		d.maintainLease(t.Context())
 		time.Sleep(100 * time.Millisecond)
-		if leader := readLease(t, store).Holder; leader != "front-1" {
+		if leader := readLease(t, store).Leader; leader != "front-1" {
 			t.Fatalf("lease row names %q before the leader stepped down", leader)
 		}
-		l.apply(relayer.News{Ended: 3})
+		l.apply(relayer.News{ReleasedFence: 3})
 		d.maintainLease(t.Context())
 		time.Sleep(100 * time.Millisecond)
-		if leader := readLease(t, store).Holder; leader != g.Config.ID {
+		if leader := readLease(t, store).Leader; leader != g.Config.ID {
 			t.Errorf("lease row names %q, want this instance", leader)
 		}
 		if _, ok := d.mayOrder(); ok {
--- a/internal/instance/gatekeeper/subscribe.go
+++ b/internal/instance/gatekeeper/subscribe.go
@@ -57,7 +57,7 @@
 	selectedAt := l.gatekeeper.source.selectedAt()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.leader.Holder == "" || l.leader.Holder == l.self() {
+	if l.leader.Leader == "" || l.leader.Leader == l.self() {
 		return source{}, false
 	}
 	if hasSource && time.Since(laterOf(l.relayedAt, selectedAt)) <= l.relayTimeout {
@@ -122,7 +122,7 @@
 		return
 	}
 	g.source.failed(from, time.Now())
-	g.Peers.Cut(from.address)
+	g.Peers.CloseLink(from.address)
 }
 
 // hasReason reports whether an error is a refusal for a reason.
@@ -134,7 +134,7 @@
 // subscription returns what to request from an instance.
 func (l *link) subscription(from source) relayer.Subscribe {
 	g := l.gatekeeper
-	s := relayer.Subscribe{Domain: l.domain, Passes: g.leadsAny()}
+	s := relayer.Subscribe{Domain: l.domain, Relays: g.leadsAny()}
 	src, hasSource := g.currentSource()
 	// Crash reports are requested once from each source: they are the same for all domains.
 	s.Crashes = !hasSource || src != from || l.domain == g.Config.Domain
@@ -159,7 +159,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if src, ok := g.source.selected(); ok && src == from {
-		l.relayedAt = now.Add(-n.Silence)
+		l.relayedAt = now.Add(-n.SinceLeaderUpdate)
 	}
 	if l.source == from {
 		return
@@ -168,7 +168,7 @@
 		l.previousSource, l.unsubscribeAt = l.source, now.Add(handoverOverlap)
 	}
 	l.source = from
-	g.Recorder.Log(recorder.Belief, "msg", "source of domain changed", "domain", l.domain, "instance", from.id, "holder", l.leader.Holder)
+	g.Recorder.Log(recorder.Belief, "msg", "source of domain changed", "domain", l.domain, "instance", from.id, "holder", l.leader.Leader)
 }
 
 // handoverOverlap is how long an instance also reports to its previous source after a change:
@@ -195,11 +195,11 @@
 	if _, connected := peers.Linked(previous.address); !connected {
 		return // it is unreachable, and would delay the reports to others
 	}
-	demand := relayer.Demand{Domain: l.domain, Parted: true}
+	demand := relayer.Demand{Domain: l.domain, Unsubscribed: true}
 	if time.Now().Before(until) {
 		demand = demandOf(l.domain, l.totalDemand())
 	}
-	_ = peers.Tell(ctx, previous.address, demand) // it drops this instance's report after a while without one
+	_ = peers.Send(ctx, previous.address, demand) // it drops this instance's report after a while without one
 }
 
 // previousTarget returns the previous source, and until when this instance reports to it; ok is
--- a/internal/instance/gatekeeper/watch_test.go
+++ b/internal/instance/gatekeeper/watch_test.go
@@ -55,10 +55,10 @@
 // makeLeader makes an instance the leader of a domain.
 func makeLeader(g *Gatekeeper, domain string) {
 	d := g.controllers[domain]
-	d.elector.Late = 0
-	d.elector.Read(elector.Tenure{}, 0, uptime())
+	d.elector.TakeoverDelay = 0
+	d.elector.ObserveRow(elector.Lease{}, 0, uptime())
 	w, _ := d.elector.Next(uptime())
-	d.elector.Written(w, 1, uptime())
+	d.elector.WriteSucceeded(w, 1, uptime())
 }
 
 // Two configurations follow each other closely, and arrive concurrently from different senders.
--- a/internal/instance/server/heartbeat.go
+++ b/internal/instance/server/heartbeat.go
@@ -66,10 +66,10 @@
 	}
 	remote := base
 	s.mu.Lock()
-	remote.Line = s.Sharer.Total(remote.Line, now)
+	remote.LoadQueue = s.Sharer.Total(remote.LoadQueue, now)
 	s.mu.Unlock()
 	for _, peer := range s.remotePeers(now) {
-		go func() { _ = s.Mesh.Tell(ctx, peer.Address, remote) }() // retried with the next heartbeat
+		go func() { _ = s.Mesh.Send(ctx, peer.Address, remote) }() // retried with the next heartbeat
 	}
 	s.sendCrashReports(ctx, now)
 	if s.Watcher.Force() == nil {
@@ -83,7 +83,7 @@
 // in force.
 func (s *Server) contactSeeds(ctx context.Context, base relayer.Beat) {
 	for _, address := range s.Config.Seeds {
-		go func() { _ = s.Mesh.Tell(ctx, address, base) }() // retried with the next heartbeat
+		go func() { _ = s.Mesh.Send(ctx, address, base) }() // retried with the next heartbeat
 	}
 }
 
@@ -98,7 +98,7 @@
 	queued := s.Driver.LoadQueueLen()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return relayer.Beat{Epoch: s.Holder.Epoch(), Revision: s.Watcher.Revision(), Leaving: s.stop.leaving(), Line: queued}
+	return relayer.Beat{Epoch: s.Holder.Epoch(), Revision: s.Watcher.Revision(), Leaving: s.stop.leaving(), LoadQueue: queued}
 }
 
 // sendHeartbeat sends a heartbeat with the changes since the last one on the same link.
@@ -111,7 +111,7 @@
 			beat.Loads = append(beat.Loads, l)
 		}
 	}
-	if err := s.Mesh.Tell(ctx, peer.Address, beat); err != nil {
+	if err := s.Mesh.Send(ctx, peer.Address, beat); err != nil {
 		s.countReason("sardinetiller_link_failures_total", "tell")
 		_ = level.Debug(s.Logger).Log("msg", "peer not reached", "peer", peer.ID, "err", err)
 		return
@@ -157,7 +157,7 @@
 	}
 	s.mu.Unlock()
 	for _, address := range unresponsive {
-		s.Mesh.CutSilent(address, s.Monitor.Silence, now)
+		s.Mesh.CloseIdleLink(address, s.Monitor.SuspectAfter, now)
 	}
 }
 
@@ -179,7 +179,7 @@
 			return
 		}
 		s.mu.Lock()
-		s.Monitor.List(instances, time.Now())
+		s.Monitor.ObserveList(instances, time.Now())
 		s.mu.Unlock()
 	})
 }
--- a/internal/instance/server/peer.go
+++ b/internal/instance/server/peer.go
@@ -16,8 +16,8 @@
 
 var _ relayer.Handler = (*Server)(nil)
 
-// Answer implements relayer.Handler.
-func (s *Server) Answer(ctx context.Context, from heartbeater.Instance, m relayer.Message, reply *relayer.Reply) error {
+// HandleRequest implements relayer.Handler.
+func (s *Server) HandleRequest(ctx context.Context, from heartbeater.Instance, m relayer.Message, reply *relayer.Reply) error {
 	switch m := m.(type) {
 	case relayer.Ask:
 		return s.answerAsk(ctx, &m.Call, reply)
@@ -46,20 +46,20 @@
 	}
 }
 
-// Heard implements relayer.Handler.
-func (s *Server) Heard(from heartbeater.Instance, beat relayer.Beat) {
+// HandleHeartbeat implements relayer.Handler.
+func (s *Server) HandleHeartbeat(from heartbeater.Instance, beat relayer.Beat) {
 	now := time.Now()
 	s.mu.Lock()
-	s.Monitor.Beat(from, now)
+	s.Monitor.ObserveHeartbeat(from, now)
 	s.peerHeartbeats[from.Incarnation] = relayer.Beat{Epoch: beat.Epoch, Revision: beat.Revision, Leaving: beat.Leaving}
 	sameDomain := from.Domain == s.Config.Domain
 	newerEpoch := false
 	if sameDomain {
-		s.Holder.Adopted(from.Incarnation, beat.Epoch)
-		s.Sharer.Peer(from.Incarnation, beat.Line, now)
+		s.Holder.ObserveAdopted(from.Incarnation, beat.Epoch)
+		s.Sharer.Peer(from.Incarnation, beat.LoadQueue, now)
 		newerEpoch = beat.Epoch > s.Holder.Epoch()
 	} else {
-		s.Sharer.Domain(from.Domain, beat.Line, now)
+		s.Sharer.Domain(from.Domain, beat.LoadQueue, now)
 	}
 	s.mu.Unlock()
 	if sameDomain {
@@ -106,7 +106,7 @@
 		return relayer.Surrendered{}
 	}
 	surrender, given := s.Driver.Surrender(m.Runner)
-	return relayer.Surrendered{Given: given, Pins: surrender.Pins, Doom: surrender.Doomed}
+	return relayer.Surrendered{Released: given, Pins: surrender.Pins, Evicting: surrender.Doomed}
 }
 
 // A replySink forwards a response to the instance that sent the call.
@@ -184,7 +184,7 @@
 func (s *Server) FencingToken(runner string) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Holder.Acts(runner, time.Now())
+	return s.Holder.MaySendOrders(runner, time.Now())
 }
 
 // Owns implements driver.Ownership.
@@ -218,7 +218,7 @@
 func (s *Server) PreviousOwners() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Holder.Parties()
+	return s.Holder.PreviousOwners()
 }
 
 // RequestRelease implements driver.Ownership.
@@ -226,7 +226,7 @@
 	s.mu.Lock()
 	epoch := s.Holder.Epoch()
 	_, onRoster := s.Holder.Roster().Member(owner)
-	terminated := !onRoster && s.Monitor.Gone(owner, time.Now())
+	terminated := !onRoster && s.Monitor.Terminated(owner, time.Now())
 	s.mu.Unlock()
 	if terminated {
 		return keeper.Surrender{}, true
@@ -244,7 +244,7 @@
 	defer c.Close()
 	m, err := c.Next(ctx)
 	released, ok := m.(relayer.Surrendered)
-	if err != nil || !ok || !released.Given {
+	if err != nil || !ok || !released.Released {
 		return keeper.Surrender{}, false
 	}
 	return released.Surrender(), true
@@ -268,5 +268,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Monitor.Gone(incarnation, time.Now())
+	return s.Monitor.Terminated(incarnation, time.Now())
 }
--- a/internal/instance/server/permit.go
+++ b/internal/instance/server/permit.go
@@ -59,7 +59,7 @@
 	}
 	concurrent := max(1, w.Together)
 	loadTime := time.Duration(float64(concurrent) / w.Rate * float64(time.Second))
-	return relayer.Permit{Value: value, Together: concurrent, Time: permitLifetimeLoads*loadTime + s.Config.Beat}, true
+	return relayer.Permit{Value: value, MaxConcurrent: concurrent, TTL: permitLifetimeLoads*loadTime + s.Config.Beat}, true
 }
 
 // allocatorAddress returns the address of the instance that grants permits, or false if
@@ -113,8 +113,8 @@
 	if p.pending == nil {
 		p.pending = make(map[uint64]chan struct{})
 	}
-	p.Together = request.Together
-	p.Time = request.Time
+	p.Together = request.MaxConcurrent
+	p.Time = request.TTL
 	p.lastID++
 	p.pending[p.lastID] = make(chan struct{})
 	granted := p.pending[p.lastID]
--- a/internal/instance/server/poll.go
+++ b/internal/instance/server/poll.go
@@ -54,7 +54,7 @@
 	}
 	s.mu.Lock()
 	now := time.Now()
-	actions := s.Holder.Tick(now, func(inc string) bool { return s.Monitor.Gone(inc, now) })
+	actions := s.Holder.Tick(now, func(inc string) bool { return s.Monitor.Terminated(inc, now) })
 	s.mu.Unlock()
 	for _, action := range actions {
 		switch a := action.(type) {
@@ -99,8 +99,8 @@
 			drains[row.Key[strings.LastIndexByte(row.Key, '/')+1:]] = true
 		}
 	}
-	s.Holder.See(roster, now)
-	s.Holder.Observe(leases, now)
+	s.Holder.AdoptRoster(roster, now)
+	s.Holder.ObserveLeases(leases, now)
 	s.applyDrains(drains)
 }
 
@@ -163,7 +163,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if err == nil {
-		s.Holder.See(a.Roster, time.Now())
+		s.Holder.AdoptRoster(a.Roster, time.Now())
 		if a.Lease != nil {
 			s.Holder.Renewed(sent)
 		}
@@ -191,7 +191,7 @@
 		Checks: []tabler.Check{{Key: key, Version: s.rosterRow.Version}},
 		Puts:   []tabler.Put{{Key: key, Value: roster}},
 	}
-	for _, d := range a.Drop {
+	for _, d := range a.DeleteLeases {
 		row := s.leases[d.Incarnation]
 		txn.Deletes = append(txn.Deletes, s.leaseKey(d.Incarnation))
 		if d.Incarnation == s.Incarnation {
--- a/internal/instance/server/quarantine.go
+++ b/internal/instance/server/quarantine.go
@@ -59,9 +59,9 @@
 	s.publishCrashReports(s.quarantine.ledger.Clear(call.Digest(), time.Now()))
 }
 
-// HeardCrashes implements relayer.Suspecter.
-func (s *Server) HeardCrashes(from heartbeater.Instance, c relayer.Crashes) {
-	reports := s.applyCrashReports(c.Words, from.ID)
+// HandleCrashReports implements relayer.CrashHandler.
+func (s *Server) HandleCrashReports(from heartbeater.Instance, c relayer.Crashes) {
+	reports := s.applyCrashReports(c.Reports, from.ID)
 	if from.Domain != s.Config.Domain {
 		s.publishCrashReports(reports)
 	}
@@ -141,6 +141,6 @@
 		return
 	}
 	for _, peer := range append(s.peers(now), s.remotePeers(now)...) {
-		go func() { _ = s.Mesh.Tell(ctx, peer.Address, relayer.Crashes{Words: reports}) }() // retried with the next heartbeat
+		go func() { _ = s.Mesh.Send(ctx, peer.Address, relayer.Crashes{Reports: reports}) }() // retried with the next heartbeat
 	}
 }
--- a/internal/instance/server/quarantine_test.go
+++ b/internal/instance/server/quarantine_test.go
@@ -26,10 +26,10 @@
 	}{
 		{"observed here", func(s *Server) { s.Crashed(report.Runner, map[quarantiner.Digest]time.Duration{report.Digest: 0}) }, 1},
 		{"received from a peer of the domain", func(s *Server) {
-			s.HeardCrashes(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Crashes{Words: []quarantiner.Word{report}})
+			s.HandleCrashReports(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Crashes{Reports: []quarantiner.Word{report}})
 		}, 0},
 		{"received from another domain", func(s *Server) {
-			s.HeardCrashes(heartbeater.Instance{ID: "b-1", Domain: "b"}, relayer.Crashes{Words: []quarantiner.Word{report}})
+			s.HandleCrashReports(heartbeater.Instance{ID: "b-1", Domain: "b"}, relayer.Crashes{Reports: []quarantiner.Word{report}})
 		}, 1},
 		{"read from the table", func(s *Server) { s.applyCrashReports([]quarantiner.Word{report}, sourceTable) }, 0},
 	} {
--- a/internal/instance/server/settings.go
+++ b/internal/instance/server/settings.go
@@ -152,7 +152,7 @@
 	defer conversation.Close()
 	response, err := conversation.Next(ctx)
 	if ctx.Err() != nil {
-		c.Mesh.Cut(address) // the next request opens a new link
+		c.Mesh.CloseLink(address) // the next request opens a new link
 	}
 	data, ok := response.(relayer.Data)
 	return data.Data, ok && err == nil
--- a/internal/instance/server/settings_test.go
+++ b/internal/instance/server/settings_test.go
@@ -19,12 +19,12 @@
 // unresponsiveHandler is a handler that receives requests of peers and never answers.
 type unresponsiveHandler struct{}
 
-func (unresponsiveHandler) Answer(ctx context.Context, _ heartbeater.Instance, _ relayer.Message, _ *relayer.Reply) error {
+func (unresponsiveHandler) HandleRequest(ctx context.Context, _ heartbeater.Instance, _ relayer.Message, _ *relayer.Reply) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func (unresponsiveHandler) Heard(heartbeater.Instance, relayer.Beat) {}
+func (unresponsiveHandler) HandleHeartbeat(heartbeater.Instance, relayer.Beat) {}
 
 // unavailableStore is a store that does not answer.
 type unavailableStore struct{ storer.Store }
--- a/internal/member/elector/elector.go
+++ b/internal/member/elector/elector.go
@@ -13,9 +13,9 @@
 
 import "time"
 
-// A Tenure is the lease row of a failure domain.
-type Tenure struct {
-	Holder  string `cbor:"1,keyasint"` // ID of the leader; empty if the lease was released
+// A Lease is the lease row of a failure domain.
+type Lease struct {
+	Leader  string `cbor:"1,keyasint"` // ID of the leader; empty if the lease was released
 	Address string `cbor:"2,keyasint"` // of the leader, for its peers
 	Fence   uint64 `cbor:"3,keyasint"` // fencing token; increases with each takeover
 	Serial  uint64 `cbor:"4,keyasint"` // increases with each write
@@ -27,21 +27,21 @@
 // are readings of a clock that includes the time while the host is suspended;
 // only their differences matter.
 type Elector struct {
-	Self    string
-	Address string
-	Lease   time.Duration // for which a renewal is trusted
-	Quiet   time.Duration // quiet period: minimum time between the orders of two leaders
-	Late    time.Duration // additional delay before a takeover; 0 for the instances of the domain itself
+	Self          string
+	Address       string
+	LeaseDuration time.Duration // for which a renewal is trusted
+	QuietPeriod   time.Duration // quiet period: minimum time between the orders of two leaders
+	TakeoverDelay time.Duration // additional delay before a takeover; 0 for the instances of the domain itself
 
 	version       uint64 // of the row as last observed or written
-	row           Tenure
+	row           Lease
 	observedAt    time.Duration // when version was first observed
 	renewedAt     time.Duration // when the last successful renewal was sent; valid while leader
 	acquired      bool          // acquired the lease and has not lost or released it; it may have expired
 	ordersFrom    time.Duration // before which no orders may be sent
-	rowKnown      bool          // the row was observed, and no write failed and no Yield happened since
+	rowKnown      bool          // the row was observed, and no WriteFailed or StepDown happened since
 	leaving       bool          // the instance is stopping
-	steppedDownAt time.Duration // by Yield
+	steppedDownAt time.Duration // by StepDown
 	idleUntil     time.Duration // before which it does not take the lease over again
 	endedFence    uint64        // fencing token of a lease whose leader reported that it stepped down
 	endedAt       time.Duration // when that report arrived
@@ -51,7 +51,7 @@
 // row still has Version.
 type Write struct {
 	Version  uint64
-	Row      Tenure
+	Row      Lease
 	Takeover bool
 	sentAt   time.Duration
 }
@@ -65,19 +65,19 @@
 // differ by a tenth, far more than real clocks do.
 const driftDivisor = 10
 
-// Acts reports whether orders may be sent at now, and returns the fencing token
+// MaySendOrders reports whether orders may be sent at now, and returns the fencing token
 // for them.
-func (e *Elector) Acts(now time.Duration) (uint64, bool) {
-	return e.row.Fence, e.Holds(now) && now >= e.ordersFrom
+func (e *Elector) MaySendOrders(now time.Duration) (uint64, bool) {
+	return e.row.Fence, e.IsLeader(now) && now >= e.ordersFrom
 }
 
-// Holds reports whether this instance is the leader at now.
-func (e *Elector) Holds(now time.Duration) bool {
-	return e.acquired && now-e.renewedAt < e.Lease
+// IsLeader reports whether this instance is the leader at now.
+func (e *Elector) IsLeader(now time.Duration) bool {
+	return e.acquired && now-e.renewedAt < e.LeaseDuration
 }
 
-// Holder returns the lease row as last observed.
-func (e *Elector) Holder() Tenure { return e.row }
+// Row returns the lease row as last observed.
+func (e *Elector) Row() Lease { return e.row }
 
 // Renewal returns the row version of the last renewal and the time since it was
 // sent; for the row of another leader, the minimum of that time.
@@ -88,11 +88,11 @@
 	return e.version, now - e.renewedAt
 }
 
-// Heard records the row that its leader published, with the version and the age
+// ObserveRemote records the row that its leader published, with the version and the age
 // of its last renewal, so that other instances know when the lease expires without
 // reading the row. The network delay makes the renewal appear younger than it is,
 // never older.
-func (e *Elector) Heard(row Tenure, version uint64, age, now time.Duration) {
+func (e *Elector) ObserveRemote(row Lease, version uint64, age, now time.Duration) {
 	if e.acquired || version <= e.version {
 		return
 	}
@@ -110,20 +110,20 @@
 	return e.release(now)
 }
 
-// Yield steps down in favor of another instance: no more orders are sent, and the
+// StepDown steps down in favor of another instance: no more orders are sent, and the
 // lease is not taken over again until idle has passed. If this instance was the
 // leader, the returned write releases the lease.
-func (e *Elector) Yield(now, idle time.Duration) (w Write, wasLeader bool) {
+func (e *Elector) StepDown(now, idle time.Duration) (w Write, wasLeader bool) {
 	e.steppedDownAt, e.idleUntil = now, now+idle
 	w, wasLeader = e.release(now)
 	e.rowKnown = false
 	return w, wasLeader
 }
 
-// Ended records that the leader with a fencing token has stepped down: it sends no
+// ObserveStepDown records that the leader with a fencing token has stepped down: it sends no
 // more orders, whatever the row says. A leader that cannot reach the table service
 // cannot release the lease, but it may reach instances that can take it over.
-func (e *Elector) Ended(fence uint64, now time.Duration) {
+func (e *Elector) ObserveStepDown(fence uint64, now time.Duration) {
 	if !e.acquired && fence > e.endedFence {
 		e.endedFence, e.endedAt = fence, now
 	}
@@ -133,16 +133,16 @@
 func (e *Elector) leaderEnded() bool { return e.endedFence > 0 && e.row.Fence == e.endedFence }
 
 func (e *Elector) release(now time.Duration) (w Write, wasLeader bool) {
-	wasLeader = e.Holds(now)
+	wasLeader = e.IsLeader(now)
 	e.acquired = false
 	row := e.row
-	row.Holder, row.Address = "", ""
+	row.Leader, row.Address = "", ""
 	row.Serial++
 	return Write{Version: e.version, Row: row, sentAt: now}, wasLeader
 }
 
-// Read records the row as read at now. A missing row has version 0.
-func (e *Elector) Read(row Tenure, version uint64, now time.Duration) {
+// ObserveRow records the row as read at now. A missing row has version 0.
+func (e *Elector) ObserveRow(row Lease, version uint64, now time.Duration) {
 	if e.rowKnown && version == e.version {
 		return
 	}
@@ -153,7 +153,7 @@
 	e.version = version
 	e.row = row
 	e.observedAt = now
-	if row.Holder != e.Self {
+	if row.Leader != e.Self {
 		e.acquired = false
 	}
 }
@@ -165,7 +165,7 @@
 		return Write{}, false
 	}
 	if e.acquired {
-		if now-e.renewedAt < e.Lease/renewalsPerLease {
+		if now-e.renewedAt < e.LeaseDuration/renewalsPerLease {
 			return Write{}, false
 		}
 		return e.newWrite(now, false), true
@@ -180,19 +180,19 @@
 // own ID in the row has restarted: the process that wrote the row has terminated, so
 // the lease may be taken over at once.
 func (e *Elector) available(now time.Duration) bool {
-	if e.version == 0 || e.row.Holder == "" {
-		return now-e.observedAt >= e.Late
+	if e.version == 0 || e.row.Leader == "" {
+		return now-e.observedAt >= e.TakeoverDelay
 	}
-	if e.leaderEnded() && now-e.endedAt >= e.Late {
+	if e.leaderEnded() && now-e.endedAt >= e.TakeoverDelay {
 		return true
 	}
-	return e.row.Holder == e.Self || now-e.observedAt >= e.Lease+e.Lease/driftDivisor+e.Late
+	return e.row.Leader == e.Self || now-e.observedAt >= e.LeaseDuration+e.LeaseDuration/driftDivisor+e.TakeoverDelay
 }
 
 func (e *Elector) newWrite(now time.Duration, takeover bool) Write {
 	w := Write{
 		Version: e.version, Takeover: takeover, sentAt: now,
-		Row: Tenure{Holder: e.Self, Address: e.Address, Fence: e.row.Fence, Serial: e.row.Serial + 1},
+		Row: Lease{Leader: e.Self, Address: e.Address, Fence: e.row.Fence, Serial: e.row.Serial + 1},
 	}
 	if takeover {
 		w.Row.Fence++
@@ -203,8 +203,8 @@
 	return w
 }
 
-// Written records that a write took effect, and the row version that it produced.
-func (e *Elector) Written(w Write, version uint64, now time.Duration) {
+// WriteSucceeded records that a write took effect, and the row version that it produced.
+func (e *Elector) WriteSucceeded(w Write, version uint64, now time.Duration) {
 	if version < e.version || e.leaving {
 		return
 	}
@@ -222,22 +222,22 @@
 // passed waits for a full quiet period again.
 func (e *Elector) firstOrderAt(w Write) time.Duration {
 	switch {
-	case w.Version == 0, e.row.Holder == e.Self && e.row.Settled:
+	case w.Version == 0, e.row.Leader == e.Self && e.row.Settled:
 		return w.sentAt
-	case e.row.Holder == e.Self, e.row.Holder == "":
-		return e.observedAt + e.Quiet
+	case e.row.Leader == e.Self, e.row.Leader == "":
+		return e.observedAt + e.QuietPeriod
 	case e.leaderEnded():
-		return e.endedAt + e.Quiet
+		return e.endedAt + e.QuietPeriod
 	default:
-		return e.observedAt + e.Lease + e.Quiet
+		return e.observedAt + e.LeaseDuration + e.QuietPeriod
 	}
 }
 
-// Lost records that the condition of a write did not hold or that its response was
+// WriteFailed records that the condition of a write did not hold or that its response was
 // lost: the row has to be read again.
-func (e *Elector) Lost() {
+func (e *Elector) WriteFailed() {
 	e.rowKnown = false
 }
 
-// Stale reports whether the row has to be read before Next returns a write.
-func (e *Elector) Stale() bool { return !e.rowKnown }
+// NeedsRead reports whether the row has to be read before Next returns a write.
+func (e *Elector) NeedsRead() bool { return !e.rowKnown }
--- a/internal/member/elector/elector_test.go
+++ b/internal/member/elector/elector_test.go
@@ -15,16 +15,16 @@
 )
 
 func newElector(self string) *elector.Elector {
-	return &elector.Elector{Self: self, Address: self + ":1", Lease: lease, Quiet: quiet}
+	return &elector.Elector{Self: self, Address: self + ":1", LeaseDuration: lease, QuietPeriod: quiet}
 }
 
 func ExampleElector_Next() {
 	e := newElector("a-1")
-	e.Read(elector.Tenure{}, 0, 0)
+	e.ObserveRow(elector.Lease{}, 0, 0)
 	write, _ := e.Next(0)
-	e.Written(write, 1, 10*time.Millisecond)
-	fmt.Println(e.Acts(time.Second))
-	fmt.Println(e.Acts(5 * time.Second)) // not renewed
+	e.WriteSucceeded(write, 1, 10*time.Millisecond)
+	fmt.Println(e.MaySendOrders(time.Second))
+	fmt.Println(e.MaySendOrders(5 * time.Second)) // not renewed
 	// Output:
 	// 1 true
 	// 1 false
@@ -32,13 +32,13 @@
 
 func TestRestartedLeaderTakesOverAtOnceWithHigherFence(t *testing.T) {
 	e := newElector("a-1")
-	e.Read(elector.Tenure{Holder: "a-1", Fence: 7, Serial: 3, Settled: true}, 12, time.Second)
+	e.ObserveRow(elector.Lease{Leader: "a-1", Fence: 7, Serial: 3, Settled: true}, 12, time.Second)
 	write, ok := e.Next(time.Second)
 	if !ok || write.Row.Fence != 8 || write.Version != 12 {
 		t.Fatalf("write = %+v, %v", write, ok)
 	}
-	e.Written(write, 13, time.Second)
-	if fence, acts := e.Acts(time.Second); !acts || fence != 8 {
+	e.WriteSucceeded(write, 13, time.Second)
+	if fence, acts := e.MaySendOrders(time.Second); !acts || fence != 8 {
 		t.Errorf("Acts = %v with fence %d, want true with fence 8", acts, fence)
 	}
 }
@@ -47,7 +47,7 @@
 	e := newElector("a-2")
 	for i := range 20 {
 		now := time.Duration(i) * time.Second
-		e.Read(elector.Tenure{Holder: "a-1", Fence: 1, Serial: uint64(i)}, uint64(i+1), now)
+		e.ObserveRow(elector.Lease{Leader: "a-1", Fence: 1, Serial: uint64(i)}, uint64(i+1), now)
 		if write, ok := e.Next(now); ok {
 			t.Fatalf("at %s: %+v", now, write)
 		}
@@ -56,11 +56,11 @@
 
 func TestNoWriteAfterLeave(t *testing.T) {
 	e := newElector("a-1")
-	e.Read(elector.Tenure{}, 0, 0)
+	e.ObserveRow(elector.Lease{}, 0, 0)
 	write, _ := e.Next(0)
-	e.Written(write, 1, 0)
+	e.WriteSucceeded(write, 1, 0)
 	e.Leave(time.Second)
-	if _, acts := e.Acts(time.Second); acts {
+	if _, acts := e.MaySendOrders(time.Second); acts {
 		t.Error("may send orders after Leave")
 	}
 	if write, ok := e.Next(2 * time.Second); ok {
@@ -73,21 +73,21 @@
 // takes over the released lease.
 func TestLateRenewalResponseDoesNotUndoYield(t *testing.T) {
 	e := newElector("a-1")
-	e.Read(elector.Tenure{}, 0, 0)
+	e.ObserveRow(elector.Lease{}, 0, 0)
 	w, _ := e.Next(0)
-	e.Written(w, 1, 0)
+	e.WriteSucceeded(w, 1, 0)
 	renewal, ok := e.Next(time.Second)
 	if !ok {
 		t.Fatal("no renewal is due; the test needs one in flight")
 	}
-	if _, wasLeader := e.Yield(1100*time.Millisecond, 5*time.Second); !wasLeader {
+	if _, wasLeader := e.StepDown(1100*time.Millisecond, 5*time.Second); !wasLeader {
 		t.Error("was not the leader before Yield")
 	}
-	e.Written(renewal, 2, 1200*time.Millisecond)
-	if _, acts := e.Acts(1300 * time.Millisecond); acts {
+	e.WriteSucceeded(renewal, 2, 1200*time.Millisecond)
+	if _, acts := e.MaySendOrders(1300 * time.Millisecond); acts {
 		t.Error("may send orders after Yield")
 	}
-	e.Read(elector.Tenure{Fence: 1}, 3, 2*time.Second)
+	e.ObserveRow(elector.Lease{Fence: 1}, 3, 2*time.Second)
 	if _, ok := e.Next(3 * time.Second); ok {
 		t.Error("takes the lease over again at once after Yield")
 	}
@@ -102,25 +102,25 @@
 // loaded until the lease had expired.
 func TestLeaseIsTakenOverOnceLeaderReportsItsEnd(t *testing.T) {
 	e := newElector("a-2")
-	e.Read(elector.Tenure{Holder: "a-1", Fence: 4}, 7, 0)
+	e.ObserveRow(elector.Lease{Leader: "a-1", Fence: 4}, 7, 0)
 	if _, ok := e.Next(time.Second); ok {
 		t.Fatal("takes over a lease that is in force")
 	}
-	e.Ended(3, time.Second)
+	e.ObserveStepDown(3, time.Second)
 	if _, ok := e.Next(time.Second); ok {
 		t.Error("takes over the lease in force after the end of an older one")
 	}
-	e.Ended(4, time.Second)
-	e.Read(elector.Tenure{Holder: "a-1", Fence: 4, Serial: 1}, 8, time.Second)
+	e.ObserveStepDown(4, time.Second)
+	e.ObserveRow(elector.Lease{Leader: "a-1", Fence: 4, Serial: 1}, 8, time.Second)
 	w, ok := e.Next(time.Second)
 	if !ok || w.Version != 8 || w.Row.Fence != 5 {
 		t.Fatalf("write = %+v, %v", w, ok)
 	}
-	e.Written(w, 9, time.Second)
-	if _, acts := e.Acts(time.Second + quiet - time.Millisecond); acts {
+	e.WriteSucceeded(w, 9, time.Second)
+	if _, acts := e.MaySendOrders(time.Second + quiet - time.Millisecond); acts {
 		t.Error("may send orders within the quiet period")
 	}
-	if _, acts := e.Acts(time.Second + quiet); !acts {
+	if _, acts := e.MaySendOrders(time.Second + quiet); !acts {
 		t.Error("may not send orders after the quiet period")
 	}
 }
@@ -145,7 +145,7 @@
 	for seed := range uint64(300) {
 		yieldRNG := rand.New(rand.NewPCG(seed, 3))
 		rng := rand.New(rand.NewPCG(seed, 2))
-		var row elector.Tenure
+		var row elector.Lease
 		var version uint64
 		electors := []*elector.Elector{newElector("a"), newElector("b"), newElector("c")}
 		pausedUntil := make([]time.Duration, len(electors))
@@ -180,22 +180,22 @@
 					responses[i] = nil
 					continue
 				}
-				if yieldOdds > 0 && e.Holds(now) && yieldRNG.IntN(yieldOdds) == 0 {
-					released := e.Holder().Fence
-					w, wasLeader := e.Yield(now, 10*time.Second)
+				if yieldOdds > 0 && e.IsLeader(now) && yieldRNG.IntN(yieldOdds) == 0 {
+					released := e.Row().Fence
+					w, wasLeader := e.StepDown(now, 10*time.Second)
 					if wasLeader && w.Version == version && now >= cutOffUntil[i] {
 						version++
 						row = w.Row
 					}
 					if other := electors[yieldRNG.IntN(len(electors))]; other != e {
-						other.Ended(released, now)
+						other.ObserveStepDown(released, now)
 					}
 				}
 				if deliver := responses[i]; deliver != nil { // arrives after the pause
 					responses[i] = nil
 					deliver()
 				}
-				if f, acts := e.Acts(now); acts {
+				if f, acts := e.MaySendOrders(now); acts {
 					if leader != e.Self && now-lastOrderAt < quiet {
 						t.Fatalf("seed %d at %s: %s sends orders %s after %s", seed, now, e.Self, now-lastOrderAt, leader)
 					}
@@ -208,9 +208,9 @@
 				if now < cutOffUntil[i] {
 					continue
 				}
-				if other := electors[rng.IntN(len(electors))]; other != e && other.Holds(now) {
+				if other := electors[rng.IntN(len(electors))]; other != e && other.IsLeader(now) {
 					v, age := other.Renewal(now)
-					e.Heard(other.Holder(), v, age, now)
+					e.ObserveRemote(other.Row(), v, age, now)
 				}
 				if w, ok := e.Next(now); ok {
 					matches := w.Version == version
@@ -220,14 +220,14 @@
 					}
 					written := version
 					if !matches || rng.IntN(10) == 0 {
-						e.Lost()
+						e.WriteFailed()
 						continue
 					}
-					responses[i] = func() { e.Written(w, written, now) }
+					responses[i] = func() { e.WriteSucceeded(w, written, now) }
 					continue
 				}
 				r, v := row, version
-				responses[i] = func() { e.Read(r, v, now) }
+				responses[i] = func() { e.ObserveRow(r, v, now) }
 			}
 		}
 		if orders < 1000 {
--- a/internal/member/gatherer/gatherer.go
+++ b/internal/member/gatherer/gatherer.go
@@ -14,12 +14,12 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// A Gatherer holds the last report of each member and the sums over all of them.
+// A Aggregator holds the last report of each member and the sums over all of them.
 // Its exported fields are set before use; it is not safe for concurrent use.
-type Gatherer struct {
-	Freed  func(k Key)                     // called when a report ends the last use of a copy; may be nil
-	Silent time.Duration                   // time since its last report after which a member is removed
-	Waits  func(k Key, all placer.Waiting) // called with the sum over all members whenever the waiting requests of one are set or removed; may be nil
+type Aggregator struct {
+	OnFreed       func(k Key)                     // called when a report ends the last use of a copy; may be nil
+	MemberTimeout time.Duration                   // time since its last report after which a member is removed
+	OnWaiting     func(k Key, all placer.Waiting) // called with the sum over all members whenever the waiting requests of one are set or removed; may be nil
 
 	instances    int // sum over the members
 	loads        map[string]tracker.Load
@@ -32,28 +32,28 @@
 // A member is an instance that reports here, with its last report.
 type member struct {
 	lastReportAt time.Time
-	lastReport   Word
+	lastReport   Report
 }
 
-// Tell replaces the last report of a member.
-func (g *Gatherer) Tell(from string, w Word, now time.Time) {
+// Report replaces the last report of a member.
+func (g *Aggregator) Report(from string, w Report, now time.Time) {
 	m := g.member(from, now)
 	m.lastReportAt = now
 	previous := m.lastReport.Uses
 	g.replaceReport(from, m, w)
-	if g.Freed == nil {
+	if g.OnFreed == nil {
 		return
 	}
 	for k := range previous {
 		if g.uses[k] == 0 {
-			g.Freed(k)
+			g.OnFreed(k)
 		}
 	}
 }
 
-// Use counts a use that a member has begun. The member's next report replaces the
+// AddUse counts a use that a member has begun. The member's next report replaces the
 // count and includes this use for as long as it lasts.
-func (g *Gatherer) Use(by string, k Key, now time.Time) {
+func (g *Aggregator) AddUse(by string, k Key, now time.Time) {
 	m := g.member(by, now)
 	if m.lastReport.Uses == nil {
 		m.lastReport.Uses = make(map[Key]int)
@@ -62,48 +62,48 @@
 	g.addUses(k, 1)
 }
 
-// Drop removes a member.
-func (g *Gatherer) Drop(id string) {
+// Remove removes a member.
+func (g *Aggregator) Remove(id string) {
 	if m, ok := g.members[id]; ok {
-		g.replaceReport(id, m, Word{})
+		g.replaceReport(id, m, Report{})
 		delete(g.members, id)
 	}
 }
 
 // Clear removes all members.
-func (g *Gatherer) Clear() {
+func (g *Aggregator) Clear() {
 	for id := range g.members {
-		g.Drop(id)
+		g.Remove(id)
 	}
 }
 
 // Expire removes the members that stopped reporting. Without it the uses of a
 // crashed instance would occupy their adapter slots for good.
-func (g *Gatherer) Expire(now time.Time) {
-	if now.Sub(g.oldestReport) <= g.Silent {
+func (g *Aggregator) Expire(now time.Time) {
+	if now.Sub(g.oldestReport) <= g.MemberTimeout {
 		return
 	}
 	g.oldestReport = now
 	for id, m := range g.members {
-		if now.Sub(m.lastReportAt) > g.Silent {
-			g.Drop(id)
+		if now.Sub(m.lastReportAt) > g.MemberTimeout {
+			g.Remove(id)
 		} else if m.lastReportAt.Before(g.oldestReport) {
 			g.oldestReport = m.lastReportAt
 		}
 	}
 }
 
-// Knows reports whether id is a member.
-func (g *Gatherer) Knows(id string) bool {
+// IsMember reports whether id is a member.
+func (g *Aggregator) IsMember(id string) bool {
 	_, ok := g.members[id]
 	return ok
 }
 
 // Instances returns the number of instances that the members report for.
-func (g *Gatherer) Instances() int { return g.instances }
+func (g *Aggregator) Instances() int { return g.instances }
 
 // Loads returns the load of each runner from all members but one.
-func (g *Gatherer) Loads(except string) map[string]tracker.Load {
+func (g *Aggregator) Loads(except string) map[string]tracker.Load {
 	var own map[string]tracker.Load
 	if m, ok := g.members[except]; ok {
 		own = m.lastReport.Loads
@@ -118,11 +118,11 @@
 }
 
 // Uses returns how many requests use a copy, which must not be evicted meanwhile.
-func (g *Gatherer) Uses(k Key) int { return g.uses[k] }
+func (g *Aggregator) Uses(k Key) int { return g.uses[k] }
 
-// Word returns the sum of the reports of all members.
-func (g *Gatherer) Word() Word {
-	w := Word{Instances: g.instances, Loads: g.Loads(""), Uses: make(map[Key]int, len(g.uses)), Waits: make(map[Key]placer.Waiting, len(g.waiting))}
+// Sum returns the sum of the reports of all members.
+func (g *Aggregator) Sum() Report {
+	w := Report{Instances: g.instances, Loads: g.Loads(""), Uses: make(map[Key]int, len(g.uses)), Waits: make(map[Key]placer.Waiting, len(g.waiting))}
 	for k, n := range g.uses {
 		w.Uses[k] = n
 	}
@@ -132,7 +132,7 @@
 	return w
 }
 
-func (g *Gatherer) member(id string, now time.Time) *member {
+func (g *Aggregator) member(id string, now time.Time) *member {
 	m, ok := g.members[id]
 	if !ok {
 		m = &member{lastReportAt: now}
@@ -146,7 +146,7 @@
 }
 
 // replaceReport replaces a member's last report and updates the sums.
-func (g *Gatherer) replaceReport(id string, m *member, w Word) {
+func (g *Aggregator) replaceReport(id string, m *member, w Report) {
 	previous := m.lastReport
 	m.lastReport = w
 	g.instances += w.Instances - previous.Instances
@@ -172,7 +172,7 @@
 	}
 }
 
-func (g *Gatherer) addLoad(runner string, change tracker.Load) {
+func (g *Aggregator) addLoad(runner string, change tracker.Load) {
 	if g.loads == nil {
 		g.loads = make(map[string]tracker.Load)
 	}
@@ -184,7 +184,7 @@
 	g.loads[runner] = sum
 }
 
-func (g *Gatherer) addUses(k Key, n int) {
+func (g *Aggregator) addUses(k Key, n int) {
 	if g.uses == nil {
 		g.uses = make(map[Key]int)
 	}
@@ -194,7 +194,7 @@
 	}
 }
 
-func (g *Gatherer) setWaiting(id string, k Key, waiting placer.Waiting) {
+func (g *Aggregator) setWaiting(id string, k Key, waiting placer.Waiting) {
 	if g.waiting == nil {
 		g.waiting = make(map[Key]map[string]placer.Waiting)
 	}
@@ -205,7 +205,7 @@
 	g.notifyWaits(k)
 }
 
-func (g *Gatherer) removeWaiting(id string, k Key) {
+func (g *Aggregator) removeWaiting(id string, k Key) {
 	delete(g.waiting[k], id)
 	if len(g.waiting[k]) == 0 {
 		delete(g.waiting, k)
@@ -213,14 +213,14 @@
 	g.notifyWaits(k)
 }
 
-func (g *Gatherer) notifyWaits(k Key) {
-	if g.Waits != nil {
-		g.Waits(k, g.totalWaiting(k))
+func (g *Aggregator) notifyWaits(k Key) {
+	if g.OnWaiting != nil {
+		g.OnWaiting(k, g.totalWaiting(k))
 	}
 }
 
 // totalWaiting returns the sum over all members of the requests that wait for a copy.
-func (g *Gatherer) totalWaiting(k Key) placer.Waiting {
+func (g *Aggregator) totalWaiting(k Key) placer.Waiting {
 	total := placer.Waiting{Priority: placer.Spare}
 	for _, waiting := range g.waiting[k] {
 		total = total.Plus(waiting)
--- a/internal/member/gatherer/gatherer_test.go
+++ b/internal/member/gatherer/gatherer_test.go
@@ -23,12 +23,12 @@
 	cold  = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a2", Version: 1}}
 )
 
-func ExampleGatherer_Tell() {
-	g := gatherer.Gatherer{Silent: memberTimeout}
-	g.Tell("front-1", gatherer.Word{Instances: 1, Uses: map[gatherer.Key]int{hot: 2}}, start)
-	g.Tell("front-2", gatherer.Word{Instances: 1, Uses: map[gatherer.Key]int{hot: 1}}, start)
+func ExampleAggregator_Report() {
+	g := gatherer.Aggregator{MemberTimeout: memberTimeout}
+	g.Report("front-1", gatherer.Report{Instances: 1, Uses: map[gatherer.Key]int{hot: 2}}, start)
+	g.Report("front-2", gatherer.Report{Instances: 1, Uses: map[gatherer.Key]int{hot: 1}}, start)
 	fmt.Println(g.Uses(hot))
-	g.Tell("front-1", gatherer.Word{Instances: 1}, start) // complete: its uses have ended
+	g.Report("front-1", gatherer.Report{Instances: 1}, start) // complete: its uses have ended
 	fmt.Println(g.Uses(hot))
 	g.Expire(start.Add(memberTimeout + time.Second)) // no reports since
 	fmt.Println(g.Uses(hot), g.Instances())
@@ -43,20 +43,20 @@
 // slot to a copy for which fewer requests waited.
 func TestWaitingRequestsOfAllMembersAreSummed(t *testing.T) {
 	notified := make(map[gatherer.Key]placer.Waiting)
-	g := gatherer.Gatherer{Silent: memberTimeout, Waits: func(k gatherer.Key, all placer.Waiting) { notified[k] = all }}
-	waits := func(priority, requests, inTime int) gatherer.Word {
-		return gatherer.Word{Waits: map[gatherer.Key]placer.Waiting{hot: {Priority: priority, Requests: requests, InTime: inTime}}}
+	g := gatherer.Aggregator{MemberTimeout: memberTimeout, OnWaiting: func(k gatherer.Key, all placer.Waiting) { notified[k] = all }}
+	waits := func(priority, requests, inTime int) gatherer.Report {
+		return gatherer.Report{Waits: map[gatherer.Key]placer.Waiting{hot: {Priority: priority, Requests: requests, InTime: inTime}}}
 	}
-	g.Tell("front-1", waits(1, 2, 1), start)
-	g.Tell("front-2", waits(0, 3, 2), start)
+	g.Report("front-1", waits(1, 2, 1), start)
+	g.Report("front-2", waits(0, 3, 2), start)
 	if diff := cmp.Diff(placer.Waiting{Priority: 0, Requests: 5, InTime: 3}, notified[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
 		t.Error("requests of both wait:", diff)
 	}
-	g.Tell("front-2", gatherer.Word{}, start)
+	g.Report("front-2", gatherer.Report{}, start)
 	if diff := cmp.Diff(placer.Waiting{Priority: 1, Requests: 2, InTime: 1}, notified[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
 		t.Error("after the urgent requests ended:", diff)
 	}
-	g.Drop("front-1")
+	g.Remove("front-1")
 	if notified[hot].Requests != 0 {
 		t.Errorf("%d requests wait after all have ended", notified[hot].Requests)
 	}
@@ -67,16 +67,16 @@
 // stays occupied until the next report.
 func TestFreedIsCalledWhenLastUseEnds(t *testing.T) {
 	var freed []gatherer.Key
-	g := gatherer.Gatherer{Silent: memberTimeout, Freed: func(k gatherer.Key) { freed = append(freed, k) }}
-	uses := func(n int) gatherer.Word { return gatherer.Word{Uses: map[gatherer.Key]int{hot: n, cold: 1}} }
-	g.Tell("front-1", uses(2), start)
-	g.Tell("front-2", uses(1), start)
-	g.Tell("front-1", uses(1), start)
-	g.Tell("front-2", gatherer.Word{Uses: map[gatherer.Key]int{cold: 1}}, start)
+	g := gatherer.Aggregator{MemberTimeout: memberTimeout, OnFreed: func(k gatherer.Key) { freed = append(freed, k) }}
+	uses := func(n int) gatherer.Report { return gatherer.Report{Uses: map[gatherer.Key]int{hot: n, cold: 1}} }
+	g.Report("front-1", uses(2), start)
+	g.Report("front-2", uses(1), start)
+	g.Report("front-1", uses(1), start)
+	g.Report("front-2", gatherer.Report{Uses: map[gatherer.Key]int{cold: 1}}, start)
 	if len(freed) > 0 {
 		t.Errorf("Freed was called for %v, which are in use", freed)
 	}
-	g.Tell("front-1", gatherer.Word{Uses: map[gatherer.Key]int{cold: 1}}, start)
+	g.Report("front-1", gatherer.Report{Uses: map[gatherer.Key]int{cold: 1}}, start)
 	if diff := cmp.Diff([]gatherer.Key{hot}, freed); diff != "" {
 		t.Error(diff)
 	}
@@ -93,8 +93,8 @@
 }
 
 func compareWithReports(t *testing.T, rng *rand.Rand) {
-	g := gatherer.Gatherer{Silent: memberTimeout}
-	reports := make(map[string]gatherer.Word)
+	g := gatherer.Aggregator{MemberTimeout: memberTimeout}
+	reports := make(map[string]gatherer.Report)
 	lastReportAt := make(map[string]time.Time)
 	now := start
 	for range 60 {
@@ -102,14 +102,14 @@
 		id := fmt.Sprint("front-", rng.IntN(6))
 		switch rng.IntN(8) {
 		case 0:
-			g.Drop(id)
+			g.Remove(id)
 			delete(reports, id)
 		case 1:
 			k := randomKey(rng)
-			g.Use(id, k, now)
+			g.AddUse(id, k, now)
 			if _, known := reports[id]; !known {
 				lastReportAt[id] = now
-				reports[id] = gatherer.Word{Uses: make(map[gatherer.Key]int)}
+				reports[id] = gatherer.Report{Uses: make(map[gatherer.Key]int)}
 			}
 			reports[id].Uses[k]++
 		case 2:
@@ -123,13 +123,13 @@
 			w := randomReport(rng)
 			reports[id], lastReportAt[id] = w, now
 			w.Uses = maps.Clone(w.Uses)
-			g.Tell(id, w, now)
+			g.Report(id, w, now)
 		}
-		var want gatherer.Word
+		var want gatherer.Report
 		for _, w := range reports {
 			want.Add(w)
 		}
-		if diff := cmp.Diff(want, g.Word(), cmpopts.EquateEmpty(), cmp.AllowUnexported(placer.Waiting{}, tracker.Load{})); diff != "" {
+		if diff := cmp.Diff(want, g.Sum(), cmpopts.EquateEmpty(), cmp.AllowUnexported(placer.Waiting{}, tracker.Load{})); diff != "" {
 			t.Fatal(diff)
 		}
 	}
@@ -139,8 +139,8 @@
 	return gatherer.Key{Runner: fmt.Sprint("i-", rng.IntN(3)), Copy: placer.Copy{Model: "m", Adapter: fmt.Sprint("a", rng.IntN(3)), Version: 1}}
 }
 
-func randomReport(rng *rand.Rand) gatherer.Word {
-	w := gatherer.Word{
+func randomReport(rng *rand.Rand) gatherer.Report {
+	w := gatherer.Report{
 		Instances: 1 + rng.IntN(3), Loads: make(map[string]tracker.Load), Uses: make(map[gatherer.Key]int), Waits: make(map[gatherer.Key]placer.Waiting),
 	}
 	for range rng.IntN(4) {
@@ -152,18 +152,18 @@
 }
 
 // The cost of one report with 30 to 1,000 members; it must not depend on their number.
-func BenchmarkTell(b *testing.B) {
+func BenchmarkReport(b *testing.B) {
 	for _, members := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprint("members=", members), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
-			g := gatherer.Gatherer{Silent: memberTimeout, Waits: func(gatherer.Key, placer.Waiting) {}}
+			g := gatherer.Aggregator{MemberTimeout: memberTimeout, OnWaiting: func(gatherer.Key, placer.Waiting) {}}
 			for n := range members {
-				g.Tell(fmt.Sprint("front-", n), randomReport(rng), start)
+				g.Report(fmt.Sprint("front-", n), randomReport(rng), start)
 			}
-			reports := []gatherer.Word{randomReport(rng), randomReport(rng)}
+			reports := []gatherer.Report{randomReport(rng), randomReport(rng)}
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
-				g.Tell("front-0", reports[n%2], start)
+				g.Report("front-0", reports[n%2], start)
 				g.Loads("front-0")
 			}
 		})
--- a/internal/member/gatherer/word.go
+++ b/internal/member/gatherer/report.go
@@ -11,10 +11,10 @@
 	Copy   placer.Copy
 }
 
-// A Word is a report of what the requests of one or several instances need and use
+// A Report is a report of what the requests of one or several instances need and use
 // at the runners of a failure domain. It is complete: an entry that it lacks has
 // ended.
-type Word struct {
+type Report struct {
 	Instances int                     // that it covers
 	Loads     map[string]tracker.Load // by runner
 	Uses      map[Key]int             // number of requests that use a copy, which must not be evicted
@@ -22,7 +22,7 @@
 }
 
 // Add adds another report to this one.
-func (w *Word) Add(other Word) {
+func (w *Report) Add(other Report) {
 	w.Instances += other.Instances
 	if w.Loads == nil {
 		w.Loads = make(map[string]tracker.Load, len(other.Loads))
--- a/internal/member/heartbeater/monitor.go
+++ b/internal/member/heartbeater/monitor.go
@@ -26,11 +26,11 @@
 	Unknown Health = "unknown" // no heartbeat received yet
 )
 
-// A Monitor holds the state of the other instances. Silence and Patience are set
+// A Monitor holds the state of the other instances. SuspectAfter and GoneAfter are set
 // before use.
 type Monitor struct {
-	Silence  time.Duration // time without a heartbeat after which an instance is suspect
-	Patience time.Duration // time without a heartbeat and off the list after which an instance is gone
+	SuspectAfter time.Duration // time without a heartbeat after which an instance is suspect
+	GoneAfter    time.Duration // time without a heartbeat and off the list after which an instance is gone
 
 	listed     map[string]bool // incarnations on the last list read
 	listReadAt time.Time       // zero before the first list
@@ -43,16 +43,16 @@
 	lastHeartbeat time.Time
 }
 
-// Beat records a heartbeat.
-func (m *Monitor) Beat(i Instance, now time.Time) {
+// ObserveHeartbeat records a heartbeat.
+func (m *Monitor) ObserveHeartbeat(i Instance, now time.Time) {
 	p := m.peer(i)
 	p.lastHeartbeat = now
 	p.absentSince = time.Time{}
 }
 
-// Gone reports whether the incarnation's process has terminated. The time limit of
+// Terminated reports whether the incarnation's process has terminated. The time limit of
 // an incarnation that was never listed nor sent a heartbeat starts at the first call.
-func (m *Monitor) Gone(incarnation string, now time.Time) bool {
+func (m *Monitor) Terminated(incarnation string, now time.Time) bool {
 	p := m.peer(Instance{Incarnation: incarnation})
 	if m.listReadAt.IsZero() || m.listed[incarnation] {
 		return false
@@ -60,7 +60,7 @@
 	if p.absentSince.IsZero() {
 		p.absentSince = now
 	}
-	return now.Sub(p.absentSince) >= m.Patience && now.Sub(p.lastHeartbeat) >= m.Patience
+	return now.Sub(p.absentSince) >= m.GoneAfter && now.Sub(p.lastHeartbeat) >= m.GoneAfter
 }
 
 // Health returns the health of an incarnation.
@@ -69,7 +69,7 @@
 	switch {
 	case !ok || p.lastHeartbeat.IsZero():
 		return Unknown
-	case now.Sub(p.lastHeartbeat) > m.Silence:
+	case now.Sub(p.lastHeartbeat) > m.SuspectAfter:
 		return Suspect
 	case p.instance.Leaving:
 		return Leaving
@@ -79,18 +79,18 @@
 }
 
 // Instance returns the instance with the incarnation if it is listed or sent a
-// heartbeat within Patience.
+// heartbeat within GoneAfter.
 func (m *Monitor) Instance(incarnation string, now time.Time) (Instance, bool) {
 	p, ok := m.peers[incarnation]
 	if !ok || p.instance.ID == "" {
 		return Instance{}, false
 	}
-	known := m.listed[incarnation] || now.Sub(p.lastHeartbeat) <= m.Patience
+	known := m.listed[incarnation] || now.Sub(p.lastHeartbeat) <= m.GoneAfter
 	return p.instance, known
 }
 
 // Instances returns every instance that is listed or sent a heartbeat within
-// Patience, sorted by ID and incarnation.
+// GoneAfter, sorted by ID and incarnation.
 func (m *Monitor) Instances(now time.Time) []Instance {
 	var instances []Instance
 	for incarnation := range m.peers {
@@ -107,9 +107,9 @@
 	return instances
 }
 
-// List records the platform's list as read at now and removes peers that have been
+// ObserveList records the platform's list as read at now and removes peers that have been
 // gone for long.
-func (m *Monitor) List(instances []Instance, now time.Time) {
+func (m *Monitor) ObserveList(instances []Instance, now time.Time) {
 	m.listed = make(map[string]bool, len(instances))
 	m.listReadAt = now
 	for _, i := range instances {
@@ -121,15 +121,15 @@
 	}
 }
 
-// retentionFactor is how many times Patience a gone peer is kept, so that late queries
+// retentionFactor is how many times GoneAfter a gone peer is kept, so that late queries
 // about it still get the right result.
 const retentionFactor = 20
 
 func (m *Monitor) removeExpired(incarnation string, now time.Time) {
-	if !m.Gone(incarnation, now) {
+	if !m.Terminated(incarnation, now) {
 		return
 	}
-	if now.Sub(m.peers[incarnation].absentSince) > retentionFactor*m.Patience {
+	if now.Sub(m.peers[incarnation].absentSince) > retentionFactor*m.GoneAfter {
 		delete(m.peers, incarnation)
 	}
 }
--- a/internal/member/heartbeater/monitor_test.go
+++ b/internal/member/heartbeater/monitor_test.go
@@ -15,7 +15,7 @@
 )
 
 func newMonitor() *heartbeater.Monitor {
-	return &heartbeater.Monitor{Silence: 3 * time.Second, Patience: 10 * time.Second}
+	return &heartbeater.Monitor{SuspectAfter: 3 * time.Second, GoneAfter: 10 * time.Second}
 }
 
 func TestHealth(t *testing.T) {
@@ -28,14 +28,14 @@
 		want  heartbeater.Health
 	}{
 		{"no heartbeat", func(*heartbeater.Monitor) {}, 0, heartbeater.Unknown},
-		{"listed only", func(m *heartbeater.Monitor) { m.List([]heartbeater.Instance{a}, start) }, 0, heartbeater.Unknown},
-		{"heartbeat", func(m *heartbeater.Monitor) { m.Beat(a, start) }, time.Second, heartbeater.Live},
-		{"heartbeats missing", func(m *heartbeater.Monitor) { m.Beat(a, start) }, 4 * time.Second, heartbeater.Suspect},
-		{"leaving", func(m *heartbeater.Monitor) { m.Beat(leaving, start) }, 0, heartbeater.Leaving},
+		{"listed only", func(m *heartbeater.Monitor) { m.ObserveList([]heartbeater.Instance{a}, start) }, 0, heartbeater.Unknown},
+		{"heartbeat", func(m *heartbeater.Monitor) { m.ObserveHeartbeat(a, start) }, time.Second, heartbeater.Live},
+		{"heartbeats missing", func(m *heartbeater.Monitor) { m.ObserveHeartbeat(a, start) }, 4 * time.Second, heartbeater.Suspect},
+		{"leaving", func(m *heartbeater.Monitor) { m.ObserveHeartbeat(leaving, start) }, 0, heartbeater.Leaving},
 		{"list lags behind leaving", func(m *heartbeater.Monitor) {
-			m.Beat(leaving, start)
-			m.List([]heartbeater.Instance{a}, start)
-			m.Beat(a, start)
+			m.ObserveHeartbeat(leaving, start)
+			m.ObserveList([]heartbeater.Instance{a}, start)
+			m.ObserveHeartbeat(a, start)
 		}, 0, heartbeater.Leaving},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -54,20 +54,20 @@
 // terminated; as long as no list was read, nothing shows it.
 func TestGoneNeedsListAndMissingHeartbeats(t *testing.T) {
 	m := newMonitor()
-	m.Beat(a, start)
-	if m.Gone("a-1", start.Add(time.Hour)) {
+	m.ObserveHeartbeat(a, start)
+	if m.Terminated("a-1", start.Add(time.Hour)) {
 		t.Error("gone before any list was read")
 	}
-	m.List(nil, start.Add(time.Hour))
-	if m.Gone("a-1", start.Add(time.Hour+time.Second)) {
+	m.ObserveList(nil, start.Add(time.Hour))
+	if m.Terminated("a-1", start.Add(time.Hour+time.Second)) {
 		t.Error("gone as soon as the list lacks it")
 	}
-	m.List(nil, start.Add(time.Hour+11*time.Second))
-	if !m.Gone("a-1", start.Add(time.Hour+11*time.Second)) {
+	m.ObserveList(nil, start.Add(time.Hour+11*time.Second))
+	if !m.Terminated("a-1", start.Add(time.Hour+11*time.Second)) {
 		t.Error("not gone though off the list and without heartbeats for the time limit")
 	}
-	m.Beat(a, start.Add(2*time.Hour))
-	if m.Gone("a-1", start.Add(2*time.Hour)) {
+	m.ObserveHeartbeat(a, start.Add(2*time.Hour))
+	if m.Terminated("a-1", start.Add(2*time.Hour)) {
 		t.Error("gone although it sent a heartbeat again")
 	}
 }
--- a/internal/member/leaser/action.go
+++ b/internal/member/leaser/action.go
@@ -10,13 +10,13 @@
 type Renew struct{ Lease Lease }
 
 // A Propose action writes the next roster on the condition that the roster is
-// unchanged since the Holder last read it. Drop lists the lease rows to delete in
+// unchanged since the Holder last read it. DeleteLeases lists the lease rows to delete in
 // the same transaction, on the condition that they are as last observed; Lease, if
 // not nil, is the proposer's own row to create.
 type Propose struct {
-	Roster Roster
-	Drop   []Lease // as last observed; the proposer's own row is deleted unconditionally
-	Lease  *Lease
+	Roster       Roster
+	DeleteLeases []Lease // as last observed; the proposer's own row is deleted unconditionally
+	Lease        *Lease
 }
 
 func (Propose) action() {}
--- a/internal/member/leaser/holder.go
+++ b/internal/member/leaser/holder.go
@@ -44,10 +44,10 @@
 const epochShift = 16
 
 // A Holder is one instance's view of its failure domain's roster and of its own
-// lease in it. Self and Time are set before use.
+// lease in it. Self and LeaseDuration are set before use.
 type Holder struct {
-	Self Member
-	Time time.Duration // lease duration
+	Self          Member
+	LeaseDuration time.Duration
 
 	adoptedEpochs map[string]uint64 // roster epoch by incarnation
 	deadline      time.Time         // until which this instance's lease is trusted
@@ -67,9 +67,9 @@
 	observedAt time.Time // when the serial was first observed
 }
 
-// Acts reports whether this instance may send orders to the runner as its owner,
+// MaySendOrders reports whether this instance may send orders to the runner as its owner,
 // and returns the fencing token for them.
-func (h *Holder) Acts(runner string, now time.Time) (uint64, bool) {
+func (h *Holder) MaySendOrders(runner string, now time.Time) (uint64, bool) {
 	epoch, owned := h.gainedEpochs[runner]
 	if !owned || !h.Valid(now) || !h.adoptedByAll(epoch) {
 		return 0, false
@@ -77,8 +77,8 @@
 	return epoch << epochShift, true
 }
 
-// Adopted records the roster epoch that a member reports to have adopted.
-func (h *Holder) Adopted(incarnation string, epoch uint64) {
+// ObserveAdopted records the roster epoch that a member reports to have adopted.
+func (h *Holder) ObserveAdopted(incarnation string, epoch uint64) {
 	h.init()
 	h.adoptedEpochs[incarnation] = max(h.adoptedEpochs[incarnation], epoch)
 }
@@ -98,11 +98,11 @@
 	return h.machine.State == stateLeft
 }
 
-// Observe records the domain's lease rows as read at now.
-func (h *Holder) Observe(leases []Lease, now time.Time) {
+// ObserveLeases records the domain's lease rows as read at now.
+func (h *Holder) ObserveLeases(leases []Lease, now time.Time) {
 	h.init()
 	for _, l := range leases {
-		h.Adopted(l.Incarnation, l.Epoch)
+		h.ObserveAdopted(l.Incarnation, l.Epoch)
 		previous, ok := h.observed[l.Incarnation]
 		if !ok || previous.serial != l.Serial {
 			h.observed[l.Incarnation] = observation{serial: l.Serial, observedAt: now}
@@ -133,9 +133,9 @@
 	return ok
 }
 
-// Parties returns the incarnations that may have used a runner before: every
+// PreviousOwners returns the incarnations that may have used a runner before: every
 // other member, and all departed ones not yet known to have terminated.
-func (h *Holder) Parties() []string {
+func (h *Holder) PreviousOwners() []string {
 	var parties []string
 	for _, m := range h.roster.Members {
 		if m.Incarnation != h.Self.Incarnation {
@@ -160,16 +160,16 @@
 func (h *Holder) Renewed(sentAt time.Time) {
 	_ = h.machine.Fire(eventRenewed) // a late response after removal has no effect
 	if h.machine.State == stateHeld || h.machine.State == stateLeaving {
-		h.deadline = sentAt.Add(h.Time)
+		h.deadline = sentAt.Add(h.LeaseDuration)
 	}
 }
 
 // Roster returns the adopted roster.
 func (h *Holder) Roster() Roster { return h.roster }
 
-// See adopts a roster that was read from the table service or received from a
+// AdoptRoster adopts a roster that was read from the table service or received from a
 // peer. An older one has no effect.
-func (h *Holder) See(r Roster, now time.Time) {
+func (h *Holder) AdoptRoster(r Roster, now time.Time) {
 	h.init()
 	if r.Epoch <= h.roster.Epoch {
 		return
@@ -209,7 +209,7 @@
 	case stateOutside:
 		return []Action{h.join()}
 	case stateLeaving:
-		return []Action{Propose{Roster: h.roster.Without(h.Self.ID), Drop: []Lease{{Incarnation: h.Self.Incarnation}}}}
+		return []Action{Propose{Roster: h.roster.Without(h.Self.ID), DeleteLeases: []Lease{{Incarnation: h.Self.Incarnation}}}}
 	case stateLeft:
 		return nil
 	}
@@ -250,7 +250,7 @@
 	if len(ids) == 0 && (len(next.Departed) == departed || !h.isProposer(expired)) {
 		return Propose{}, false
 	}
-	return Propose{Roster: next, Drop: drop}, true
+	return Propose{Roster: next, DeleteLeases: drop}, true
 }
 
 // expired returns the members whose lease row has not changed for the lease
@@ -266,7 +266,7 @@
 			h.observed[m.Incarnation] = observation{observedAt: now}
 			continue
 		}
-		if now.Sub(last.observedAt) > h.Time+h.Time/driftDivisor {
+		if now.Sub(last.observedAt) > h.LeaseDuration+h.LeaseDuration/driftDivisor {
 			expired = append(expired, m)
 		}
 	}
@@ -322,7 +322,7 @@
 
 func (h *Holder) renew(now time.Time) Action {
 	h.serial++
-	h.nextRenewal = now.Add(h.Time / renewalsPerLease)
+	h.nextRenewal = now.Add(h.LeaseDuration / renewalsPerLease)
 	return Renew{Lease: Lease{Incarnation: h.Self.Incarnation, Serial: h.serial, Epoch: h.roster.Epoch}}
 }
 
--- a/internal/member/leaser/holder_test.go
+++ b/internal/member/leaser/holder_test.go
@@ -36,7 +36,7 @@
 	sim.runners = []string{"r1", "r2", "r3", "r4", "r5"}
 	for i := range members {
 		id := fmt.Sprintf("i%d", i)
-		h := &leaser.Holder{Self: leaser.Member{ID: id, Incarnation: id + "-1"}, Time: leaseTime}
+		h := &leaser.Holder{Self: leaser.Member{ID: id, Incarnation: id + "-1"}, LeaseDuration: leaseTime}
 		h.SetRunners(sim.runners)
 		sim.holders = append(sim.holders, h)
 	}
@@ -58,13 +58,13 @@
 	if sim.roster.Epoch+1 != a.Roster.Epoch {
 		return
 	}
-	for _, d := range a.Drop {
+	for _, d := range a.DeleteLeases {
 		if d.Incarnation != h.Self.Incarnation && sim.leases[d.Incarnation].Serial != d.Serial {
 			return
 		}
 	}
 	sim.roster = a.Roster
-	for _, d := range a.Drop {
+	for _, d := range a.DeleteLeases {
 		delete(sim.leases, d.Incarnation)
 	}
 	if a.Lease != nil {
@@ -73,7 +73,7 @@
 	if !responds {
 		return
 	}
-	h.See(a.Roster, sim.now)
+	h.AdoptRoster(a.Roster, sim.now)
 	if a.Lease != nil {
 		h.Renewed(sim.now)
 	}
@@ -95,7 +95,7 @@
 
 // read has a holder read the current contents of the table.
 func (sim *simulation) read(h *leaser.Holder) {
-	h.See(sim.roster, sim.now)
+	h.AdoptRoster(sim.roster, sim.now)
 	var leases []leaser.Lease
 	for _, l := range sim.leases {
 		if sim.disabled.adoption {
@@ -103,14 +103,14 @@
 		}
 		leases = append(leases, l)
 	}
-	h.Observe(leases, sim.now)
+	h.ObserveLeases(leases, sim.now)
 }
 
 // activeOwners returns the instances that may send orders to the runner now.
 func (sim *simulation) activeOwners(runner string) []string {
 	var owners []string
 	for _, h := range sim.holders {
-		if _, ok := h.Acts(runner, sim.now); ok {
+		if _, ok := h.MaySendOrders(runner, sim.now); ok {
 			owners = append(owners, h.Self.ID)
 		}
 	}
@@ -249,7 +249,7 @@
 	if diff := cmp.Diff(sim.runners, survivor.Owned()); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"i1-1"}, survivor.Parties()); diff != "" {
+	if diff := cmp.Diff([]string{"i1-1"}, survivor.PreviousOwners()); diff != "" {
 		t.Error(diff)
 	}
 	runner := sim.runners[0]
@@ -258,7 +258,7 @@
 			runner = r
 		}
 	}
-	if _, ok := survivor.Acts(runner, sim.now); !ok || sim.roster.Epoch <= before {
+	if _, ok := survivor.MaySendOrders(runner, sim.now); !ok || sim.roster.Epoch <= before {
 		t.Errorf("survivor may send orders = %v at epoch %d", ok, sim.roster.Epoch)
 	}
 }
@@ -271,14 +271,14 @@
 	for _, action := range h.Tick(sim.now, func(inc string) bool { return inc == "old-1" }) {
 		sim.apply(h, action, true)
 	}
-	if diff := cmp.Diff([]string(nil), h.Parties(), cmp.Transformer("empty", func(s []string) int { return len(s) })); diff != "" {
+	if diff := cmp.Diff([]string(nil), h.PreviousOwners(), cmp.Transformer("empty", func(s []string) int { return len(s) })); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func TestChartTransitions(t *testing.T) { walker.Walk(t, leaser.Chart) }
 
-func BenchmarkSee(b *testing.B) {
+func BenchmarkAdoptRoster(b *testing.B) {
 	for _, n := range []int{75, 150, 300} {
 		b.Run(fmt.Sprintf("runners=%d", n), func(b *testing.B) {
 			runners := make([]string, n)
@@ -289,11 +289,11 @@
 			for i := range 41 {
 				r = r.With(leaser.Member{ID: fmt.Sprintf("i%d", i), Incarnation: fmt.Sprintf("i%d-1", i)})
 			}
-			h := &leaser.Holder{Self: r.Members[0], Time: leaseTime}
+			h := &leaser.Holder{Self: r.Members[0], LeaseDuration: leaseTime}
 			h.SetRunners(runners)
 			for b.Loop() {
 				r.Epoch++
-				h.See(r, time.Unix(0, 0))
+				h.AdoptRoster(r, time.Unix(0, 0))
 			}
 		})
 	}
--- a/internal/member/relayer/incoming.go
+++ b/internal/member/relayer/incoming.go
@@ -23,14 +23,14 @@
 	switch message := message.(type) {
 	case Beat:
 		s.from.Leaving = message.Leaving
-		s.mesh.Handler.Heard(s.from, message)
+		s.mesh.Handler.HandleHeartbeat(s.from, message)
 	case Demand:
-		if d, ok := s.mesh.Handler.(Demander); ok {
-			d.Demanded(s.from, message)
+		if d, ok := s.mesh.Handler.(DemandHandler); ok {
+			d.HandleDemand(s.from, message)
 		}
 	case Crashes:
-		if h, ok := s.mesh.Handler.(Suspecter); ok {
-			h.HeardCrashes(s.from, message)
+		if h, ok := s.mesh.Handler.(CrashHandler); ok {
+			h.HandleCrashReports(s.from, message)
 		}
 	case Cancel:
 		if r := s.reply(f.Conversation); r != nil {
@@ -52,7 +52,7 @@
 	s.replies[id] = r
 	s.mu.Unlock()
 	go func() {
-		r.end(s.mesh.Handler.Answer(r.ctx, from, message, r))
+		r.end(s.mesh.Handler.HandleRequest(r.ctx, from, message, r))
 		s.mu.Lock()
 		delete(s.replies, id)
 		s.mu.Unlock()
--- a/internal/member/relayer/leader.go
+++ b/internal/member/relayer/leader.go
@@ -16,17 +16,17 @@
 // leader or to the instance that relays the leader's updates to the sender. It has no
 // response.
 type Demand struct {
-	Domain  string                  `cbor:"5,keyasint"`
-	Others  int                     `cbor:"10,keyasint,omitempty"` // instances that it covers besides the sender
-	Parted  bool                    `cbor:"11,keyasint,omitempty"` // the sender reports to another instance from now on; no other field but Domain is set
-	Loads   map[string]tracker.Load `cbor:"1,keyasint,omitempty"`  // the sender's load on each runner, all that have any
-	Short   int                     `cbor:"8,keyasint,omitempty"`  // responses with only short gaps between events
-	Long    int                     `cbor:"9,keyasint,omitempty"`  // responses with a long gap
-	Missing []Need                  `cbor:"2,keyasint,omitempty"`  // copies for lack of which a runner refused requests
-	There   []Need                  `cbor:"6,keyasint,omitempty"`  // copies that requests found resident
-	Spare   []Need                  `cbor:"7,keyasint,omitempty"`  // copies that would help later requests; none waits for them
-	Uses    []Need                  `cbor:"3,keyasint,omitempty"`  // all copies that requests use now
-	Waits   []Wait                  `cbor:"4,keyasint,omitempty"`  // all copies that requests wait for now
+	Domain         string                  `cbor:"5,keyasint"`
+	OtherInstances int                     `cbor:"10,keyasint,omitempty"` // instances that it covers besides the sender
+	Unsubscribed   bool                    `cbor:"11,keyasint,omitempty"` // the sender reports to another instance from now on; no other field but Domain is set
+	Loads          map[string]tracker.Load `cbor:"1,keyasint,omitempty"`  // the sender's load on each runner, all that have any
+	ShortGaps      int                     `cbor:"8,keyasint,omitempty"`  // responses with only short gaps between events
+	LongGaps       int                     `cbor:"9,keyasint,omitempty"`  // responses with a long gap
+	Misses         []CopyUse               `cbor:"2,keyasint,omitempty"`  // copies for lack of which a runner refused requests
+	Hits           []CopyUse               `cbor:"6,keyasint,omitempty"`  // copies that requests found resident
+	Spare          []CopyUse               `cbor:"7,keyasint,omitempty"`  // copies that would help later requests; none waits for them
+	Uses           []CopyUse               `cbor:"3,keyasint,omitempty"`  // all copies that requests use now
+	Waits          []Wait                  `cbor:"4,keyasint,omitempty"`  // all copies that requests wait for now
 }
 
 // Crashes reports the requests during which the sender observed that runners crashed,
@@ -34,35 +34,35 @@
 // of others to the sender. It has no response and is sent again until the receiver
 // publishes the reports back.
 type Crashes struct {
-	Words []quarantiner.Word `cbor:"1,keyasint"`
+	Reports []quarantiner.Word `cbor:"1,keyasint"`
 }
 
 // A Reserve asks the leader of a failure domain for prefill capacity at one of its
 // runners.
 type Reserve struct {
-	_      struct{} `cbor:",toarray"`
-	By     string   // instance that reports the sender's uses to the receiver; empty for the sender itself
-	Domain string
-	Runner string
-	Copy   placer.Copy   // copy that the request uses
-	Tokens int           // length of the prompt
-	Pause  time.Duration // maximum gap between events that the requests running there tolerate
-	Within time.Duration // time limit for the prefill of the prompt
+	_        struct{} `cbor:",toarray"`
+	Reporter string   // instance that reports the sender's uses to the receiver; empty for the sender itself
+	Domain   string
+	Runner   string
+	Copy     placer.Copy   // copy that the request uses
+	Tokens   int           // length of the prompt
+	MaxGap   time.Duration // maximum gap between events that the requests running there tolerate
+	Timeout  time.Duration // time limit for the prefill of the prompt
 }
 
 // A Reserved is the response to a Reserve and ends the conversation.
 type Reserved struct {
-	_       struct{}      `cbor:",toarray"`
-	Absent  bool          // the runner no longer holds the copy; the other fields are not set
-	Wait    time.Duration // delay before the request may be sent
-	Reading time.Duration // prefill backlog of the runner, this prompt included
+	_              struct{}      `cbor:",toarray"`
+	Absent         bool          // the runner no longer holds the copy; the other fields are not set
+	Delay          time.Duration // delay before the request may be sent
+	PrefillBacklog time.Duration // prefill backlog of the runner, this prompt included
 }
 
 // A Subscribe asks for the News of a failure domain. The receiver leads that domain or
 // another one.
 type Subscribe struct {
 	Domain  string            `cbor:"1,keyasint"`
-	Passes  bool              `cbor:"2,keyasint,omitempty"` // the sender relays the updates
+	Relays  bool              `cbor:"2,keyasint,omitempty"` // the sender relays the updates
 	Crashes bool              `cbor:"4,keyasint,omitempty"` // crash reports are to be included
 	Tables  map[string]uint64 `cbor:"3,keyasint,omitempty"` // store tables to include, each with the version up to which the sender knows it
 }
@@ -70,31 +70,31 @@
 // News is an update about a failure domain. The response to a Subscribe is a stream of
 // them, each with the changes since the last one; without a change it is a heartbeat.
 type News struct {
-	Acting   bool                    `cbor:"7,keyasint,omitempty"` // the leader may send orders now
-	Age      time.Duration           `cbor:"8,keyasint,omitempty"` // since the last renewal of the lease was sent
-	Renewal  uint64                  `cbor:"9,keyasint,omitempty"` // version of the lease row from that renewal
-	Tenure   elector.Tenure          `cbor:"10,keyasint"`
-	Ended    uint64                  `cbor:"20,keyasint,omitempty"` // fencing token of the lease from which the sender stepped down; in its last update
-	Fresh    bool                    `cbor:"11,keyasint,omitempty"` // the runners are as in the store a moment ago
-	From     string                  `cbor:"-"`                     // instance that sent it; set by the receiver
-	Crashes  []quarantiner.Word      `cbor:"21,keyasint,omitempty"` // new crash reports
-	Gone     []Gone                  `cbor:"1,keyasint,omitempty"`
-	Held     []Held                  `cbor:"2,keyasint,omitempty"`
-	Loaded   bool                    `cbor:"13,keyasint,omitempty"` // Loads and Members are set; otherwise they are unchanged
-	Loads    map[string]tracker.Load `cbor:"3,keyasint,omitempty"`  // load of other instances on the domain's runners
-	Rooms    []Room                  `cbor:"14,keyasint,omitempty"` // changed since the last update
-	Line     time.Duration           `cbor:"12,keyasint,omitempty"` // until an adapter requested now begins to load
-	Silence  time.Duration           `cbor:"16,keyasint,omitempty"` // since the last update from the leader; zero from the leader itself
-	Operator Known                   `cbor:"15,keyasint,omitzero"`  // how far the sender knows the operator's table
-	Tables   []Table                 `cbor:"17,keyasint,omitempty"` // tables named in the Subscribe
-	Load     time.Duration           `cbor:"18,keyasint,omitempty"` // time to load an adapter from the weight store
-	Return   time.Duration           `cbor:"19,keyasint,omitempty"` // time to load an adapter that the runner held before
-	Members  int                     `cbor:"4,keyasint"`            // number of subscribed instances, the sender included
-	Runners  []tracker.Runner        `cbor:"5,keyasint,omitempty"`  // new or changed descriptions
-	Checksum uint64                  `cbor:"23,keyasint,omitempty"` // of the runners that the sender knows
-	Reached  Span                    `cbor:"24,keyasint,omitzero"`  // during which the store was reachable without interruption, up to the sender's last call
-	Revision uint64                  `cbor:"22,keyasint,omitempty"` // of the store up to which the sender itself has read the table of runners
-	Whole    bool                    `cbor:"6,keyasint,omitempty"`  // snapshot: Runners and Held are complete
+	Acting            bool                    `cbor:"7,keyasint,omitempty"` // the leader may send orders now
+	Age               time.Duration           `cbor:"8,keyasint,omitempty"` // since the last renewal of the lease was sent
+	Renewal           uint64                  `cbor:"9,keyasint,omitempty"` // version of the lease row from that renewal
+	Lease             elector.Lease           `cbor:"10,keyasint"`
+	ReleasedFence     uint64                  `cbor:"20,keyasint,omitempty"` // fencing token of the lease from which the sender stepped down; in its last update
+	Fresh             bool                    `cbor:"11,keyasint,omitempty"` // the runners are as in the store a moment ago
+	From              string                  `cbor:"-"`                     // instance that sent it; set by the receiver
+	Crashes           []quarantiner.Word      `cbor:"21,keyasint,omitempty"` // new crash reports
+	Removed           []RemovedRunner         `cbor:"1,keyasint,omitempty"`
+	Held              []Held                  `cbor:"2,keyasint,omitempty"`
+	HasLoads          bool                    `cbor:"13,keyasint,omitempty"` // Loads and Members are set; otherwise they are unchanged
+	Loads             map[string]tracker.Load `cbor:"3,keyasint,omitempty"`  // load of other instances on the domain's runners
+	SlotWaits         []SlotWait              `cbor:"14,keyasint,omitempty"` // changed since the last update
+	LoadQueueWait     time.Duration           `cbor:"12,keyasint,omitempty"` // until an adapter requested now begins to load
+	SinceLeaderUpdate time.Duration           `cbor:"16,keyasint,omitempty"` // since the last update from the leader; zero from the leader itself
+	Operator          TableVersion            `cbor:"15,keyasint,omitzero"`  // how far the sender knows the operator's table
+	Tables            []Table                 `cbor:"17,keyasint,omitempty"` // tables named in the Subscribe
+	LoadTime          time.Duration           `cbor:"18,keyasint,omitempty"` // time to load an adapter from the weight store
+	ReloadTime        time.Duration           `cbor:"19,keyasint,omitempty"` // time to load an adapter that the runner held before
+	Members           int                     `cbor:"4,keyasint"`            // number of subscribed instances, the sender included
+	Runners           []tracker.Runner        `cbor:"5,keyasint,omitempty"`  // new or changed descriptions
+	Checksum          uint64                  `cbor:"23,keyasint,omitempty"` // of the runners that the sender knows
+	StoreReached      Span                    `cbor:"24,keyasint,omitzero"`  // during which the store was reachable without interruption, up to the sender's last call
+	Revision          uint64                  `cbor:"22,keyasint,omitempty"` // of the store up to which the sender itself has read the table of runners
+	Snapshot          bool                    `cbor:"6,keyasint,omitempty"`  // snapshot: Runners and Held are complete
 }
 
 // A Span is a period of time, given by how long ago it began and ended.
@@ -104,8 +104,8 @@
 	Last  time.Duration
 }
 
-// A Known states how far the sender knows a table of the store by its own calls.
-type Known struct {
+// A TableVersion states how far the sender knows a table of the store by its own calls.
+type TableVersion struct {
 	_      struct{}      `cbor:",toarray"`
 	Newest uint64        // version of the newest row
 	Age    time.Duration // since a call that showed that there is no newer one
@@ -130,11 +130,11 @@
 }
 
 // Urgent reports whether the receiver must check at once whether orders are due.
-func (d Demand) Urgent() bool { return len(d.Waits) > 0 || len(d.Missing) > 0 || len(d.Spare) > 0 }
+func (d Demand) Urgent() bool { return len(d.Waits) > 0 || len(d.Misses) > 0 || len(d.Spare) > 0 }
 
 // Empty reports whether the sender neither needs nor uses anything.
 func (d Demand) Empty() bool {
-	return len(d.Loads)+len(d.Missing)+len(d.There)+len(d.Spare)+len(d.Uses)+len(d.Waits)+d.Short+d.Long == 0
+	return len(d.Loads)+len(d.Misses)+len(d.Hits)+len(d.Spare)+len(d.Uses)+len(d.Waits)+d.ShortGaps+d.LongGaps == 0
 }
 
 // A Wait counts the requests that wait for a copy at a runner.
@@ -145,21 +145,21 @@
 	Waiting placer.Waiting
 }
 
-// A Room states how long a copy that a runner does not hold would wait there for a free
+// A SlotWait states how long a copy that a runner does not hold would wait there for a free
 // adapter slot.
-type Room struct {
+type SlotWait struct {
 	_      struct{} `cbor:",toarray"`
 	Runner string
 	Wait   time.Duration
 }
 
-// A Need is a copy at a runner that requests need or use.
-type Need struct {
+// A CopyUse is a copy at a runner that requests need or use.
+type CopyUse struct {
 	_        struct{} `cbor:",toarray"`
 	Runner   string
 	Copy     placer.Copy
 	Requests int           // number of requests that use it or found it resident
-	Ago      time.Duration // since the first of them was sent
+	Age      time.Duration // since the first of them was sent
 }
 
 // A Held is the state of the copies of a model at a runner. The names of both are sent
@@ -170,36 +170,36 @@
 	_      struct{} `cbor:",toarray"`
 	Runner string
 	Model  string
-	Copies []Stand
+	Copies []CopyState
 }
 
-// A Stand is the state of one copy.
-type Stand struct {
+// A CopyState is the state of one copy.
+type CopyState struct {
 	_       struct{} `cbor:",toarray"`
 	Adapter string
 	Version int
-	In      time.Duration // until it can be used; negative if it is not resident
+	ReadyIn time.Duration // until it can be used; negative if it is not resident
 }
 
 // Copy returns the copy whose state s is.
-func (h Held) Copy(s Stand) placer.Copy {
+func (h Held) Copy(s CopyState) placer.Copy {
 	return placer.Copy{Model: h.Model, Adapter: s.Adapter, Version: s.Version}
 }
 
 // AddHeld adds the state of a copy at a runner, which can be used after in.
 func (n *News) AddHeld(runner string, c placer.Copy, in time.Duration) {
-	s := Stand{Adapter: c.Adapter, Version: c.Version, In: in}
+	s := CopyState{Adapter: c.Adapter, Version: c.Version, ReadyIn: in}
 	for i := range n.Held {
 		if h := &n.Held[i]; h.Runner == runner && h.Model == c.Model {
 			h.Copies = append(h.Copies, s)
 			return
 		}
 	}
-	n.Held = append(n.Held, Held{Runner: runner, Model: c.Model, Copies: []Stand{s}})
+	n.Held = append(n.Held, Held{Runner: runner, Model: c.Model, Copies: []CopyState{s}})
 }
 
-// A Gone is a removed runner, with the last revision of its description.
-type Gone struct {
+// A RemovedRunner is a removed runner, with the last revision of its description.
+type RemovedRunner struct {
 	_        struct{} `cbor:",toarray"`
 	Runner   string
 	Revision uint64
--- a/internal/member/relayer/mesh.go
+++ b/internal/member/relayer/mesh.go
@@ -21,23 +21,23 @@
 
 // A Handler handles the messages of peers.
 type Handler interface {
-	// Answer handles a message that opens a conversation. Its return ends the response,
+	// HandleRequest handles a message that opens a conversation. Its return ends the response,
 	// with a Fail if there is an error.
-	Answer(ctx context.Context, from heartbeater.Instance, m Message, reply *Reply) error
-	// Heard handles a heartbeat.
-	Heard(from heartbeater.Instance, beat Beat)
+	HandleRequest(ctx context.Context, from heartbeater.Instance, m Message, reply *Reply) error
+	// HandleHeartbeat handles a heartbeat.
+	HandleHeartbeat(from heartbeater.Instance, beat Beat)
 }
 
-// A Demander is a Handler that also handles the demand reports of peers.
-type Demander interface {
-	// Demanded handles a Demand.
-	Demanded(from heartbeater.Instance, d Demand)
+// A DemandHandler is a Handler that also handles the demand reports of peers.
+type DemandHandler interface {
+	// HandleDemand handles a Demand.
+	HandleDemand(from heartbeater.Instance, d Demand)
 }
 
-// A Suspecter is a Handler that also handles the crash reports of peers.
-type Suspecter interface {
-	// HeardCrashes handles Crashes.
-	HeardCrashes(from heartbeater.Instance, c Crashes)
+// A CrashHandler is a Handler that also handles the crash reports of peers.
+type CrashHandler interface {
+	// HandleCrashReports handles Crashes.
+	HandleCrashReports(from heartbeater.Instance, c Crashes)
 }
 
 // A Mesh holds the links of one instance. Its exported fields are set before use.
@@ -73,20 +73,20 @@
 // responses had a gap.
 func (m *Mesh) Dropped() (stale, gaps int64) { return m.stale.Load(), m.gaps.Load() }
 
-// Cut closes the link to an address. It is called when the peer stops responding: the
+// CloseLink closes the link to an address. It is called when the peer stops responding: the
 // network may keep a dead connection open for a long time, and conversations would
 // hang as long.
-func (m *Mesh) Cut(address string) {
+func (m *Mesh) CloseLink(address string) {
 	if l, ok := m.link(address); ok {
-		m.closeLink(address, l)
+		m.dropLink(address, l)
 	}
 }
 
-// CutSilent closes the link to an address unless a frame was received over it within a
+// CloseIdleLink closes the link to an address unless a frame was received over it within a
 // time: a peer that sends responses is alive even if its heartbeats are late.
-func (m *Mesh) CutSilent(address string, within time.Duration, now time.Time) {
+func (m *Mesh) CloseIdleLink(address string, within time.Duration, now time.Time) {
 	if l, ok := m.link(address); ok && now.Sub(*l.lastFrameAt.Load()) >= within {
-		m.closeLink(address, l)
+		m.dropLink(address, l)
 	}
 }
 
@@ -127,8 +127,8 @@
 	_ = upgrader.Upgrade(c, m.serveLink) // the library has sent the error response
 }
 
-// Tell sends a message that needs no response. It dials if there is no link.
-func (m *Mesh) Tell(ctx context.Context, address string, message Message) error {
+// Send sends a message that needs no response. It dials if there is no link.
+func (m *Mesh) Send(ctx context.Context, address string, message Message) error {
 	l, err := m.dial(ctx, address)
 	if err != nil {
 		return err
@@ -203,7 +203,7 @@
 
 // receive dispatches response messages to their conversations until the link fails.
 func (m *Mesh) receive(address string, l *outgoingLink) {
-	defer m.closeLink(address, l)
+	defer m.dropLink(address, l)
 	for {
 		f, message, err := l.read()
 		if err != nil {
@@ -221,8 +221,8 @@
 	}
 }
 
-// closeLink closes a link and ends every conversation on it.
-func (m *Mesh) closeLink(address string, l *outgoingLink) {
+// dropLink closes a link and ends every conversation on it.
+func (m *Mesh) dropLink(address string, l *outgoingLink) {
 	l.shutdown()
 	m.mu.Lock()
 	if m.links[address] == l {
--- a/internal/member/relayer/mesh_test.go
+++ b/internal/member/relayer/mesh_test.go
@@ -25,7 +25,7 @@
 	unsent chan string
 }
 
-func (h *fakeHandler) Answer(ctx context.Context, _ heartbeater.Instance, m Message, reply *Reply) error {
+func (h *fakeHandler) HandleRequest(ctx context.Context, _ heartbeater.Instance, m Message, reply *Reply) error {
 	fetch, ok := m.(Fetch)
 	if !ok {
 		return judge.Refuse(judge.ReasonOwner, "no Fetch")
@@ -43,7 +43,7 @@
 	return ctx.Err()
 }
 
-func (h *fakeHandler) Heard(_ heartbeater.Instance, beat Beat) { h.beats <- beat }
+func (h *fakeHandler) HandleHeartbeat(_ heartbeater.Instance, beat Beat) { h.beats <- beat }
 
 // newPair returns a mesh that dials, the address of one that responds, and the handler
 // of the latter.
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Cut(address)
+	m.CloseLink(address)
 	for {
 		if _, err = c.Next(t.Context()); err != nil {
 			break
@@ -204,7 +204,7 @@
 					continue
 				}
 				_, _ = c.Next(t.Context()) // whatever the result, the link is closed next
-				client.Cut(l.Addr().String())
+				client.CloseLink(l.Addr().String())
 			}
 		})
 	}
@@ -215,7 +215,7 @@
 // link fails.
 type floodHandler struct{}
 
-func (floodHandler) Answer(_ context.Context, _ heartbeater.Instance, _ Message, reply *Reply) error {
+func (floodHandler) HandleRequest(_ context.Context, _ heartbeater.Instance, _ Message, reply *Reply) error {
 	for {
 		if err := reply.Send(Data{Data: make([]byte, 16<<10)}); err != nil {
 			return err
@@ -223,7 +223,7 @@
 	}
 }
 
-func (floodHandler) Heard(heartbeater.Instance, Beat) {}
+func (floodHandler) HandleHeartbeat(heartbeater.Instance, Beat) {}
 
 // An instance is so busy that its heartbeats are late, but it still sends the responses
 // that its peer's callers wait for. Its link was closed nevertheless and the callers got
@@ -237,11 +237,11 @@
 		t.Fatal(err)
 	}
 	readAll(t, c)
-	m.CutSilent(address, timeout, time.Now())
+	m.CloseIdleLink(address, timeout, time.Now())
 	if _, linked := m.Linked(address); !linked {
 		t.Error("a link was closed over which a response had just been received")
 	}
-	m.CutSilent(address, timeout, time.Now().Add(2*timeout))
+	m.CloseIdleLink(address, timeout, time.Now().Add(2*timeout))
 	if _, linked := m.Linked(address); linked {
 		t.Error("a link without recent frames was kept open")
 	}
--- a/internal/member/relayer/message.go
+++ b/internal/member/relayer/message.go
@@ -32,12 +32,12 @@
 
 	// A Beat is a heartbeat with the changes since the last one on the link.
 	Beat struct {
-		Epoch    uint64  `cbor:"1,keyasint"` // roster epoch adopted
-		Revision uint64  `cbor:"2,keyasint"` // settings in force
-		Leaving  bool    `cbor:"3,keyasint,omitempty"`
-		Loads    []Load  `cbor:"4,keyasint,omitempty"`
-		States   []State `cbor:"5,keyasint,omitempty"`
-		Line     int     `cbor:"6,keyasint,omitempty"` // adapters queued for a load: at the sender, or, in a heartbeat to another domain, in the sender's whole domain
+		Epoch     uint64  `cbor:"1,keyasint"` // roster epoch adopted
+		Revision  uint64  `cbor:"2,keyasint"` // settings in force
+		Leaving   bool    `cbor:"3,keyasint,omitempty"`
+		Loads     []Load  `cbor:"4,keyasint,omitempty"`
+		States    []State `cbor:"5,keyasint,omitempty"`
+		LoadQueue int     `cbor:"6,keyasint,omitempty"` // adapters queued for a load: at the sender, or, in a heartbeat to another domain, in the sender's whole domain
 	}
 
 	// A Commit asks the instance that batches commits for its domain to commit a
@@ -68,9 +68,9 @@
 	// A Permit requests permission for a load from the weight store. The conversation
 	// lasts as long as the load; its end releases the permit.
 	Permit struct {
-		Value    float64       `cbor:"1,keyasint"` // stall that the load removes
-		Together int           `cbor:"2,keyasint"` // maximum number of concurrent loads, by the sender's settings
-		Time     time.Duration `cbor:"3,keyasint"` // after which the permit expires
+		Value         float64       `cbor:"1,keyasint"` // stall that the load removes
+		MaxConcurrent int           `cbor:"2,keyasint"` // maximum number of concurrent loads, by the sender's settings
+		TTL           time.Duration `cbor:"3,keyasint"` // after which the permit expires
 	}
 
 	// A Yield asks whether the receiver has released a runner under a roster epoch,
@@ -116,9 +116,9 @@
 
 	// A Surrendered is the response to a Yield.
 	Surrendered struct {
-		Given bool           `cbor:"1,keyasint"` // false: not released yet, to be asked again
-		Pins  map[string]int `cbor:"2,keyasint"`
-		Doom  []string       `cbor:"3,keyasint"`
+		Released bool           `cbor:"1,keyasint"` // false: not released yet, to be asked again
+		Pins     map[string]int `cbor:"2,keyasint"`
+		Evicting []string       `cbor:"3,keyasint"`
 	}
 
 	// A Told is the response to an Inquire.
@@ -242,7 +242,7 @@
 
 // Surrender returns the references and evictions of the previous owner.
 func (s Surrendered) Surrender() keeper.Surrender {
-	return keeper.Surrender{Pins: s.Pins, Doomed: s.Doom}
+	return keeper.Surrender{Pins: s.Pins, Doomed: s.Evicting}
 }
 
 // Err returns the result of the commit in the form of a tabler.Table.
--- a/internal/member/relayer/quota.go
+++ b/internal/member/relayer/quota.go
@@ -8,10 +8,10 @@
 
 // A Settle reports what the sender has spent to an instance that keeps a ledger of quotas.
 type Settle struct {
-	_      struct{} `cbor:",toarray"`
-	Party  limiter.Party
-	Spent  []limiter.Spent
-	Parted bool // the sender settles with another instance from now on; Spent is not set
+	_            struct{} `cbor:",toarray"`
+	Reporter     limiter.Party
+	Spent        []limiter.Spent
+	Unsubscribed bool // the sender settles with another instance from now on; Spent is not set
 }
 
 // A Settled is the response to a Settle and ends the conversation.
--- a/internal/request/forwarder/choose.go
+++ b/internal/request/forwarder/choose.go
@@ -150,7 +150,7 @@
 func (p *exchange) demand(tried map[string]bool) tracker.Demand {
 	r := p.request
 	return tracker.Demand{
-		Asked: p.loadRunner, Copy: r.Copy, Crowd: p.prefillLimit(), Full: p.fullRunners, Load: p.LoadTime(), Return: p.ReturnTime(), Service: r.Service, Tokens: r.Tokens,
+		Asked: p.loadRunner, Copy: r.Copy, Crowd: p.prefillLimit(), Full: p.fullRunners, Load: p.LoadTime(), Return: p.ReloadTime(), Service: r.Service, Tokens: r.Tokens,
 		Tried: tried,
 	}
 }
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -28,7 +28,7 @@
 	Placement  Placement
 	Quarantine Quarantine
 	Recorder   *recorder.Recorder
-	ReturnTime func() time.Duration   // expected load time of an adapter that the runner held before
+	ReloadTime func() time.Duration   // expected load time of an adapter that the runner held before
 	Retried    func(err *judge.Error) // called with the error that caused a retry
 	Upstream   Upstream
 	Window     time.Duration // in which the burst of retries refills
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -136,7 +136,7 @@
 	return &forwarder.Forwarder{
 		Burst: func() float64 { return 20 }, Ending: func() bool { return false }, Fleet: fleet, LoadTime: func() time.Duration { return time.Second },
 		Newest: func(string, string) int { return 2 }, Part: 0.2, Placement: p, Quarantine: &quarantine{}, Recorder: &recorder.Recorder{Metrics: metrics.NewSet(), Out: io.Discard}, Retried: func(*judge.Error) {},
-		ReturnTime: func() time.Duration { return time.Second }, Upstream: u, Window: 10 * time.Second,
+		ReloadTime: func() time.Duration { return time.Second }, Upstream: u, Window: 10 * time.Second,
 	}
 }
 
