--- a/internal/account/limiter/ledger.go
+++ b/internal/account/limiter/ledger.go
@@ -14,9 +14,9 @@
 // A Ledger sums up the tokens that all instances spend. Its fields are set before use; it is
 // safe for concurrent use.
 type Ledger struct {
-	First  func(l Limit) float64 // tokens of an account that are left at Begin; nil for none
-	Limits func(account string) (Limit, bool)
-	Window time.Duration // over which quotas are enforced; overspending is forgotten after it
+	InitialTokens func(l Limit) float64 // tokens of an account that are left at Begin; nil for none
+	Limits        func(account string) (Limit, bool)
+	Window        time.Duration // over which quotas are enforced; overspending is forgotten after it
 
 	mu           sync.Mutex
 	startedAt    time.Time // zero: the ledger settles nothing
@@ -30,7 +30,7 @@
 
 // A reporter is an instance that reports to this Ledger.
 type reporter struct {
-	Party
+	Reporter
 	lastSeen time.Time
 }
 
@@ -79,8 +79,8 @@
 	l.accounts, l.reporters, l.leaders, l.unresponsive = nil, nil, nil, nil
 }
 
-// Began returns when the Ledger started; ok is false if it is not running.
-func (l *Ledger) Began() (since time.Time, ok bool) {
+// StartedAt returns when the Ledger started; ok is false if it is not running.
+func (l *Ledger) StartedAt() (since time.Time, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.startedAt, !l.startedAt.IsZero()
@@ -97,7 +97,7 @@
 	}
 	l.adopted = true
 	for _, b := range balances {
-		if limit, ok := l.Limits(b.Account); ok && limit.Bounds() {
+		if limit, ok := l.Limits(b.Account); ok && limit.Limited() {
 			l.tally(b.Account, limit, now).level = float64(b.Left)
 		}
 	}
@@ -106,7 +106,7 @@
 // Settle applies the report of an instance and returns the balances of the reported
 // accounts; ok is false if this Ledger is not running. A reporting Ledger that has just
 // begun gets the balances of all accounts.
-func (l *Ledger) Settle(from Party, spent []Spent, now time.Time) (balances []Balance, ok bool) {
+func (l *Ledger) Settle(from Reporter, spent []Spent, now time.Time) (balances []Balance, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.startedAt.IsZero() {
@@ -116,7 +116,7 @@
 	l.sweep(now)
 	balances = make([]Balance, 0, len(spent))
 	for _, s := range spent {
-		if limit, ok := l.Limits(s.Account); ok && limit.Bounds() {
+		if limit, ok := l.Limits(s.Account); ok && limit.Limited() {
 			balances = append(balances, l.settle(from, s, limit, now))
 		}
 	}
@@ -134,17 +134,17 @@
 	}
 	for name := range l.accounts {
 		limit, ok := l.Limits(name)
-		if !ok || !limit.Bounds() || listed[name] {
+		if !ok || !limit.Limited() || listed[name] {
 			continue
 		}
 		t := l.tally(name, limit, now)
 		l.reserve(t, limit, now)
-		balances = append(balances, Balance{Account: name, Left: int64(l.left(t, now)), Use: int64(t.usage.value(now))})
+		balances = append(balances, Balance{Account: name, Left: int64(l.left(t, now)), Usage: int64(t.usage.value(now))})
 	}
 	return balances
 }
 
-func (l *Ledger) settle(from Party, s Spent, limit Limit, now time.Time) Balance {
+func (l *Ledger) settle(from Reporter, s Spent, limit Limit, now time.Time) Balance {
 	t := l.tally(s.Account, limit, now)
 	t.lastSettled = now
 	limit.Burst = l.reserve(t, limit, now)
@@ -165,7 +165,7 @@
 	}
 	e.share = shareOf(e.usage.value(now), t.usage.value(now), limit)
 	e.remaining = max(0, left)
-	return Balance{Account: s.Account, Counted: e.counted, Granted: granted, Left: int64(left), Use: int64(t.usage.value(now))}
+	return Balance{Account: s.Account, Counted: e.counted, Granted: granted, Left: int64(left), Usage: int64(t.usage.value(now))}
 }
 
 // left returns the tokens left of a quota. It assumes that other Ledgers have admitted at the
@@ -180,8 +180,8 @@
 	return left
 }
 
-// Part removes an instance that reports to another Ledger from now on.
-func (l *Ledger) Part(instance string) {
+// Remove removes an instance that reports to another Ledger from now on.
+func (l *Ledger) Remove(instance string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.drop(instance)
@@ -226,16 +226,16 @@
 }
 
 func (l *Ledger) initialLevel(limit Limit) float64 {
-	if l.First == nil {
+	if l.InitialTokens == nil {
 		return 0
 	}
-	return l.First(limit)
+	return l.InitialTokens(limit)
 }
 
 // entry returns the entry of a reporter. For a new reporter only its recent tokens are
 // counted, or all tokens of a Ledger that began after this one: earlier spending is already
 // part of the level.
-func (l *Ledger) entry(t *tally, from Party, s Spent, now time.Time) *entry {
+func (l *Ledger) entry(t *tally, from Reporter, s Spent, now time.Time) *entry {
 	e, ok := t.entries[from.Instance]
 	if !ok {
 		e = &entry{counted: s.Counter - s.Recent}
@@ -248,13 +248,13 @@
 	return e
 }
 
-func (t *tally) record(e *entry, from Party, tokens int64, now time.Time) {
+func (t *tally) record(e *entry, from Reporter, tokens int64, now time.Time) {
 	e.counted += tokens
 	e.usage.add(float64(tokens), now)
 	t.deduct(from, float64(tokens), now)
 }
 
-func (t *tally) deduct(by Party, tokens float64, now time.Time) {
+func (t *tally) deduct(by Reporter, tokens float64, now time.Time) {
 	t.level -= tokens
 	t.usage.add(tokens, now)
 	if !by.isLedger() {
@@ -264,7 +264,7 @@
 
 // release refunds the tokens that were reserved for a reporter while it was unresponsive: its
 // update states what it has spent.
-func (t *tally) release(e *entry, from Party) {
+func (t *tally) release(e *entry, from Reporter) {
 	t.level += e.reserved
 	if !from.isLedger() {
 		t.domainSpent -= e.reserved
@@ -288,7 +288,7 @@
 		tokens := e.share * (e.remaining + limit.Rate*now.Sub(e.asOf).Seconds())
 		e.remaining, e.asOf = 0, now
 		e.reserved += tokens
-		t.deduct(p.Party, tokens, now)
+		t.deduct(p.Reporter, tokens, now)
 		rest -= e.share
 	}
 	burst = max(0, rest) * limit.Burst
@@ -297,9 +297,9 @@
 }
 
 // observe records that a reporter is alive.
-func (l *Ledger) observe(from Party, now time.Time) {
+func (l *Ledger) observe(from Reporter, now time.Time) {
 	before, ok := l.reporters[from.Instance]
-	if ok && (before.Born != from.Born || before.isLedger() != from.isLedger()) {
+	if ok && (before.Incarnation != from.Incarnation || before.isLedger() != from.isLedger()) {
 		l.drop(from.Instance)
 		ok = false
 	}
@@ -311,12 +311,12 @@
 			l.leaders = append(l.leaders, from.Instance)
 		}
 	}
-	before.Party, before.lastSeen = from, now
+	before.Reporter, before.lastSeen = from, now
 }
 
 // replaceLedger removes the previous Ledger of a failure domain. The reporters of that Ledger
 // settle with its successor, which reports what they have spent since it began.
-func (l *Ledger) replaceLedger(successor Party) {
+func (l *Ledger) replaceLedger(successor Reporter) {
 	if !successor.isLedger() {
 		return
 	}
--- a/internal/account/limiter/ledger_test.go
+++ b/internal/account/limiter/ledger_test.go
@@ -18,7 +18,7 @@
 
 var thousand = limiter.Limit{Rate: 1000, Burst: 1000}
 
-func settle(t *testing.T, l *limiter.Ledger, from limiter.Party, s limiter.Spent, now time.Time) limiter.Balance {
+func settle(t *testing.T, l *limiter.Ledger, from limiter.Reporter, s limiter.Spent, now time.Time) limiter.Balance {
 	t.Helper()
 	balances, ok := l.Settle(from, []limiter.Spent{s}, now)
 	if !ok || len(balances) != 1 {
@@ -31,14 +31,14 @@
 	return limiter.Spent{Account: "a", Counter: counter, Want: want}
 }
 
-var one = limiter.Party{Instance: "one", Born: 1}
+var one = limiter.Reporter{Instance: "one", Incarnation: 1}
 
 func TestSettle(t *testing.T) {
 	l := newLedger(thousand)
 	var got []limiter.Balance
 	for _, s := range []limiter.Spent{spent(0, 0), spent(0, 300), spent(400, 0), spent(350, 0), spent(350, 900)} {
 		b := settle(t, l, one, s, start)
-		b.Use = 0
+		b.Usage = 0
 		got = append(got, b)
 	}
 	want := []limiter.Balance{
@@ -80,7 +80,7 @@
 	older, l := newLedger(thousand), newLedger(thousand)
 	settle(t, older, one, spent(0, 300), start)
 	l.Begin(start)
-	self := limiter.Party{Instance: "two", Domain: "d"}
+	self := limiter.Reporter{Instance: "two", Domain: "d"}
 	balances, _ := older.Settle(self, nil, start)
 	l.Adopt(balances, time.Minute, start)
 	if got := settle(t, l, one, spent(300, 0), start).Left; got < 690 || got > 700 {
@@ -91,7 +91,7 @@
 // Guards against both sides of a partition spending the full quota.
 func TestShareOfUnresponsiveReporterIsReserved(t *testing.T) {
 	l := newLedger(thousand)
-	two := limiter.Party{Instance: "two", Born: 1}
+	two := limiter.Reporter{Instance: "two", Incarnation: 1}
 	for n := range 100 {
 		now := at(time.Duration(n) * 100 * time.Millisecond)
 		settle(t, l, one, spent(int64(n)*30, 0), now)
@@ -110,9 +110,9 @@
 
 func TestNothingIsReservedForRemovedReporter(t *testing.T) {
 	l := newLedger(thousand)
-	two := limiter.Party{Instance: "two", Born: 1}
+	two := limiter.Reporter{Instance: "two", Incarnation: 1}
 	settle(t, l, two, spent(0, 500), start)
-	l.Part("two")
+	l.Remove("two")
 	settle(t, l, one, spent(0, 0), at(2*time.Second))
 	if got := settle(t, l, one, spent(0, 0), at(10*time.Second)).Left; got != 1000 {
 		t.Errorf("%d tokens are left", got)
@@ -161,7 +161,7 @@
 // counted as spent.
 func TestSuccessorOfUnresponsiveLedgerIsNotCountedTwice(t *testing.T) {
 	l := newLedger(thousand)
-	former := limiter.Party{Instance: "former", Born: 1, Domain: "d"}
+	former := limiter.Reporter{Instance: "former", Incarnation: 1, Domain: "d"}
 	for n := range 50 {
 		now := at(time.Duration(n) * 100 * time.Millisecond)
 		settle(t, l, one, spent(int64(n)*10, 0), now)
@@ -170,7 +170,7 @@
 	for now := at(5 * time.Second); now.Before(at(10 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		settle(t, l, one, spent(490, 0), now)
 	}
-	successor := limiter.Party{Instance: "successor", Born: 2, Domain: "d", Age: 4 * time.Second}
+	successor := limiter.Reporter{Instance: "successor", Incarnation: 2, Domain: "d", Age: 4 * time.Second}
 	settle(t, l, successor, spent(1600, 0), at(10*time.Second))
 	if got := settle(t, l, one, spent(490, 0), at(10*time.Second)).Left; got < 0 {
 		t.Errorf("%d tokens are left of 1000 a second, of which 500 were spent", got)
--- a/internal/account/limiter/message.go
+++ b/internal/account/limiter/message.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// A Party identifies a reporter: an instance that settles what it has spent.
-type Party struct {
-	_        struct{} `cbor:",toarray"`
-	Instance string
-	Born     int64         // number of its incarnation; a later one has a larger number
-	Domain   string        // failure domain of a Ledger that reports for its Spenders; empty for a Spender
-	Age      time.Duration // time since its counters were zero
+// A Reporter identifies an instance that settles what it has spent.
+type Reporter struct {
+	_           struct{} `cbor:",toarray"`
+	Instance    string
+	Incarnation int64         // number of its incarnation; a later one has a larger number
+	Domain      string        // failure domain of a Ledger that reports for its Spenders; empty for a Spender
+	Age         time.Duration // time since its counters were zero
 }
 
 // isLedger reports whether the reporter is a Ledger.
-func (p Party) isLedger() bool { return p.Domain != "" }
+func (p Reporter) isLedger() bool { return p.Domain != "" }
 
 // A Spent is the report of the tokens spent of one account's quota.
 type Spent struct {
@@ -31,5 +31,5 @@
 	Counted int64 // the reporter's counter as far as it is included here
 	Granted bool  // the wanted tokens are included and may be spent
 	Left    int64 // tokens left; negative if too many were spent
-	Use     int64 // mean use, in tokens a second
+	Usage   int64 // mean use, in tokens a second
 }
--- a/internal/account/limiter/simulation_test.go
+++ b/internal/account/limiter/simulation_test.go
@@ -171,7 +171,7 @@
 	sim       *simulation
 	spenders  []*limiter.Spender
 	ledgers   []*limiter.Ledger // of the leaders
-	reporters []limiter.Party
+	reporters []limiter.Reporter
 	startedAt []time.Time
 	leaders   []*instance
 	connected func(a, b *instance) bool // whether two instances reach each other
@@ -181,12 +181,12 @@
 	w := &ledgerStrategy{sim: sim, connected: sim.reaches}
 	for _, i := range sim.instances {
 		w.spenders = append(w.spenders, &limiter.Spender{})
-		w.reporters = append(w.reporters, limiter.Party{Instance: i.id})
+		w.reporters = append(w.reporters, limiter.Reporter{Instance: i.id})
 		w.startedAt = append(w.startedAt, sim.now)
 	}
 	for d := range domains {
 		w.leaders = append(w.leaders, sim.instances[d])
-		ledger := &limiter.Ledger{Limits: func(string) (limiter.Limit, bool) { return sim.limit, true }, Window: window, First: func(l limiter.Limit) float64 {
+		ledger := &limiter.Ledger{Limits: func(string) (limiter.Limit, bool) { return sim.limit, true }, Window: window, InitialTokens: func(l limiter.Limit) float64 {
 			return (excessFraction*(l.Rate*window.Seconds()+l.Burst) + excessTokens) * 0.7 / domains
 		}}
 		ledger.Begin(sim.now)
@@ -200,7 +200,7 @@
 
 func (w *ledgerStrategy) restart(i *instance) {
 	w.spenders[i.number] = &limiter.Spender{Instances: func() int { return len(w.sim.instances) }}
-	w.reporters[i.number].Born = w.sim.now.UnixNano()
+	w.reporters[i.number].Incarnation = w.sim.now.UnixNano()
 	w.startedAt[i.number] = w.sim.now
 	for d, leader := range w.leaders {
 		if leader == i {
@@ -213,7 +213,7 @@
 	s, now := w.spenders[i.number], w.sim.now
 	r := limiter.Request{Account: "a", Limit: w.sim.limit, Tokens: tokens}
 	decision := s.Spend(r, now)
-	if _, asks := decision.(limiter.Ask); asks {
+	if _, asks := decision.(limiter.AskLedger); asks {
 		decision = w.ask(i, r)
 	}
 	_, admitted := decision.(limiter.Admitted)
@@ -229,7 +229,7 @@
 			return s.Answered(r, balances[0], now, now)
 		}
 	}
-	return s.SpendAlone(r, now)
+	return s.SpendDisconnected(r, now)
 }
 
 func (w *ledgerStrategy) tick() {
@@ -248,7 +248,7 @@
 		balances, ok := w.ledgers[i.failureDomain].Settle(w.reporters[i.number], report, now)
 		for _, b := range balances {
 			if ok {
-				s.Settled(b, w.sim.limit, now, now)
+				s.ApplyBalance(b, w.sim.limit, now, now)
 			}
 		}
 	}
@@ -262,13 +262,13 @@
 	now := w.sim.now
 	for d, from := range w.leaders {
 		report := w.ledgers[d].Report(now)
-		since, _ := w.ledgers[d].Began()
-		p := limiter.Party{Instance: from.id, Born: since.UnixNano(), Domain: fmt.Sprint("d", d), Age: now.Sub(since)}
+		since, _ := w.ledgers[d].StartedAt()
+		p := limiter.Reporter{Instance: from.id, Incarnation: since.UnixNano(), Domain: fmt.Sprint("d", d), Age: now.Sub(since)}
 		for e, to := range w.leaders {
 			if e != d && w.connected(from, to) {
 				w.sim.messages++
 				balances, _ := w.ledgers[e].Settle(p, report, now)
-				startedAt, _ := w.ledgers[e].Began()
+				startedAt, _ := w.ledgers[e].StartedAt()
 				w.ledgers[d].Adopt(balances, now.Sub(startedAt), now)
 			}
 		}
--- a/internal/account/limiter/spender.go
+++ b/internal/account/limiter/spender.go
@@ -61,27 +61,27 @@
 	// Admitted means that the request is admitted and its tokens are counted.
 	Admitted struct{}
 
-	// Ask means that a Ledger must be asked.
-	Ask struct{}
+	// AskLedger means that a Ledger must be asked.
+	AskLedger struct{}
 
-	// Unknown means that the request is refused because no current balance is known.
-	Unknown struct {
-		Wait time.Duration // until the caller may retry
+	// BalanceUnknown means that the request is refused because no current balance is known.
+	BalanceUnknown struct {
+		RetryAfter time.Duration // until the caller may retry
 	}
 
-	// Over means that the request is refused because the quota is spent.
-	Over struct {
-		Left int64         // tokens left of the quota
-		Age  time.Duration // of Left
-		Soon time.Duration // until its tokens are available
-		Wait time.Duration // until the caller should retry; bounded
+	// QuotaExceeded means that the request is refused because the quota is spent.
+	QuotaExceeded struct {
+		Left        int64         // tokens left of the quota
+		Age         time.Duration // of Left
+		AvailableIn time.Duration // until its tokens are available
+		RetryAfter  time.Duration // until the caller should retry; bounded
 	}
 )
 
-func (Admitted) decision() {}
-func (Ask) decision()      {}
-func (Over) decision()     {}
-func (Unknown) decision()  {}
+func (Admitted) decision()       {}
+func (AskLedger) decision()      {}
+func (QuotaExceeded) decision()  {}
+func (BalanceUnknown) decision() {}
 
 // A Request asks for tokens of an account's quota.
 type Request struct {
@@ -98,21 +98,21 @@
 	a := s.account(r.Account)
 	a.lastUsed = now
 	if a.balanceAt.IsZero() || now.Sub(a.balanceAt) > balanceTTL {
-		return Ask{}
+		return AskLedger{}
 	}
 	left := a.left(r.Limit, now)
 	if !fits(r.Tokens, left, r.Limit) {
 		return a.refuse(r, left, s.minShare(), now)
 	}
 	if float64(r.Tokens) > a.allowance(r.Limit, now) {
-		return Ask{}
+		return AskLedger{}
 	}
 	a.record(r.Tokens, now)
 	return Admitted{}
 }
 
-// Settled applies a balance that was requested at requestedAt.
-func (s *Spender) Settled(b Balance, limit Limit, requestedAt, now time.Time) {
+// ApplyBalance applies a balance that was requested at requestedAt.
+func (s *Spender) ApplyBalance(b Balance, limit Limit, requestedAt, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.account(b.Account).applyBalance(b, limit, requestedAt, now, s.minShare())
@@ -142,13 +142,13 @@
 	s.account(r.Account).pending -= r.Tokens
 }
 
-// SpendAlone decides on a request while no Ledger can be reached.
-func (s *Spender) SpendAlone(r Request, now time.Time) Decision {
+// SpendDisconnected decides on a request while no Ledger can be reached.
+func (s *Spender) SpendDisconnected(r Request, now time.Time) Decision {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(r.Account)
 	if a.balanceAt.IsZero() || now.Sub(a.balanceAt) > maxDisconnected {
-		return Unknown{Wait: unknownWait}
+		return BalanceUnknown{RetryAfter: unknownWait}
 	}
 	if !a.isDisconnected {
 		a.disconnect()
@@ -228,8 +228,8 @@
 	}
 	usage := a.usage.value(now)
 	a.balance, a.balanceAt, a.requestedAt, a.isDisconnected = b, now, requestedAt, false
-	a.othersRate = max(0, float64(b.Use)-usage)
-	a.share = minShare + shareOf(usage, float64(b.Use), l)
+	a.othersRate = max(0, float64(b.Usage)-usage)
+	a.share = minShare + shareOf(usage, float64(b.Usage), l)
 }
 
 // update returns the report of the account.
--- a/internal/account/limiter/spender_test.go
+++ b/internal/account/limiter/spender_test.go
@@ -21,7 +21,7 @@
 // newSpender returns a spender with a balance that is new at start.
 func newSpender(left int64) *limiter.Spender {
 	s := &limiter.Spender{Instances: func() int { return 1 }}
-	s.Settled(limiter.Balance{Account: "a", Left: left}, request(0).Limit, start, start)
+	s.ApplyBalance(limiter.Balance{Account: "a", Left: left}, request(0).Limit, start, start)
 	return s
 }
 
@@ -33,16 +33,16 @@
 
 	r := limiter.Request{Account: "mill", Limit: limit, Tokens: 700}
 	for range 2 {
-		if _, asks := spender.Spend(r, start).(limiter.Ask); !asks {
+		if _, asks := spender.Spend(r, start).(limiter.AskLedger); !asks {
 			continue
 		}
-		balances, _ := ledger.Settle(limiter.Party{Instance: "front-1"}, []limiter.Spent{spender.Want(r)}, start)
+		balances, _ := ledger.Settle(limiter.Reporter{Instance: "front-1"}, []limiter.Spent{spender.Want(r)}, start)
 		fmt.Printf("%T, %d left\n", spender.Answered(r, balances[0], start, start), balances[0].Left)
 	}
 	fmt.Printf("%T\n", spender.Spend(r, start))
 	// Output:
 	// limiter.Admitted, 300 left
-	// limiter.Over
+	// limiter.QuotaExceeded
 }
 
 func TestSpend(t *testing.T) {
@@ -53,13 +53,13 @@
 		after  time.Duration
 		want   limiter.Decision
 	}{
-		{"beyond its allowance", 1000, 600, 0, limiter.Ask{}},
+		{"beyond its allowance", 1000, 600, 0, limiter.AskLedger{}},
 		{"within its allowance", 1000, 10, 0, limiter.Admitted{}},
-		{"more than the tokens left", 100, 200, 0, limiter.Over{Left: 100, Soon: 100 * time.Millisecond, Wait: 200 * time.Millisecond}},
-		{"tokens available since the balance", 100, 200, 200 * time.Millisecond, limiter.Ask{}},
-		{"larger than the burst, which is full", 1000, 3000, 0, limiter.Ask{}},
-		{"larger than the burst, which is not full", 500, 3000, 0, limiter.Over{Left: 500, Soon: 500 * time.Millisecond, Wait: 500 * time.Millisecond}},
-		{"outdated balance", 1000, 10, time.Second, limiter.Ask{}},
+		{"more than the tokens left", 100, 200, 0, limiter.QuotaExceeded{Left: 100, AvailableIn: 100 * time.Millisecond, RetryAfter: 200 * time.Millisecond}},
+		{"tokens available since the balance", 100, 200, 200 * time.Millisecond, limiter.AskLedger{}},
+		{"larger than the burst, which is full", 1000, 3000, 0, limiter.AskLedger{}},
+		{"larger than the burst, which is not full", 500, 3000, 0, limiter.QuotaExceeded{Left: 500, AvailableIn: 500 * time.Millisecond, RetryAfter: 500 * time.Millisecond}},
+		{"outdated balance", 1000, 10, time.Second, limiter.AskLedger{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := newSpender(tc.left).Spend(request(tc.tokens), at(tc.after))
@@ -73,7 +73,7 @@
 // Guards against an instance that has a quota of its own after a restart.
 func TestSpenderWithoutBalanceAdmitsNothing(t *testing.T) {
 	s := limiter.Spender{Instances: func() int { return 1 }}
-	if _, unknown := s.SpendAlone(request(1), start).(limiter.Unknown); !unknown {
+	if _, unknown := s.SpendDisconnected(request(1), start).(limiter.BalanceUnknown); !unknown {
 		t.Error("a spender without a balance admits a request")
 	}
 }
@@ -84,17 +84,17 @@
 		s.Want(request(20))
 		s.Answered(request(20), limiter.Balance{Account: "a", Granted: true, Left: 1000}, start, start)
 	}
-	s.Settled(limiter.Balance{Account: "a", Counted: 800, Left: 1000, Use: 400}, request(0).Limit, start, start)
+	s.ApplyBalance(limiter.Balance{Account: "a", Counted: 800, Left: 1000, Usage: 400}, request(0).Limit, start, start)
 	admitted := 0
 	for now := start; now.Before(at(10 * time.Second)); now = now.Add(10 * time.Millisecond) {
-		if _, ok := s.SpendAlone(request(20), now).(limiter.Admitted); ok {
+		if _, ok := s.SpendDisconnected(request(20), now).(limiter.Admitted); ok {
 			admitted += 20
 		}
 	}
 	if admitted < 9000 || admitted > 11000 {
 		t.Errorf("%d tokens admitted in 10 s, of 1000 a second and a burst of 1000", admitted)
 	}
-	if _, unknown := s.SpendAlone(request(1), at(time.Minute)).(limiter.Unknown); !unknown {
+	if _, unknown := s.SpendDisconnected(request(1), at(time.Minute)).(limiter.BalanceUnknown); !unknown {
 		t.Error("a spender disconnected for a minute still decides by its share")
 	}
 }
@@ -115,9 +115,9 @@
 
 func TestOutdatedBalanceIsIgnored(t *testing.T) {
 	s := newSpender(1000)
-	s.Settled(limiter.Balance{Account: "a", Left: 0}, request(0).Limit, at(20*time.Millisecond), at(30*time.Millisecond))
-	s.Settled(limiter.Balance{Account: "a", Left: 1000}, request(0).Limit, at(10*time.Millisecond), at(40*time.Millisecond))
-	if _, over := s.Spend(request(500), at(40*time.Millisecond)).(limiter.Over); !over {
+	s.ApplyBalance(limiter.Balance{Account: "a", Left: 0}, request(0).Limit, at(20*time.Millisecond), at(30*time.Millisecond))
+	s.ApplyBalance(limiter.Balance{Account: "a", Left: 1000}, request(0).Limit, at(10*time.Millisecond), at(40*time.Millisecond))
+	if _, over := s.Spend(request(500), at(40*time.Millisecond)).(limiter.QuotaExceeded); !over {
 		t.Error("the outdated balance is applied")
 	}
 }
@@ -127,12 +127,12 @@
 	s := newSpender(0)
 	var waits []time.Duration
 	for range 3 {
-		waits = append(waits, s.Spend(request(1000), start).(limiter.Over).Wait)
+		waits = append(waits, s.Spend(request(1000), start).(limiter.QuotaExceeded).RetryAfter)
 	}
 	urgent := request(1000)
 	less := request(1000)
 	less.Urgency = 3
-	waits = append(waits, s.Spend(less, start).(limiter.Over).Wait, s.Spend(urgent, start).(limiter.Over).Wait)
+	waits = append(waits, s.Spend(less, start).(limiter.QuotaExceeded).RetryAfter, s.Spend(urgent, start).(limiter.QuotaExceeded).RetryAfter)
 	for n := 1; n < 4; n++ {
 		if waits[n] < waits[n-1] {
 			t.Errorf("wait of %s after a wait of %s", waits[n], waits[n-1])
@@ -150,7 +150,7 @@
 			requests := make([]limiter.Request, accounts)
 			for n := range requests {
 				requests[n] = limiter.Request{Account: fmt.Sprint("account-", n), Limit: limiter.Limit{Rate: 1e12, Burst: 1e12}, Tokens: 1}
-				s.Settled(limiter.Balance{Account: requests[n].Account, Left: 1e12}, requests[n].Limit, start, start)
+				s.ApplyBalance(limiter.Balance{Account: requests[n].Account, Left: 1e12}, requests[n].Limit, start, start)
 			}
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
--- a/internal/account/limiter/wait.go
+++ b/internal/account/limiter/wait.go
@@ -41,14 +41,14 @@
 
 // refuse refuses a request. The waits of refused requests are staggered at the rate at which
 // tokens become available, the most urgent first, so that callers don't retry in a burst.
-func (a *accountState) refuse(r Request, left, minShare float64, now time.Time) Over {
+func (a *accountState) refuse(r Request, left, minShare float64, now time.Time) QuotaExceeded {
 	// An instance that has just started has hardly any share yet.
 	rate := max(a.share, minShare/evenShare) * r.Limit.Rate
 	a.queue.drain(rate, now)
 	ahead := a.queue.add(float64(r.Tokens), r.Urgency)
 	missing := max(0, min(float64(r.Tokens), r.Limit.Burst)-left)
 	soon := time.Duration((missing/r.Limit.Rate + ahead/rate) * float64(time.Second))
-	over := Over{Left: int64(left), Soon: soon, Wait: min(maxWait, max(minWait, soon))}
+	over := QuotaExceeded{Left: int64(left), AvailableIn: soon, RetryAfter: min(maxWait, max(minWait, soon))}
 	if !a.balanceAt.IsZero() {
 		over.Age = now.Sub(a.balanceAt)
 	}
--- a/internal/experiment/sender/sender.go
+++ b/internal/experiment/sender/sender.go
@@ -81,7 +81,7 @@
 	for _, address := range s.order(call, index) {
 		var r requester.Requester
 		response, seen := r.Do(ctx, address, s.request(call, address))
-		if _, notDialed := seen.(judge.Dialed); notDialed {
+		if _, notDialed := seen.(judge.DialFailed); notDialed {
 			continue
 		}
 		if seen != nil {
--- a/internal/instance/composer/composer.go
+++ b/internal/instance/composer/composer.go
@@ -119,18 +119,18 @@
 
 func newAnswerer(p Parts, s *server.Server, c *claimer.Claimer, d *dispatcher.Dispatcher, m *metrics.Set) *answerer.Answerer {
 	return &answerer.Answerer{
-		Claimer: c, Dispatcher: d, Domain: p.Config.Domain, Force: s.Force, Logger: p.Logger,
+		Claimer: c, Dispatcher: d, Domain: p.Config.Domain, Settings: s.Force, Logger: p.Logger,
 		Metrics: m, Stopping: s.Stopping, Token: token,
 	}
 }
 
 func newClaimer(i incarnation, s *server.Server, store storer.Store, table tabler.Table) *claimer.Claimer {
-	return &claimer.Claimer{Gone: s.Gone, Route: s.CommitBatched, Self: string(i), Store: store, Table: table, Token: token}
+	return &claimer.Claimer{Gone: s.Gone, Commit: s.CommitBatched, Self: string(i), Store: store, Table: table, Token: token}
 }
 
 func newDispatcher(p Parts, i incarnation, s *server.Server, d *driver.Driver, f *monitor.Fleet, m *metrics.Set) *dispatcher.Dispatcher {
 	return &dispatcher.Dispatcher{
-		Domain: p.Config.Domain, Drained: s.Drained, Fleet: f, Force: s.Force, Local: d,
+		Domain: p.Config.Domain, Drained: s.Drained, Fleet: f, Settings: s.Force, Local: d,
 		Metrics: m, Peers: s, Quarantine: s, Self: string(i),
 	}
 }
--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -35,8 +35,8 @@
 	aggregator    gatherer.Aggregator // sums up members' demand reports, on the leader or on an instance that relays them to it
 	firstReportAt time.Time           // when this instance received the first demand report as leader
 	changes       changeLog
-	loadWindow    placer.Window  // limits the concurrent loads from the weight store
-	prefillShare  admitter.Share // learned from the gaps in responses
+	loadWindow    placer.Window         // limits the concurrent loads from the weight store
+	prefillShare  admitter.PrefillShare // learned from the gaps in responses
 	partition     partitionDetector
 	cutOffSince   time.Time    // since when other leaders have reached the store and this one has not
 	releasedFence uint64       // fencing token of the lease that was released last
@@ -53,7 +53,7 @@
 	placer          *placer.Placer // nil while this instance sends no orders, and for a plain service
 	callInFlight    bool           // an order or a report request is in flight
 	reportRequested time.Time      // when the last report was requested
-	prefillQueue    admitter.Timeline
+	prefillQueue    admitter.PrefillSchedule
 	slots           tracker.Places // request slots of a plain service
 	published       map[placer.Copy]time.Time
 	publishedWait   time.Duration // for an adapter slot, as last published
@@ -212,7 +212,7 @@
 			break
 		}
 	}
-	places := engine.Places
+	places := engine.AdapterSlots
 	if model.AdapterSize > 0 {
 		places = min(places, (engine.Memory-model.Size)/model.AdapterSize)
 	}
--- a/internal/instance/gatekeeper/crash.go
+++ b/internal/instance/gatekeeper/crash.go
@@ -95,8 +95,8 @@
 	delete(c.byRunner, runner)
 }
 
-// Broke implements forwarder.Quarantine.
-func (g *Gatekeeper) Broke(d quarantiner.Digest, runner tracker.Runner, sent time.Time) {
+// ReportBroken implements forwarder.Quarantine.
+func (g *Gatekeeper) ReportBroken(d quarantiner.Digest, runner tracker.Runner, sent time.Time) {
 	if g.stopsGracefully(runner) {
 		return
 	}
--- a/internal/instance/gatekeeper/crash_rows.go
+++ b/internal/instance/gatekeeper/crash_rows.go
@@ -41,11 +41,11 @@
 	return value
 }
 
-// storeCrashes marks for storage the crashes of requests with at least quarantiner.KeptFrom of
-// them, and for deletion those that are cleared. While some leaders send no updates, the first
-// crash is stored too: the second may be observed by an instance that cannot be reached from
-// here.
-func (g *Gatekeeper) storeCrashes(reports []quarantiner.Word) {
+// storeCrashes marks for storage the crashes of requests with at least
+// quarantiner.MinPersistedCrashes of them, and for deletion those that are cleared. While some
+// leaders send no updates, the first crash is stored too: the second may be observed by an
+// instance that cannot be reached from here.
+func (g *Gatekeeper) storeCrashes(reports []quarantiner.CrashReport) {
 	if len(reports) == 0 {
 		return
 	}
@@ -57,8 +57,8 @@
 			q.setDesired(r.Crash(), rowDeleted)
 			continue
 		}
-		open := q.ledger.Open(r.Digest, now)
-		if len(open) < quarantiner.KeptFrom && !partitioned {
+		open := q.ledger.Uncleared(r.Digest, now)
+		if len(open) < quarantiner.MinPersistedCrashes && !partitioned {
 			continue
 		}
 		for _, o := range open {
@@ -172,7 +172,7 @@
 			txn.Deletes = append(txn.Deletes, key)
 			continue
 		}
-		report, _ := q.ledger.Word(c, now)
+		report, _ := q.ledger.Report(c, now)
 		txn.Puts = append(txn.Puts, tabler.Put{Key: key, Value: encodeCrashRow(report.Row(now))})
 	}
 	return txn, states
@@ -209,19 +209,19 @@
 
 // applyCrashRow applies a crash row. A deleted row means that the crash was cleared or has expired.
 func (g *Gatekeeper) applyCrashRow(c quarantiner.Crash, r tabler.Row) {
-	report := quarantiner.Word{Digest: c.Digest, Runner: c.Runner, Cleared: r.Removed}
+	report := quarantiner.CrashReport{Digest: c.Digest, Runner: c.Runner, Cleared: r.Removed}
 	if !r.Removed {
 		var row quarantiner.Row
 		if err := encoder.Unmarshal(r.Value, &row); err != nil {
 			g.Recorder.Log(recorder.Suspect, "msg", "malformed crash row", "row", r.Key, "err", err)
 			return
 		}
-		report = row.Word(c, time.Now())
+		report = row.Report(c, time.Now())
 	}
-	g.applyCrashReports([]quarantiner.Word{report}, fromStore)
+	g.applyCrashReports([]quarantiner.CrashReport{report}, fromStore)
 	g.quarantine.recordStored(c, !r.Removed)
-	current, known := g.quarantine.ledger.Word(c, time.Now())
-	if !r.Removed && (known && current.Cleared || report.Age >= quarantiner.Memory) && g.leadsAny() {
+	current, known := g.quarantine.ledger.Report(c, time.Now())
+	if !r.Removed && (known && current.Cleared || report.Age >= quarantiner.Retention) && g.leadsAny() {
 		// It was cleared before the row was written, or has expired. If the row stayed, the
 		// request would be suspected again after a restart of all instances, or the row would
 		// never be deleted.
--- a/internal/instance/gatekeeper/crash_test.go
+++ b/internal/instance/gatekeeper/crash_test.go
@@ -65,7 +65,7 @@
 				if tc.set != nil {
 					tc.set(g, r)
 				}
-				g.Broke("d", r, time.Now())
+				g.ReportBroken("d", r, time.Now())
 				if tc.later != nil {
 					tc.later(g, r)
 				}
@@ -93,11 +93,11 @@
 		sent := time.Now()
 		time.Sleep(time.Second)
 		for n := range 20 {
-			g.Broke(quarantiner.Digest(rune('a'+n)), r, sent)
+			g.ReportBroken(quarantiner.Digest(rune('a'+n)), r, sent)
 		}
 		time.Sleep(time.Second)
-		g.Broke("late", r, sent)
-		g.Broke("sent after the crash", r, time.Now())
+		g.ReportBroken("late", r, sent)
+		g.ReportBroken("sent after the crash", r, time.Now())
 		synctest.Wait()
 		if got := len(g.quarantine.ledger.Cases()); got != 21 {
 			t.Errorf("%d requests suspected, want 21", got)
--- a/internal/instance/gatekeeper/crashreport.go
+++ b/internal/instance/gatekeeper/crashreport.go
@@ -22,7 +22,7 @@
 const reportRepeatTime = time.Minute
 
 // filterObserved returns the reports about requests of which this instance has seen a crash itself.
-func (g *Gatekeeper) filterObserved(reports []quarantiner.Word) []quarantiner.Word {
+func (g *Gatekeeper) filterObserved(reports []quarantiner.CrashReport) []quarantiner.CrashReport {
 	q := &g.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -30,7 +30,7 @@
 	for c := range q.ownReports {
 		seen[c.Digest] = true
 	}
-	var own []quarantiner.Word
+	var own []quarantiner.CrashReport
 	for _, r := range reports {
 		if seen[r.Digest] {
 			own = append(own, r)
@@ -77,21 +77,21 @@
 }
 
 // unacknowledged returns this instance's reports that a source has not published back.
-func (q *quarantine) unacknowledged(to source, now time.Time) []quarantiner.Word {
+func (q *quarantine) unacknowledged(to source, now time.Time) []quarantiner.CrashReport {
 	return q.ownReportsWhere(now, func(r ownReport) bool { return r.acknowledgedBy != to })
 }
 
 // ownReportsWhere returns this instance's reports that match, and drops those that are too old.
-func (q *quarantine) ownReportsWhere(now time.Time, match func(ownReport) bool) []quarantiner.Word {
+func (q *quarantine) ownReportsWhere(now time.Time, match func(ownReport) bool) []quarantiner.CrashReport {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var reports []quarantiner.Word
+	var reports []quarantiner.CrashReport
 	for c, own := range q.ownReports {
 		if now.Sub(own.since) > reportRepeatTime {
 			delete(q.ownReports, c)
 			continue
 		}
-		if r, ok := q.ledger.Word(c, now); ok && match(own) {
+		if r, ok := q.ledger.Report(c, now); ok && match(own) {
 			reports = append(reports, r)
 		}
 	}
@@ -112,12 +112,12 @@
 }
 
 // acknowledge records the reports that a source published: they need not be sent to it.
-func (q *quarantine) acknowledge(from source, reports []quarantiner.Word) {
+func (q *quarantine) acknowledge(from source, reports []quarantiner.CrashReport) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, r := range reports {
 		own, ok := q.ownReports[r.Crash()]
-		if current, _ := q.ledger.Word(r.Crash(), time.Now()); ok && current.Cleared == r.Cleared {
+		if current, _ := q.ledger.Report(r.Crash(), time.Now()); ok && current.Cleared == r.Cleared {
 			own.acknowledgedBy = from
 			q.ownReports[r.Crash()] = own
 		}
--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -55,7 +55,7 @@
 	if from != d.gatekeeper.Config.ID && reportsResponse(demand) {
 		d.partition.respondedElsewhere = now
 	}
-	d.prefillShare.Learn(demand.ShortGaps, demand.LongGaps)
+	d.prefillShare.Record(demand.ShortGaps, demand.LongGaps)
 	for _, n := range demand.Hits {
 		d.withPlacer(n.Runner, func(p *placer.Placer) { d.observeArrival(p.There(n.Copy, n.Requests, now.Add(-n.Age))) })
 	}
--- a/internal/instance/gatekeeper/pending_demand.go
+++ b/internal/instance/gatekeeper/pending_demand.go
@@ -75,8 +75,8 @@
 	return l, ok
 }
 
-// Wait implements forwarder.Placement.
-func (g *Gatekeeper) Wait(w forwarder.Waiter) {
+// ReportWaiting implements forwarder.Placement.
+func (g *Gatekeeper) ReportWaiting(w forwarder.Waiter) {
 	l, ok := g.linkOf(w.Runner)
 	if !ok {
 		return
@@ -98,8 +98,8 @@
 	}
 }
 
-// Paused implements forwarder.Placement.
-func (g *Gatekeeper) Paused(runner string, longest, limit time.Duration) {
+// ReportGap implements forwarder.Placement.
+func (g *Gatekeeper) ReportGap(runner string, longest, limit time.Duration) {
 	l, ok := g.linkOf(runner)
 	if !ok {
 		return
@@ -107,15 +107,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case admitter.Short(longest, limit):
+	case admitter.IsShortGap(longest, limit):
 		l.pendingDemand.shortGaps++
-	case admitter.Long(longest, limit):
+	case admitter.IsLongGap(longest, limit):
 		l.pendingDemand.longGaps++
 	}
 }
 
-// Spare implements forwarder.Placement.
-func (g *Gatekeeper) Spare(runner string, c placer.Copy) {
+// RequestSpareCopy implements forwarder.Placement.
+func (g *Gatekeeper) RequestSpareCopy(runner string, c placer.Copy) {
 	if l, ok := g.linkOf(runner); ok {
 		l.addPending(&l.pendingDemand.spare, keyOf(runner, c))
 	}
@@ -134,8 +134,8 @@
 	return true
 }
 
-// There implements forwarder.Placement.
-func (g *Gatekeeper) There(runner string, c placer.Copy, sent time.Time) {
+// ReportHit implements forwarder.Placement.
+func (g *Gatekeeper) ReportHit(runner string, c placer.Copy, sent time.Time) {
 	l, ok := g.linkOf(runner)
 	if !ok {
 		return
@@ -158,10 +158,10 @@
 	n.hits[k] = f
 }
 
-// Use implements forwarder.Placement. The end of a use is reported at once if other copies
+// AcquireCopy implements forwarder.Placement. The end of a use is reported at once if other copies
 // wait for a slot: the next periodic report would come up to one interval later, a large
 // part of the time for which a short run occupies its slot.
-func (g *Gatekeeper) Use(runner string, c placer.Copy) (done func()) {
+func (g *Gatekeeper) AcquireCopy(runner string, c placer.Copy) (done func()) {
 	l, ok := g.linkOf(runner)
 	if !ok {
 		return func() {}
@@ -203,8 +203,8 @@
 	return set
 }
 
-// Missing implements forwarder.Placement.
-func (g *Gatekeeper) Missing(runner string, c placer.Copy) {
+// ReportMiss implements forwarder.Placement.
+func (g *Gatekeeper) ReportMiss(runner string, c placer.Copy) {
 	l, ok := g.linkOf(runner)
 	if !ok {
 		return
--- a/internal/instance/gatekeeper/quarantine.go
+++ b/internal/instance/gatekeeper/quarantine.go
@@ -46,13 +46,13 @@
 // Suspects implements forwarder.Quarantine.
 func (g *Gatekeeper) Suspects() bool { return !g.quarantine.ledger.Empty() }
 
-// Held implements forwarder.Quarantine.
-func (g *Gatekeeper) Held(d quarantiner.Digest) (left time.Duration, held bool) {
-	return g.quarantine.ledger.Held(d, time.Now())
+// Quarantined implements forwarder.Quarantine.
+func (g *Gatekeeper) Quarantined(d quarantiner.Digest) (left time.Duration, held bool) {
+	return g.quarantine.ledger.Quarantined(d, time.Now())
 }
 
-// Whole implements forwarder.Quarantine.
-func (g *Gatekeeper) Whole(d quarantiner.Digest) {
+// ReportCompleted implements forwarder.Quarantine.
+func (g *Gatekeeper) ReportCompleted(d quarantiner.Digest) {
 	reports := g.quarantine.ledger.Clear(d, time.Now())
 	if len(reports) == 0 {
 		return
@@ -65,11 +65,11 @@
 // suspect records that a runner crashed while it ran the given requests, with how long each had
 // run.
 func (g *Gatekeeper) suspect(runner string, requests map[quarantiner.Digest]time.Duration) {
-	reports := make([]quarantiner.Word, 0, len(requests))
+	reports := make([]quarantiner.CrashReport, 0, len(requests))
 	for d, ran := range requests {
-		reports = append(reports, quarantiner.Word{Digest: d, Runner: runner, Ran: ran})
+		reports = append(reports, quarantiner.CrashReport{Digest: d, Runner: runner, RunTime: ran})
 	}
-	added := g.quarantine.ledger.Take(reports, time.Now())
+	added := g.quarantine.ledger.Apply(reports, time.Now())
 	for _, r := range added {
 		g.Metrics.GetOrCreateCounter("sardinetiller_suspected_total").Inc()
 		g.logCrash(r, "self")
@@ -78,7 +78,7 @@
 }
 
 // recordOwn records this instance's own observations, which it has to report.
-func (g *Gatekeeper) recordOwn(reports []quarantiner.Word) {
+func (g *Gatekeeper) recordOwn(reports []quarantiner.CrashReport) {
 	if len(reports) == 0 {
 		return
 	}
@@ -99,16 +99,16 @@
 }
 
 // applyCrashReports applies crash reports of other instances or of the store.
-func (g *Gatekeeper) applyCrashReports(reports []quarantiner.Word, from string) {
+func (g *Gatekeeper) applyCrashReports(reports []quarantiner.CrashReport, from string) {
 	if len(reports) == 0 {
 		return
 	}
-	added := g.quarantine.ledger.Take(reports, time.Now())
+	added := g.quarantine.ledger.Apply(reports, time.Now())
 	if len(added) == 0 {
 		return
 	}
 	for _, r := range added {
-		if !r.Cleared && len(g.quarantine.ledger.Open(r.Digest, time.Now())) >= quarantiner.KeptFrom {
+		if !r.Cleared && len(g.quarantine.ledger.Uncleared(r.Digest, time.Now())) >= quarantiner.MinPersistedCrashes {
 			g.logCrash(r, from) // other crashes are logged only where they were observed, as many innocent requests run beside each culprit
 		}
 	}
--- a/internal/instance/gatekeeper/quarantine_log.go
+++ b/internal/instance/gatekeeper/quarantine_log.go
@@ -16,9 +16,9 @@
 	return len(q.logged)
 }
 
-func (g *Gatekeeper) logCrash(r quarantiner.Word, from string) {
-	g.Recorder.Log(recorder.Suspect, "msg", "request suspected", "digest", r.Digest, "runner", r.Runner, "ran", r.Ran, "age", r.Age, "from", from,
-		"crashes", len(g.quarantine.ledger.Open(r.Digest, time.Now())))
+func (g *Gatekeeper) logCrash(r quarantiner.CrashReport, from string) {
+	g.Recorder.Log(recorder.Suspect, "msg", "request suspected", "digest", r.Digest, "runner", r.Runner, "ran", r.RunTime, "age", r.Age, "from", from,
+		"crashes", len(g.quarantine.ledger.Uncleared(r.Digest, time.Now())))
 }
 
 // logVerdicts logs and counts the requests that have entered or left quarantine.
--- a/internal/instance/gatekeeper/quarantine_random_test.go
+++ b/internal/instance/gatekeeper/quarantine_random_test.go
@@ -87,7 +87,7 @@
 	if !m.running(now) {
 		return
 	}
-	if _, held := m.g.Held(c.digest); held {
+	if _, held := m.g.Quarantined(c.digest); held {
 		return
 	}
 	if len(c.crashes) >= 3 && now.Sub(c.crashes[2]) > 3*time.Second && s.countsForRule(m, now) {
--- a/internal/instance/gatekeeper/quarantine_test.go
+++ b/internal/instance/gatekeeper/quarantine_test.go
@@ -21,22 +21,22 @@
 		g := newDomainGatekeeper("a-2", "a")
 		first, second := source{"a-1", "a-1"}, source{"b-1", "b-1"}
 		unacknowledged := func(to source) int { return len(g.quarantine.unacknowledged(to, time.Now())) }
-		crash := quarantiner.Word{Digest: "d", Runner: "i-1"}
+		crash := quarantiner.CrashReport{Digest: "d", Runner: "i-1"}
 		g.suspect(crash.Runner, map[quarantiner.Digest]time.Duration{crash.Digest: 0})
 		got := []int{unacknowledged(first), unacknowledged(first)}
-		g.quarantine.acknowledge(first, []quarantiner.Word{crash})
+		g.quarantine.acknowledge(first, []quarantiner.CrashReport{crash})
 		got = append(got, unacknowledged(first), unacknowledged(second))
-		g.quarantine.acknowledge(second, []quarantiner.Word{crash})
+		g.quarantine.acknowledge(second, []quarantiner.CrashReport{crash})
 		got = append(got, unacknowledged(second))
 		g.quarantine.sourceStarted(second) // it has restarted with no state
 		got = append(got, unacknowledged(second))
-		g.quarantine.acknowledge(second, []quarantiner.Word{crash})
-		g.Whole("d")
+		g.quarantine.acknowledge(second, []quarantiner.CrashReport{crash})
+		g.ReportCompleted("d")
 		got = append(got, unacknowledged(second))
-		g.quarantine.acknowledge(second, []quarantiner.Word{crash}) // published before the clearance
+		g.quarantine.acknowledge(second, []quarantiner.CrashReport{crash}) // published before the clearance
 		got = append(got, unacknowledged(second))
 		crash.Cleared = true
-		g.quarantine.acknowledge(second, []quarantiner.Word{crash})
+		g.quarantine.acknowledge(second, []quarantiner.CrashReport{crash})
 		got = append(got, unacknowledged(second))
 		time.Sleep(reportRepeatTime + time.Second)
 		got = append(got, unacknowledged(first))
@@ -73,10 +73,10 @@
 		}, tabler.Txn{Puts: []tabler.Put{{Key: "holder/crash/d/i-1"}, {Key: "holder/crash/d/i-2"}}}},
 		{"second crash elsewhere", func(g *Gatekeeper) {
 			g.suspect("i-1", map[quarantiner.Digest]time.Duration{"d": 0})
-			g.applyCrashReports([]quarantiner.Word{{Digest: "d", Runner: "i-2"}}, "a-1")
+			g.applyCrashReports([]quarantiner.CrashReport{{Digest: "d", Runner: "i-2"}}, "a-1")
 		}, tabler.Txn{Puts: []tabler.Put{{Key: "holder/crash/d/i-1"}, {Key: "holder/crash/d/i-2"}}}},
 		{"both elsewhere: their observer stores them", func(g *Gatekeeper) {
-			g.applyCrashReports([]quarantiner.Word{{Digest: "d", Runner: "i-1"}, {Digest: "d", Runner: "i-2"}}, "a-1")
+			g.applyCrashReports([]quarantiner.CrashReport{{Digest: "d", Runner: "i-1"}, {Digest: "d", Runner: "i-2"}}, "a-1")
 		}, tabler.Txn{}},
 		{"first crash, without updates from a leader", func(g *Gatekeeper) {
 			setLastUpdates(g, time.Now().Add(-time.Second))
@@ -90,11 +90,11 @@
 		{"cleared before it was written", func(g *Gatekeeper) {
 			g.suspect("i-1", map[quarantiner.Digest]time.Duration{"d": 0})
 			g.suspect("i-2", map[quarantiner.Digest]time.Duration{"d": 0})
-			g.Whole("d")
+			g.ReportCompleted("d")
 		}, tabler.Txn{Deletes: []string{"holder/crash/d/i-1", "holder/crash/d/i-2"}}},
 		{"row read after it was cleared elsewhere", func(g *Gatekeeper) {
 			makeLeader(g, "a")
-			g.applyCrashReports([]quarantiner.Word{{Digest: "d", Runner: "i-1", Cleared: true}}, "a-1")
+			g.applyCrashReports([]quarantiner.CrashReport{{Digest: "d", Runner: "i-1", Cleared: true}}, "a-1")
 			g.applyCrashRow(quarantiner.Crash{Digest: "d", Runner: "i-1"}, tabler.Row{Value: encodeCrashRow(quarantiner.Row{At: time.Now().Unix()})})
 		}, tabler.Txn{Deletes: []string{"holder/crash/d/i-1"}}},
 		{"expired row", func(g *Gatekeeper) {
@@ -126,7 +126,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := newDomainGatekeeper("a-2", "a")
 		held := func() bool {
-			_, is := g.Held("d")
+			_, is := g.Quarantined("d")
 			return is
 		}
 		row := func(runner string, removed bool) tabler.Row {
--- a/internal/instance/gatekeeper/quota.go
+++ b/internal/instance/gatekeeper/quota.go
@@ -45,7 +45,7 @@
 	q.spender.Instances = g.Members
 	q.ledger.Limits = g.limitOf
 	q.ledger.Window = g.Config.Bounds.Quota
-	q.ledger.First = g.initialTokens
+	q.ledger.InitialTokens = g.initialTokens
 }
 
 // limitOf returns the quota of an account in the current configuration.
@@ -72,21 +72,21 @@
 
 // Admit charges a request to the quota of its account, or refuses it.
 func (g *Gatekeeper) Admit(ctx context.Context, r limiter.Request) *judge.Error {
-	if !r.Limit.Bounds() {
+	if !r.Limit.Limited() {
 		return nil
 	}
 	decision, by := g.decide(ctx, r)
-	if over, is := decision.(limiter.Over); is && over.Soon <= tokensWaitLimit {
-		pause(ctx, over.Soon)
+	if over, is := decision.(limiter.QuotaExceeded); is && over.AvailableIn <= tokensWaitLimit {
+		pause(ctx, over.AvailableIn)
 		decision, by = g.decide(ctx, r)
 	}
 	switch d := decision.(type) {
-	case limiter.Over:
+	case limiter.QuotaExceeded:
 		g.countRefusal(r.Account)
 		return judge.Refuse(judge.ReasonQuota, "account %s asks for %d tokens and has %d left, as %s knew %s ago",
-			r.Account, r.Tokens, d.Left, by, d.Age.Round(time.Millisecond)).After(d.Wait)
-	case limiter.Unknown:
-		return judge.Refuse(judge.ReasonStarting, "what is left of the quota of account %s is not known here", r.Account).After(d.Wait)
+			r.Account, r.Tokens, d.Left, by, d.Age.Round(time.Millisecond)).WithRetryAfter(d.RetryAfter)
+	case limiter.BalanceUnknown:
+		return judge.Refuse(judge.ReasonStarting, "what is left of the quota of account %s is not known here", r.Account).WithRetryAfter(d.RetryAfter)
 	default:
 		return nil
 	}
@@ -94,7 +94,7 @@
 
 // Return refunds the tokens of a request that has not run.
 func (g *Gatekeeper) Return(r limiter.Request) {
-	if r.Limit.Bounds() {
+	if r.Limit.Limited() {
 		g.quotas.spender.Return(r.Account, r.Tokens, time.Now())
 	}
 }
@@ -116,7 +116,7 @@
 // decide decides on a request; by is the instance that decided.
 func (g *Gatekeeper) decide(ctx context.Context, r limiter.Request) (d limiter.Decision, by string) {
 	d = g.quotas.spender.Spend(r, time.Now())
-	if _, asks := d.(limiter.Ask); asks {
+	if _, asks := d.(limiter.AskLedger); asks {
 		return g.askUntilKnown(ctx, r)
 	}
 	return d, g.Config.ID
@@ -127,7 +127,7 @@
 func (g *Gatekeeper) askUntilKnown(ctx context.Context, r limiter.Request) (d limiter.Decision, by string) {
 	for end := time.Now().Add(unknownWaitLimit); ; pause(ctx, unknownRetryInterval) {
 		d, by = g.askLedger(ctx, r)
-		if _, unknown := d.(limiter.Unknown); !unknown || ctx.Err() != nil || !time.Now().Before(end) {
+		if _, unknown := d.(limiter.BalanceUnknown); !unknown || ctx.Err() != nil || !time.Now().Before(end) {
 			return d, by
 		}
 	}
@@ -149,7 +149,7 @@
 		}
 	}
 	s.Unanswered(r)
-	return s.SpendAlone(r, time.Now()), g.Config.ID
+	return s.SpendDisconnected(r, time.Now()), g.Config.ID
 }
 
 // applyAnswer applies a ledger's answer. A ledger that does not know the quota has an older
@@ -159,7 +159,7 @@
 	now := time.Now()
 	if len(balances) != 1 {
 		s.Unanswered(r)
-		return s.SpendAlone(r, now)
+		return s.SpendDisconnected(r, now)
 	}
 	return s.Answered(r, balances[0], sentAt, now)
 }
@@ -179,7 +179,7 @@
 		}
 		changed++
 		if changed <= maxLimitsLogged {
-			g.Recorder.Log(recorder.Config, "msg", "quota", "version", current.Version, "account", a.Name, "rate", a.Limit.Rate, "burst", a.Limit.Burst, "plain", a.Limit.Plain)
+			g.Recorder.Log(recorder.Config, "msg", "quota", "version", current.Version, "account", a.Name, "rate", a.Limit.Rate, "burst", a.Limit.Burst, "plain", a.Limit.DefaultCost)
 		}
 	}
 	g.Recorder.Log(recorder.Config, "msg", "accounts", "version", current.Version, "accounts", current.Accounts.Len(), "changed", changed)
--- a/internal/instance/gatekeeper/quota_test.go
+++ b/internal/instance/gatekeeper/quota_test.go
@@ -128,7 +128,7 @@
 		s.settleQuotas(t, m)
 		began := time.Now()
 		err := m.admits(10)
-		if err == nil || err.Reason != judge.ReasonStarting || err.Verdict != judge.NotRun || err.Retry <= 0 {
+		if err == nil || err.Reason != judge.ReasonStarting || err.Verdict != judge.NotRun || err.RetryAfter <= 0 {
 			t.Errorf("refused with %+v", err)
 		}
 		if took := time.Since(began); took > time.Second {
--- a/internal/instance/gatekeeper/relay_test.go
+++ b/internal/instance/gatekeeper/relay_test.go
@@ -175,7 +175,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				c := newChain()
 				c.addRunner()
-				tc.event(c, c.member.Use(testCopyKey.Runner, testCopyKey.Copy))
+				tc.event(c, c.member.AcquireCopy(testCopyKey.Runner, testCopyKey.Copy))
 				if diff := cmp.Diff(tc.want, c.leader.controllers["b"].aggregator.Uses(testCopyKey)); diff != "" {
 					t.Error(diff)
 				}
@@ -313,7 +313,7 @@
 			if len(running) == 0 {
 				used = now
 			}
-			running = append(running, c.member.Use(testCopyKey.Runner, testCopyKey.Copy))
+			running = append(running, c.member.AcquireCopy(testCopyKey.Runner, testCopyKey.Copy))
 			reporter := "a-1"
 			if direct {
 				reporter = "a-2"
--- a/internal/instance/gatekeeper/request_slot.go
+++ b/internal/instance/gatekeeper/request_slot.go
@@ -11,23 +11,23 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// Place implements forwarder.Placement. The leader of the runner's domain counts the requests at
+// AcquireSlot implements forwarder.Placement. The leader of the runner's domain counts the requests at
 // the runner: what an instance knows of the requests of others is as old as a few runs take.
-func (g *Gatekeeper) Place(ctx context.Context, runner string, within time.Duration) (p forwarder.Place, refused *judge.Error, ok bool) {
+func (g *Gatekeeper) AcquireSlot(ctx context.Context, runner string, within time.Duration) (p forwarder.RequestSlot, refused *judge.Error, ok bool) {
 	l, found := g.linkOf(runner)
 	if !found {
-		return forwarder.Place{}, nil, false
+		return forwarder.RequestSlot{}, nil, false
 	}
 	if d := g.controllers[l.domain]; d.leads() {
 		wait, done, err := d.acquireSlot(runner, within)
 		if err != nil {
 			return noSlot(err)
 		}
-		return forwarder.Place{Done: done, Wait: wait}, nil, true
+		return forwarder.RequestSlot{Release: done, Wait: wait}, nil, true
 	}
 	leader, _, ok := l.leaderAndSource()
 	if !ok {
-		return forwarder.Place{}, nil, false
+		return forwarder.RequestSlot{}, nil, false
 	}
 	conversation, message, err := g.askPeer(ctx, leader.address, relayer.Place{Domain: l.domain, Runner: runner, Timeout: within}, askTimeout)
 	if err != nil {
@@ -36,16 +36,16 @@
 	answer, is := message.(relayer.Placed)
 	if !is {
 		conversation.Close()
-		return forwarder.Place{}, nil, false
+		return forwarder.RequestSlot{}, nil, false
 	}
-	return forwarder.Place{Done: sync.OnceFunc(conversation.Close), Wait: answer.Wait}, nil, true
+	return forwarder.RequestSlot{Release: sync.OnceFunc(conversation.Close), Wait: answer.Wait}, nil, true
 }
 
-// noSlot returns the results of Place after an error: a refusal, or ok false if there is no
+// noSlot returns the results of AcquireSlot after an error: a refusal, or ok false if there is no
 // answer.
-func noSlot(err error) (p forwarder.Place, refused *judge.Error, ok bool) {
+func noSlot(err error) (p forwarder.RequestSlot, refused *judge.Error, ok bool) {
 	refused = capacityRefusal(err)
-	return forwarder.Place{}, refused, refused != nil
+	return forwarder.RequestSlot{}, refused, refused != nil
 }
 
 // capacityRefusal returns err as a refusal if it was refused for lack of capacity, else nil.
@@ -67,7 +67,7 @@
 	now := time.Now()
 	wait = c.slots.Wait(c.runner.Slots)
 	if wait > within {
-		return 0, nil, judge.Refuse(judge.ReasonQueue, "requests wait for %s there", wait.Round(time.Millisecond)).After(wait - within)
+		return 0, nil, judge.Refuse(judge.ReasonQueue, "requests wait for %s there", wait.Round(time.Millisecond)).WithRetryAfter(wait - within)
 	}
 	entry := c.slots.Enter(now)
 	return wait, sync.OnceFunc(func() { d.releaseSlot(c, entry) }), nil
@@ -80,7 +80,7 @@
 	c.slots.Leave(e, c.runner.Slots, time.Now())
 }
 
-// holdSlot answers a Place, and holds the request slot until the sender cancels.
+// holdSlot handles a relayer.Place: it holds the request slot until the sender cancels.
 func (d *controller) holdSlot(ctx context.Context, m relayer.Place, reply responder) error {
 	wait, done, err := d.acquireSlot(m.Runner, m.Timeout)
 	if err != nil {
--- a/internal/instance/gatekeeper/request_slot_test.go
+++ b/internal/instance/gatekeeper/request_slot_test.go
@@ -19,12 +19,12 @@
 		var done []func()
 		for n := range 3 {
 			g, ctx := s.instances[n].running()
-			p, refused, ok := g.Place(ctx, runner, time.Hour)
+			p, refused, ok := g.AcquireSlot(ctx, runner, time.Hour)
 			if !ok || refused != nil {
 				t.Fatalf("instance %d: refused %v, ok %t", n, refused, ok)
 			}
 			waits = append(waits, p.Wait > 0)
-			done = append(done, p.Done)
+			done = append(done, p.Release)
 		}
 		if diff := cmp.Diff([]bool{false, false, true}, waits); diff != "" {
 			t.Errorf("instances that wait at a runner with two slots: %s", diff)
@@ -35,10 +35,10 @@
 		}
 		time.Sleep(time.Second)
 		g, ctx := s.instances[3].running()
-		p, refused, ok := g.Place(ctx, runner, 0)
+		p, refused, ok := g.AcquireSlot(ctx, runner, 0)
 		if !ok || refused != nil || p.Wait != 0 {
 			t.Fatalf("after all slots were released: wait %v, refused %v, ok %t", p.Wait, refused, ok)
 		}
-		p.Done()
+		p.Release()
 	})
 }
--- a/internal/instance/gatekeeper/reserve.go
+++ b/internal/instance/gatekeeper/reserve.go
@@ -16,19 +16,19 @@
 const askTimeout = 40 * time.Millisecond
 
 // Reserve implements forwarder.Placement.
-func (g *Gatekeeper) Reserve(ctx context.Context, a forwarder.Ask) (room forwarder.Room, refused *judge.Error, ok bool) {
+func (g *Gatekeeper) Reserve(ctx context.Context, a forwarder.ReserveRequest) (room forwarder.Reservation, refused *judge.Error, ok bool) {
 	l, found := g.linkOf(a.Runner)
 	if !found {
-		return forwarder.Room{}, nil, false
+		return forwarder.Reservation{}, nil, false
 	}
-	r := relayer.Reserve{Domain: l.domain, Runner: a.Runner, Copy: a.Copy, Tokens: a.Tokens, MaxGap: a.Pause, Timeout: a.Within}
+	r := relayer.Reserve{Domain: l.domain, Runner: a.Runner, Copy: a.Copy, Tokens: a.Tokens, MaxGap: a.MaxGap, Timeout: a.Timeout}
 	if d := g.controllers[l.domain]; d.leads() {
 		reserved, err := d.reserve(g.Config.ID, r)
 		return g.reservation(a, reserved, err)
 	}
 	leader, via, ok := l.leaderAndSource()
 	if !ok {
-		return forwarder.Room{}, nil, false
+		return forwarder.Reservation{}, nil, false
 	}
 	if via.id != leader.id {
 		r.Reporter = via.id
@@ -41,25 +41,25 @@
 	defer conversation.Close()
 	reserved, is := message.(relayer.Reserved)
 	if !is {
-		return forwarder.Room{}, nil, false
+		return forwarder.Reservation{}, nil, false
 	}
 	return g.reservation(a, reserved, nil)
 }
 
 // reservation converts the leader's answer. Only a refusal for lack of capacity refuses the
 // request; any other failure has no effect on it.
-func (g *Gatekeeper) reservation(a forwarder.Ask, reserved relayer.Reserved, err error) (forwarder.Room, *judge.Error, bool) {
+func (g *Gatekeeper) reservation(a forwarder.ReserveRequest, reserved relayer.Reserved, err error) (forwarder.Reservation, *judge.Error, bool) {
 	if err == nil {
 		if !reserved.Absent {
 			g.Fleet.Reading(a.Runner, reserved.PrefillBacklog)
 		}
-		return forwarder.Room{Absent: reserved.Absent, Wait: reserved.Delay}, nil, true
+		return forwarder.Reservation{Absent: reserved.Absent, Delay: reserved.Delay}, nil, true
 	}
 	if refused := capacityRefusal(err); refused != nil {
-		g.Fleet.Reading(a.Runner, a.Within+refused.Retry)
-		return forwarder.Room{}, refused, true
+		g.Fleet.Reading(a.Runner, a.Timeout+refused.RetryAfter)
+		return forwarder.Reservation{}, refused, true
 	}
-	return forwarder.Room{}, nil, false
+	return forwarder.Reservation{}, nil, false
 }
 
 // reserve reserves capacity for a request at a runner, or refuses it.
@@ -80,11 +80,11 @@
 	}
 	fleet := d.gatekeeper.Fleet
 	wait, ok := c.prefillQueue.Reserve(admitter.Prompt{
-		Pause: r.MaxGap, Queue: fleet.Places(r.Runner), Read: fleet.Read(c.runner.Service, r.Tokens), Share: d.prefillShare.Value(), Within: r.Timeout,
+		MaxGap: r.MaxGap, SlotWait: fleet.Places(r.Runner), PrefillTime: fleet.Read(c.runner.Service, r.Tokens), Share: d.prefillShare.Value(), Timeout: r.Timeout,
 	}, now)
 	if !ok {
 		refused := judge.Refuse(judge.ReasonQueue, "%s of prompts are to be read there", c.prefillQueue.Backlog(now).Round(time.Millisecond))
-		return relayer.Reserved{}, refused.After(wait)
+		return relayer.Reserved{}, refused.WithRetryAfter(wait)
 	}
 	return relayer.Reserved{Delay: wait, PrefillBacklog: c.prefillQueue.Backlog(now)}, nil
 }
--- a/internal/instance/gatekeeper/serve.go
+++ b/internal/instance/gatekeeper/serve.go
@@ -92,7 +92,7 @@
 // Refused counts and logs a request that was refused before it was forwarded.
 func (g *Gatekeeper) Refused(id string, err *judge.Error) {
 	g.countRefused(err)
-	g.Recorder.Log(recorder.Failed, "request", id, "verdict", err.Verdict, "reason", err.Reason, "retry", err.Retry, "err", err.Message)
+	g.Recorder.Log(recorder.Failed, "request", id, "verdict", err.Verdict, "reason", err.Reason, "retry", err.RetryAfter, "err", err.Message)
 }
 
 // Burst returns this instance's part of the retries that a service may make beyond its share of
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -25,9 +25,9 @@
 )
 
 // reporter returns the reporter for this instance's own spending.
-func (g *Gatekeeper) reporter(now time.Time) limiter.Party {
+func (g *Gatekeeper) reporter(now time.Time) limiter.Reporter {
 	born := g.quotas.started
-	return limiter.Party{Instance: g.Config.ID, Born: born.UnixNano(), Age: now.Sub(born)}
+	return limiter.Reporter{Instance: g.Config.ID, Incarnation: born.UnixNano(), Age: now.Sub(born)}
 }
 
 // exchange settles with another instance.
@@ -47,12 +47,12 @@
 // settle answers a Settle.
 func (g *Gatekeeper) settle(m relayer.Settle) (relayer.Settled, error) {
 	if m.Unsubscribed {
-		g.quotas.ledger.Part(m.Reporter.Instance)
+		g.quotas.ledger.Remove(m.Reporter.Instance)
 		return relayer.Settled{}, nil
 	}
 	now := time.Now()
 	balances, ok := g.quotas.ledger.Settle(m.Reporter, m.Spent, now)
-	since, keeps := g.quotas.ledger.Began()
+	since, keeps := g.quotas.ledger.StartedAt()
 	if !ok || !keeps {
 		return relayer.Settled{}, judge.Refuse(judge.ReasonOwner, "no quotas are settled here")
 	}
@@ -84,7 +84,7 @@
 // does, and reports whether it keeps one now.
 func (g *Gatekeeper) ensureLedger(now time.Time) bool {
 	keeps := g.leadsAny() && !g.Leaving()
-	_, kept := g.quotas.ledger.Began()
+	_, kept := g.quotas.ledger.StartedAt()
 	switch {
 	case keeps && !kept:
 		g.quotas.ledger.Begin(now)
@@ -137,7 +137,7 @@
 	now := time.Now()
 	for _, b := range balances {
 		if limit, ok := g.limitOf(b.Account); ok {
-			g.quotas.spender.Settled(b, limit, sentAt, now)
+			g.quotas.spender.ApplyBalance(b, limit, sentAt, now)
 		}
 	}
 }
@@ -145,12 +145,12 @@
 // settleWithLeaders reports to the leaders of the other domains what the instances that settle
 // here have spent.
 func (g *Gatekeeper) settleWithLeaders(ctx context.Context, now time.Time) {
-	since, ok := g.quotas.ledger.Began()
+	since, ok := g.quotas.ledger.StartedAt()
 	if catalog := g.Catalog(); !ok || catalog == nil || catalog.Accounts == nil {
 		return
 	}
 	update := relayer.Settle{
-		Reporter: limiter.Party{Instance: g.Config.ID, Born: since.UnixNano(), Domain: g.Config.Domain, Age: now.Sub(since)},
+		Reporter: limiter.Reporter{Instance: g.Config.ID, Incarnation: since.UnixNano(), Domain: g.Config.Domain, Age: now.Sub(since)},
 		Spent:    g.quotas.ledger.Report(now),
 	}
 	for _, to := range g.otherLeaders() {
--- a/internal/instance/gatekeeper/stop.go
+++ b/internal/instance/gatekeeper/stop.go
@@ -71,5 +71,5 @@
 	if !leaving || time.Since(since) < time.Duration(acceptFraction*float64(g.Config.Bounds.Grace)) {
 		return nil
 	}
-	return judge.Refuse(judge.ReasonStopping, "the instance is stopping").After(redirectDelay)
+	return judge.Refuse(judge.ReasonStopping, "the instance is stopping").WithRetryAfter(redirectDelay)
 }
--- a/internal/instance/gatekeeper/unresponsive_test.go
+++ b/internal/instance/gatekeeper/unresponsive_test.go
@@ -13,7 +13,7 @@
 // limit. It must be skipped once connections to it fail, and used again after its first response;
 // orders that get lost occasionally are no sign of a crash.
 func TestUnresponsiveRunnersAreSkipped(t *testing.T) {
-	refused := judge.Judge(judge.Dialed{Err: errors.New("connection refused")})
+	refused := judge.Judge(judge.DialFailed{Err: errors.New("connection refused")})
 	for _, tc := range []struct {
 		name   string
 		happen func(s *failureScore)
--- a/internal/instance/server/batch.go
+++ b/internal/instance/server/batch.go
@@ -19,11 +19,11 @@
 func (s *Server) CommitBatched(ctx context.Context, txn tabler.Txn) error {
 	address, ok := s.batcherAddress(time.Now())
 	if !ok {
-		return s.Claimer.Gather(ctx, txn)
+		return s.Claimer.CommitBatched(ctx, txn)
 	}
 	c, err := s.Mesh.Open(ctx, address, relayer.Commit{Txn: txn})
 	if err != nil {
-		return s.Claimer.Gather(ctx, txn)
+		return s.Claimer.CommitBatched(ctx, txn)
 	}
 	defer c.Close()
 	m, err := c.Next(ctx)
--- a/internal/instance/server/crashrow.go
+++ b/internal/instance/server/crashrow.go
@@ -26,7 +26,7 @@
 
 // applyCrashRows applies crash rows. Rows past the retention period are marked for deletion.
 func (s *Server) applyCrashRows(rows []tabler.Row, now time.Time) {
-	var reports []quarantiner.Word
+	var reports []quarantiner.CrashReport
 	for _, row := range rows {
 		_, rest, ok := strings.Cut(row.Key, crashInfix)
 		if !ok {
@@ -38,9 +38,9 @@
 			s.warnUndecodable("crash row", err)
 			continue
 		}
-		w := storedRow.Word(quarantiner.Crash{Digest: quarantiner.Digest(digest), Runner: engine}, now)
+		w := storedRow.Report(quarantiner.Crash{Digest: quarantiner.Digest(digest), Runner: engine}, now)
 		s.quarantine.recordStored(w.Crash(), true)
-		if w.Age >= quarantiner.Memory {
+		if w.Age >= quarantiner.Retention {
 			s.quarantine.queueRow(w.Crash(), true)
 		}
 		reports = append(reports, w)
@@ -49,8 +49,8 @@
 }
 
 // storeCrashReports queues rows for new crash reports. A crash is stored once its request
-// has reached KeptFrom crashes; a cleared one only if it is stored or queued already.
-func (s *Server) storeCrashReports(reports []quarantiner.Word) {
+// has reached MinPersistedCrashes; a cleared one only if it is stored or queued already.
+func (s *Server) storeCrashReports(reports []quarantiner.CrashReport) {
 	now := time.Now()
 	for _, w := range reports {
 		if w.Cleared {
@@ -59,8 +59,8 @@
 			}
 			continue
 		}
-		crashes := s.quarantine.ledger.Open(w.Digest, now)
-		if len(crashes) < quarantiner.KeptFrom {
+		crashes := s.quarantine.ledger.Uncleared(w.Digest, now)
+		if len(crashes) < quarantiner.MinPersistedCrashes {
 			continue
 		}
 		for _, o := range crashes {
@@ -104,7 +104,7 @@
 	rows := make(map[quarantiner.Crash]bool)
 	for c, drop := range q.queuedRows {
 		rows[c] = drop
-		w, ok := q.ledger.Word(c, now)
+		w, ok := q.ledger.Report(c, now)
 		if drop || !ok {
 			txn.Deletes = append(txn.Deletes, s.crashKey(c))
 			continue
--- a/internal/instance/server/gauges.go
+++ b/internal/instance/server/gauges.go
@@ -10,7 +10,7 @@
 			blocked, _ := s.Driver.Blocked()
 			return float64(blocked)
 		},
-		"sardinetiller_claims_owed": func() float64 { return float64(s.Claimer.Owed()) },
+		"sardinetiller_claims_owed": func() float64 { return float64(s.Claimer.PendingWithdrawals()) },
 		"sardinetiller_epoch":       func() float64 { return float64(s.epoch()) },
 		"sardinetiller_frames_dropped": func() float64 {
 			stale, _ := s.Mesh.Dropped()
--- a/internal/instance/server/peer.go
+++ b/internal/instance/server/peer.go
@@ -22,7 +22,7 @@
 	case relayer.Ask:
 		return s.answerAsk(ctx, &m.Call, reply)
 	case relayer.Commit:
-		return reply.Send(commitResult(s.Claimer.Gather(ctx, m.Txn)))
+		return reply.Send(commitResult(s.Claimer.CommitBatched(ctx, m.Txn)))
 	case relayer.Fetch:
 		data, ok := s.Watcher.Object(m.Key)
 		if !ok {
@@ -85,7 +85,7 @@
 // answerAsk serves a call that a peer forwarded, on the named runner or, if none
 // is named, on any runner of this failure domain.
 func (s *Server) answerAsk(ctx context.Context, call *streamer.Call, reply *relayer.Reply) error {
-	call.Deadline = time.Now().Add(call.Left)
+	call.Deadline = time.Now().Add(call.TimeLeft)
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
 	if call.Runner == "" {
@@ -131,13 +131,13 @@
 	return health == heartbeater.Live || health == heartbeater.Leaving
 }
 
-// Ask implements dispatcher.Peers.
-func (s *Server) Ask(ctx context.Context, incarnation string, call *streamer.Call, sink streamer.Sink) error {
+// Forward implements dispatcher.Peers.
+func (s *Server) Forward(ctx context.Context, incarnation string, call *streamer.Call, sink streamer.Sink) error {
 	address, ok := s.address(incarnation)
 	if !ok {
 		return judge.Refuse(judge.ReasonPeer, "instance %s is not known", incarnation)
 	}
-	call.Left = time.Until(call.Deadline)
+	call.TimeLeft = time.Until(call.Deadline)
 	c, err := s.Mesh.Open(ctx, address, relayer.Ask{Call: *call})
 	if err != nil {
 		return err
@@ -164,8 +164,8 @@
 	}
 }
 
-// Elsewhere implements dispatcher.Peers.
-func (s *Server) Elsewhere() []string {
+// RemotePeers implements dispatcher.Peers.
+func (s *Server) RemotePeers() []string {
 	var incarnations []string
 	for _, i := range s.remotePeers(time.Now()) {
 		incarnations = append(incarnations, i.Incarnation)
--- a/internal/instance/server/quarantine.go
+++ b/internal/instance/server/quarantine.go
@@ -32,27 +32,27 @@
 
 // Crashed implements driver.Quarantine.
 func (s *Server) Crashed(engine string, requests map[quarantiner.Digest]time.Duration) {
-	var reports []quarantiner.Word
+	var reports []quarantiner.CrashReport
 	for d, ran := range requests {
-		reports = append(reports, quarantiner.Word{Digest: d, Runner: engine, Ran: ran})
+		reports = append(reports, quarantiner.CrashReport{Digest: d, Runner: engine, RunTime: ran})
 	}
 	s.publishCrashReports(s.applyCrashReports(reports, "self"))
 }
 
-// Held implements driver.Quarantine and dispatcher.Quarantine.
-func (s *Server) Held(call *streamer.Call) *judge.Error {
+// Refusal implements driver.Quarantine and dispatcher.Quarantine.
+func (s *Server) Refusal(call *streamer.Call) *judge.Error {
 	if s.quarantine.ledger.Empty() {
 		return nil
 	}
-	left, held := s.quarantine.ledger.Held(call.Digest(), time.Now())
+	left, held := s.quarantine.ledger.Quarantined(call.Digest(), time.Now())
 	if !held {
 		return nil
 	}
-	return judge.Refuse(judge.ReasonQuarantine, "the engines that ran this request crashed").After(left)
+	return judge.Refuse(judge.ReasonQuarantine, "the engines that ran this request crashed").WithRetryAfter(left)
 }
 
-// Whole implements dispatcher.Quarantine.
-func (s *Server) Whole(call *streamer.Call) {
+// ReportCompleted implements dispatcher.Quarantine.
+func (s *Server) ReportCompleted(call *streamer.Call) {
 	if s.quarantine.ledger.Empty() {
 		return
 	}
@@ -79,10 +79,10 @@
 }
 
 // applyCrashReports applies crash reports and returns those that were new.
-func (s *Server) applyCrashReports(reports []quarantiner.Word, from string) []quarantiner.Word {
-	newReports := s.quarantine.ledger.Take(reports, time.Now())
+func (s *Server) applyCrashReports(reports []quarantiner.CrashReport, from string) []quarantiner.CrashReport {
+	newReports := s.quarantine.ledger.Apply(reports, time.Now())
 	for _, w := range newReports {
-		left, held := s.quarantine.ledger.Held(w.Digest, time.Now())
+		left, held := s.quarantine.ledger.Quarantined(w.Digest, time.Now())
 		_ = level.Info(s.Logger).Log("msg", "request suspected", "digest", w.Digest, "engine", w.Runner, "cleared", w.Cleared,
 			"from", from, "held", held, "for", left)
 	}
@@ -94,7 +94,7 @@
 // from another failure domain, whose rows are not read here. Reports from a peer of this
 // domain or from the table reach the other instances directly; if each instance relayed
 // them, one crash would cost a number of messages quadratic in the number of instances.
-func (s *Server) publishCrashReports(reports []quarantiner.Word) {
+func (s *Server) publishCrashReports(reports []quarantiner.CrashReport) {
 	if len(reports) == 0 {
 		return
 	}
@@ -104,7 +104,7 @@
 }
 
 // scheduleReports schedules crash reports for the next heartbeats.
-func (q *quarantine) scheduleReports(reports []quarantiner.Word) {
+func (q *quarantine) scheduleReports(reports []quarantiner.CrashReport) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.repeatedSince == nil {
@@ -116,12 +116,12 @@
 }
 
 // scheduledReports returns the crash reports to send now.
-func (q *quarantine) scheduledReports(now time.Time) []quarantiner.Word {
+func (q *quarantine) scheduledReports(now time.Time) []quarantiner.CrashReport {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	var reports []quarantiner.Word
+	var reports []quarantiner.CrashReport
 	for c, since := range q.repeatedSince {
-		w, ok := q.ledger.Word(c, now)
+		w, ok := q.ledger.Report(c, now)
 		if !ok || now.Sub(since) > crashReportRepeat {
 			delete(q.repeatedSince, c)
 			continue
--- a/internal/instance/server/quarantine_test.go
+++ b/internal/instance/server/quarantine_test.go
@@ -18,7 +18,7 @@
 // would cost 16,000 messages. So only the instance that observed the crash, or received
 // the report from another domain, sends it to its own domain.
 func TestCrashReportsAreRelayedOnce(t *testing.T) {
-	report := quarantiner.Word{Digest: "d", Runner: "engine-1"}
+	report := quarantiner.CrashReport{Digest: "d", Runner: "engine-1"}
 	for _, tc := range []struct {
 		name    string
 		receive func(s *Server)
@@ -26,12 +26,12 @@
 	}{
 		{"observed here", func(s *Server) { s.Crashed(report.Runner, map[quarantiner.Digest]time.Duration{report.Digest: 0}) }, 1},
 		{"received from a peer of the domain", func(s *Server) {
-			s.HandleCrashReports(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Crashes{Reports: []quarantiner.Word{report}})
+			s.HandleCrashReports(heartbeater.Instance{ID: "a-2", Domain: "a"}, relayer.Crashes{Reports: []quarantiner.CrashReport{report}})
 		}, 0},
 		{"received from another domain", func(s *Server) {
-			s.HandleCrashReports(heartbeater.Instance{ID: "b-1", Domain: "b"}, relayer.Crashes{Reports: []quarantiner.Word{report}})
+			s.HandleCrashReports(heartbeater.Instance{ID: "b-1", Domain: "b"}, relayer.Crashes{Reports: []quarantiner.CrashReport{report}})
 		}, 1},
-		{"read from the table", func(s *Server) { s.applyCrashReports([]quarantiner.Word{report}, sourceTable) }, 0},
+		{"read from the table", func(s *Server) { s.applyCrashReports([]quarantiner.CrashReport{report}, sourceTable) }, 0},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			s := &Server{Logger: log.NewNopLogger(), Metrics: metrics.NewSet(), Monitor: &heartbeater.Monitor{}}
--- a/internal/member/relayer/conversation.go
+++ b/internal/member/relayer/conversation.go
@@ -87,7 +87,7 @@
 	}
 	if fail, failed := m.(Fail); failed {
 		c.ended = true
-		return nil, &judge.Error{Verdict: fail.Verdict, Reason: fail.Reason, Message: fail.Message, Retry: fail.Retry}
+		return nil, &judge.Error{Verdict: fail.Verdict, Reason: fail.Reason, Message: fail.Message, RetryAfter: fail.Retry}
 	}
 	c.ended = isLast(m)
 	return m, nil
--- a/internal/member/relayer/leader.go
+++ b/internal/member/relayer/leader.go
@@ -34,7 +34,7 @@
 // of others to the sender. It has no response and is sent again until the receiver
 // publishes the reports back.
 type Crashes struct {
-	Reports []quarantiner.Word `cbor:"1,keyasint"`
+	Reports []quarantiner.CrashReport `cbor:"1,keyasint"`
 }
 
 // A Reserve asks the leader of a failure domain for prefill capacity at one of its
@@ -70,31 +70,31 @@
 // News is an update about a failure domain. The response to a Subscribe is a stream of
 // them, each with the changes since the last one; without a change it is a heartbeat.
 type News struct {
-	Acting            bool                    `cbor:"7,keyasint,omitempty"` // the leader may send orders now
-	Age               time.Duration           `cbor:"8,keyasint,omitempty"` // since the last renewal of the lease was sent
-	Renewal           uint64                  `cbor:"9,keyasint,omitempty"` // version of the lease row from that renewal
-	Lease             elector.Lease           `cbor:"10,keyasint"`
-	ReleasedFence     uint64                  `cbor:"20,keyasint,omitempty"` // fencing token of the lease from which the sender stepped down; in its last update
-	Fresh             bool                    `cbor:"11,keyasint,omitempty"` // the runners are as in the store a moment ago
-	From              string                  `cbor:"-"`                     // instance that sent it; set by the receiver
-	Crashes           []quarantiner.Word      `cbor:"21,keyasint,omitempty"` // new crash reports
-	Removed           []RemovedRunner         `cbor:"1,keyasint,omitempty"`
-	Held              []Held                  `cbor:"2,keyasint,omitempty"`
-	HasLoads          bool                    `cbor:"13,keyasint,omitempty"` // Loads and Members are set; otherwise they are unchanged
-	Loads             map[string]tracker.Load `cbor:"3,keyasint,omitempty"`  // load of other instances on the domain's runners
-	SlotWaits         []SlotWait              `cbor:"14,keyasint,omitempty"` // changed since the last update
-	LoadQueueWait     time.Duration           `cbor:"12,keyasint,omitempty"` // until an adapter requested now begins to load
-	SinceLeaderUpdate time.Duration           `cbor:"16,keyasint,omitempty"` // since the last update from the leader; zero from the leader itself
-	Operator          TableVersion            `cbor:"15,keyasint,omitzero"`  // how far the sender knows the operator's table
-	Tables            []Table                 `cbor:"17,keyasint,omitempty"` // tables named in the Subscribe
-	LoadTime          time.Duration           `cbor:"18,keyasint,omitempty"` // time to load an adapter from the weight store
-	ReloadTime        time.Duration           `cbor:"19,keyasint,omitempty"` // time to load an adapter that the runner held before
-	Members           int                     `cbor:"4,keyasint"`            // number of subscribed instances, the sender included
-	Runners           []tracker.Runner        `cbor:"5,keyasint,omitempty"`  // new or changed descriptions
-	Checksum          uint64                  `cbor:"23,keyasint,omitempty"` // of the runners that the sender knows
-	StoreReached      Span                    `cbor:"24,keyasint,omitzero"`  // during which the store was reachable without interruption, up to the sender's last call
-	Revision          uint64                  `cbor:"22,keyasint,omitempty"` // of the store up to which the sender itself has read the table of runners
-	Snapshot          bool                    `cbor:"6,keyasint,omitempty"`  // snapshot: Runners and Held are complete
+	Acting            bool                      `cbor:"7,keyasint,omitempty"` // the leader may send orders now
+	Age               time.Duration             `cbor:"8,keyasint,omitempty"` // since the last renewal of the lease was sent
+	Renewal           uint64                    `cbor:"9,keyasint,omitempty"` // version of the lease row from that renewal
+	Lease             elector.Lease             `cbor:"10,keyasint"`
+	ReleasedFence     uint64                    `cbor:"20,keyasint,omitempty"` // fencing token of the lease from which the sender stepped down; in its last update
+	Fresh             bool                      `cbor:"11,keyasint,omitempty"` // the runners are as in the store a moment ago
+	From              string                    `cbor:"-"`                     // instance that sent it; set by the receiver
+	Crashes           []quarantiner.CrashReport `cbor:"21,keyasint,omitempty"` // new crash reports
+	Removed           []RemovedRunner           `cbor:"1,keyasint,omitempty"`
+	Held              []Held                    `cbor:"2,keyasint,omitempty"`
+	HasLoads          bool                      `cbor:"13,keyasint,omitempty"` // Loads and Members are set; otherwise they are unchanged
+	Loads             map[string]tracker.Load   `cbor:"3,keyasint,omitempty"`  // load of other instances on the domain's runners
+	SlotWaits         []SlotWait                `cbor:"14,keyasint,omitempty"` // changed since the last update
+	LoadQueueWait     time.Duration             `cbor:"12,keyasint,omitempty"` // until an adapter requested now begins to load
+	SinceLeaderUpdate time.Duration             `cbor:"16,keyasint,omitempty"` // since the last update from the leader; zero from the leader itself
+	Operator          TableVersion              `cbor:"15,keyasint,omitzero"`  // how far the sender knows the operator's table
+	Tables            []Table                   `cbor:"17,keyasint,omitempty"` // tables named in the Subscribe
+	LoadTime          time.Duration             `cbor:"18,keyasint,omitempty"` // time to load an adapter from the weight store
+	ReloadTime        time.Duration             `cbor:"19,keyasint,omitempty"` // time to load an adapter that the runner held before
+	Members           int                       `cbor:"4,keyasint"`            // number of subscribed instances, the sender included
+	Runners           []tracker.Runner          `cbor:"5,keyasint,omitempty"`  // new or changed descriptions
+	Checksum          uint64                    `cbor:"23,keyasint,omitempty"` // of the runners that the sender knows
+	StoreReached      Span                      `cbor:"24,keyasint,omitzero"`  // during which the store was reachable without interruption, up to the sender's last call
+	Revision          uint64                    `cbor:"22,keyasint,omitempty"` // of the store up to which the sender itself has read the table of runners
+	Snapshot          bool                      `cbor:"6,keyasint,omitempty"`  // snapshot: Runners and Held are complete
 }
 
 // A Span is a period of time, given by how long ago it began and ended.
@@ -198,7 +198,7 @@
 	n.Held = append(n.Held, Held{Runner: runner, Model: c.Model, Copies: []CopyState{s}})
 }
 
-// A RemovedRunner is a removed runner, with the last revision of its description.
+// A RemovedRunner names a runner that was removed, with the last revision of its description.
 type RemovedRunner struct {
 	_        struct{} `cbor:",toarray"`
 	Runner   string
--- a/internal/member/relayer/mesh_test.go
+++ b/internal/member/relayer/mesh_test.go
@@ -148,7 +148,7 @@
 	var s streamer.Sequencer
 	for i, tc := range []struct {
 		number uint32
-		want   streamer.Place
+		want   streamer.Position
 	}{{1, streamer.Next}, {1, streamer.Stale}, {2, streamer.Next}, {4, streamer.Gap}, {1, streamer.Stale}, {3, streamer.Next}} {
 		if got := s.Accept(tc.number); got != tc.want {
 			t.Errorf("step %d: Accept(%d) = %v, want %v", i, tc.number, got, tc.want)
--- a/internal/member/relayer/message.go
+++ b/internal/member/relayer/message.go
@@ -237,7 +237,7 @@
 // failOf returns the message that ends a response with an error.
 func failOf(err error) Fail {
 	e := judge.As(err)
-	return Fail{Verdict: e.Verdict, Reason: e.Reason, Message: e.Message, Retry: e.Retry}
+	return Fail{Verdict: e.Verdict, Reason: e.Reason, Message: e.Message, Retry: e.RetryAfter}
 }
 
 // Surrender returns the references and evictions of the previous owner.
--- a/internal/member/relayer/quota.go
+++ b/internal/member/relayer/quota.go
@@ -9,7 +9,7 @@
 // A Settle reports what the sender has spent to an instance that keeps a ledger of quotas.
 type Settle struct {
 	_            struct{} `cbor:",toarray"`
-	Reporter     limiter.Party
+	Reporter     limiter.Reporter
 	Spent        []limiter.Spent
 	Unsubscribed bool // the sender settles with another instance from now on; Spent is not set
 }
--- a/internal/request/admitter/queue.go
+++ b/internal/request/admitter/queue.go
@@ -94,12 +94,12 @@
 // would keep everyone else out.
 func (q *Queue) Offer(item Item) (displaced *Item, err error) {
 	if 2*len(q.items) >= q.Limit && float64(q.countOf(item.Account)) >= q.Share*float64(q.Limit) {
-		return nil, judge.Refuse(judge.ReasonShare, "account %s holds its share of the queue", item.Account).After(time.Second)
+		return nil, judge.Refuse(judge.ReasonShare, "account %s holds its share of the queue", item.Account).WithRetryAfter(time.Second)
 	}
 	if len(q.items) >= q.Limit {
 		index := q.displaceable(item.Account)
 		if index < 0 {
-			return nil, judge.Refuse(judge.ReasonQueue, "the queue holds %d requests", len(q.items)).After(time.Second)
+			return nil, judge.Refuse(judge.ReasonQueue, "the queue holds %d requests", len(q.items)).WithRetryAfter(time.Second)
 		}
 		removed := q.items[index]
 		displaced = &removed
@@ -111,7 +111,7 @@
 
 // Displaced returns the error for the caller of a displaced item.
 func Displaced(item *Item) *judge.Error {
-	return judge.Refuse(judge.ReasonShare, "the queue is full and account %s holds the most of it", item.Account).After(time.Second)
+	return judge.Refuse(judge.ReasonShare, "the queue is full and account %s holds the most of it", item.Account).WithRetryAfter(time.Second)
 }
 
 // displaceable returns the index of the last item of the account with the most items, or -1
--- a/internal/request/admitter/timeline.go
+++ b/internal/request/admitter/schedule.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// A Timeline is the schedule of the prompts that one runner has been sent for prefill. It
+// A PrefillSchedule is the schedule of the prompts that one runner has been sent for prefill. It
 // is kept by the instance that sees all requests of the runner, so that the instances that
 // send them need no coordination. Its zero value is ready.
 //
@@ -11,18 +11,18 @@
 // runner that prefills all the time makes all gaps exceed the maximum. Therefore the
 // prefill time within one maximum gap is limited: a prompt is delayed until it fits, and
 // refused if that is too late.
-type Timeline struct {
+type PrefillSchedule struct {
 	pacedUntil time.Time // when the prefill would end at the rate that the running requests tolerate
 	busyUntil  time.Time // when the prefill ends
 }
 
 // A Prompt is the prompt of a request that is to be sent to a runner.
 type Prompt struct {
-	Pause  time.Duration // maximum gap between events of the running requests; 0 for no limit
-	Queue  time.Duration // until a slot in the batch is free
-	Read   time.Duration // prefill time of the prompt
-	Share  float64       // fraction of the time that the runner may spend on prefill; 0 if unknown
-	Within time.Duration // within which the prefill has to be done
+	MaxGap      time.Duration // maximum gap between events of the running requests; 0 for no limit
+	SlotWait    time.Duration // until a slot in the batch is free
+	PrefillTime time.Duration // prefill time of the prompt
+	Share       float64       // fraction of the time that the runner may spend on prefill; 0 if unknown
+	Timeout     time.Duration // within which the prefill has to be done
 }
 
 // burstFraction is the fraction of a maximum gap that a runner may spend on prefill beyond
@@ -32,28 +32,28 @@
 
 // Reserve returns how long to delay the request. If its prefill would be late, ok is false,
 // nothing is reserved, and wait is by how much it would be late.
-func (t *Timeline) Reserve(p Prompt, now time.Time) (wait time.Duration, ok bool) {
+func (t *PrefillSchedule) Reserve(p Prompt, now time.Time) (wait time.Duration, ok bool) {
 	share := p.Share
 	if share == 0 {
 		share = initialShare
 	}
-	wait = p.Queue
-	if p.Pause > 0 {
+	wait = p.SlotWait
+	if p.MaxGap > 0 {
 		ahead := max(0, t.pacedUntil.Sub(now)) // limited first: the zero time is long ago
-		wait = max(wait, ahead-time.Duration(burstFraction*share*float64(p.Pause)))
+		wait = max(wait, ahead-time.Duration(burstFraction*share*float64(p.MaxGap)))
 	}
 	before := max(wait, t.busyUntil.Sub(now))
-	if late := before + p.Read - p.Within; late > 0 {
+	if late := before + p.PrefillTime - p.Timeout; late > 0 {
 		return late, false
 	}
 	sent := now.Add(wait)
-	t.busyUntil = now.Add(before + p.Read)
+	t.busyUntil = now.Add(before + p.PrefillTime)
 	if t.pacedUntil.Before(sent) {
 		t.pacedUntil = sent
 	}
-	t.pacedUntil = t.pacedUntil.Add(time.Duration(float64(p.Read) / share))
+	t.pacedUntil = t.pacedUntil.Add(time.Duration(float64(p.PrefillTime) / share))
 	return wait, true
 }
 
 // Backlog returns how long the prefill of the reserved prompts still takes.
-func (t *Timeline) Backlog(now time.Time) time.Duration { return max(0, t.busyUntil.Sub(now)) }
+func (t *PrefillSchedule) Backlog(now time.Time) time.Duration { return max(0, t.busyUntil.Sub(now)) }
--- a/internal/request/admitter/timeline_test.go
+++ b/internal/request/admitter/schedule_test.go
@@ -8,10 +8,10 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/admitter"
 )
 
-func ExampleTimeline_Reserve() {
-	var t admitter.Timeline
+func ExamplePrefillSchedule_Reserve() {
+	var t admitter.PrefillSchedule
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	prompt := admitter.Prompt{Pause: 200 * time.Millisecond, Read: 60 * time.Millisecond, Within: 350 * time.Millisecond}
+	prompt := admitter.Prompt{MaxGap: 200 * time.Millisecond, PrefillTime: 60 * time.Millisecond, Timeout: 350 * time.Millisecond}
 	for range 5 {
 		fmt.Println(t.Reserve(prompt, now))
 	}
@@ -30,11 +30,11 @@
 func TestReserveBoundsPrefillPerGap(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	const read, pause, within = 20 * time.Millisecond, 250 * time.Millisecond, 900 * time.Millisecond
-	var timeline admitter.Timeline
+	var timeline admitter.PrefillSchedule
 	var sent []time.Duration
 	refused := 0
 	for range 60 {
-		wait, ok := timeline.Reserve(admitter.Prompt{Pause: pause, Read: read, Within: within}, start)
+		wait, ok := timeline.Reserve(admitter.Prompt{MaxGap: pause, PrefillTime: read, Timeout: within}, start)
 		if !ok {
 			refused++
 			continue
--- a/internal/request/admitter/share.go
+++ b/internal/request/admitter/share.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// A Share is the fraction of the time that runners may spend on prefill while other
+// A PrefillShare is the fraction of the time that runners may spend on prefill while other
 // requests run there, learned from the gaps between events that callers observed. It is not
 // safe for concurrent use; its zero value is ready.
 //
@@ -10,7 +10,7 @@
 // engine: some prefill a bounded chunk between two tokens, however much is queued, others
 // everything that is queued. With a fixed share of one half, prompts were delayed by 0.1 to
 // 0.2 s on runners whose gaps stayed below two thirds of the maximum.
-type Share struct {
+type PrefillShare struct {
 	offset float64 // from initialShare
 }
 
@@ -41,10 +41,10 @@
 )
 
 // Value returns the share.
-func (s *Share) Value() float64 { return initialShare + s.offset }
+func (s *PrefillShare) Value() float64 { return initialShare + s.offset }
 
-// Learn records how many responses had only short gaps, and how many had a long one.
-func (s *Share) Learn(short, long int) {
+// Record records how many responses had only short gaps, and how many had a long one.
+func (s *PrefillShare) Record(short, long int) {
 	s.increase(float64(short))
 	for range long {
 		s.decrease()
@@ -52,7 +52,7 @@
 	s.offset = min(maxShare-initialShare, max(minShare-initialShare, s.offset))
 }
 
-func (s *Share) increase(short float64) {
+func (s *PrefillShare) increase(short float64) {
 	if s.offset < 0 {
 		s.offset += lowShareIncrement * short
 		return
@@ -60,7 +60,7 @@
 	s.offset += shareIncrement * short
 }
 
-func (s *Share) decrease() {
+func (s *PrefillShare) decrease() {
 	if s.offset <= 0 {
 		s.offset -= lowShareDecrement
 		return
@@ -68,10 +68,10 @@
 	s.offset = max(0, s.offset-shareDecrement)
 }
 
-// Short reports whether the longest gap of a response leaves its runner time for more
+// IsShortGap reports whether the longest gap of a response leaves its runner time for more
 // prefill.
-func Short(gap, limit time.Duration) bool { return float64(gap) < shortGap*float64(limit) }
+func IsShortGap(gap, limit time.Duration) bool { return float64(gap) < shortGap*float64(limit) }
 
-// Long reports whether the longest gap of a response was about the maximum or above. Gaps
+// IsLongGap reports whether the longest gap of a response was about the maximum or above. Gaps
 // between the two bounds are neither short nor long.
-func Long(gap, limit time.Duration) bool { return float64(gap) > longGap*float64(limit) }
+func IsLongGap(gap, limit time.Duration) bool { return float64(gap) > longGap*float64(limit) }
--- a/internal/request/admitter/share_test.go
+++ b/internal/request/admitter/share_test.go
@@ -32,16 +32,16 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(1, 1))
-			var s admitter.Share
+			var s admitter.PrefillShare
 			sum, late := 0.0, 0
 			const answers = 2000
 			for n := range 2 * answers {
 				pause := tc.pause(rng, s.Value())
 				switch {
-				case admitter.Short(pause, limit):
-					s.Learn(1, 0)
-				case admitter.Long(pause, limit):
-					s.Learn(0, 1)
+				case admitter.IsShortGap(pause, limit):
+					s.Record(1, 0)
+				case admitter.IsLongGap(pause, limit):
+					s.Record(0, 1)
 				}
 				if n >= answers {
 					sum += s.Value()
--- a/internal/request/answerer/answerer.go
+++ b/internal/request/answerer/answerer.go
@@ -28,7 +28,7 @@
 	Claimer    *claimer.Claimer
 	Dispatcher Dispatcher
 	Domain     string
-	Force      func() *resolver.Resolver // current settings; nil if there are none yet
+	Settings   func() *resolver.Resolver // current settings; nil if there are none yet
 	Logger     log.Logger
 	Metrics    *metrics.Set
 	Stopping   func() bool   // reports whether new requests are refused
@@ -102,9 +102,9 @@
 
 // authenticate identifies the account of a request.
 func (a *Answerer) authenticate(c *fasthttp.RequestCtx) (*resolver.Resolver, resolver.Caller, *judge.Error) {
-	settings := a.Force()
+	settings := a.Settings()
 	if settings == nil {
-		return nil, resolver.Caller{}, judge.Refuse(judge.ReasonStarting, "no settings are in force here yet").After(time.Second)
+		return nil, resolver.Caller{}, judge.Refuse(judge.ReasonStarting, "no settings are in force here yet").WithRetryAfter(time.Second)
 	}
 	caller, ok := settings.Caller(bearer(c))
 	if !ok {
@@ -118,13 +118,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.Stopping() {
-		return judge.Refuse(judge.ReasonStopping, "this instance is leaving; ask again").After(time.Second)
+		return judge.Refuse(judge.ReasonStopping, "this instance is leaving; ask again").WithRetryAfter(time.Second)
 	}
 	if a.open == nil {
 		a.open = make(map[string]int)
 	}
 	if a.open[account] >= limit {
-		return judge.Refuse(judge.ReasonShare, "account %s has %d requests open here", account, limit).After(time.Second)
+		return judge.Refuse(judge.ReasonShare, "account %s has %d requests open here", account, limit).WithRetryAfter(time.Second)
 	}
 	a.open[account]++
 	return nil
--- a/internal/request/answerer/parse.go
+++ b/internal/request/answerer/parse.go
@@ -85,13 +85,13 @@
 	if refusal != nil {
 		return refusal
 	}
-	call.Left = left
+	call.TimeLeft = left
 	call.Deadline = time.Now().Add(left)
 	call.Key = string(c.Request.Header.Peek(HeaderKey))
 	if len(call.Key) > maxKeyLength {
 		return judge.Refuse(judge.ReasonHeader, "%s has %d bytes, at most %d are allowed", HeaderKey, len(call.Key), maxKeyLength)
 	}
-	if call.Once, refusal = parseOnce(c); refusal != nil {
+	if call.NonIdempotent, refusal = parseOnce(c); refusal != nil {
 		return refusal
 	}
 	return parsePriority(string(c.Request.Header.Peek(HeaderPriority)), call)
--- a/internal/request/answerer/parse_test.go
+++ b/internal/request/answerer/parse_test.go
@@ -27,12 +27,12 @@
 		reason              judge.Reason // empty if accepted
 		check               func(call *streamer.Call) bool
 	}{
-		{"seconds", HeaderDeadline, "2.5", "", func(c *streamer.Call) bool { return c.Left == 2500*time.Millisecond }},
-		{"duration", HeaderDeadline, "150ms", "", func(c *streamer.Call) bool { return c.Left == 150*time.Millisecond }},
-		{"no deadline", "X-Other", "x", "", func(c *streamer.Call) bool { return c.Left == time.Minute }},
+		{"seconds", HeaderDeadline, "2.5", "", func(c *streamer.Call) bool { return c.TimeLeft == 2500*time.Millisecond }},
+		{"duration", HeaderDeadline, "150ms", "", func(c *streamer.Call) bool { return c.TimeLeft == 150*time.Millisecond }},
+		{"no deadline", "X-Other", "x", "", func(c *streamer.Call) bool { return c.TimeLeft == time.Minute }},
 		{"bad deadline", HeaderDeadline, "soon", judge.ReasonHeader, nil},
 		{"past deadline", HeaderDeadline, "-1s", judge.ReasonHeader, nil},
-		{"once", HeaderOnce, "true", "", func(c *streamer.Call) bool { return c.Once }},
+		{"once", HeaderOnce, "true", "", func(c *streamer.Call) bool { return c.NonIdempotent }},
 		{"bad once", HeaderOnce, "yes", judge.ReasonHeader, nil},
 		{"priority", HeaderPriority, "-3", "", func(c *streamer.Call) bool { return c.Priority == -3 }},
 		{"bad priority", HeaderPriority, "11", judge.ReasonHeader, nil},
--- a/internal/request/answerer/pipe.go
+++ b/internal/request/answerer/pipe.go
@@ -72,7 +72,7 @@
 
 // needsClaim reports whether the request must not run twice and has a key by
 // which a repetition is recognized.
-func (p *pipe) needsClaim() bool { return p.call.Once && p.call.Key != "" }
+func (p *pipe) needsClaim() bool { return p.call.NonIdempotent && p.call.Key != "" }
 
 // event returns a part as it is written to the caller.
 func (p *pipe) event(data []byte) []byte {
@@ -128,7 +128,7 @@
 	if p.call.Stream {
 		p.recorded = append(p.recorded, doneEvent...)
 	}
-	p.answerer.Claimer.End(ctx, ticket, &claimer.Outcome{Status: p.sentHead.Status, Type: p.sentHead.Type, Body: p.recorded}, nil)
+	p.answerer.Claimer.End(ctx, ticket, &claimer.Outcome{Status: p.sentHead.Status, Type: p.sentHead.ContentType, Body: p.recorded}, nil)
 }
 
 // replay sends the outcome of the first request with the key. The stored body
@@ -136,7 +136,7 @@
 func (p *pipe) replay(outcome *claimer.Outcome) error {
 	p.call.Stream = false
 	p.call.Key = "" // the outcome is already recorded
-	if err := p.Head(streamer.Head{Status: outcome.Status, Type: outcome.Type}); err != nil {
+	if err := p.Head(streamer.Head{Status: outcome.Status, ContentType: outcome.Type}); err != nil {
 		return err
 	}
 	return p.Data(outcome.Body)
@@ -161,7 +161,7 @@
 
 func (p *pipe) writeHead(c *fasthttp.RequestCtx, head streamer.Head) {
 	c.SetStatusCode(head.Status)
-	c.SetContentType(head.Type)
+	c.SetContentType(head.ContentType)
 	c.Response.Header.Set(HeaderRunner, head.Runner)
 	c.Response.Header.Set(HeaderStall, head.Stall.String())
 	if p.call.Stream {
--- a/internal/request/claimer/batcher_test.go
+++ b/internal/request/claimer/batcher_test.go
@@ -43,7 +43,7 @@
 						time.Sleep(time.Duration(i) * time.Second / time.Duration(tc.claims))
 						key := fmt.Sprint("claim/", i)
 						txn := tabler.Txn{Checks: []tabler.Check{{Key: key}}, Puts: []tabler.Put{{Key: key}}}
-						if err := c.Gather(ctx, txn); err != nil {
+						if err := c.CommitBatched(ctx, txn); err != nil {
 							t.Error(err)
 						}
 					})
@@ -71,7 +71,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			key := fmt.Sprint("claim/", serial.Add(1))
-			if err := c.Gather(b.Context(), tabler.Txn{Checks: []tabler.Check{{Key: key}}, Puts: []tabler.Put{{Key: key}}}); err != nil {
+			if err := c.CommitBatched(b.Context(), tabler.Txn{Checks: []tabler.Check{{Key: key}}, Puts: []tabler.Put{{Key: key}}}); err != nil {
 				b.Error(err)
 			}
 		}
--- a/internal/request/claimer/claimer.go
+++ b/internal/request/claimer/claimer.go
@@ -15,12 +15,12 @@
 
 // A Claimer claims requests with an idempotency key. Its fields are set before Run.
 type Claimer struct {
-	Gone  func(incarnation string) bool                   // reports whether an instance has stopped for good
-	Route func(ctx context.Context, txn tabler.Txn) error // commits through the batcher of the domain; nil for Gather
-	Self  string                                          // own incarnation
-	Store storer.Store
-	Table tabler.Table
-	Token func() string
+	Gone   func(incarnation string) bool                   // reports whether an instance has stopped for good
+	Commit func(ctx context.Context, txn tabler.Txn) error // commits through the batcher of the domain; nil for CommitBatched
+	Self   string                                          // own incarnation
+	Store  storer.Store
+	Table  tabler.Table
+	Token  func() string
 
 	batcher       *batcher
 	mu            sync.Mutex
@@ -117,10 +117,10 @@
 	delete(c.active, claim.Token)
 }
 
-// Gather commits a transaction in a batch with others that arrive at about the
+// CommitBatched commits a transaction in a batch with others that arrive at about the
 // same time from this instance and from peers that route theirs here. It needs
 // no lease: the checks of the table decide, whichever instance writes.
-func (c *Claimer) Gather(ctx context.Context, txn tabler.Txn) error {
+func (c *Claimer) CommitBatched(ctx context.Context, txn tabler.Txn) error {
 	c.init()
 	return c.batcher.commit(ctx, txn)
 }
@@ -162,7 +162,7 @@
 	case errors.As(err, &unknown):
 		return c.confirm(ctx, t)
 	default:
-		return judge.Refuse(judge.ReasonClaim, "the claim could not be written: %v", err).After(time.Second)
+		return judge.Refuse(judge.ReasonClaim, "the claim could not be written: %v", err).WithRetryAfter(time.Second)
 	}
 }
 
@@ -171,7 +171,7 @@
 func (c *Claimer) resolveExisting(ctx context.Context, t *Ticket) (*Outcome, bool, error) {
 	claim, version, err := c.read(ctx, t.row)
 	if err != nil {
-		return nil, false, judge.Refuse(judge.ReasonClaim, "the claim could not be read: %v", err).After(time.Second)
+		return nil, false, judge.Refuse(judge.ReasonClaim, "the claim could not be read: %v", err).WithRetryAfter(time.Second)
 	}
 	if version == 0 {
 		return nil, true, nil // withdrawn in the meantime
@@ -200,7 +200,7 @@
 func (c *Claimer) replay(ctx context.Context, claim Claim) (*Outcome, bool, error) {
 	body, err := c.Store.Get(ctx, claim.Object)
 	if err != nil {
-		return nil, false, &judge.Error{Verdict: judge.Ran, Reason: judge.ReasonDuplicate, Message: "the first request ran; its outcome cannot be read now", Retry: time.Second}
+		return nil, false, &judge.Error{Verdict: judge.Ran, Reason: judge.ReasonDuplicate, Message: "the first request ran; its outcome cannot be read now", RetryAfter: time.Second}
 	}
 	return &Outcome{Status: claim.Status, Type: claim.Type, Body: body}, false, nil
 }
@@ -230,10 +230,10 @@
 	if check != nil {
 		txn.Checks = []tabler.Check{*check}
 	}
-	if c.Route != nil {
-		return c.Route(ctx, txn)
+	if c.Commit != nil {
+		return c.Commit(ctx, txn)
 	}
-	return c.Gather(ctx, txn)
+	return c.CommitBatched(ctx, txn)
 }
 
 func (c *Claimer) read(ctx context.Context, row string) (Claim, uint64, error) {
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -200,7 +200,7 @@
 func TestSameKeyInOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		cl := newCluster(t, 1, 1)
-		if err := cl.claimers[0].Gather(t.Context(), tabler.Txn{Puts: []tabler.Put{{Key: "other"}}}); err != nil {
+		if err := cl.claimers[0].CommitBatched(t.Context(), tabler.Txn{Puts: []tabler.Put{{Key: "other"}}}); err != nil {
 			t.Fatal(err)
 		}
 		var wg sync.WaitGroup
--- a/internal/request/claimer/withdrawal.go
+++ b/internal/request/claimer/withdrawal.go
@@ -22,8 +22,8 @@
 	c.withdrawals[t.row] = withdrawal{token: t.claim.Token, scheduledAt: time.Now()}
 }
 
-// Owed returns the number of claims that wait to be withdrawn.
-func (c *Claimer) Owed() int {
+// PendingWithdrawals returns the number of claims that wait to be withdrawn.
+func (c *Claimer) PendingWithdrawals() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.withdrawals)
@@ -37,7 +37,7 @@
 	switch {
 	case err != nil:
 		c.scheduleWithdrawal(t)
-		return judge.Refuse(judge.ReasonClaim, "the answer to the claim was lost: %v", err).After(time.Second)
+		return judge.Refuse(judge.ReasonClaim, "the answer to the claim was lost: %v", err).WithRetryAfter(time.Second)
 	case version != 0 && claim.Token == t.claim.Token:
 		return nil
 	case version != 0:
@@ -45,7 +45,7 @@
 	default:
 		// The write may still take effect; the token distinguishes it from a later claim.
 		c.scheduleWithdrawal(t)
-		return judge.Refuse(judge.ReasonClaim, "the claim was not written").After(time.Second)
+		return judge.Refuse(judge.ReasonClaim, "the claim was not written").WithRetryAfter(time.Second)
 	}
 }
 
--- a/internal/request/dispatcher/dispatcher.go
+++ b/internal/request/dispatcher/dispatcher.go
@@ -28,19 +28,19 @@
 type Peers interface {
 	// Alive reports whether an instance accepts new requests.
 	Alive(incarnation string) bool
-	// Ask forwards a call to an instance and writes the response to the sink.
-	Ask(ctx context.Context, incarnation string, call *streamer.Call, sink streamer.Sink) error
-	// Elsewhere returns live instances of other failure domains, one for each
+	// Forward forwards a call to an instance and writes the response to the sink.
+	Forward(ctx context.Context, incarnation string, call *streamer.Call, sink streamer.Sink) error
+	// RemotePeers returns live instances of other failure domains, one for each
 	// domain, in the order in which to try them.
-	Elsewhere() []string
+	RemotePeers() []string
 }
 
 // A Quarantine refuses requests that crash the engines that run them.
 type Quarantine interface {
-	// Held returns the refusal of a quarantined request; nil if it may run.
-	Held(call *streamer.Call) *judge.Error
-	// Whole records that a request ran to completion.
-	Whole(call *streamer.Call)
+	// Refusal returns the refusal of a quarantined request; nil if it may run.
+	Refusal(call *streamer.Call) *judge.Error
+	// ReportCompleted records that a request ran to completion.
+	ReportCompleted(call *streamer.Call)
 }
 
 // A Dispatcher dispatches requests. Its fields are set before use; it is safe
@@ -49,7 +49,7 @@
 	Domain     string
 	Drained    func(upstream string) bool
 	Fleet      *monitor.Fleet
-	Force      func() *resolver.Resolver // current settings; nil if there are none yet
+	Settings   func() *resolver.Resolver // current settings; nil if there are none yet
 	Local      Server
 	Metrics    *metrics.Set
 	Peers      Peers
@@ -64,9 +64,9 @@
 // Dispatch serves a request. It returns nil after a complete response, else a
 // *judge.Error whose verdict holds for all attempts.
 func (d *Dispatcher) Dispatch(ctx context.Context, call *streamer.Call, sink streamer.Sink) error {
-	settings := d.Force()
+	settings := d.Settings()
 	if settings == nil {
-		return judge.Refuse(judge.ReasonStarting, "no settings are in force here yet").After(time.Second)
+		return judge.Refuse(judge.ReasonStarting, "no settings are in force here yet").WithRetryAfter(time.Second)
 	}
 	a := &attempts{
 		startedAt:  time.Now(),
@@ -82,7 +82,7 @@
 // Choose returns the runner that a request for the adapter would be sent to now,
 // and the owner of the runner.
 func (d *Dispatcher) Choose(adapter resolver.Adapter) (Step, bool) {
-	settings := d.Force()
+	settings := d.Settings()
 	candidates := d.Fleet.Candidates(adapter.Service, adapter.Name, nil, d.Peers.Alive)
 	if settings == nil || len(candidates) == 0 {
 		return Step{}, false
@@ -118,7 +118,7 @@
 		step, err := a.try(ctx)
 		a.steps = append(a.steps, step)
 		if err == nil {
-			a.dispatcher.Quarantine.Whole(a.call)
+			a.dispatcher.Quarantine.ReportCompleted(a.call)
 			return nil
 		}
 		judged := judge.As(err)
@@ -128,7 +128,7 @@
 		}
 		a.dispatcher.count("sardinetiller_attempt_failures_total", judged)
 		if !a.redirected(judged) {
-			if retries >= a.values.Retries || !retrier.May(judged, a.call.Once, a.sink.answered) || !a.dispatcher.budget.Withdraw() {
+			if retries >= a.values.Retries || !retrier.Retryable(judged, a.call.NonIdempotent, a.sink.answered) || !a.dispatcher.budget.Withdraw() {
 				return a.finalError(judged)
 			}
 			retries++
@@ -168,7 +168,7 @@
 }
 
 func (a *attempts) try(ctx context.Context) (Step, error) {
-	if refusal := a.dispatcher.Quarantine.Held(a.call); refusal != nil {
+	if refusal := a.dispatcher.Quarantine.Refusal(a.call); refusal != nil {
 		return Step{}, refusal
 	}
 	service, ok := a.settings.Service(a.call.Service)
@@ -202,7 +202,7 @@
 	if step.Owner == d.Self {
 		return step, d.Local.Serve(ctx, &call, a.sink)
 	}
-	return step, d.Peers.Ask(ctx, step.Owner, &call, a.sink)
+	return step, d.Peers.Forward(ctx, step.Owner, &call, a.sink)
 }
 
 // Bounds of the wait for a runner whose owner is changing, as in a rolling
@@ -231,8 +231,8 @@
 
 func (a *attempts) rank(candidates []router.Candidate) []router.Terms {
 	load, run := a.dispatcher.Local.Estimates()
-	r := router.Router{Policy: policy(a.values), Load: load, Service: run}
-	return r.Choose(router.Request{Adapter: a.call.Adapter, Left: a.left()}, candidates)
+	r := router.Router{Policy: policy(a.values), LoadTime: load, ExecutionTime: run}
+	return r.Choose(router.Request{Adapter: a.call.Adapter, TimeLeft: a.left()}, candidates)
 }
 
 // checkDeadline refuses a request whose adapter cannot be loaded before its
@@ -241,7 +241,7 @@
 func (a *attempts) checkDeadline(best router.Terms) error {
 	wait := time.Duration(best.Stall * float64(time.Second))
 	if left := a.left(); left > 0 && wait > left {
-		return judge.Refuse(judge.ReasonDeadline, "the adapter takes about %s to load and %s is left", wait.Round(time.Millisecond), left.Round(time.Millisecond)).After(wait - left)
+		return judge.Refuse(judge.ReasonDeadline, "the adapter takes about %s to load and %s is left", wait.Round(time.Millisecond), left.Round(time.Millisecond)).WithRetryAfter(wait - left)
 	}
 	return nil
 }
@@ -258,18 +258,18 @@
 // only once, so that it cannot loop between domains.
 func (a *attempts) tryOtherDomain(ctx context.Context) (Step, error) {
 	if a.call.Hops > 0 {
-		return Step{}, judge.Refuse(judge.ReasonUpstream, "no upstream of %s can serve in domain %s", a.call.Service, a.dispatcher.Domain).After(time.Second)
+		return Step{}, judge.Refuse(judge.ReasonUpstream, "no upstream of %s can serve in domain %s", a.call.Service, a.dispatcher.Domain).WithRetryAfter(time.Second)
 	}
 	call := *a.call
 	call.Hops++
-	for _, peer := range a.dispatcher.Peers.Elsewhere() {
+	for _, peer := range a.dispatcher.Peers.RemotePeers() {
 		if slices.Contains(a.tried, peer) {
 			continue
 		}
 		a.tried = append(a.tried, peer)
-		return Step{Owner: peer}, a.dispatcher.Peers.Ask(ctx, peer, &call, a.sink)
+		return Step{Owner: peer}, a.dispatcher.Peers.Forward(ctx, peer, &call, a.sink)
 	}
-	return Step{}, judge.Refuse(judge.ReasonUpstream, "no upstream of %s can serve", a.call.Service).After(time.Second)
+	return Step{}, judge.Refuse(judge.ReasonUpstream, "no upstream of %s can serve", a.call.Service).WithRetryAfter(time.Second)
 }
 
 // tryPlain sends a call to an upstream of a plain service in this failure domain,
@@ -303,7 +303,7 @@
 	case "least":
 		return router.Least{}
 	default:
-		return router.Cost{Stall: v.Stall, Batch: v.Batch}
+		return router.Cost{StallWeight: v.Stall, BatchWeight: v.Batch}
 	}
 }
 
--- a/internal/request/forwarder/attempt.go
+++ b/internal/request/forwarder/attempt.go
@@ -35,7 +35,7 @@
 	defer p.releaseSlot()
 	wd := p.newWatchdog(runner.ID, cancel)
 	defer wd.stop()
-	reply, observation := p.Upstream.Send(ctx, Attempt{Request: p.request, Runner: runner, After: p.lastEventID, Left: deadline.Sub(now)})
+	reply, observation := p.Upstream.Send(ctx, Attempt{Request: p.request, Runner: runner, LastEventID: p.lastEventID, Timeout: deadline.Sub(now)})
 	if observation != nil {
 		return p.handleNoResponse(ctx, run, runner, observation)
 	}
@@ -49,8 +49,8 @@
 	var err *judge.Error
 	if p.request.Route.Kind == matcher.Streaming && reply.Status < 300 {
 		err = p.relayStream(ctx, runner, reply, wd)
-		if gap := p.request.Route.Gap; err == nil && p.executions == 1 && p.longestGap > 0 && gap > 0 {
-			p.Placement.Paused(runner.ID, p.longestGap, gap)
+		if gap := p.request.Route.MaxGap; err == nil && p.executions == 1 && p.longestGap > 0 && gap > 0 {
+			p.Placement.ReportGap(runner.ID, p.longestGap, gap)
 		}
 	} else {
 		wd.stop()
@@ -74,7 +74,7 @@
 // handleNoResponse derives the error of an attempt that got no response head.
 func (p *exchange) handleNoResponse(ctx context.Context, run *tracker.Run, runner tracker.Runner, observation judge.Observation) *judge.Error {
 	err := judge.Judge(observation)
-	_, unreachable := observation.(judge.Dialed)
+	_, unreachable := observation.(judge.DialFailed)
 	if !unreachable {
 		p.delivered++
 	}
@@ -107,9 +107,9 @@
 	switch {
 	case reply.Instance != "" && reply.Instance != runner.Name():
 		p.Fleet.Remove(runner.ID, 0) // its address now belongs to another runner
-	case reply.Absent:
+	case reply.Misdirected:
 		p.Fleet.Missing(runner.ID, p.request.Copy)
-		p.Placement.Missing(runner.ID, p.request.Copy)
+		p.Placement.ReportMiss(runner.ID, p.request.Copy)
 	default:
 		p.tried[runner.ID] = true
 	}
@@ -128,9 +128,9 @@
 	if p.headSent {
 		return judge.Judge(judge.Failed{Status: reply.Status})
 	}
-	if reply.Status >= 500 && p.request.Route.Repeatable() && p.executions < p.request.Route.Attempts && p.budget.Withdraw() {
+	if reply.Status >= 500 && p.request.Route.Repeatable() && p.executions < p.request.Route.MaxExecutions && p.budget.Withdraw() {
 		p.tried[runner.ID] = true
-		p.Retried(judge.Judge(judge.Failed{Status: reply.Status}))
+		p.OnRetry(judge.Judge(judge.Failed{Status: reply.Status}))
 		return p.retryFailed(ctx, reply, body)
 	}
 	return p.deliver(reply, body)
@@ -138,7 +138,7 @@
 
 // deliver passes a complete response to the caller.
 func (p *exchange) deliver(reply *Reply, body []byte) *judge.Error {
-	if p.sink.Whole(reply, body) != nil {
+	if p.sink.Complete(reply, body) != nil {
 		return errCallerGone
 	}
 	p.status = reply.Status
--- a/internal/request/forwarder/choose.go
+++ b/internal/request/forwarder/choose.go
@@ -20,7 +20,7 @@
 		p.releaseSlot()
 		if runner, refused, decided := p.chooseWithSlot(ctx); decided {
 			if refused != nil {
-				refused = refused.After(retryAfter(refused.Retry))
+				refused = refused.WithRetryAfter(retryAfter(refused.RetryAfter))
 			}
 			return runner, refused
 		}
@@ -66,18 +66,18 @@
 // awaitAdapter requests the adapter at a runner and waits for the next poll. It refuses the
 // request if the adapter is expected too late.
 func (p *exchange) awaitAdapter(ctx context.Context, best router.Terms, now time.Time) *judge.Error {
-	if p.Ending() {
-		return judge.Refuse(judge.ReasonStopping, "the instance ends before the adapter is there").After(retryAfter(0))
+	if p.Stopping() {
+		return judge.Refuse(judge.ReasonStopping, "the instance ends before the adapter is there").WithRetryAfter(retryAfter(0))
 	}
 	stall := time.Duration(best.Stall * float64(time.Second))
 	waited := now.Sub(p.request.Arrived)
 	if waited+stall > p.adapterWaitLimit() {
-		return judge.Refuse(judge.ReasonLoad, "the adapter comes in %s", stall.Round(time.Millisecond)).After(retryAfter(stall))
+		return judge.Refuse(judge.ReasonLoad, "the adapter comes in %s", stall.Round(time.Millisecond)).WithRetryAfter(retryAfter(stall))
 	}
 	p.loadRunner = best.Runner
 	p.releaseCopy()
-	p.Placement.Wait(Waiter{
-		Copy: p.request.Copy, InTime: waited+stall < p.request.Route.Goal, Priority: p.request.Priority, Request: p.request.Account + "/" + p.request.ID, Runner: best.Runner,
+	p.Placement.ReportWaiting(Waiter{
+		Copy: p.request.Copy, InTime: waited+stall < p.request.Route.LatencyTarget, Priority: p.request.Priority, Request: p.request.Account + "/" + p.request.ID, Runner: best.Runner,
 	})
 	if !p.waitForPoll(ctx) {
 		return p.contextError(ctx)
@@ -92,23 +92,23 @@
 	if r.Engine == nil || p.headSent {
 		return true, nil
 	}
-	reservation, refused, ok := p.Placement.Reserve(ctx, Ask{
-		Copy: r.Copy, Runner: runner.ID, Tokens: r.Tokens, Pause: p.request.Route.Gap, Within: p.prefillTimeout(time.Now()),
+	reservation, refused, ok := p.Placement.Reserve(ctx, ReserveRequest{
+		Copy: r.Copy, Runner: runner.ID, Tokens: r.Tokens, MaxGap: p.request.Route.MaxGap, Timeout: p.prefillTimeout(time.Now()),
 	})
 	switch {
 	case !ok:
 		return true, nil
 	case refused != nil:
 		p.requestSpareCopy(terms, p.queueLimit())
-		return true, refused.After(retryAfter(refused.Retry))
+		return true, refused.WithRetryAfter(retryAfter(refused.RetryAfter))
 	case reservation.Absent:
 		return false, nil
-	case reservation.Wait <= 0:
+	case reservation.Delay <= 0:
 		return true, nil
 	}
-	p.queueWait = reservation.Wait
-	p.requestSpareCopy(terms, reservation.Wait)
-	delay := time.NewTimer(reservation.Wait)
+	p.queueWait = reservation.Delay
+	p.requestSpareCopy(terms, reservation.Delay)
+	delay := time.NewTimer(reservation.Delay)
 	defer delay.Stop()
 	select {
 	case <-ctx.Done():
@@ -131,7 +131,7 @@
 }
 
 func (p *exchange) prefillLimit() time.Duration {
-	return time.Duration(prefillGapFraction * float64(p.request.Route.Gap))
+	return time.Duration(prefillGapFraction * float64(p.request.Route.MaxGap))
 }
 
 // waitForPoll waits for the next poll. It returns false if ctx has ended.
@@ -160,7 +160,7 @@
 func (p *exchange) rankRunners(now time.Time) ([]router.Terms, *judge.Error) {
 	r := p.request
 	candidates := p.Fleet.Candidates(p.demand(p.tried), now)
-	if len(candidates) == 0 && len(p.tried) > 0 && p.lastEventID > r.After {
+	if len(candidates) == 0 && len(p.tried) > 0 && p.lastEventID > r.LastEventID {
 		clear(p.tried) // a stream that has started is retried on any runner
 		candidates = p.Fleet.Candidates(p.demand(p.tried), now)
 	}
@@ -168,7 +168,7 @@
 		return nil, p.noRunner(now)
 	}
 	choice := router.Router{Policy: router.FirstToken{CrossDomain: crossDomainCost}}
-	terms := choice.Choose(router.Request{Adapter: r.Copy.Adapter, Left: r.Deadline.Sub(now)}, candidates)
+	terms := choice.Choose(router.Request{Adapter: r.Copy.Adapter, TimeLeft: r.Deadline.Sub(now)}, candidates)
 	best := terms[0]
 	if p.fullRunners[best.Runner] {
 		return nil, p.lastFull // and no other runner ranks better
@@ -176,7 +176,7 @@
 	if limit := p.queueLimit(); best.Queue > limit.Seconds() && p.delivered == 0 {
 		p.requestSpareCopy(terms, limit)
 		over := time.Duration(best.Queue*float64(time.Second)) - limit
-		return nil, judge.Refuse(judge.ReasonQueue, "%.0f ms of work are before it", best.Queue*1000).After(retryAfter(over))
+		return nil, judge.Refuse(judge.ReasonQueue, "%.0f ms of work are before it", best.Queue*1000).WithRetryAfter(retryAfter(over))
 	}
 	return terms, nil
 }
@@ -185,16 +185,16 @@
 // holds the adapter and no instance can order it now.
 func (p *exchange) noRunner(now time.Time) *judge.Error {
 	if p.request.Copy.Adapter != "" && p.Fleet.Takes(p.demand(p.tried), now) {
-		return judge.Refuse(judge.ReasonLoad, "nobody gives orders to the runners now").After(retryAfter(noRunnerRetryAfter))
+		return judge.Refuse(judge.ReasonLoad, "nobody gives orders to the runners now").WithRetryAfter(retryAfter(noRunnerRetryAfter))
 	}
-	return judge.Refuse(judge.ReasonUpstream, "no runner of service %s takes requests", p.request.Service).After(retryAfter(noRunnerRetryAfter))
+	return judge.Refuse(judge.ReasonUpstream, "no runner of service %s takes requests", p.request.Service).WithRetryAfter(retryAfter(noRunnerRetryAfter))
 }
 
 // queueLimit returns how much queued work may be ahead of the request when it is admitted.
 func (p *exchange) queueLimit() time.Duration {
 	route := p.request.Route
 	part := admitFraction - admitPriorityStep*float64(min(p.request.Priority, 5))
-	return time.Duration(part * float64(route.Goal))
+	return time.Duration(part * float64(route.LatencyTarget))
 }
 
 const (
--- a/internal/request/forwarder/copyref.go
+++ b/internal/request/forwarder/copyref.go
@@ -17,7 +17,7 @@
 		return
 	}
 	p.releaseCopy()
-	p.ref = copyRef{runner, c, p.Placement.Use(runner, c)}
+	p.ref = copyRef{runner, c, p.Placement.AcquireCopy(runner, c)}
 }
 
 func (p *exchange) releaseCopy() {
--- a/internal/request/forwarder/disconnect_test.go
+++ b/internal/request/forwarder/disconnect_test.go
@@ -23,9 +23,9 @@
 	return errDisconnected
 }
 
-func (l *disconnectingSink) Head(*forwarder.Reply) error          { return l.respond() }
-func (l *disconnectingSink) Event([]byte) error                   { return errDisconnected }
-func (l *disconnectingSink) Whole(*forwarder.Reply, []byte) error { return l.respond() }
+func (l *disconnectingSink) Head(*forwarder.Reply) error             { return l.respond() }
+func (l *disconnectingSink) Event([]byte) error                      { return errDisconnected }
+func (l *disconnectingSink) Complete(*forwarder.Reply, []byte) error { return l.respond() }
 
 // A runner fails a request, which is retried on another runner, and the caller disconnects
 // while it receives the second response. It must not be given the failed response as well:
@@ -55,7 +55,7 @@
 				}
 				return tc.second(ctx), nil
 			}}
-			route := &matcher.Route{Kind: tc.kind, Resumes: true, Attempts: 2, Goal: time.Second, Timeout: 12 * time.Second}
+			route := &matcher.Route{Kind: tc.kind, Resumable: true, MaxExecutions: 2, LatencyTarget: time.Second, Timeout: 12 * time.Second}
 			var caller disconnectingSink
 			err := newForwarder(u, placement{}, 2).Forward(t.Context(), newRequest(route), &caller)
 			if caller.responses != 1 {
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -19,19 +19,19 @@
 // A Forwarder serves requests by forwarding them to runners. Its fields are set before use;
 // it is safe for concurrent use.
 type Forwarder struct {
-	Burst      func() float64 // this instance's share of the retries allowed beyond Part
-	Ending     func() bool    // this instance stops too soon for waiting requests to be served
-	Fleet      *tracker.Fleet
-	LoadTime   func() time.Duration            // expected time of an adapter load from the weight store
-	Newest     func(model, adapter string) int // adapter version that new executions use
-	Part       float64                         // retries allowed per request
-	Placement  Placement
-	Quarantine Quarantine
-	Recorder   *recorder.Recorder
-	ReloadTime func() time.Duration   // expected load time of an adapter that the runner held before
-	Retried    func(err *judge.Error) // called with the error that caused a retry
-	Upstream   Upstream
-	Window     time.Duration // in which the burst of retries refills
+	RetryBurst        func() float64 // this instance's share of the retries allowed beyond RetriesPerRequest
+	Stopping          func() bool    // this instance stops too soon for waiting requests to be served
+	Fleet             *tracker.Fleet
+	LoadTime          func() time.Duration            // expected time of an adapter load from the weight store
+	NewestVersion     func(model, adapter string) int // adapter version that new executions use
+	RetriesPerRequest float64                         // retries allowed per request
+	Placement         Placement
+	Quarantine        Quarantine
+	Recorder          *recorder.Recorder
+	ReloadTime        func() time.Duration   // expected load time of an adapter that the runner held before
+	OnRetry           func(err *judge.Error) // called with the error that caused a retry
+	Upstream          Upstream
+	RetryWindow       time.Duration // in which the burst of retries refills
 
 	mu      sync.Mutex
 	budgets map[string]*retrier.Budget // by service
@@ -62,7 +62,7 @@
 	timeToFirst  time.Duration      // from arrival to the first event of the response
 	lastEventAt  time.Time          // when the last event was passed on
 	longestGap   time.Duration      // between two events
-	slot         Place              // held at a runner of a plain service
+	slot         RequestSlot        // held at a runner of a plain service
 	retryPaid    atomic.Bool        // the next retry has already been withdrawn from the budget
 	executions   int                // delivered attempts that may have run
 	sentAt       time.Time          // of the last attempt
@@ -81,7 +81,7 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	p := &exchange{Forwarder: f, request: r, sink: sink, budget: f.budget(r.Service), lastEventID: r.After, fullRunners: make(map[string]bool), tried: make(map[string]bool)}
+	p := &exchange{Forwarder: f, request: r, sink: sink, budget: f.budget(r.Service), lastEventID: r.LastEventID, fullRunners: make(map[string]bool), tried: make(map[string]bool)}
 	p.budget.Deposit()
 	err := p.run(ctx)
 	p.releaseCopy()
@@ -98,10 +98,10 @@
 	}
 	b, ok := f.budgets[service]
 	if !ok {
-		b = &retrier.Budget{PerRequest: f.Part, Window: f.Window}
+		b = &retrier.Budget{PerRequest: f.RetriesPerRequest, Window: f.RetryWindow}
 		f.budgets[service] = b
 	}
-	b.SetBurst(f.Burst())
+	b.SetBurst(f.RetryBurst())
 	return b
 }
 
@@ -119,7 +119,7 @@
 			return p.finalError(failed)
 		}
 		p.useNewestVersion()
-		p.Retried(failed)
+		p.OnRetry(failed)
 		p.Recorder.Log(recorder.Retry, "request", p.request.ID, "digest", p.digest(), "copy", p.request.Copy, "runner", runner.ID, "reason", failed.Reason,
 			"verdict", failed.Verdict, "after", p.lastEventID, "arrivals", p.delivered)
 	}
@@ -131,7 +131,7 @@
 func (p *exchange) useNewestVersion() {
 	c := &p.request.Copy
 	if c.Adapter != "" {
-		c.Version = p.Newest(c.Model, c.Adapter)
+		c.Version = p.NewestVersion(c.Model, c.Adapter)
 	}
 }
 
@@ -141,7 +141,7 @@
 	case ctx.Err() != nil, errors.Is(failed, errCallerGone):
 		return false
 	case failed.Verdict == judge.NotRun:
-	case !p.request.Route.Repeatable(), p.executions >= p.request.Route.Attempts:
+	case !p.request.Route.Repeatable(), p.executions >= p.request.Route.MaxExecutions:
 		return false
 	}
 	return p.delivered == 0 || p.retryPaid.Swap(false) || p.budget.Withdraw()
@@ -154,8 +154,8 @@
 		return err
 	}
 	if p.executions == 0 {
-		if err.Retry == 0 && err.Reason != judge.ReasonCancelled {
-			return err.After(retryAfter(0))
+		if err.RetryAfter == 0 && err.Reason != judge.ReasonCancelled {
+			return err.WithRetryAfter(retryAfter(0))
 		}
 		return err
 	}
@@ -167,7 +167,7 @@
 // reportHit reports that the runner held the copy as expected.
 func (p *exchange) reportHit(runner string, sent time.Time) {
 	if p.request.Copy != (placer.Copy{}) {
-		p.Placement.There(runner, p.request.Copy, sent)
+		p.Placement.ReportHit(runner, p.request.Copy, sent)
 	}
 }
 
@@ -181,6 +181,6 @@
 		p.Recorder.Log(recorder.Answered, append(fields, "status", p.status)...)
 		return
 	}
-	fields = append(fields, "digest", p.digest(), "verdict", err.Verdict, "reason", err.Reason, "retry", err.Retry, "err", err.Message)
+	fields = append(fields, "digest", p.digest(), "verdict", err.Verdict, "reason", err.Reason, "retry", err.RetryAfter, "err", err.Message)
 	p.Recorder.Log(recorder.Failed, fields...)
 }
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -40,31 +40,31 @@
 
 // A placement is a scripted forwarder.Placement. Unset functions grant nothing.
 type placement struct {
-	place   func(runner string, within time.Duration) (forwarder.Place, *judge.Error, bool)
-	reserve func(a forwarder.Ask) (forwarder.Room, *judge.Error, bool)
+	place   func(runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool)
+	reserve func(a forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool)
 	spare   func(runner string)
 }
 
-func (p placement) Wait(w forwarder.Waiter) { p.Spare(w.Runner, w.Copy) }
-func (p placement) Spare(runner string, _ placer.Copy) {
+func (p placement) ReportWaiting(w forwarder.Waiter) { p.RequestSpareCopy(w.Runner, w.Copy) }
+func (p placement) RequestSpareCopy(runner string, _ placer.Copy) {
 	if p.spare != nil {
 		p.spare(runner)
 	}
 }
 
-func (p placement) Place(_ context.Context, runner string, within time.Duration) (forwarder.Place, *judge.Error, bool) {
+func (p placement) AcquireSlot(_ context.Context, runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool) {
 	if p.place == nil {
-		return forwarder.Place{}, nil, false
+		return forwarder.RequestSlot{}, nil, false
 	}
 	return p.place(runner, within)
 }
-func (placement) Use(string, placer.Copy) func()              { return func() {} }
-func (placement) There(string, placer.Copy, time.Time)        {}
-func (placement) Paused(string, time.Duration, time.Duration) {}
-func (placement) Missing(string, placer.Copy)                 {}
-func (p placement) Reserve(_ context.Context, a forwarder.Ask) (forwarder.Room, *judge.Error, bool) {
+func (placement) AcquireCopy(string, placer.Copy) func()         { return func() {} }
+func (placement) ReportHit(string, placer.Copy, time.Time)       {}
+func (placement) ReportGap(string, time.Duration, time.Duration) {}
+func (placement) ReportMiss(string, placer.Copy)                 {}
+func (p placement) Reserve(_ context.Context, a forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool) {
 	if p.reserve == nil {
-		return forwarder.Room{}, nil, false
+		return forwarder.Reservation{}, nil, false
 	}
 	return p.reserve(a)
 }
@@ -77,21 +77,21 @@
 }
 
 func (*quarantine) Suspects() bool { return true }
-func (q *quarantine) Held(quarantiner.Digest) (time.Duration, bool) {
+func (q *quarantine) Quarantined(quarantiner.Digest) (time.Duration, bool) {
 	return time.Minute, q.held != nil && q.held()
 }
 
-func (q *quarantine) Broke(_ quarantiner.Digest, r tracker.Runner, _ time.Time) {
+func (q *quarantine) ReportBroken(_ quarantiner.Digest, r tracker.Runner, _ time.Time) {
 	q.broken = append(q.broken, r.ID)
 }
-func (q *quarantine) Whole(quarantiner.Digest) { q.completed++ }
+func (q *quarantine) ReportCompleted(quarantiner.Digest) { q.completed++ }
 
 // A sink records the body that the caller receives.
 type sink struct{ got string }
 
 func (s *sink) Head(*forwarder.Reply) error { return nil }
 func (s *sink) Event(data []byte) error     { s.got += string(data); return nil }
-func (s *sink) Whole(_ *forwarder.Reply, body []byte) error {
+func (s *sink) Complete(_ *forwarder.Reply, body []byte) error {
 	s.got = string(body)
 	return nil
 }
@@ -134,9 +134,9 @@
 		fleet.Set(tracker.Runner{ID: fmt.Sprint("i-", n), Service: "llm", Domain: "a", Slots: 8, Models: []string{"m"}, Revision: 1})
 	}
 	return &forwarder.Forwarder{
-		Burst: func() float64 { return 20 }, Ending: func() bool { return false }, Fleet: fleet, LoadTime: func() time.Duration { return time.Second },
-		Newest: func(string, string) int { return 2 }, Part: 0.2, Placement: p, Quarantine: &quarantine{}, Recorder: &recorder.Recorder{Metrics: metrics.NewSet(), Out: io.Discard}, Retried: func(*judge.Error) {},
-		ReloadTime: func() time.Duration { return time.Second }, Upstream: u, Window: 10 * time.Second,
+		RetryBurst: func() float64 { return 20 }, Stopping: func() bool { return false }, Fleet: fleet, LoadTime: func() time.Duration { return time.Second },
+		NewestVersion: func(string, string) int { return 2 }, RetriesPerRequest: 0.2, Placement: p, Quarantine: &quarantine{}, Recorder: &recorder.Recorder{Metrics: metrics.NewSet(), Out: io.Discard}, OnRetry: func(*judge.Error) {},
+		ReloadTime: func() time.Duration { return time.Second }, Upstream: u, RetryWindow: 10 * time.Second,
 	}
 }
 
@@ -149,7 +149,7 @@
 }
 
 func resumableRoute() *matcher.Route {
-	return &matcher.Route{Kind: matcher.Streaming, Resumes: true, Attempts: 2, Goal: time.Second, Gap: 250 * time.Millisecond, Timeout: 12 * time.Second}
+	return &matcher.Route{Kind: matcher.Streaming, Resumable: true, MaxExecutions: 2, LatencyTarget: time.Second, MaxGap: 250 * time.Millisecond, Timeout: 12 * time.Second}
 }
 
 // A runner preempts a streaming request for more urgent ones and sends nothing for 2.5 s,
@@ -213,8 +213,8 @@
 				}}
 				var requested []string
 				f := newForwarder(u, placement{
-					reserve: func(forwarder.Ask) (forwarder.Room, *judge.Error, bool) {
-						return forwarder.Room{Wait: tc.wait}, nil, true
+					reserve: func(forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool) {
+						return forwarder.Reservation{Delay: tc.wait}, nil, true
 					},
 					spare: func(runner string) { requested = append(requested, runner) },
 				}, 2)
@@ -253,19 +253,19 @@
 					return streamReply(&body{ctx: ctx, from: 1, to: 1, end: io.EOF}), nil
 				}}
 				full := make(map[string]bool)
-				p := placement{reserve: func(a forwarder.Ask) (forwarder.Room, *judge.Error, bool) {
+				p := placement{reserve: func(a forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool) {
 					if full[a.Runner] || len(full) < tc.full {
 						full[a.Runner] = true
-						return forwarder.Room{}, judge.Refuse(judge.ReasonQueue, "full").After(300 * time.Millisecond), true
+						return forwarder.Reservation{}, judge.Refuse(judge.ReasonQueue, "full").WithRetryAfter(300 * time.Millisecond), true
 					}
-					return forwarder.Room{}, nil, true
+					return forwarder.Reservation{}, nil, true
 				}}
 				var got sink
 				err := newForwarder(u, p, 2).Forward(t.Context(), newRequest(resumableRoute()), &got)
 				if diff := cmp.Diff(tc.want, got.got); diff != "" {
 					t.Error(diff)
 				}
-				if tc.want == "" && (err == nil || err.Verdict != judge.NotRun || err.Retry < 300*time.Millisecond || err.Retry > time.Second || len(u.attempts) != 0) {
+				if tc.want == "" && (err == nil || err.Verdict != judge.NotRun || err.RetryAfter < 300*time.Millisecond || err.RetryAfter > time.Second || len(u.attempts) != 0) {
 					t.Errorf("refused with %+v after %d attempts", err, len(u.attempts))
 				}
 			})
@@ -283,15 +283,15 @@
 		}}
 		leaving := ""
 		var f *forwarder.Forwarder
-		f = newForwarder(u, placement{reserve: func(a forwarder.Ask) (forwarder.Room, *judge.Error, bool) {
+		f = newForwarder(u, placement{reserve: func(a forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool) {
 			if leaving == "" {
 				leaving = a.Runner
 				time.AfterFunc(100*time.Millisecond, func() {
 					f.Fleet.Set(tracker.Runner{ID: a.Runner, Service: "llm", Domain: "a", Slots: 8, Models: []string{"m"}, Leaving: true, Revision: 2})
 				})
-				return forwarder.Room{Wait: 300 * time.Millisecond}, nil, true
+				return forwarder.Reservation{Delay: 300 * time.Millisecond}, nil, true
 			}
-			return forwarder.Room{}, nil, true
+			return forwarder.Reservation{}, nil, true
 		}}, 2)
 		var got sink
 		err := f.Forward(t.Context(), newRequest(resumableRoute()), &got)
@@ -361,7 +361,7 @@
 		f := newForwarder(u, placement{}, 1)
 		var log bytes.Buffer
 		f.Recorder = &recorder.Recorder{Metrics: metrics.NewSet(), Out: &log}
-		r := newRequest(&matcher.Route{Kind: matcher.NonIdempotent, Attempts: 1, Goal: time.Second, Timeout: 12 * time.Second})
+		r := newRequest(&matcher.Route{Kind: matcher.NonIdempotent, MaxExecutions: 1, LatencyTarget: time.Second, Timeout: 12 * time.Second})
 		if err := f.Forward(t.Context(), r, &sink{}); err != nil {
 			t.Fatal(err)
 		}
@@ -381,16 +381,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(context.Context, int, forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 			t.Error("sent")
-			return nil, judge.Dialed{Err: io.EOF}
+			return nil, judge.DialFailed{Err: io.EOF}
 		}}
 		f := newForwarder(u, placement{}, 1)
 		ends := time.Now().Add(time.Second)
-		f.Ending = func() bool { return !time.Now().Before(ends) }
+		f.Stopping = func() bool { return !time.Now().Before(ends) }
 		r := newRequest(resumableRoute())
 		r.Copy = placer.Copy{Model: "m", Adapter: "a1", Version: 2}
 		started := time.Now()
 		err := f.Forward(t.Context(), r, &sink{})
-		if err == nil || err.Verdict != judge.NotRun || err.Reason != judge.ReasonStopping || err.Retry == 0 {
+		if err == nil || err.Verdict != judge.NotRun || err.Reason != judge.ReasonStopping || err.RetryAfter == 0 {
 			t.Errorf("got %+v", err)
 		}
 		if took := time.Since(started); took > 1100*time.Millisecond {
--- a/internal/request/forwarder/limits.go
+++ b/internal/request/forwarder/limits.go
@@ -56,5 +56,5 @@
 // anything.
 func (p *exchange) callerTimeout() time.Duration {
 	route := p.request.Route
-	return max(minCallerTimeout, callerTimeoutTargets*route.Goal, callerTimeoutGaps*route.Gap)
+	return max(minCallerTimeout, callerTimeoutTargets*route.LatencyTarget, callerTimeoutGaps*route.MaxGap)
 }
--- a/internal/request/forwarder/limits_test.go
+++ b/internal/request/forwarder/limits_test.go
@@ -44,7 +44,7 @@
 					}
 					return
 				}
-				if err == nil || err.Verdict != judge.NotRun || err.Retry < tc.wait || time.Since(started) > 0 {
+				if err == nil || err.Verdict != judge.NotRun || err.RetryAfter < tc.wait || time.Since(started) > 0 {
 					t.Errorf("%+v after %s", err, time.Since(started))
 				}
 			})
--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -13,13 +13,13 @@
 type Quarantine interface {
 	// Suspects reports whether any request is suspected. If none is, no digests are needed.
 	Suspects() bool
-	// Held reports whether a request is quarantined, and for how much longer.
-	Held(d quarantiner.Digest) (left time.Duration, held bool)
-	// Broke reports that a connection broke on which a request had been sent to a runner,
+	// Quarantined reports whether a request is quarantined, and for how much longer.
+	Quarantined(d quarantiner.Digest) (left time.Duration, held bool)
+	// ReportBroken reports that a connection broke on which a request had been sent to a runner,
 	// and when it was sent. The Quarantine determines whether the runner crashed.
-	Broke(d quarantiner.Digest, runner tracker.Runner, sent time.Time)
-	// Whole reports that a runner completed a request.
-	Whole(d quarantiner.Digest)
+	ReportBroken(d quarantiner.Digest, runner tracker.Runner, sent time.Time)
+	// ReportCompleted reports that a runner completed a request.
+	ReportCompleted(d quarantiner.Digest)
 }
 
 // quarantined refuses a request that crashes runners. It is called at every poll and right
@@ -29,11 +29,11 @@
 	if !p.Quarantine.Suspects() {
 		return nil
 	}
-	left, held := p.Quarantine.Held(p.digest())
+	left, held := p.Quarantine.Quarantined(p.digest())
 	if !held {
 		return nil
 	}
-	return judge.Refuse(judge.ReasonQuarantine, "the runners that ran this request crashed").After(left)
+	return judge.Refuse(judge.ReasonQuarantine, "the runners that ran this request crashed").WithRetryAfter(left)
 }
 
 // digest returns the digest of the request. It is computed once.
@@ -49,13 +49,13 @@
 // running the request, unless this instance ended the connection.
 func (p *exchange) reportBroken(ctx context.Context, runner tracker.Runner, err *judge.Error) {
 	if ctx.Err() == nil && err.Verdict != judge.NotRun {
-		p.Quarantine.Broke(p.digest(), runner, p.sentAt)
+		p.Quarantine.ReportBroken(p.digest(), runner, p.sentAt)
 	}
 }
 
 // reportCompleted reports that a runner completed the request.
 func (p *exchange) reportCompleted() {
 	if p.Quarantine.Suspects() {
-		p.Quarantine.Whole(p.digest())
+		p.Quarantine.ReportCompleted(p.digest())
 	}
 }
--- a/internal/request/forwarder/quarantine_test.go
+++ b/internal/request/forwarder/quarantine_test.go
@@ -53,15 +53,15 @@
 					}
 					return complete(), nil
 				}}
-				p := placement{reserve: func(forwarder.Ask) (forwarder.Room, *judge.Error, bool) {
-					return forwarder.Room{Wait: tc.hold}, nil, true
+				p := placement{reserve: func(forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool) {
+					return forwarder.Reservation{Delay: tc.hold}, nil, true
 				}}
-				err := newQuarantineForwarder(u, p, q).Forward(t.Context(), newRequest(&matcher.Route{Kind: matcher.Idempotent, Attempts: 3, Goal: time.Second, Timeout: 12 * time.Second}), &sink{})
+				err := newQuarantineForwarder(u, p, q).Forward(t.Context(), newRequest(&matcher.Route{Kind: matcher.Idempotent, MaxExecutions: 3, LatencyTarget: time.Second, Timeout: 12 * time.Second}), &sink{})
 				if len(u.attempts) != tc.attempts {
 					t.Errorf("%d attempts, want %d", len(u.attempts), tc.attempts)
 				}
-				if err == nil || err.Reason != judge.ReasonQuarantine || err.Verdict != tc.want || err.Retry != time.Minute {
-					t.Errorf("error %v, retry %s", err, err.Retry)
+				if err == nil || err.Reason != judge.ReasonQuarantine || err.Verdict != tc.want || err.RetryAfter != time.Minute {
+					t.Errorf("error %v, retry %s", err, err.RetryAfter)
 				}
 			})
 		})
@@ -90,7 +90,7 @@
 			return nil, judge.Broken{Err: io.EOF}
 		}, 0, nil, 0},
 		{"no connection", func(context.Context) (*forwarder.Reply, judge.Observation) {
-			return nil, judge.Dialed{Err: io.EOF}
+			return nil, judge.DialFailed{Err: io.EOF}
 		}, 0, nil, 0},
 		{"refused", func(context.Context) (*forwarder.Reply, judge.Observation) {
 			return &forwarder.Reply{Status: 503, NotRun: true, Body: strings.NewReader(""), Close: func(bool) {}}, nil
@@ -123,7 +123,7 @@
 				}
 				f := newQuarantineForwarder(u, placement{}, q)
 				f.Fleet.Remove("i-1", 0)
-				_ = f.Forward(ctx, newRequest(&matcher.Route{Kind: matcher.Streaming, Attempts: 1, Goal: time.Second, Timeout: 12 * time.Second}), &sink{})
+				_ = f.Forward(ctx, newRequest(&matcher.Route{Kind: matcher.Streaming, MaxExecutions: 1, LatencyTarget: time.Second, Timeout: 12 * time.Second}), &sink{})
 				if diff := cmp.Diff(tc.broken, q.broken); diff != "" {
 					t.Error(diff)
 				}
--- a/internal/request/forwarder/request.go
+++ b/internal/request/forwarder/request.go
@@ -19,19 +19,19 @@
 
 // A Request is one request of a caller.
 type Request struct {
-	ID       string // of this attempt of the caller
-	Account  string // of the caller; empty for none
-	Arrived  time.Time
-	Deadline time.Time // when the caller stops waiting
-	After    int       // ID of the last event that the caller has received; 0 for none
-	Copy     placer.Copy
-	Engine   *matcher.Engine // of the service; nil for a plain one
-	Message  Message
-	Priority int // 0 is the most urgent
-	Quota    limiter.Request
-	Route    *matcher.Route
-	Service  string
-	Tokens   int // of the prompt; 0 if unknown
+	ID          string // of this attempt of the caller
+	Account     string // of the caller; empty for none
+	Arrived     time.Time
+	Deadline    time.Time // when the caller stops waiting
+	LastEventID int       // ID of the last event that the caller has received; 0 for none
+	Copy        placer.Copy
+	Engine      *matcher.Engine // of the service; nil for a plain one
+	Message     Message
+	Priority    int // 0 is the most urgent
+	Quota       limiter.Request
+	Route       *matcher.Route
+	Service     string
+	Tokens      int // of the prompt; 0 if unknown
 }
 
 // quarantineScope distinguishes equal requests of different accounts in the digest. A host
@@ -53,22 +53,22 @@
 
 // An Attempt is one attempt of a request at a runner.
 type Attempt struct {
-	Request *Request
-	Runner  tracker.Runner
-	After   int           // the response resumes after this event; 0 for the complete response
-	Left    time.Duration // time limit for the runner
+	Request     *Request
+	Runner      tracker.Runner
+	LastEventID int           // the response resumes after this event; 0 for the complete response
+	Timeout     time.Duration // time limit for the runner
 }
 
 // A Reply is the head of a runner's response and its body.
 type Reply struct {
-	Status   int
-	Head     any    // specific to the Upstream; for the Sink
-	Instance string // the runner that responded, if stated
-	NotRun   bool   // the runner states that the request did not run
-	Absent   bool   // the runner is another one or does not hold the adapter
-	Body     io.Reader
-	Close    func(whole bool) // whole: the body was read to its end
-	Broken   func(err error) judge.Observation
+	Status      int
+	Head        any    // specific to the Upstream; for the Sink
+	Instance    string // the runner that responded, if stated
+	NotRun      bool   // the runner states that the request did not run
+	Misdirected bool   // the runner is another one or does not hold the adapter
+	Body        io.Reader
+	Close       func(whole bool) // whole: the body was read to its end
+	Broken      func(err error) judge.Observation
 }
 
 // An Upstream sends requests to runners.
@@ -85,58 +85,58 @@
 	Head(r *Reply) error
 	// Event passes on one part of the response.
 	Event(data []byte) error
-	// Whole passes on a response in one piece.
-	Whole(r *Reply, body []byte) error
+	// Complete passes on a response in one piece.
+	Complete(r *Reply, body []byte) error
 }
 
 // Placement reports demand for adapters and reserves capacity at runners.
 type Placement interface {
-	// Wait reports that a request waits for a copy at a runner. It is called repeatedly
+	// ReportWaiting reports that a request waits for a copy at a runner. It is called repeatedly
 	// while the request waits.
-	Wait(w Waiter)
-	// Spare requests one more copy at a runner, for later requests.
-	Spare(runner string, c placer.Copy)
+	ReportWaiting(w Waiter)
+	// RequestSpareCopy requests one more copy at a runner, for later requests.
+	RequestSpareCopy(runner string, c placer.Copy)
 	// Reserve reserves prefill capacity at a runner that holds what the request needs. It
 	// returns how long to delay the request, or a refusal. ok is false if nobody can grant
 	// a reservation.
-	Reserve(ctx context.Context, a Ask) (r Room, refused *judge.Error, ok bool)
-	// Place acquires a request slot at a runner of a plain service. It returns how long the
+	Reserve(ctx context.Context, a ReserveRequest) (r Reservation, refused *judge.Error, ok bool)
+	// AcquireSlot acquires a request slot at a runner of a plain service. It returns how long the
 	// request waits there, or a refusal with the time by which that wait is too long. ok is
 	// false if nobody can grant a slot.
-	Place(ctx context.Context, runner string, within time.Duration) (p Place, refused *judge.Error, ok bool)
-	// There reports that a runner accepted a request for a copy, and when the request was
+	AcquireSlot(ctx context.Context, runner string, within time.Duration) (p RequestSlot, refused *judge.Error, ok bool)
+	// ReportHit reports that a runner accepted a request for a copy, and when the request was
 	// sent.
-	There(runner string, c placer.Copy, sent time.Time)
-	// Use acquires a reference to a copy at a runner, which keeps the copy there until done
+	ReportHit(runner string, c placer.Copy, sent time.Time)
+	// AcquireCopy acquires a reference to a copy at a runner, which keeps the copy there until done
 	// is called.
-	Use(runner string, c placer.Copy) (done func())
-	// Paused reports the longest gap between the events of a response, and the route's
+	AcquireCopy(runner string, c placer.Copy) (done func())
+	// ReportGap reports the longest gap between the events of a response, and the route's
 	// limit.
-	Paused(runner string, longest, limit time.Duration)
-	// Missing reports that a runner refused a request because it does not hold the copy.
-	Missing(runner string, c placer.Copy)
+	ReportGap(runner string, longest, limit time.Duration)
+	// ReportMiss reports that a runner refused a request because it does not hold the copy.
+	ReportMiss(runner string, c placer.Copy)
 }
 
-// An Ask is a request for prefill capacity at a runner.
-type Ask struct {
-	Copy   placer.Copy
-	Runner string
-	Tokens int           // of the prompt
-	Pause  time.Duration // maximum gap between events of the requests running there
-	Within time.Duration // within which the prompt has to be prefilled
+// An ReserveRequest is a request for prefill capacity at a runner.
+type ReserveRequest struct {
+	Copy    placer.Copy
+	Runner  string
+	Tokens  int           // of the prompt
+	MaxGap  time.Duration // maximum gap between events of the requests running there
+	Timeout time.Duration // within which the prompt has to be prefilled
 }
 
-// A Place is a request slot at a runner of a plain service. It is held until it is
+// A RequestSlot is a request slot at a runner of a plain service. It is held until it is
 // released.
-type Place struct {
-	Done func() // releases the slot
-	Wait time.Duration
+type RequestSlot struct {
+	Release func() // releases the slot
+	Wait    time.Duration
 }
 
-// A Room is the result of a reservation.
-type Room struct {
+// A Reservation is the result of a reservation.
+type Reservation struct {
 	Absent bool          // the copy has been evicted in the meantime
-	Wait   time.Duration // delay before the request is sent
+	Delay  time.Duration // delay before the request is sent
 }
 
 // A Waiter is a request that waits for a copy.
--- a/internal/request/forwarder/slot.go
+++ b/internal/request/forwarder/slot.go
@@ -41,10 +41,10 @@
 	var best runnerSlot
 	unanswered := 0
 	for n, t := range terms[:min(len(terms), maxSlotProbes)] {
-		if n >= slotProbes && best.Done != nil || unanswered >= slotProbes {
+		if n >= slotProbes && best.Release != nil || unanswered >= slotProbes {
 			break
 		}
-		slot, full, ok := p.Placement.Place(ctx, t.Runner, p.slotWaitLimit(now))
+		slot, full, ok := p.Placement.AcquireSlot(ctx, t.Runner, p.slotWaitLimit(now))
 		switch {
 		case !ok:
 			unanswered++ // each may have taken the full timeout
@@ -54,25 +54,25 @@
 			continue
 		}
 		best = best.better(runnerSlot{slot, t.Runner})
-		if best.Wait <= time.Duration(shortWaitFraction*float64(p.request.Route.Goal)) {
+		if best.Wait <= time.Duration(shortWaitFraction*float64(p.request.Route.LatencyTarget)) {
 			break
 		}
 	}
-	if best.Done == nil {
+	if best.Release == nil {
 		return tracker.Runner{}, refused, refused != nil
 	}
 	runner, known := p.Fleet.Get(best.runner)
 	if !known || runner.Leaving {
-		best.Done()
+		best.Release()
 		return tracker.Runner{}, nil, false
 	}
-	p.slot, p.queueWait = best.Place, best.Wait
+	p.slot, p.queueWait = best.RequestSlot, best.Wait
 	return runner, nil, true
 }
 
 // A runnerSlot is a request slot at a runner.
 type runnerSlot struct {
-	Place
+	RequestSlot
 
 	runner string
 }
@@ -80,20 +80,20 @@
 // better returns the slot with the shorter wait and releases the other one.
 func (p runnerSlot) better(other runnerSlot) runnerSlot {
 	switch {
-	case p.Done == nil:
+	case p.Release == nil:
 		return other
 	case other.Wait < p.Wait:
-		p.Done()
+		p.Release()
 		return other
 	default:
-		other.Done()
+		other.Release()
 		return p
 	}
 }
 
 // soonerRetry returns the refusal with the shorter Retry-After.
 func soonerRetry(a, b *judge.Error) *judge.Error {
-	if a == nil || b.Retry < a.Retry {
+	if a == nil || b.RetryAfter < a.RetryAfter {
 		return b
 	}
 	return a
@@ -104,13 +104,13 @@
 	if p.delivered > 0 {
 		return time.Duration(retrySlotWaitFraction * float64(p.request.Deadline.Sub(now)))
 	}
-	return time.Duration(slotWaitFraction*float64(p.request.Route.Goal)) - now.Sub(p.request.Arrived)
+	return time.Duration(slotWaitFraction*float64(p.request.Route.LatencyTarget)) - now.Sub(p.request.Arrived)
 }
 
 // releaseSlot releases the slot that the request holds, if any.
 func (p *exchange) releaseSlot() {
-	if p.slot.Done != nil {
-		p.slot.Done()
+	if p.slot.Release != nil {
+		p.slot.Release()
 	}
-	p.slot = Place{}
+	p.slot = RequestSlot{}
 }
--- a/internal/request/forwarder/slot_test.go
+++ b/internal/request/forwarder/slot_test.go
@@ -25,20 +25,20 @@
 	held  map[string]int
 }
 
-func (w *slotAllocator) place(runner string, within time.Duration) (forwarder.Place, *judge.Error, bool) {
+func (w *slotAllocator) place(runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool) {
 	w.asked = append(w.asked, runner)
 	wait, ok := w.waits[runner]
 	switch {
 	case !ok:
-		return forwarder.Place{}, nil, false
+		return forwarder.RequestSlot{}, nil, false
 	case wait > within:
-		return forwarder.Place{}, judge.Refuse(judge.ReasonQueue, "full").After(wait - within), true
+		return forwarder.RequestSlot{}, judge.Refuse(judge.ReasonQueue, "full").WithRetryAfter(wait - within), true
 	}
 	if w.held == nil {
 		w.held = make(map[string]int)
 	}
 	w.held[runner]++
-	return forwarder.Place{Wait: wait, Done: func() { w.held[runner]-- }}, nil, true
+	return forwarder.RequestSlot{Wait: wait, Release: func() { w.held[runner]-- }}, nil, true
 }
 
 // Requests of a plain service go to the runner of their own failure domain, or to a second
@@ -83,12 +83,12 @@
 				now := time.Now()
 				r := &forwarder.Request{
 					ID: "q", Arrived: now, Deadline: now.Add(3 * time.Second), Service: "plain",
-					Route: &matcher.Route{Name: "r", Attempts: 1, Goal: goal},
+					Route: &matcher.Route{Name: "r", MaxExecutions: 1, LatencyTarget: goal},
 				}
 				reason := judge.Reason("")
 				if err := f.Forward(t.Context(), r, &sink{}); err != nil {
 					reason = err.Reason
-					if err.Verdict != judge.NotRun || err.Retry <= 0 {
+					if err.Verdict != judge.NotRun || err.RetryAfter <= 0 {
 						t.Errorf("refused with %+v", err)
 					}
 				}
@@ -126,7 +126,7 @@
 		now := time.Now()
 		r := &forwarder.Request{
 			ID: "q", Arrived: now, Deadline: now.Add(3 * time.Second), Service: "plain",
-			Route: &matcher.Route{Name: "r", Kind: matcher.Idempotent, Attempts: 2, Goal: 300 * time.Millisecond},
+			Route: &matcher.Route{Name: "r", Kind: matcher.Idempotent, MaxExecutions: 2, LatencyTarget: 300 * time.Millisecond},
 		}
 		if err := f.Forward(t.Context(), r, &sink{}); err != nil {
 			t.Error(err)
--- a/internal/request/forwarder/sparecopy.go
+++ b/internal/request/forwarder/sparecopy.go
@@ -18,10 +18,10 @@
 // wait almost that long and many are late. The copy requested here serves later requests.
 // While a copy is being loaded, no other is requested.
 func (p *exchange) requestSpareCopy(terms []router.Terms, wait time.Duration) {
-	if p.request.Copy.Adapter == "" || wait < time.Duration(spareCopyFraction*float64(p.request.Route.Goal)) {
+	if p.request.Copy.Adapter == "" || wait < time.Duration(spareCopyFraction*float64(p.request.Route.LatencyTarget)) {
 		return
 	}
 	if runner, ok := router.SpareRunner(terms); ok {
-		p.Placement.Spare(runner, p.request.Copy)
+		p.Placement.RequestSpareCopy(runner, p.request.Copy)
 	}
 }
--- a/internal/request/forwarder/watchdog.go
+++ b/internal/request/forwarder/watchdog.go
@@ -45,7 +45,7 @@
 	tried := maps.Clone(p.tried)
 	tried[runner] = true
 	w := &watchdog{p: p, cancel: cancel, demand: p.demand(tried), timeout: p.firstByteTimeout()}
-	if !p.request.Route.Repeatable() || p.executions+1 >= p.request.Route.Attempts {
+	if !p.request.Route.Repeatable() || p.executions+1 >= p.request.Route.MaxExecutions {
 		return w
 	}
 	w.mu.Lock()
@@ -93,7 +93,7 @@
 // hasFreeRunner reports whether another runner could take the request immediately.
 func (p *exchange) hasFreeRunner(d tracker.Demand) bool {
 	for _, c := range p.Fleet.Candidates(d, time.Now()) {
-		if c.Resident && !c.Crowded {
+		if c.Resident && !c.Congested {
 			return true
 		}
 	}
@@ -101,7 +101,7 @@
 }
 
 func (p *exchange) firstByteTimeout() time.Duration {
-	return max(minFirstByteTimeout, firstByteTargets*p.request.Route.Goal, firstByteTargets*p.request.Route.Gap)
+	return max(minFirstByteTimeout, firstByteTargets*p.request.Route.LatencyTarget, firstByteTargets*p.request.Route.MaxGap)
 }
 
 func (p *exchange) idleTimeout() time.Duration {
--- a/internal/request/judge/error.go
+++ b/internal/request/judge/error.go
@@ -8,10 +8,10 @@
 
 // An Error is a failed request with the verdict reported to its caller.
 type Error struct {
-	Verdict Verdict
-	Reason  Reason
-	Message string
-	Retry   time.Duration // time after which a retry makes sense; 0 if none does
+	Verdict    Verdict
+	Reason     Reason
+	Message    string
+	RetryAfter time.Duration // time after which a retry makes sense; 0 if none does
 }
 
 // Refuse returns an Error that guarantees that the request did not run.
@@ -29,10 +29,10 @@
 	return &Error{Verdict: MayHaveRun, Reason: ReasonPeer, Message: err.Error()}
 }
 
-// After returns a copy of e that tells the caller to retry after d.
-func (e *Error) After(d time.Duration) *Error {
+// WithRetryAfter returns a copy of e that tells the caller to retry after d.
+func (e *Error) WithRetryAfter(d time.Duration) *Error {
 	after := *e
-	after.Retry = d
+	after.RetryAfter = d
 	return &after
 }
 
--- a/internal/request/judge/judge_test.go
+++ b/internal/request/judge/judge_test.go
@@ -24,7 +24,7 @@
 		verdict judge.Verdict
 		reason  judge.Reason
 	}{
-		{"connection refused", judge.Dialed{Err: reset}, judge.NotRun, judge.ReasonDial},
+		{"connection refused", judge.DialFailed{Err: reset}, judge.NotRun, judge.ReasonDial},
 		{"reset before a byte", judge.Broken{Err: reset}, judge.NotRun, judge.ReasonDial},
 		{"reset after one byte", judge.Broken{Written: 1, Err: reset}, judge.MayHaveRun, judge.ReasonWritten},
 		{"reset in the response", judge.Broken{Written: 9, Head: true, Err: reset}, judge.MayHaveRun, judge.ReasonCut},
--- a/internal/request/judge/observation.go
+++ b/internal/request/judge/observation.go
@@ -8,8 +8,8 @@
 //sumtype:decl
 type Observation interface{ observation() }
 
-// A Dialed observation is a connection that could not be established.
-type Dialed struct{ Err error }
+// A DialFailed observation is a connection that could not be established.
+type DialFailed struct{ Err error }
 
 // A Broken observation is a connection that failed while the request was being written or
 // before the complete response was read.
@@ -30,7 +30,7 @@
 type Mismatched struct{ Want, Got string }
 
 func (Broken) observation()     {}
-func (Dialed) observation()     {}
+func (DialFailed) observation() {}
 func (Failed) observation()     {}
 func (Mismatched) observation() {}
 func (Refused) observation()    {}
@@ -38,7 +38,7 @@
 // Judge returns the verdict on an observation. The rules are in docs/design/verdicts.md.
 func Judge(o Observation) *Error {
 	switch o := o.(type) {
-	case Dialed:
+	case DialFailed:
 		return Refuse(ReasonDial, "connect: %v", o.Err)
 	case Broken:
 		return judgeBroken(o)
--- a/internal/request/matcher/matcher.go
+++ b/internal/request/matcher/matcher.go
@@ -32,22 +32,22 @@
 
 // A Route describes where the requests of one host and path prefix go, and their limits.
 type Route struct {
-	Name     string
-	Host     string
-	Prefix   string // starts and ends with a slash
-	Kind     Kind
-	Attempts int           // maximum number of executions for one attempt of the caller
-	Gap      time.Duration // maximum gap between events that is still on time; 0 if not a stream
-	Goal     time.Duration // latency target of the response, or of its first event, for full credit
-	Priority int           // 0 is the most urgent
-	Public   bool          // callers need no key
-	Resumes  bool          // a stream may be resumed at another runner after its last event
-	Shares   []Share
-	Timeout  time.Duration // within which the caller must have a response
+	Name          string
+	Host          string
+	Prefix        string // starts and ends with a slash
+	Kind          Kind
+	MaxExecutions int           // maximum number of executions for one attempt of the caller
+	MaxGap        time.Duration // maximum gap between events that is still on time; 0 if not a stream
+	LatencyTarget time.Duration // latency target of the response, or of its first event, for full credit
+	Priority      int           // 0 is the most urgent
+	Public        bool          // callers need no key
+	Resumable     bool          // a stream may be resumed at another runner after its last event
+	Shares        []WeightedService
+	Timeout       time.Duration // within which the caller must have a response
 }
 
-// A Share is the weight of a service in the traffic split of a route.
-type Share struct {
+// A WeightedService is the weight of a service in the traffic split of a route.
+type WeightedService struct {
 	Service string
 	Weight  int
 }
@@ -60,9 +60,9 @@
 
 // An Engine describes what the runners of a service can hold.
 type Engine struct {
-	Memory int // MB for models and adapters together
-	Models []Model
-	Places int // adapter slots
+	Memory       int // MB for models and adapters together
+	Models       []Model
+	AdapterSlots int // adapter slots
 }
 
 // A Model is a base model that runners of a service may hold.
@@ -124,5 +124,5 @@
 // Repeatable reports whether a request that may have run may be retried before any part of
 // its response has reached the caller.
 func (r *Route) Repeatable() bool {
-	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumes
+	return r.Kind == Idempotent || r.Kind == Streaming && r.Resumable
 }
--- a/internal/request/matcher/matcher_test.go
+++ b/internal/request/matcher/matcher_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestServiceSplitIsWeightedAndStablePerRequest(t *testing.T) {
-	r := matcher.Route{Shares: []matcher.Share{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
+	r := matcher.Route{Shares: []matcher.WeightedService{{Service: "old", Weight: 90}, {Service: "new", Weight: 10}}}
 	count := map[string]int{}
 	for i := range 10000 {
 		id := fmt.Sprint(i)
--- a/internal/request/quarantiner/crash.go
+++ b/internal/request/quarantiner/crash.go
@@ -9,15 +9,15 @@
 	Runner string
 }
 
-// A Word is a crash report.
-type Word struct {
+// A CrashReport reports that a runner crashed while it ran a request.
+type CrashReport struct {
 	_       struct{} `cbor:",toarray"`
 	Digest  Digest
 	Runner  string
 	Age     time.Duration // since the crash
-	Ran     time.Duration // how long the request had run there; the shortest time reported
+	RunTime time.Duration // how long the request had run there; the shortest time reported
 	Cleared bool          // the request has since run to completion
 }
 
 // Crash returns the crash that is reported.
-func (w Word) Crash() Crash { return Crash{w.Digest, w.Runner} }
+func (w CrashReport) Crash() Crash { return Crash{w.Digest, w.Runner} }
--- a/internal/request/quarantiner/evaluate.go
+++ b/internal/request/quarantiner/evaluate.go
@@ -59,7 +59,7 @@
 func quarantineTime(crashes int) time.Duration {
 	tried := crashes - crashThreshold
 	if tried >= maxTrials {
-		return Memory
+		return Retention
 	}
 	return firstQuarantine << tried
 }
--- a/internal/request/quarantiner/ledger.go
+++ b/internal/request/quarantiner/ledger.go
@@ -24,8 +24,8 @@
 	// crashThreshold is the number of runner crashes at which a request is quarantined. It is
 	// not two, as a request often runs on two runners that crash for other reasons.
 	crashThreshold = 3
-	// Memory is how long a request is remembered after its last crash.
-	Memory = 24 * time.Hour
+	// Retention is how long a request is remembered after its last crash.
+	Retention = 24 * time.Hour
 	// firstQuarantine is the quarantine time after the third crash. The request is then tried
 	// again, as it may have been suspected wrongly. Each further crash doubles the time,
 	// and after maxTrials of them the request is quarantined for as long as it is remembered.
@@ -85,12 +85,12 @@
 	return last
 }
 
-// Take applies crash reports and returns those that changed the ledger.
-func (l *Ledger) Take(reports []Word, now time.Time) (changed []Word) {
+// Apply applies crash reports and returns those that changed the ledger.
+func (l *Ledger) Apply(reports []CrashReport, now time.Time) (changed []CrashReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, w := range reports {
-		if w.Age < Memory && l.apply(w, now) {
+		if w.Age < Retention && l.apply(w, now) {
 			changed = append(changed, w)
 		}
 	}
@@ -102,7 +102,7 @@
 }
 
 // apply applies a crash report and reports whether it changed the ledger.
-func (l *Ledger) apply(w Word, now time.Time) bool {
+func (l *Ledger) apply(w CrashReport, now time.Time) bool {
 	if l.suspects == nil {
 		l.suspects = make(map[Digest]*suspect)
 	}
@@ -112,34 +112,34 @@
 		l.suspects[w.Digest] = s
 	}
 	e, ok := s.crashes[w.Runner]
-	if ok && (e.cleared || !w.Cleared && w.Ran >= e.runTime) {
+	if ok && (e.cleared || !w.Cleared && w.RunTime >= e.runTime) {
 		return false
 	}
 	if !ok {
-		e = &entry{at: now.Add(-max(0, w.Age)), runTime: w.Ran}
+		e = &entry{at: now.Add(-max(0, w.Age)), runTime: w.RunTime}
 		s.crashes[w.Runner] = e
 		l.crashes++
 	}
 	l.seq++
-	e.cleared, e.runTime, e.seq = w.Cleared, min(e.runTime, w.Ran), l.seq
+	e.cleared, e.runTime, e.seq = w.Cleared, min(e.runTime, w.RunTime), l.seq
 	return true
 }
 
 // Clear clears a request that has run to completion of all its crashes so far, and returns
 // the reports of the cleared crashes.
-func (l *Ledger) Clear(d Digest, now time.Time) []Word {
-	reports := l.Open(d, now)
+func (l *Ledger) Clear(d Digest, now time.Time) []CrashReport {
+	reports := l.Uncleared(d, now)
 	if len(reports) == 0 {
 		return nil
 	}
 	for i := range reports {
 		reports[i].Cleared = true
 	}
-	return l.Take(reports, now)
+	return l.Apply(reports, now)
 }
 
-// Open returns reports of the crashes of a request that are not cleared.
-func (l *Ledger) Open(d Digest, now time.Time) []Word {
+// Uncleared returns reports of the crashes of a request that are not cleared.
+func (l *Ledger) Uncleared(d Digest, now time.Time) []CrashReport {
 	if l.suspectCount.Load() == 0 {
 		return nil
 	}
@@ -149,7 +149,7 @@
 	if !ok {
 		return nil
 	}
-	var reports []Word
+	var reports []CrashReport
 	for runner, e := range s.crashes {
 		if !e.cleared {
 			reports = append(reports, e.report(d, runner, now))
@@ -158,27 +158,27 @@
 	return reports
 }
 
-// Word returns the report of a crash; ok is false if the crash is not known.
-func (l *Ledger) Word(c Crash, now time.Time) (w Word, ok bool) {
+// Report returns the report of a crash; ok is false if the crash is not known.
+func (l *Ledger) Report(c Crash, now time.Time) (w CrashReport, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s, ok := l.suspects[c.Digest]
 	if !ok {
-		return Word{}, false
+		return CrashReport{}, false
 	}
 	e, ok := s.crashes[c.Runner]
 	if !ok {
-		return Word{}, false
+		return CrashReport{}, false
 	}
 	return e.report(c.Digest, c.Runner, now), true
 }
 
-func (e *entry) report(d Digest, runner string, now time.Time) Word {
-	return Word{Digest: d, Runner: runner, Age: now.Sub(e.at).Round(time.Millisecond), Ran: e.runTime, Cleared: e.cleared}
+func (e *entry) report(d Digest, runner string, now time.Time) CrashReport {
+	return CrashReport{Digest: d, Runner: runner, Age: now.Sub(e.at).Round(time.Millisecond), RunTime: e.runTime, Cleared: e.cleared}
 }
 
-// Held reports whether a request is in quarantine, and the time left.
-func (l *Ledger) Held(d Digest, now time.Time) (left time.Duration, quarantined bool) {
+// Quarantined reports whether a request is in quarantine, and the time left.
+func (l *Ledger) Quarantined(d Digest, now time.Time) (left time.Duration, quarantined bool) {
 	if l.suspectCount.Load() == 0 {
 		return 0, false
 	}
@@ -193,7 +193,7 @@
 
 // Since returns the reports that changed after a sequence number, and the number to pass to
 // the next call. Sequence numbers start at 1.
-func (l *Ledger) Since(after int, now time.Time) (reports []Word, next int) {
+func (l *Ledger) Since(after int, now time.Time) (reports []CrashReport, next int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if after == l.seq {
@@ -218,7 +218,7 @@
 	defer l.mu.Unlock()
 	var old []Crash
 	for d, s := range l.suspects {
-		if now.Sub(s.lastCrash()) < Memory {
+		if now.Sub(s.lastCrash()) < Retention {
 			continue
 		}
 		for runner := range s.crashes {
--- a/internal/request/quarantiner/ledger_test.go
+++ b/internal/request/quarantiner/ledger_test.go
@@ -17,12 +17,12 @@
 func ExampleLedger() {
 	var l quarantiner.Ledger
 	for _, runner := range []string{"engine-1", "engine-2", "engine-3"} {
-		l.Take([]quarantiner.Word{{Digest: "d", Runner: runner}}, start)
-		_, quarantined := l.Held("d", start)
+		l.Apply([]quarantiner.CrashReport{{Digest: "d", Runner: runner}}, start)
+		_, quarantined := l.Quarantined("d", start)
 		fmt.Println(runner, quarantined)
 	}
 	l.Clear("d", start)
-	_, quarantined := l.Held("d", start)
+	_, quarantined := l.Quarantined("d", start)
 	fmt.Println("whole", quarantined)
 	// Output:
 	// engine-1 false
@@ -32,17 +32,17 @@
 }
 
 // crashReports returns reports of a request that ran on these runners when they crashed.
-func crashReports(d quarantiner.Digest, runners ...string) []quarantiner.Word {
-	var reports []quarantiner.Word
+func crashReports(d quarantiner.Digest, runners ...string) []quarantiner.CrashReport {
+	var reports []quarantiner.CrashReport
 	for _, r := range runners {
-		reports = append(reports, quarantiner.Word{Digest: d, Runner: r})
+		reports = append(reports, quarantiner.CrashReport{Digest: d, Runner: r})
 	}
 	return reports
 }
 
-func withRunTime(reports []quarantiner.Word, d time.Duration) []quarantiner.Word {
+func withRunTime(reports []quarantiner.CrashReport, d time.Duration) []quarantiner.CrashReport {
 	for i := range reports {
-		reports[i].Ran = d
+		reports[i].RunTime = d
 	}
 	return reports
 }
@@ -53,24 +53,24 @@
 func TestQuarantinedRequests(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
-		reports [][]quarantiner.Word
+		reports [][]quarantiner.CrashReport
 		clear   map[int]quarantiner.Digest // applied before the reports with that index
 		want    []quarantiner.Digest
 	}{
-		{"two crashes", [][]quarantiner.Word{crashReports("p", "a", "b")}, nil, nil},
-		{"three", [][]quarantiner.Word{crashReports("p", "a"), crashReports("p", "b"), crashReports("p", "c")}, nil, []quarantiner.Digest{"p"}},
-		{"one crash reported three times", [][]quarantiner.Word{crashReports("p", "a"), crashReports("p", "a"), crashReports("p", "a")}, nil, nil},
-		{"beside the culprit on two runners", [][]quarantiner.Word{crashReports("p", "a", "b", "c"), crashReports("i", "a", "b")}, nil, []quarantiner.Digest{"p"}},
-		{"beside the culprit on three of four", [][]quarantiner.Word{crashReports("p", "a", "b", "c", "d"), crashReports("i", "a", "b", "c")}, nil, []quarantiner.Digest{"p"}},
-		{"the same, reported in the opposite order", [][]quarantiner.Word{crashReports("i", "a", "b", "c"), crashReports("p", "d", "c", "b", "a")}, nil, []quarantiner.Digest{"p"}},
-		{"on the same three runners, and had run for longer", [][]quarantiner.Word{withRunTime(crashReports("i", "a", "b", "c"), time.Second), withRunTime(crashReports("p", "a", "b", "c"), time.Millisecond)}, nil, []quarantiner.Digest{"p"}},
-		{"on the same three runners, and had run for a shorter time", [][]quarantiner.Word{withRunTime(crashReports("i", "a", "b", "c"), time.Millisecond), withRunTime(crashReports("p", "a", "b", "c"), time.Second)}, nil, []quarantiner.Digest{"i"}},
-		{"the same, and one crash later", [][]quarantiner.Word{withRunTime(crashReports("i", "a", "b", "c"), time.Millisecond), withRunTime(crashReports("p", "a", "b", "c", "d"), time.Second)}, nil, []quarantiner.Digest{"p"}},
-		{"two culprits on the same three runners, and later on others", [][]quarantiner.Word{crashReports("p", "a", "b", "c", "d", "e", "f"), crashReports("q", "a", "b", "c", "g", "h", "i")}, nil, []quarantiner.Digest{"p", "q"}},
-		{"two culprits that share a runner", [][]quarantiner.Word{crashReports("p", "a", "b", "c", "d"), crashReports("q", "d", "e", "f", "g")}, nil, []quarantiner.Digest{"p", "q"}},
-		{"completed after two crashes, then one", [][]quarantiner.Word{crashReports("i", "a", "b"), crashReports("i", "c")}, map[int]quarantiner.Digest{1: "i"}, nil},
-		{"completed after two crashes, then three", [][]quarantiner.Word{crashReports("i", "a", "b"), crashReports("i", "c", "d", "e")}, map[int]quarantiner.Digest{1: "i"}, []quarantiner.Digest{"i"}},
-		{"completed, and the crashes are reported again", [][]quarantiner.Word{crashReports("i", "a", "b", "c"), crashReports("i", "a", "b", "c")}, map[int]quarantiner.Digest{1: "i"}, nil},
+		{"two crashes", [][]quarantiner.CrashReport{crashReports("p", "a", "b")}, nil, nil},
+		{"three", [][]quarantiner.CrashReport{crashReports("p", "a"), crashReports("p", "b"), crashReports("p", "c")}, nil, []quarantiner.Digest{"p"}},
+		{"one crash reported three times", [][]quarantiner.CrashReport{crashReports("p", "a"), crashReports("p", "a"), crashReports("p", "a")}, nil, nil},
+		{"beside the culprit on two runners", [][]quarantiner.CrashReport{crashReports("p", "a", "b", "c"), crashReports("i", "a", "b")}, nil, []quarantiner.Digest{"p"}},
+		{"beside the culprit on three of four", [][]quarantiner.CrashReport{crashReports("p", "a", "b", "c", "d"), crashReports("i", "a", "b", "c")}, nil, []quarantiner.Digest{"p"}},
+		{"the same, reported in the opposite order", [][]quarantiner.CrashReport{crashReports("i", "a", "b", "c"), crashReports("p", "d", "c", "b", "a")}, nil, []quarantiner.Digest{"p"}},
+		{"on the same three runners, and had run for longer", [][]quarantiner.CrashReport{withRunTime(crashReports("i", "a", "b", "c"), time.Second), withRunTime(crashReports("p", "a", "b", "c"), time.Millisecond)}, nil, []quarantiner.Digest{"p"}},
+		{"on the same three runners, and had run for a shorter time", [][]quarantiner.CrashReport{withRunTime(crashReports("i", "a", "b", "c"), time.Millisecond), withRunTime(crashReports("p", "a", "b", "c"), time.Second)}, nil, []quarantiner.Digest{"i"}},
+		{"the same, and one crash later", [][]quarantiner.CrashReport{withRunTime(crashReports("i", "a", "b", "c"), time.Millisecond), withRunTime(crashReports("p", "a", "b", "c", "d"), time.Second)}, nil, []quarantiner.Digest{"p"}},
+		{"two culprits on the same three runners, and later on others", [][]quarantiner.CrashReport{crashReports("p", "a", "b", "c", "d", "e", "f"), crashReports("q", "a", "b", "c", "g", "h", "i")}, nil, []quarantiner.Digest{"p", "q"}},
+		{"two culprits that share a runner", [][]quarantiner.CrashReport{crashReports("p", "a", "b", "c", "d"), crashReports("q", "d", "e", "f", "g")}, nil, []quarantiner.Digest{"p", "q"}},
+		{"completed after two crashes, then one", [][]quarantiner.CrashReport{crashReports("i", "a", "b"), crashReports("i", "c")}, map[int]quarantiner.Digest{1: "i"}, nil},
+		{"completed after two crashes, then three", [][]quarantiner.CrashReport{crashReports("i", "a", "b"), crashReports("i", "c", "d", "e")}, map[int]quarantiner.Digest{1: "i"}, []quarantiner.Digest{"i"}},
+		{"completed, and the crashes are reported again", [][]quarantiner.CrashReport{crashReports("i", "a", "b", "c"), crashReports("i", "a", "b", "c")}, map[int]quarantiner.Digest{1: "i"}, nil},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			var l quarantiner.Ledger
@@ -78,7 +78,7 @@
 				if d, ok := tc.clear[n]; ok {
 					l.Clear(d, start)
 				}
-				l.Take(reports, start)
+				l.Apply(reports, start)
 			}
 			if diff := cmp.Diff(tc.want, quarantinedBy(&l, start), sorted); diff != "" {
 				t.Error(diff)
@@ -92,7 +92,7 @@
 func quarantinedBy(l *quarantiner.Ledger, now time.Time) []quarantiner.Digest {
 	var quarantined []quarantiner.Digest
 	for _, c := range l.Cases() {
-		if _, is := l.Held(c.Digest, now); is {
+		if _, is := l.Quarantined(c.Digest, now); is {
 			quarantined = append(quarantined, c.Digest)
 		}
 	}
@@ -105,10 +105,10 @@
 func TestQuarantineDoesNotDependOnReportOrder(t *testing.T) {
 	for seed := range uint64(300) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		var reports []quarantiner.Word
+		var reports []quarantiner.CrashReport
 		for range 5 + rng.IntN(60) {
-			reports = append(reports, quarantiner.Word{
-				Digest: quarantiner.Digest(fmt.Sprint("d", rng.IntN(6))), Runner: fmt.Sprint("r", rng.IntN(8)), Ran: time.Duration(rng.IntN(3)) * time.Second, Cleared: rng.IntN(6) == 0,
+			reports = append(reports, quarantiner.CrashReport{
+				Digest: quarantiner.Digest(fmt.Sprint("d", rng.IntN(6))), Runner: fmt.Sprint("r", rng.IntN(8)), RunTime: time.Duration(rng.IntN(3)) * time.Second, Cleared: rng.IntN(6) == 0,
 			})
 		}
 		var verdicts [2][]quarantiner.Digest
@@ -116,12 +116,12 @@
 			var l quarantiner.Ledger
 			rng.Shuffle(len(reports), func(a, b int) { reports[a], reports[b] = reports[b], reports[a] })
 			for _, w := range reports {
-				l.Take([]quarantiner.Word{w}, start)
+				l.Apply([]quarantiner.CrashReport{w}, start)
 				if rng.IntN(4) == 0 {
-					l.Take([]quarantiner.Word{reports[rng.IntN(len(reports))]}, start)
+					l.Apply([]quarantiner.CrashReport{reports[rng.IntN(len(reports))]}, start)
 				}
 			}
-			l.Take(reports, start)
+			l.Apply(reports, start)
 			verdicts[i] = quarantinedBy(&l, start)
 		}
 		if diff := cmp.Diff(verdicts[0], verdicts[1], sorted, cmpopts.EquateEmpty()); diff != "" {
@@ -135,19 +135,19 @@
 func TestQuarantinedRequestIsRetriedThreeTimes(t *testing.T) {
 	var l quarantiner.Ledger
 	now := start
-	l.Take(crashReports("p", "a", "b", "c"), now)
+	l.Apply(crashReports("p", "a", "b", "c"), now)
 	var waits []time.Duration
 	for n := range 4 {
-		left, quarantined := l.Held("p", now)
+		left, quarantined := l.Quarantined("p", now)
 		if !quarantined {
 			t.Fatalf("not in quarantine after trial %d", n)
 		}
 		waits = append(waits, left)
 		now = now.Add(left)
-		if _, quarantined := l.Held("p", now); quarantined {
+		if _, quarantined := l.Quarantined("p", now); quarantined {
 			t.Fatalf("in quarantine for longer than reported")
 		}
-		l.Take(crashReports("p", fmt.Sprint("t", n)), now)
+		l.Apply(crashReports("p", fmt.Sprint("t", n)), now)
 	}
 	want := []time.Duration{10 * time.Minute, 20 * time.Minute, 40 * time.Minute, 24 * time.Hour}
 	if diff := cmp.Diff(want, waits); diff != "" {
@@ -159,11 +159,11 @@
 // evicts a quarantined request or uses unbounded memory.
 func TestManySuspectsDoNotEvictQuarantinedRequest(t *testing.T) {
 	l := quarantiner.Ledger{Limit: 100}
-	l.Take(crashReports("p", "a", "b", "c"), start)
+	l.Apply(crashReports("p", "a", "b", "c"), start)
 	for n := range 1000 {
-		l.Take(crashReports(quarantiner.Digest(fmt.Sprint("s", n)), fmt.Sprint("r", n), fmt.Sprint("t", n)), start.Add(time.Duration(n)*time.Second))
+		l.Apply(crashReports(quarantiner.Digest(fmt.Sprint("s", n)), fmt.Sprint("r", n), fmt.Sprint("t", n)), start.Add(time.Duration(n)*time.Second))
 	}
-	if _, quarantined := l.Held("p", start.Add(time.Second)); !quarantined {
+	if _, quarantined := l.Quarantined("p", start.Add(time.Second)); !quarantined {
 		t.Error("the quarantined request was evicted")
 	}
 	if reports, _ := l.Since(0, start); len(reports) > 100 {
@@ -177,13 +177,13 @@
 	var from, to quarantiner.Ledger
 	seq := 0
 	publish := func() int {
-		var reports []quarantiner.Word
+		var reports []quarantiner.CrashReport
 		reports, seq = from.Since(seq, start)
-		to.Take(reports, start)
+		to.Apply(reports, start)
 		return len(reports)
 	}
-	from.Take(crashReports("p", "a", "b", "c"), start)
-	from.Take(crashReports("i", "a"), start)
+	from.Apply(crashReports("p", "a", "b", "c"), start)
+	from.Apply(crashReports("i", "a"), start)
 	counts := []int{publish(), publish()}
 	from.Clear("i", start)
 	counts = append(counts, publish(), publish())
@@ -198,12 +198,12 @@
 // Guards against expired crashes that stay in the ledger or enter it again by a late report.
 func TestOldCrashesAreForgotten(t *testing.T) {
 	var l quarantiner.Ledger
-	l.Take(crashReports("p", "a", "b", "c"), start)
+	l.Apply(crashReports("p", "a", "b", "c"), start)
 	later := start.Add(25 * time.Hour)
 	if got := len(l.Expire(later)); got != 3 || !l.Empty() {
 		t.Errorf("%d of 3 crashes expired", got)
 	}
-	l.Take([]quarantiner.Word{{Digest: "p", Runner: "a", Age: 25 * time.Hour}}, later)
+	l.Apply([]quarantiner.CrashReport{{Digest: "p", Runner: "a", Age: 25 * time.Hour}}, later)
 	if !l.Empty() {
 		t.Error("an expired crash is known again")
 	}
@@ -215,24 +215,24 @@
 	full := func() *quarantiner.Ledger {
 		var l quarantiner.Ledger
 		for n := range 4096 {
-			l.Take(crashReports(quarantiner.Digest(fmt.Sprint("d", n)), "r"), start)
+			l.Apply(crashReports(quarantiner.Digest(fmt.Sprint("d", n)), "r"), start)
 		}
 		return &l
 	}
 	b.Run("take", func(b *testing.B) {
 		l := full()
 		for n := 0; b.Loop(); n++ {
-			var reports []quarantiner.Word
+			var reports []quarantiner.CrashReport
 			for i := range 64 {
-				reports = append(reports, quarantiner.Word{Digest: quarantiner.Digest(fmt.Sprint("s", n, i)), Runner: "r"})
+				reports = append(reports, quarantiner.CrashReport{Digest: quarantiner.Digest(fmt.Sprint("s", n, i)), Runner: "r"})
 			}
-			l.Take(reports, start)
+			l.Apply(reports, start)
 		}
 	})
 	b.Run("held", func(b *testing.B) {
 		l := full()
 		for b.Loop() {
-			l.Held("d1", start)
+			l.Quarantined("d1", start)
 		}
 	})
 	b.Run("digest", func(b *testing.B) {
--- a/internal/request/quarantiner/row.go
+++ b/internal/request/quarantiner/row.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// KeptFrom is the number of crashes of a request from which on they are persisted, for
+// MinPersistedCrashes is the number of crashes of a request from which on they are persisted, for
 // instances that start later. One crash makes suspects of dozens of requests that ran on the
 // runner, and hardly any of them is suspected again.
-const KeptFrom = 2
+const MinPersistedCrashes = 2
 
 // A Row is the persisted form of a crash. It has wall-clock time in place of an age: crashes
 // are remembered for a day, so steps of the clock do not matter.
 type Row struct {
 	At      int64         `cbor:"1,keyasint"`           // Unix seconds
-	Ran     time.Duration `cbor:"2,keyasint"`           // how long the request had run
+	RunTime time.Duration `cbor:"2,keyasint"`           // how long the request had run
 	Cleared bool          `cbor:"3,keyasint,omitempty"` // it has since run to completion
 }
 
 // Row returns the row of a crash that is reported now.
-func (w Word) Row(now time.Time) Row {
-	return Row{At: now.Add(-w.Age).Unix(), Ran: w.Ran, Cleared: w.Cleared}
+func (w CrashReport) Row(now time.Time) Row {
+	return Row{At: now.Add(-w.Age).Unix(), RunTime: w.RunTime, Cleared: w.Cleared}
 }
 
-// Word returns the crash report, as of now, of a persisted crash.
-func (r Row) Word(c Crash, now time.Time) Word {
-	return Word{Digest: c.Digest, Runner: c.Runner, Ran: r.Ran, Cleared: r.Cleared, Age: max(0, now.Sub(time.Unix(r.At, 0)))}
+// Report returns the crash report, as of now, of a persisted crash.
+func (r Row) Report(c Crash, now time.Time) CrashReport {
+	return CrashReport{Digest: c.Digest, Runner: c.Runner, RunTime: r.RunTime, Cleared: r.Cleared, Age: max(0, now.Sub(time.Unix(r.At, 0)))}
 }
--- a/internal/request/retrier/budget.go
+++ b/internal/request/retrier/budget.go
@@ -109,10 +109,10 @@
 	b.lastRefill = now
 }
 
-// May reports whether a failed attempt may be retried: always if it did not run; if it may
+// Retryable reports whether a failed attempt may be retried: always if it did not run; if it may
 // have run, only if the request is idempotent. It never may once a part of the response has
 // reached the caller.
-func May(err *judge.Error, nonIdempotent, responseStarted bool) bool {
+func Retryable(err *judge.Error, nonIdempotent, responseStarted bool) bool {
 	if responseStarted || nonRetryable(err.Reason) {
 		return false
 	}
--- a/internal/request/retrier/budget_test.go
+++ b/internal/request/retrier/budget_test.go
@@ -26,7 +26,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			err := &judge.Error{Verdict: tc.verdict, Reason: tc.reason}
-			if got := retrier.May(err, tc.nonIdempotent, tc.responseStarted); got != tc.want {
+			if got := retrier.Retryable(err, tc.nonIdempotent, tc.responseStarted); got != tc.want {
 				t.Errorf("May = %v, want %v", got, tc.want)
 			}
 		})
--- a/internal/request/router/router.go
+++ b/internal/request/router/router.go
@@ -11,9 +11,9 @@
 // A Router chooses runners. Its fields are set before use; the times are estimates that the
 // instance keeps up to date.
 type Router struct {
-	Policy  Policy
-	Load    time.Duration // expected time of a load, including its wait for the weight store
-	Service time.Duration // expected execution time of a request
+	Policy        Policy
+	LoadTime      time.Duration // expected time of a load, including its wait for the weight store
+	ExecutionTime time.Duration // expected execution time of a request
 }
 
 const (
@@ -59,7 +59,7 @@
 }
 
 // hasCopy reports whether the runner needs no fetch from the weight store.
-func hasCopy(c Candidate) bool { return c.Resident || c.Loading || c.Kept }
+func hasCopy(c Candidate) bool { return c.Resident || c.Loading || c.HeldBefore }
 
 func (r *Router) terms(request Request, c *Candidate, f fleetState) Terms {
 	rank := float64(rendezvousHash(request.Adapter, c.Runner)) / math.MaxUint64
@@ -84,8 +84,8 @@
 	t.Stall = r.stall(c)
 	t.Queue = r.queue(c)
 	t.Empty = idleFraction(c)
-	waiting := (t.Stall + t.Queue) * r.urgency(request.Left)
-	t.Total = p.Stall*waiting + p.Batch*t.Empty*r.Service.Seconds() + rendezvousCost*rank
+	waiting := (t.Stall + t.Queue) * r.urgency(request.TimeLeft)
+	t.Total = p.StallWeight*waiting + p.BatchWeight*t.Empty*r.ExecutionTime.Seconds() + rendezvousCost*rank
 	return t
 }
 
@@ -150,23 +150,23 @@
 // firstToken estimates the time to the first token.
 func (r *Router) firstToken(p FirstToken, request Request, c *Candidate, rank float64, f fleetState) Terms {
 	t := Terms{
-		Absent: !c.Resident && !c.Loading, Crowded: c.Crowded, Runner: c.Runner, Queue: c.Backlog.Seconds(), Stall: c.Ready.Seconds(),
+		Absent: !c.Resident && !c.Loading, Congested: c.Congested, Runner: c.Runner, Queue: c.Backlog.Seconds(), Stall: c.ReadyIn.Seconds(),
 	}
 	t.Total = max(t.Queue, t.Stall) + failureCost*c.Failing
 	switch {
 	case request.Adapter == "" || c.Resident || c.Loading:
-	case c.Kept:
+	case c.HeldBefore:
 		t.Total += extraCopyCost
 	case f.available:
 		t.Total += coldRendezvousCost*rank + duplicateFetchCost
 	default:
 		t.Total += coldRendezvousCost*rank + extraCopyCost
 	}
-	if c.Away {
+	if c.OtherDomain {
 		t.Total += p.CrossDomain
 	}
 	t.Total += imbalanceCost * max(0, (float64(c.Running)+1)/(f.meanRunning+1)-imbalanceTolerance)
-	if c.Crowded {
+	if c.Congested {
 		t.Total += congestionCost
 	}
 	return t
@@ -175,7 +175,7 @@
 // terms distinguishes only runners that fail often or are in another failure domain.
 func (p Spread) terms(c *Candidate) Terms {
 	t := Terms{Runner: c.Runner, Queue: c.Backlog.Seconds(), Total: failureCost*c.Failing + p.CrossDomain*p.Draw()}
-	if c.Away {
+	if c.OtherDomain {
 		t.Total += p.CrossDomain
 	}
 	return t
@@ -202,12 +202,12 @@
 	if ahead <= 0 {
 		return 0
 	}
-	return ahead / batch * r.Service.Seconds()
+	return ahead / batch * r.ExecutionTime.Seconds()
 }
 
 // stall estimates the wait for the adapter.
 func (r *Router) stall(c *Candidate) float64 {
-	load := (c.Wait + r.Load).Seconds()
+	load := (c.LoadWait + r.LoadTime).Seconds()
 	switch {
 	case c.Resident:
 		return 0
@@ -216,7 +216,7 @@
 	case c.Free > 0:
 		return load
 	default:
-		return load + evictPenalty*r.Load.Seconds()
+		return load + evictPenalty*r.LoadTime.Seconds()
 	}
 }
 
@@ -226,7 +226,7 @@
 	if left <= 0 {
 		return 1
 	}
-	need := (r.Load + r.Service).Seconds()
+	need := (r.LoadTime + r.ExecutionTime).Seconds()
 	return 1 + min(maxUrgency, need/left.Seconds())
 }
 
--- a/internal/request/router/router_test.go
+++ b/internal/request/router/router_test.go
@@ -9,16 +9,16 @@
 )
 
 var (
-	latencyWeights = router.Cost{Stall: 1, Batch: 0.1}
-	batchWeights   = router.Cost{Stall: 0.3, Batch: 1}
+	latencyWeights = router.Cost{StallWeight: 1, BatchWeight: 0.1}
+	batchWeights   = router.Cost{StallWeight: 0.3, BatchWeight: 1}
 )
 
 func newRouter(p router.Policy) *router.Router {
-	return &router.Router{Policy: p, Load: time.Second, Service: 500 * time.Millisecond}
+	return &router.Router{Policy: p, LoadTime: time.Second, ExecutionTime: 500 * time.Millisecond}
 }
 
 func ExampleRouter_Choose() {
-	r := newRouter(router.Cost{Stall: 1})
+	r := newRouter(router.Cost{StallWeight: 1})
 	terms := r.Choose(router.Request{Adapter: "mill-1@1"}, []router.Candidate{
 		{Runner: "r1", Batch: 8, Ramp: 1, Free: 1},
 		{Runner: "r2", Batch: 8, Ramp: 1, Resident: true, Running: 3},
@@ -79,7 +79,7 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			terms := newRouter(tc.policy).Choose(router.Request{Adapter: "x@1", Left: tc.left}, tc.candidates)
+			terms := newRouter(tc.policy).Choose(router.Request{Adapter: "x@1", TimeLeft: tc.left}, tc.candidates)
 			if terms[0].Runner != tc.want {
 				t.Errorf("chose %s, want %s: %+v", terms[0].Runner, tc.want, terms)
 			}
@@ -98,7 +98,7 @@
 			r := newRouter(latencyWeights)
 			b.ReportAllocs()
 			for b.Loop() {
-				r.Choose(router.Request{Adapter: "mill-1@1", Left: time.Second}, candidates)
+				r.Choose(router.Request{Adapter: "mill-1@1", TimeLeft: time.Second}, candidates)
 			}
 		})
 	}
@@ -116,15 +116,15 @@
 		candidates []router.Candidate
 		want       string
 	}{
-		{"own domain first", []router.Candidate{{Runner: "away", Resident: true, Away: true}, {Runner: "near", Resident: true}}, "near"},
-		{"other domain if the own runner has a backlog", []router.Candidate{{Runner: "away", Resident: true, Away: true}, {Runner: "near", Resident: true, Backlog: 50 * time.Millisecond}}, "away"},
-		{"resident first", []router.Candidate{{Runner: "there", Resident: true, Backlog: 100 * time.Millisecond}, {Runner: "absent", Ready: 270 * time.Millisecond}}, "there"},
-		{"not the runner far above the mean", []router.Candidate{busy("hot", 60), busy("b", 1), busy("c", 1), {Runner: "absent", Ready: 270 * time.Millisecond}}, "b"},
-		{"runner that kept the adapter, though no slot is free yet", []router.Candidate{{Runner: "kept", Kept: true, Ready: 300 * time.Millisecond}, {Runner: "absent", Ready: 270 * time.Millisecond}}, "kept"},
-		{"another runner if that would take too long", []router.Candidate{{Runner: "kept", Kept: true, Ready: 1800 * time.Millisecond}, {Runner: "absent", Ready: 270 * time.Millisecond}}, "absent"},
+		{"own domain first", []router.Candidate{{Runner: "away", Resident: true, OtherDomain: true}, {Runner: "near", Resident: true}}, "near"},
+		{"other domain if the own runner has a backlog", []router.Candidate{{Runner: "away", Resident: true, OtherDomain: true}, {Runner: "near", Resident: true, Backlog: 50 * time.Millisecond}}, "away"},
+		{"resident first", []router.Candidate{{Runner: "there", Resident: true, Backlog: 100 * time.Millisecond}, {Runner: "absent", ReadyIn: 270 * time.Millisecond}}, "there"},
+		{"not the runner far above the mean", []router.Candidate{busy("hot", 60), busy("b", 1), busy("c", 1), {Runner: "absent", ReadyIn: 270 * time.Millisecond}}, "b"},
+		{"runner that kept the adapter, though no slot is free yet", []router.Candidate{{Runner: "kept", HeldBefore: true, ReadyIn: 300 * time.Millisecond}, {Runner: "absent", ReadyIn: 270 * time.Millisecond}}, "kept"},
+		{"another runner if that would take too long", []router.Candidate{{Runner: "kept", HeldBefore: true, ReadyIn: 1800 * time.Millisecond}, {Runner: "absent", ReadyIn: 270 * time.Millisecond}}, "absent"},
 		{"failing runner last", []router.Candidate{{Runner: "failing", Resident: true, Failing: 0.5}, {Runner: "sound", Resident: true, Backlog: 300 * time.Millisecond}}, "sound"},
-		{"not the congested runner", []router.Candidate{{Runner: "crowded", Resident: true, Crowded: true}, {Runner: "free", Resident: true, Backlog: 40 * time.Millisecond}}, "free"},
-		{"congested runner if the other has a long backlog", []router.Candidate{{Runner: "crowded", Resident: true, Crowded: true}, {Runner: "free", Resident: true, Backlog: 100 * time.Millisecond}}, "crowded"},
+		{"not the congested runner", []router.Candidate{{Runner: "crowded", Resident: true, Congested: true}, {Runner: "free", Resident: true, Backlog: 40 * time.Millisecond}}, "free"},
+		{"congested runner if the other has a long backlog", []router.Candidate{{Runner: "crowded", Resident: true, Congested: true}, {Runner: "free", Resident: true, Backlog: 100 * time.Millisecond}}, "crowded"},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			terms := newRouter(first).Choose(router.Request{Adapter: "x@1"}, tc.candidates)
--- a/internal/request/streamer/sequencer.go
+++ b/internal/request/streamer/sequencer.go
@@ -5,19 +5,19 @@
 // be completed.
 type Sequencer struct{ last uint32 }
 
-// A Place is the position of a part relative to the expected one.
-type Place int
+// A Position is the position of a part relative to the expected one.
+type Position int
 
-// The places.
+// The positions.
 const (
-	Next  Place = iota // the expected part
-	Stale              // late or duplicate: drop it
-	Gap                // parts are missing before it
+	Next  Position = iota // the expected part
+	Stale                 // late or duplicate: drop it
+	Gap                   // parts are missing before it
 )
 
-// Accept records the sequence number of a part and returns its place. The first number is
+// Accept records the sequence number of a part and returns its position. The first number is
 // 1.
-func (s *Sequencer) Accept(number uint32) Place {
+func (s *Sequencer) Accept(number uint32) Position {
 	switch {
 	case number <= s.last:
 		return Stale
--- a/internal/upstream/caller/caller.go
+++ b/internal/upstream/caller/caller.go
@@ -121,7 +121,7 @@
 func post(ctx context.Context, address, path string, value any) (int, judge.Observation) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		return 0, judge.Dialed{Err: err}
+		return 0, judge.DialFailed{Err: err}
 	}
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
--- a/internal/upstream/caller/run.go
+++ b/internal/upstream/caller/run.go
@@ -73,7 +73,7 @@
 		return judge.Judge(judge.Mismatched{Want: call.Adapter, Got: got})
 	}
 	head.Status = response.Status
-	head.Type = string(response.Header.ContentType())
+	head.ContentType = string(response.Header.ContentType())
 	head.Adapter = call.Adapter
 	p := &responseCopier{response: response, call: call, handle: handle, head: head, sink: sink}
 	if call.Stream {
@@ -106,7 +106,7 @@
 	if err != nil {
 		return judge.Judge(response.Broken(err))
 	}
-	head := streamer.Head{Status: response.Status, Type: string(response.Header.ContentType()), Runner: call.Runner}
+	head := streamer.Head{Status: response.Status, ContentType: string(response.Header.ContentType()), Runner: call.Runner}
 	return deliver(sink, head, body)
 }
 
--- a/internal/upstream/driver/crash.go
+++ b/internal/upstream/driver/crash.go
@@ -14,8 +14,8 @@
 	// Crashed reports that an engine restarted, and the requests whose responses had
 	// broken off there with the time that each had run.
 	Crashed(engine string, requests map[quarantiner.Digest]time.Duration)
-	// Held returns the refusal of a quarantined request, nil if the request may run.
-	Held(call *streamer.Call) *judge.Error
+	// Refusal returns the refusal of a quarantined request, nil if the request may run.
+	Refusal(call *streamer.Call) *judge.Error
 }
 
 // A brokenResponse records a response that broke off.
--- a/internal/upstream/driver/driver_test.go
+++ b/internal/upstream/driver/driver_test.go
@@ -33,7 +33,7 @@
 type noQuarantine struct{}
 
 func (noQuarantine) Crashed(string, map[quarantiner.Digest]time.Duration) {}
-func (noQuarantine) Held(*streamer.Call) *judge.Error                     { return nil }
+func (noQuarantine) Refusal(*streamer.Call) *judge.Error                  { return nil }
 
 func (f *fakeEngine) Cancel(context.Context, string, string) bool { return true }
 
@@ -46,7 +46,7 @@
 
 func (f *fakeEngine) Report(context.Context, string) (caller.Report, error) {
 	if f.unresponsive.Load() {
-		return caller.Report{}, judge.Judge(judge.Dialed{})
+		return caller.Report{}, judge.Judge(judge.DialFailed{})
 	}
 	return caller.Report{Engine: "e-1", Leaving: f.leaving.Load()}, nil
 }
--- a/internal/upstream/driver/serve.go
+++ b/internal/upstream/driver/serve.go
@@ -32,7 +32,7 @@
 	d.Pump(ctx, arrived)
 	select {
 	case handle := <-w.start:
-		if refusal := d.Quarantine.Held(call); refusal != nil {
+		if refusal := d.Quarantine.Refusal(call); refusal != nil {
 			d.releaseUnsent(ctx, e, handle)
 			return refusal
 		}
@@ -155,7 +155,7 @@
 		return
 	}
 	retry := max(0, d.budget.Backoff(n.Adapter).Sub(now))
-	refusal := judge.Refuse(judge.ReasonLoad, "the adapter could not be loaded %d times in a row", maxLoadFailures).After(retry)
+	refusal := judge.Refuse(judge.ReasonLoad, "the adapter could not be loaded %d times in a row", maxLoadFailures).WithRetryAfter(retry)
 	d.runners[n.Runner].rejectQueued(refusal, func(i admitter.Item) bool { return i.Adapter == n.Adapter })
 }
 
@@ -201,7 +201,7 @@
 	wait := time.Duration(turnsAhead * float64(d.runTime.duration()))
 	if left := call.Deadline.Sub(now); wait > left {
 		return judge.Refuse(judge.ReasonDeadline, "the queue takes about %s and %s is left",
-			wait.Round(time.Millisecond), left.Round(time.Millisecond)).After(wait - left)
+			wait.Round(time.Millisecond), left.Round(time.Millisecond)).WithRetryAfter(wait - left)
 	}
 	return nil
 }
--- a/internal/upstream/monitor/fleet.go
+++ b/internal/upstream/monitor/fleet.go
@@ -90,7 +90,7 @@
 		candidates = append(candidates, router.Candidate{
 			Runner: name, Resident: r.resident[adapter], Loading: r.loading[adapter], Free: r.free,
 			Batch: r.declared.Batch, Running: r.running, Waiting: r.waiting, Sent: r.sent, Ramp: r.ramp,
-			Wait: r.wait,
+			LoadWait: r.wait,
 		})
 	}
 	return candidates, owners
--- a/internal/upstream/tracker/candidate.go
+++ b/internal/upstream/tracker/candidate.go
@@ -50,13 +50,13 @@
 			continue
 		}
 		c := router.Candidate{
-			Runner: id, Away: s.Domain != f.Domain, Batch: s.Slots, Running: s.ownLoad.Running + s.otherLoad.Running,
+			Runner: id, OtherDomain: s.Domain != f.Domain, Batch: s.Slots, Running: s.ownLoad.Running + s.otherLoad.Running,
 			Backlog: f.backlog(s, d), Failing: s.currentFailureRate(now), Resident: true,
 		}
 		if d.Full[id] {
 			c.Backlog += refusalPenalty
 		}
-		c.Crowded = d.Crowd > 0 && c.Backlog+prefill > d.Crowd
+		c.Congested = d.Crowd > 0 && c.Backlog+prefill > d.Crowd
 		if d.Copy != (placer.Copy{}) {
 			s.setReadiness(&c, d, f.loadQueueWait[s.Domain], f.loadTimesIn(s.Domain, d), now)
 		}
@@ -75,20 +75,20 @@
 	if at, held := s.held[d.Copy]; held {
 		c.Resident = !now.Before(at)
 		c.Loading = !c.Resident
-		c.Ready = max(0, at.Sub(now))
+		c.ReadyIn = max(0, at.Sub(now))
 		return
 	}
 	c.Resident = false
-	c.Kept = s.evicted.Has(d.Copy)
-	c.Ready = max(s.adapterSlotWait, queueWait) + times.Load
-	if c.Kept {
-		c.Ready = s.adapterSlotWait + times.Return // from the runner's host memory, without queueing for the weight store
+	c.HeldBefore = s.evicted.Has(d.Copy)
+	c.ReadyIn = max(s.adapterSlotWait, queueWait) + times.Load
+	if c.HeldBefore {
+		c.ReadyIn = s.adapterSlotWait + times.Return // from the runner's host memory, without queueing for the weight store
 	}
 	switch {
 	case s.otherVersion(d.Copy):
-		c.Ready += versionReplaceTime
+		c.ReadyIn += versionReplaceTime
 	case s.ID == d.Asked:
-		c.Ready = min(c.Ready, s.adapterSlotWait+times.Load) // it is in the load queue already
+		c.ReadyIn = min(c.ReadyIn, s.adapterSlotWait+times.Load) // it is in the load queue already
 	}
 }
 
