--- a/internal/upstream/tracker/fleet_test.go
+++ b/internal/upstream/tracker/fleet_test.go
@@ -93,7 +93,7 @@
 			f.Set(tracker.Runner{ID: "i-1", Service: "llm", Domain: "a", Revision: 1})
 			tc.happen(f)
 			demand := tracker.Demand{Service: "llm", Copy: adapter, Load: time.Second, Return: 100 * time.Millisecond}
-			if diff := cmp.Diff(tc.want, f.Candidates(demand, time.Now())[0].Ready); diff != "" {
+			if diff := cmp.Diff(tc.want, f.Candidates(demand, time.Now())[0].ReadyIn); diff != "" {
 				t.Error(diff)
 			}
 		})
@@ -144,7 +144,7 @@
 		f.HeldOne("i-1", adapter, time.Time{}, false) // evicted: it could be loaded again quickly
 		got := make(map[string]time.Duration)
 		for _, c := range f.Candidates(tracker.Demand{Service: "llm", Copy: adapter, Load: 250 * time.Millisecond, Return: 25 * time.Millisecond}, time.Now()) {
-			got[c.Runner] = c.Ready
+			got[c.Runner] = c.ReadyIn
 		}
 		want := map[string]time.Duration{"i-1": time.Second + 25*time.Millisecond, "i-2": 250 * time.Millisecond}
 		if diff := cmp.Diff(want, got); diff != "" {
@@ -170,7 +170,7 @@
 	f.LoadTimes("b", tracker.Times{Load: 600 * time.Millisecond, Return: 60 * time.Millisecond})
 	got := make(map[string]time.Duration)
 	for _, c := range f.Candidates(demand, now) {
-		got[c.Runner] = c.Ready
+		got[c.Runner] = c.ReadyIn
 	}
 	if diff := cmp.Diff(map[string]time.Duration{"near": 270 * time.Millisecond, "far": 600 * time.Millisecond}, got); diff != "" {
 		t.Error(diff)
--- a/internal/wire/pooler/exchange.go
+++ b/internal/wire/pooler/exchange.go
@@ -53,7 +53,7 @@
 	if c == nil {
 		var err error
 		if c, err = p.dial(ctx, call.Address); err != nil {
-			return nil, judge.Dialed{Err: err}
+			return nil, judge.DialFailed{Err: err}
 		}
 	}
 	detach := context.AfterFunc(ctx, func() { _ = c.Close() })
--- a/internal/wire/requester/requester.go
+++ b/internal/wire/requester/requester.go
@@ -60,7 +60,7 @@
 	dialer := net.Dialer{Timeout: r.dialTimeout()}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, judge.Dialed{Err: err}
+		return nil, judge.DialFailed{Err: err}
 	}
 	counting := &countingConn{Conn: conn}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -85,7 +85,7 @@
 	defer cancel()
 	data, err := encoder.Marshal(value)
 	if err != nil {
-		return 0, nil, judge.Dialed{Err: err}
+		return 0, nil, judge.DialFailed{Err: err}
 	}
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
