--- a/internal/adapter/keeper/evictor_test.go
+++ b/internal/adapter/keeper/evictor_test.go
@@ -32,7 +32,7 @@
 // adapter was not resident.
 func (t trace) misses(policy keeper.Evictor, slots int) int {
 	k := &keeper.Keeper{Capacity: slots, Policy: policy, Self: "i"}
-	k.Take(1, nil)
+	k.Acquire(1, nil)
 	missed := 0
 	now := start
 	for _, adapter := range t {
@@ -41,7 +41,7 @@
 		if !k.Servable(name) {
 			missed++
 			for !k.Servable(name) {
-				_ = k.Finish(k.Want(name, now), keeper.Done, now) // an eviction, then the load
+				_ = k.Finish(k.NextOrder(name, now), keeper.Done, now) // an eviction, then the load
 			}
 		}
 		handle, _ := k.Pin(name)
--- a/internal/adapter/keeper/keeper.go
+++ b/internal/adapter/keeper/keeper.go
@@ -45,8 +45,8 @@
 	return since
 }
 
-// Coming returns the adapters that are being loaded, sorted.
-func (k *Keeper) Coming() []string {
+// LoadingAdapters returns the adapters that are being loaded, sorted.
+func (k *Keeper) LoadingAdapters() []string {
 	var adapters []string
 	for _, s := range k.slots {
 		if s.Machine.State == stateLoading {
@@ -111,9 +111,9 @@
 	return s.Handle, true
 }
 
-// Raised reports whether the engine has confirmed the fencing token of the
+// FenceConfirmed reports whether the engine has confirmed the fencing token of the
 // current lease.
-func (k *Keeper) Raised() bool { return k.fenceConfirmed }
+func (k *Keeper) FenceConfirmed() bool { return k.fenceConfirmed }
 
 // Resident returns the adapters that can be served here, sorted.
 func (k *Keeper) Resident() []string {
@@ -149,10 +149,10 @@
 	}
 }
 
-// Want returns the next order toward loading the adapter: a Load if a slot is free,
+// NextOrder returns the next order toward loading the adapter: a Load if a slot is free,
 // an Evict if one can be freed, nil if this instance does not own the runner, the
 // adapter is being loaded or no slot can be freed now.
-func (k *Keeper) Want(adapter string, now time.Time) Action {
+func (k *Keeper) NextOrder(adapter string, now time.Time) Action {
 	if !k.owned || k.loadPending(adapter) {
 		return nil
 	}
--- a/internal/adapter/keeper/keeper_test.go
+++ b/internal/adapter/keeper/keeper_test.go
@@ -17,14 +17,14 @@
 // that ignores fencing tokens.
 func newKeeper() *keeper.Keeper {
 	k := &keeper.Keeper{Capacity: 2, Policy: keeper.LRU{}, Self: "b"}
-	k.Take(1, nil)
+	k.Acquire(1, nil)
 	return k
 }
 
 // load loads an adapter and fails the test if the keeper orders no load.
 func load(t *testing.T, k *keeper.Keeper, adapter string, now time.Time) {
 	t.Helper()
-	action, ok := k.Want(adapter, now).(keeper.Load)
+	action, ok := k.NextOrder(adapter, now).(keeper.Load)
 	if !ok {
 		t.Fatalf("Want(%s) is no load", adapter)
 	}
@@ -35,14 +35,14 @@
 
 func ExampleKeeper() {
 	k := &keeper.Keeper{Capacity: 1, Policy: keeper.LRU{}, Self: "b"}
-	k.Take(1, nil)
-	order := k.Want("mill-1@1", start)
+	k.Acquire(1, nil)
+	order := k.NextOrder("mill-1@1", start)
 	fmt.Printf("%T\n", order)
 	_ = k.Finish(order, keeper.Done, start)
 	handle, ok := k.Pin("mill-1@1")
-	fmt.Println(handle, ok, k.Want("mill-2@1", start))
+	fmt.Println(handle, ok, k.NextOrder("mill-2@1", start))
 	k.Unpin(handle)
-	fmt.Printf("%T\n", k.Want("mill-2@1", start))
+	fmt.Printf("%T\n", k.NextOrder("mill-2@1", start))
 	// Output:
 	// keeper.Load
 	// mill-1@1#b.1 true <nil>
@@ -51,8 +51,8 @@
 
 func TestWantSharesOneLoad(t *testing.T) {
 	k := newKeeper()
-	k.Want("x@1", start)
-	if second := k.Want("x@1", start); second != nil {
+	k.NextOrder("x@1", start)
+	if second := k.NextOrder("x@1", start); second != nil {
 		t.Errorf("second request ordered %v, want to share the first load", second)
 	}
 }
@@ -72,9 +72,9 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			k := &keeper.Keeper{Capacity: 1, Fencing: tc.fencing, Policy: keeper.LRU{}, Self: "b"}
-			k.Take(2, []string{"a"})
-			k.Raise(2)
-			if _, err := k.Reconcile(keeper.Report{Held: true, Asked: start, Engine: "e", Resident: []string{"x@1#a"}}); err != nil {
+			k.Acquire(2, []string{"a"})
+			k.ConfirmFence(2)
+			if _, err := k.Reconcile(keeper.Report{LeaseValid: true, RequestedAt: start, Engine: "e", Resident: []string{"x@1#a"}}); err != nil {
 				t.Fatal(err)
 			}
 			handle, serves := k.Pin("x@1")
@@ -82,15 +82,15 @@
 				t.Errorf("served = %v, want %v", serves, tc.serves)
 			}
 			k.Unpin(handle)
-			if order := k.Want("y@1", start); order != nil {
+			if order := k.NextOrder("y@1", start); order != nil {
 				t.Fatalf("ordered %v before the previous owner was cleared", order)
 			}
-			k.Clear("a", keeper.Surrender{Pins: map[string]int{"x@1#a": 1}})
-			if order := k.Want("y@1", start); order != nil {
+			k.Clear("a", keeper.Handover{Pins: map[string]int{"x@1#a": 1}})
+			if order := k.NextOrder("y@1", start); order != nil {
 				t.Fatalf("ordered %v while the previous owner's request runs", order)
 			}
-			k.Clear("a", keeper.Surrender{})
-			if _, ok := k.Want("y@1", start).(keeper.Evict); !ok {
+			k.Clear("a", keeper.Handover{})
+			if _, ok := k.NextOrder("y@1", start).(keeper.Evict); !ok {
 				t.Error("no eviction after the previous owner was cleared")
 			}
 		})
@@ -104,18 +104,18 @@
 	k := newKeeper()
 	load(t, k, "x@1", start)
 	load(t, k, "y@1", start.Add(time.Second))
-	evict := k.Want("z@1", start.Add(2*time.Second))
+	evict := k.NextOrder("z@1", start.Add(2*time.Second))
 	if err := k.Finish(evict, keeper.Lost, start.Add(3*time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	report := keeper.Report{Held: true, Asked: start.Add(4 * time.Second), Engine: "e", Resident: []string{"x@1#b.1", "y@1#b.2"}}
+	report := keeper.Report{LeaseValid: true, RequestedAt: start.Add(4 * time.Second), Engine: "e", Resident: []string{"x@1#b.1", "y@1#b.2"}}
 	if _, err := k.Reconcile(report); err != nil {
 		t.Fatal(err)
 	}
 	if handle, ok := k.Pin("x@1"); ok {
 		t.Errorf("served doomed copy %s", handle)
 	}
-	again, ok := k.Want("z@1", start.Add(5*time.Second)).(keeper.Evict)
+	again, ok := k.NextOrder("z@1", start.Add(5*time.Second)).(keeper.Evict)
 	if !ok || again.Handle.Adapter != "x@1" {
 		t.Errorf("Want = %v, want the eviction of x@1 again", again)
 	}
@@ -126,7 +126,7 @@
 func TestReconcileIgnoresReportOlderThanOrder(t *testing.T) {
 	k := newKeeper()
 	load(t, k, "x@1", start.Add(time.Second))
-	if _, err := k.Reconcile(keeper.Report{Held: true, Asked: start, Engine: "e"}); err != nil {
+	if _, err := k.Reconcile(keeper.Report{LeaseValid: true, RequestedAt: start, Engine: "e"}); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff([]string{"x@1"}, k.Resident()); diff != "" {
@@ -138,11 +138,11 @@
 // no request is sent to a copy that no longer exists.
 func TestEngineRestartEmptiesTheSlots(t *testing.T) {
 	k := newKeeper()
-	if _, err := k.Reconcile(keeper.Report{Held: true, Asked: start, Engine: "e1"}); err != nil {
+	if _, err := k.Reconcile(keeper.Report{LeaseValid: true, RequestedAt: start, Engine: "e1"}); err != nil {
 		t.Fatal(err)
 	}
 	load(t, k, "x@1", start)
-	restarted, err := k.Reconcile(keeper.Report{Held: true, Asked: start.Add(time.Second), Engine: "e2"})
+	restarted, err := k.Reconcile(keeper.Report{LeaseValid: true, RequestedAt: start.Add(time.Second), Engine: "e2"})
 	if err != nil || !restarted {
 		t.Fatalf("Reconcile = %v, %v, want a restart", restarted, err)
 	}
@@ -156,17 +156,17 @@
 // the copy was evicted while the request ran.
 func TestPinSurvivesRestartDetectedLate(t *testing.T) {
 	k := &keeper.Keeper{Capacity: 1, Policy: keeper.LRU{}, Self: "b"}
-	k.Take(1, nil)
-	if _, err := k.Reconcile(keeper.Report{Held: true, Asked: start, Engine: "e1"}); err != nil {
+	k.Acquire(1, nil)
+	if _, err := k.Reconcile(keeper.Report{LeaseValid: true, RequestedAt: start, Engine: "e1"}); err != nil {
 		t.Fatal(err)
 	}
 	load(t, k, "x@1", start.Add(time.Second))
 	handle, _ := k.Pin("x@1")
-	report := keeper.Report{Held: true, Asked: start.Add(2 * time.Second), Engine: "e2", Resident: []string{handle.String()}}
+	report := keeper.Report{LeaseValid: true, RequestedAt: start.Add(2 * time.Second), Engine: "e2", Resident: []string{handle.String()}}
 	if _, err := k.Reconcile(report); err != nil {
 		t.Fatal(err)
 	}
-	if order := k.Want("y@1", start.Add(3*time.Second)); order != nil {
+	if order := k.NextOrder("y@1", start.Add(3*time.Second)); order != nil {
 		t.Errorf("ordered %v while a request runs on %s", order, handle)
 	}
 }
@@ -182,7 +182,7 @@
 	}
 	handle, _ := k.Pin("cold@1")
 	k.Unpin(handle)
-	order, ok := k.Want("new@1", start.Add(2*time.Second)).(keeper.Evict)
+	order, ok := k.NextOrder("new@1", start.Add(2*time.Second)).(keeper.Evict)
 	if !ok || order.Handle.Adapter != "cold@1" {
 		t.Errorf("evicts %v, want cold@1", order.Handle)
 	}
@@ -193,17 +193,17 @@
 // request to that copy. The copy must not be evicted before both are cleared.
 func TestDoomedCopyWaitsForEveryPreviousOwner(t *testing.T) {
 	k := &keeper.Keeper{Capacity: 1, Fencing: true, Policy: keeper.LRU{}, Self: "c"}
-	k.Take(3, []string{"a", "b"})
-	k.Raise(3)
-	if _, err := k.Reconcile(keeper.Report{Held: true, Asked: start, Engine: "e", Resident: []string{"x@1#b.1"}}); err != nil {
+	k.Acquire(3, []string{"a", "b"})
+	k.ConfirmFence(3)
+	if _, err := k.Reconcile(keeper.Report{LeaseValid: true, RequestedAt: start, Engine: "e", Resident: []string{"x@1#b.1"}}); err != nil {
 		t.Fatal(err)
 	}
-	k.Clear("b", keeper.Surrender{Doomed: []string{"x@1#b.1"}})
-	if order := k.Want("y@1", start); order != nil {
+	k.Clear("b", keeper.Handover{Evicting: []string{"x@1#b.1"}})
+	if order := k.NextOrder("y@1", start); order != nil {
 		t.Errorf("ordered %v before a was cleared", order)
 	}
-	k.Clear("a", keeper.Surrender{})
-	if _, ok := k.Want("y@1", start).(keeper.Evict); !ok {
+	k.Clear("a", keeper.Handover{})
+	if _, ok := k.NextOrder("y@1", start).(keeper.Evict); !ok {
 		t.Error("no eviction after all were cleared")
 	}
 }
@@ -212,16 +212,16 @@
 	k := newKeeper()
 	load(t, k, "x@1", start)
 	load(t, k, "y@1", start)
-	evict := k.Want("z@1", start)
-	k.Abandon()
-	if _, ok := k.Surrender(); ok {
+	evict := k.NextOrder("z@1", start)
+	k.Release()
+	if _, ok := k.Handover(); ok {
 		t.Fatal("surrendered while an eviction was under way")
 	}
 	if err := k.Finish(evict, keeper.Lost, start); err != nil {
 		t.Fatal(err)
 	}
-	got, ok := k.Surrender()
-	want := keeper.Surrender{Pins: map[string]int{}, Doomed: []string{"x@1#b.1"}}
+	got, ok := k.Handover()
+	want := keeper.Handover{Pins: map[string]int{}, Evicting: []string{"x@1#b.1"}}
 	if diff := cmp.Diff(want, got); !ok || diff != "" {
 		t.Errorf("ok = %v: %s", ok, diff)
 	}
--- a/internal/adapter/keeper/ownership.go
+++ b/internal/adapter/keeper/ownership.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// A Surrender is the answer of an incarnation that a later owner asks to release a
+// A Handover is the answer of an incarnation that a later owner asks to release a
 // runner. After it, the incarnation sends no orders to the runner.
-type Surrender struct {
-	Pins   map[string]int // number of running requests by handle
-	Doomed []string       // handles that an unanswered eviction order may still evict
+type Handover struct {
+	Pins     map[string]int // number of running requests by handle
+	Evicting []string       // handles that an unanswered eviction order may still evict
 }
 
-// Abandon releases the runner: nothing is ordered or admitted until the next Take.
+// Release releases the runner: nothing is ordered or admitted until the next Acquire.
 // Running requests keep their pins.
-func (k *Keeper) Abandon() {
+func (k *Keeper) Release() {
 	k.owned = false
 	k.fenceConfirmed = false
 }
@@ -33,14 +33,14 @@
 
 // Clear records that a previous owner has released the runner. It may be called
 // again as the requests of that owner end.
-func (k *Keeper) Clear(owner string, s Surrender) {
+func (k *Keeper) Clear(owner string, s Handover) {
 	k.init()
 	delete(k.uncleared, owner)
 	delete(k.previousPins, owner)
 	if len(s.Pins) > 0 {
 		k.previousPins[owner] = maps.Clone(s.Pins)
 	}
-	for _, name := range s.Doomed {
+	for _, name := range s.Evicting {
 		k.doom(name)
 	}
 }
@@ -50,9 +50,9 @@
 	return len(k.uncleared) == 0 && len(k.previousPins) == 0
 }
 
-// Raise records that the engine has confirmed a fencing token. A token other than
+// ConfirmFence records that the engine has confirmed a fencing token. A token other than
 // that of the current lease is ignored.
-func (k *Keeper) Raise(fence uint64) {
+func (k *Keeper) ConfirmFence(fence uint64) {
 	if k.owned && fence == k.fence {
 		k.fenceConfirmed = true
 	}
@@ -64,30 +64,30 @@
 	return k.owned && (!k.Fencing || k.fenceConfirmed)
 }
 
-// Surrender returns the state that a later owner needs. It is false while this
+// Handover returns the state that a later owner needs. It is false while this
 // instance still owns the runner or one of its eviction orders is in flight: the
 // later owner asks again.
-func (k *Keeper) Surrender() (Surrender, bool) {
-	s := Surrender{Pins: make(map[string]int)}
+func (k *Keeper) Handover() (Handover, bool) {
+	s := Handover{Pins: make(map[string]int)}
 	for name, slot := range k.slots {
 		switch slot.Machine.State {
 		case stateEvicting, stateFinishing:
-			return Surrender{}, false
+			return Handover{}, false
 		case stateDoomed:
-			s.Doomed = append(s.Doomed, name)
+			s.Evicting = append(s.Evicting, name)
 		}
 		if slot.Pins > 0 {
 			s.Pins[name] = slot.Pins
 		}
 	}
-	slices.Sort(s.Doomed)
+	slices.Sort(s.Evicting)
 	return s, !k.owned
 }
 
-// Take records that this instance has acquired the lease on the runner. The
+// Acquire records that this instance has acquired the lease on the runner. The
 // previous owners are the incarnations that may have used the runner before and
 // have not been cleared.
-func (k *Keeper) Take(fence uint64, previousOwners []string) {
+func (k *Keeper) Acquire(fence uint64, previousOwners []string) {
 	k.init()
 	k.owned = true
 	k.fenceConfirmed = false
--- a/internal/adapter/keeper/ownership_test.go
+++ b/internal/adapter/keeper/ownership_test.go
@@ -59,7 +59,7 @@
 		previousOwners = append(previousOwners, o.keeper.Self)
 	}
 	o := c.owners[to]
-	o.keeper.Take(c.epoch, previousOwners)
+	o.keeper.Acquire(c.epoch, previousOwners)
 	o.assumesLease = true
 }
 
@@ -71,16 +71,16 @@
 		return
 	}
 	o.assumesLease = false
-	o.keeper.Abandon()
-	if surrender, ok := o.keeper.Surrender(); ok {
-		c.owners[c.leaseHolder].keeper.Clear(o.keeper.Self, surrender)
+	o.keeper.Release()
+	if handover, ok := o.keeper.Handover(); ok {
+		c.owners[c.leaseHolder].keeper.Clear(o.keeper.Self, handover)
 	}
 }
 
 func (c *ownershipModel) report(who int) error {
 	o := c.owners[who]
 	_, err := o.keeper.Reconcile(keeper.Report{
-		Asked: c.now, Held: c.trustReports || who == c.leaseHolder, Engine: "e", Resident: slices.Sorted(maps.Keys(c.resident)),
+		RequestedAt: c.now, LeaseValid: c.trustReports || who == c.leaseHolder, Engine: "e", Resident: slices.Sorted(maps.Keys(c.resident)),
 	})
 	return err
 }
@@ -128,7 +128,7 @@
 		c.clear(who)
 	case "raise":
 		if c.admit(o.keeper.Fence()) {
-			o.keeper.Raise(o.keeper.Fence())
+			o.keeper.ConfirmFence(o.keeper.Fence())
 		}
 	case "report":
 		return c.report(who)
@@ -145,7 +145,7 @@
 			o.sent = o.sent[1:]
 		}
 	case "want":
-		if action := o.keeper.Want(adapter, c.now); action != nil {
+		if action := o.keeper.NextOrder(adapter, c.now); action != nil {
 			o.orders = append(o.orders, action)
 		}
 	case "order", "lose":
@@ -227,7 +227,7 @@
 		t.Fatal(err)
 	}
 	for _, adapter := range []string{"a@1", "b@1", "c@1"} {
-		if _, err := c.carryOut(c.owners[0].keeper.Want(adapter, c.now)); err != nil {
+		if _, err := c.carryOut(c.owners[0].keeper.NextOrder(adapter, c.now)); err != nil {
 			return
 		}
 	}
--- a/internal/adapter/keeper/reconcile.go
+++ b/internal/adapter/keeper/reconcile.go
@@ -10,11 +10,11 @@
 
 // A Report is the state that an engine reports.
 type Report struct {
-	Asked    time.Time // when the report was requested, by the clock of the requester
-	Held     bool      // whether the lease was still valid when the report had arrived
-	Engine   string    // incarnation of the engine
-	Resident []string  // handles of copies that can serve
-	Loading  []string  // handles of copies that are being loaded
+	RequestedAt time.Time // when the report was requested, by the clock of the requester
+	LeaseValid  bool      // whether the lease was still valid when the report had arrived
+	Engine      string    // incarnation of the engine
+	Resident    []string  // handles of copies that can serve
+	Loading     []string  // handles of copies that are being loaded
 }
 
 // Reconcile applies a report. It returns whether the engine has restarted. A slot
@@ -31,7 +31,7 @@
 		return restarted, err
 	}
 	for _, name := range r.Resident {
-		k.discover(name, r.Held)
+		k.discover(name, r.LeaseValid)
 	}
 	return restarted, nil
 }
@@ -62,7 +62,7 @@
 // such a copy was evicted while requests ran on it.
 func (k *Keeper) applyReport(r Report, restarted bool) error {
 	for name, s := range maps.Clone(k.slots) {
-		if !r.Asked.After(s.changed) {
+		if !r.RequestedAt.After(s.changed) {
 			continue
 		}
 		shown := slices.Contains(r.Resident, name) || slices.Contains(r.Loading, name)
--- a/internal/adapter/loader/allocator.go
+++ b/internal/adapter/loader/allocator.go
@@ -5,15 +5,15 @@
 )
 
 // An Allocator grants permits to load from the weight store, which is fastest with
-// Together concurrent loads; more of them slow each other down.
+// MaxConcurrent concurrent loads; more of them slow each other down.
 //
 // One live instance runs it for the deployment, the first in an order that all
 // agree on. It needs no lease, because two allocators at once cost only speed. The
 // bid with the most stall to remove is granted first. A permit expires unless it is
 // returned, so that a paused holder does not block the weight store.
 type Allocator struct {
-	Time     time.Duration // lifetime of a permit
-	Together int           // concurrent permits
+	PermitTTL     time.Duration // lifetime of a permit
+	MaxConcurrent int           // concurrent permits
 
 	expiry  map[uint64]time.Time // expiry of each permit
 	waiting map[uint64]bid
@@ -48,10 +48,10 @@
 		}
 	}
 	var granted []uint64
-	for len(a.expiry) < a.Together && len(a.waiting) > 0 {
+	for len(a.expiry) < a.MaxConcurrent && len(a.waiting) > 0 {
 		id := a.best(now)
 		delete(a.waiting, id)
-		a.expiry[id] = now.Add(a.Time)
+		a.expiry[id] = now.Add(a.PermitTTL)
 		granted = append(granted, id)
 	}
 	return granted
--- a/internal/adapter/loader/allocator_test.go
+++ b/internal/adapter/loader/allocator_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestAllocatorGrantsTheHighestBids(t *testing.T) {
-	a := &loader.Allocator{Time: time.Second, Together: 2}
+	a := &loader.Allocator{PermitTTL: time.Second, MaxConcurrent: 2}
 	for id, value := range map[uint64]float64{1: 1, 2: 5, 3: 3} {
 		a.Bid(id, value, start)
 	}
@@ -25,7 +25,7 @@
 
 // Guards against a permit of a paused holder that blocks the weight store.
 func TestUnreturnedPermitExpires(t *testing.T) {
-	a := &loader.Allocator{Time: time.Second, Together: 1}
+	a := &loader.Allocator{PermitTTL: time.Second, MaxConcurrent: 1}
 	a.Bid(1, 1, start)
 	a.Grant(start)
 	a.Bid(2, 1, start)
@@ -39,7 +39,7 @@
 
 // Guards against a continuous stream of large bids that starves a small one.
 func TestSmallBidIsNotStarved(t *testing.T) {
-	a := &loader.Allocator{Time: time.Second, Together: 1}
+	a := &loader.Allocator{PermitTTL: time.Second, MaxConcurrent: 1}
 	a.Bid(1, 1, start)
 	for i := range uint64(30) {
 		now := start.Add(time.Duration(i) * time.Second)
--- a/internal/adapter/loader/budget.go
+++ b/internal/adapter/loader/budget.go
@@ -21,8 +21,8 @@
 // A Budget limits the loads of an instance by rate and concurrency. Its exported
 // fields are set before use.
 type Budget struct {
-	Rate     *rate.Limiter // loads a second
-	Together int           // concurrent loads; they slow each other down at the weight store
+	Rate          *rate.Limiter // loads a second
+	MaxConcurrent int           // concurrent loads; they slow each other down at the weight store
 
 	failed     map[string]*failure
 	inProgress map[string]bool
@@ -74,7 +74,7 @@
 // could begin the load; a load that was not begun is not charged.
 func (b *Budget) Grant(needs []Need, now time.Time, start func(Need) bool) {
 	for _, n := range b.Order(needs, now) {
-		if len(b.inProgress) >= b.Together || b.Rate.TokensAt(now) < 1 {
+		if len(b.inProgress) >= b.MaxConcurrent || b.Rate.TokensAt(now) < 1 {
 			return
 		}
 		if !start(n) {
@@ -98,7 +98,7 @@
 	ordered := slices.DeleteFunc(slices.Clone(needs), func(n Need) bool {
 		return b.inProgress[key(n)] || now.Before(b.Backoff(n.Adapter))
 	})
-	slices.SortStableFunc(ordered, func(x, y Need) int { return cmp.Compare(Saved(y, now), Saved(x, now)) })
+	slices.SortStableFunc(ordered, func(x, y Need) int { return cmp.Compare(StallRemoved(y, now), StallRemoved(x, now)) })
 	return ordered
 }
 
@@ -134,10 +134,10 @@
 
 func key(n Need) string { return n.Runner + "|" + n.Adapter }
 
-// Saved estimates the stall that a load removes: the number of waiting requests
+// StallRemoved estimates the stall that a load removes: the number of waiting requests
 // plus the seconds of the longest wait, so that no need is starved, doubled when a
 // deadline is near.
-func Saved(n Need, now time.Time) float64 {
+func StallRemoved(n Need, now time.Time) float64 {
 	s := float64(n.Waiting) + now.Sub(n.Oldest).Seconds()
 	if !n.Deadline.IsZero() && n.Deadline.Sub(now) < urgentWithin {
 		s *= 2
--- a/internal/adapter/loader/budget_test.go
+++ b/internal/adapter/loader/budget_test.go
@@ -22,7 +22,7 @@
 }
 
 func TestGrantPrefersLoadsThatRemoveMostStall(t *testing.T) {
-	b := &loader.Budget{Rate: rate.NewLimiter(1, 2), Together: 2}
+	b := &loader.Budget{Rate: rate.NewLimiter(1, 2), MaxConcurrent: 2}
 	needs := []loader.Need{
 		{Runner: "r", Adapter: "one", Waiting: 1, Oldest: start},
 		{Runner: "r", Adapter: "many", Waiting: 9, Oldest: start},
@@ -36,7 +36,7 @@
 // Loads of an adapter that failed back off for longer each time, without delay for
 // other adapters.
 func TestFailedLoadDelaysOnlyItsAdapter(t *testing.T) {
-	b := &loader.Budget{Rate: rate.NewLimiter(rate.Inf, 1), Together: 1}
+	b := &loader.Budget{Rate: rate.NewLimiter(rate.Inf, 1), MaxConcurrent: 1}
 	bad := loader.Need{Runner: "r", Adapter: "bad", Waiting: 9, Oldest: start}
 	good := loader.Need{Runner: "r", Adapter: "good", Waiting: 1, Oldest: start}
 	grant(b, []loader.Need{bad}, start)
--- a/internal/adapter/loader/share.go
+++ b/internal/adapter/loader/share.go
@@ -18,11 +18,11 @@
 	peers   map[string]queueReport
 }
 
-// A Stake is the fixed share of the rate of an instance or a domain, by the engines
+// A Allotment is the fixed share of the rate of an instance or a domain, by the engines
 // that it owns, and its queue length.
-type Stake struct {
-	Fixed float64 // 0 to 1
-	Line  int
+type Allotment struct {
+	Fixed       float64 // 0 to 1
+	QueueLength int
 }
 
 type queueReport struct {
@@ -45,9 +45,9 @@
 	s.peers[incarnation] = queueReport{length: length, at: now}
 }
 
-// Total returns the queue length of this instance's domain, from its own and the
+// QueueLength returns the queue length of this instance's domain, from its own and the
 // valid reports.
-func (s *Sharer) Total(own int, now time.Time) int {
+func (s *Sharer) QueueLength(own int, now time.Time) int {
 	total := own
 	for _, t := range s.peers {
 		if now.Sub(t.at) <= s.Fresh {
@@ -57,10 +57,10 @@
 	return total
 }
 
-// Part returns the share of the rate for this instance. Others are the fixed shares
+// Share returns the share of the rate for this instance. Others are the fixed shares
 // of the other failure domains by name.
-func (s *Sharer) Part(own Stake, others map[string]float64, now time.Time) float64 {
-	queued := float64(s.Total(own.Line, now))
+func (s *Sharer) Share(own Allotment, others map[string]float64, now time.Time) float64 {
+	queued := float64(s.QueueLength(own.QueueLength, now))
 	pool := 1.0
 	for domain, fixed := range others {
 		t, ok := s.domains[domain]
@@ -73,7 +73,7 @@
 	if queued == 0 {
 		return own.Fixed
 	}
-	return reservedFraction*own.Fixed + (1-reservedFraction)*pool*float64(own.Line)/queued
+	return reservedFraction*own.Fixed + (1-reservedFraction)*pool*float64(own.QueueLength)/queued
 }
 
 func (s *Sharer) init() {
--- a/internal/adapter/loader/share_test.go
+++ b/internal/adapter/loader/share_test.go
@@ -30,7 +30,7 @@
 			if tc.other >= 0 {
 				s.Domain("b", tc.other, start)
 			}
-			got := s.Part(loader.Stake{Fixed: 0.25, Line: tc.line}, others, start)
+			got := s.Share(loader.Allotment{Fixed: 0.25, QueueLength: tc.line}, others, start)
 			if math.Abs(got-tc.want) > 1e-9 {
 				t.Errorf("part = %v, want %v", got, tc.want)
 			}
@@ -45,7 +45,7 @@
 	for _, other := range []string{"a", "b"} {
 		s := loader.Sharer{Fresh: time.Second}
 		s.Domain(other, 0, start.Add(-time.Minute)) // long ago
-		sum += s.Part(loader.Stake{Fixed: 0.5, Line: 9}, map[string]float64{other: 0.5}, start)
+		sum += s.Share(loader.Allotment{Fixed: 0.5, QueueLength: 9}, map[string]float64{other: 0.5}, start)
 	}
 	if sum > 1 {
 		t.Errorf("shares add up to %v", sum)
--- a/internal/adapter/placer/arrival.go
+++ b/internal/adapter/placer/load_observation.go
@@ -4,30 +4,30 @@
 	"time"
 )
 
-// An Arrival bounds how long a load took, as observed from the requests for the
+// An LoadObservation bounds how long a load took, as observed from the requests for the
 // copy.
-type Arrival struct {
-	Least  time.Duration // from the order to the last request that did not find the copy; 0 if there was none
-	Most   time.Duration // from the order to the first request that found the copy
-	Return bool          // the runner had held the copy before and did not need the weight store
+type LoadObservation struct {
+	Min    time.Duration // from the order to the last request that did not find the copy; 0 if there was none
+	Max    time.Duration // from the order to the first request that found the copy
+	Reload bool          // the runner had held the copy before and did not need the weight store
 }
 
-// There records that the runner accepted requests for a copy, the first of which
+// ObserveHit records that the runner accepted requests for a copy, the first of which
 // was sent at the given time. ok is false if that gives no load time.
-func (p *Placer) There(c Copy, requests int, sent time.Time) (a Arrival, ok bool) {
+func (p *Placer) ObserveHit(c Copy, requests int, sent time.Time) (a LoadObservation, ok bool) {
 	p.init()
 	s, known := p.copies[c]
 	if !known {
-		return Arrival{}, false
+		return LoadObservation{}, false
 	}
 	p.clock.Touch(&s.heat, requests)
 	if s.state != loading || s.unconfirmed || s.acceptedAt.IsZero() {
-		return Arrival{}, false
+		return LoadObservation{}, false
 	}
 	s.state = resident
-	a = Arrival{Most: sent.Sub(s.acceptedAt), Return: p.heldBefore.Has(c)}
+	a = LoadObservation{Max: sent.Sub(s.acceptedAt), Reload: p.heldBefore.Has(c)}
 	if !s.lastMiss.IsZero() {
-		a.Least = s.lastMiss.Sub(s.acceptedAt)
+		a.Min = s.lastMiss.Sub(s.acceptedAt)
 	}
 	p.heldBefore.Add(c)
 	return a, true
@@ -36,14 +36,14 @@
 // loadTime returns how long a load of the copy takes.
 func (p *Placer) loadTime(c Copy) time.Duration {
 	if p.heldBefore.Has(c) {
-		return p.Return
+		return p.ReloadTime
 	}
-	return p.Load
+	return p.LoadTime
 }
 
-// Late records that a request did not find a copy on the runner. If the copy was
+// ObserveMiss records that a request did not find a copy on the runner. If the copy was
 // taken to be resident, no order is sent until the next report.
-func (p *Placer) Late(c Copy, now time.Time) {
+func (p *Placer) ObserveMiss(c Copy, now time.Time) {
 	s, ok := p.copies[c]
 	switch {
 	case !ok:
--- a/internal/adapter/placer/order.go
+++ b/internal/adapter/placer/order.go
@@ -16,7 +16,7 @@
 // The outcomes.
 const (
 	Accepted  Outcome = iota // being carried out
-	Holds                    // carried out at once, or already in effect
+	Applied                  // carried out at once, or already in effect
 	Lost                     // no answer: the order may still be carried out at any later time
 	Mismatch                 // refused: the sequence differs, or another order is in progress
 	Refused                  // refused for another reason
--- a/internal/adapter/placer/outcome.go
+++ b/internal/adapter/placer/outcome.go
@@ -12,7 +12,7 @@
 		return
 	}
 	switch outcome {
-	case Accepted, Holds:
+	case Accepted, Applied:
 		p.applyAccepted(o, outcome, now)
 	case Lost:
 		// No report is needed: the next order carries the expected sequence, so it
@@ -34,7 +34,7 @@
 	}
 	if o.Copy.Adapter == "" {
 		p.model = modelLoading
-		if outcome == Holds {
+		if outcome == Applied {
 			p.model = modelResident
 		}
 		p.modelReadyBy = now.Add(p.modelLoadTime() + modelLoadMargin)
@@ -43,13 +43,13 @@
 	s := p.copies[o.Copy]
 	switch {
 	case s == nil:
-	case o.Unload && outcome == Holds:
+	case o.Unload && outcome == Applied:
 		delete(p.copies, o.Copy)
 		p.heldBefore.Add(o.Copy)
 	case o.Unload:
 		p.known = false // the unload waits for running requests; a report shows when the slot is free
 		p.notBefore = now.Add(useGrace)
-	case outcome == Holds:
+	case outcome == Applied:
 		s.state, s.unconfirmed, s.readyAt, s.lastUse = resident, false, now, now
 	default:
 		s.unconfirmed, s.acceptedAt, s.readyAt = false, now, now.Add(p.loadTime(o.Copy))
@@ -83,7 +83,7 @@
 	}
 }
 
-func (p *Placer) modelLoadTime() time.Duration { return p.Load * modelLoadFactor }
+func (p *Placer) modelLoadTime() time.Duration { return p.LoadTime * modelLoadFactor }
 
 // modelLoadFactor is the expected load time of a model, in load times of an adapter.
 // A report is requested only after it, as reports have a cost.
--- a/internal/adapter/placer/placer.go
+++ b/internal/adapter/placer/placer.go
@@ -17,13 +17,13 @@
 // A Placer tracks the copies that one runner holds and those that are requested
 // of it. Its exported fields are set before use; it is not safe for concurrent use.
 type Placer struct {
-	Copies func(Copy) int  // runners of the failure domain that hold a copy; nil if unknown
-	InUse  func(Copy) bool // whether a request uses a copy; nil if unknown
-	Model  string          // base model that the runner has to hold
-	Places int             // adapter slots of the runner
-	Load   time.Duration   // time to load an adapter from the weight store
-	Loads  int             // maximum of concurrent loads to the runner
-	Return time.Duration   // time to load an adapter that the runner held before
+	Copies       func(Copy) int  // runners of the failure domain that hold a copy; nil if unknown
+	InUse        func(Copy) bool // whether a request uses a copy; nil if unknown
+	Model        string          // base model that the runner has to hold
+	AdapterSlots int             // adapter slots of the runner
+	LoadTime     time.Duration   // time to load an adapter from the weight store
+	MaxLoads     int             // maximum of concurrent loads to the runner
+	ReloadTime   time.Duration   // time to load an adapter that the runner held before
 
 	clock        warmer.Clock
 	copies       map[Copy]*slot
@@ -86,14 +86,14 @@
 	return Waiting{Priority: min(w.Priority, other.Priority), Requests: w.Requests + other.Requests, InTime: w.InTime + other.InTime}
 }
 
-// Room limits which copies may be fetched from the weight store now.
-type Room int
+// FetchLimit limits which copies may be fetched from the weight store now.
+type FetchLimit int
 
-// The values of Room.
+// The values of FetchLimit.
 const (
-	NoRoom         Room = iota
-	RoomForWaiting      // copies that requests wait for
-	RoomForAny          // also those that no request waits for
+	NoFetch         FetchLimit = iota
+	FetchForWaiting            // copies that requests wait for
+	FetchAny                   // also those that no request waits for
 )
 
 // Spare is the priority of a copy that no request waits for.
@@ -121,18 +121,18 @@
 // needed before the next order.
 func (p *Placer) Known() bool { return p.known }
 
-// Want requests a copy for one waiting request, or for none if the priority is
+// Request requests a copy for one waiting request, or for none if the priority is
 // Spare. The caller repeats it while the copy is needed.
-func (p *Placer) Want(c Copy, priority int, now time.Time) {
+func (p *Placer) Request(c Copy, priority int, now time.Time) {
 	w := Waiting{Priority: priority, Requests: 1, InTime: 1}
 	if priority >= Spare {
 		w.Requests, w.InTime = 0, 0
 	}
-	p.Wait(c, w, now)
+	p.SetDemand(c, w, now)
 }
 
-// Wait replaces the demand for a copy. The caller repeats it while requests wait.
-func (p *Placer) Wait(c Copy, waiting Waiting, now time.Time) {
+// SetDemand replaces the demand for a copy. The caller repeats it while requests wait.
+func (p *Placer) SetDemand(c Copy, waiting Waiting, now time.Time) {
 	p.init()
 	w, ok := p.demands[c]
 	if !ok {
@@ -142,12 +142,12 @@
 	p.demands[c] = w
 }
 
-// Unwant removes the demand for a copy.
-func (p *Placer) Unwant(c Copy) { delete(p.demands, c) }
+// ClearDemand removes the demand for a copy.
+func (p *Placer) ClearDemand(c Copy) { delete(p.demands, c) }
 
-// Use records that a request was assigned to a copy, so that the copy is not
+// MarkAssigned records that a request was assigned to a copy, so that the copy is not
 // evicted before the request arrives.
-func (p *Placer) Use(c Copy, now time.Time) {
+func (p *Placer) MarkAssigned(c Copy, now time.Time) {
 	if s, ok := p.copies[c]; ok {
 		s.lastUse = now
 	}
@@ -179,10 +179,10 @@
 }
 
 // Next returns the order to send now, if there is one. Finish must be called
-// with its outcome. room limits the fetches from the weight store; a copy that the
+// with its outcome. limit restricts the fetches from the weight store; a copy that the
 // runner has held before and that a request waits for is not subject to it, as the
 // runner still has it in host memory.
-func (p *Placer) Next(now time.Time, room Room) (Order, bool) {
+func (p *Placer) Next(now time.Time, limit FetchLimit) (Order, bool) {
 	p.init()
 	if !p.known || p.inFlight != nil || now.Before(p.notBefore) || p.Model == "" {
 		return Order{}, false
@@ -196,7 +196,7 @@
 		}
 		return Order{}, false
 	}
-	c, ok := p.nextLoad(now, room)
+	c, ok := p.nextLoad(now, limit)
 	if !ok {
 		return Order{}, false
 	}
@@ -205,10 +205,10 @@
 		p.copies[old].state = unloading
 		return p.issue(Order{Copy: old, Unload: true}, now), true
 	}
-	if !retried && len(p.copies) >= p.Places {
+	if !retried && len(p.copies) >= p.AdapterSlots {
 		return p.evict(now)
 	}
-	if p.loadsInProgress(now) >= p.Loads {
+	if p.loadsInProgress(now) >= p.MaxLoads {
 		return Order{}, false
 	}
 	return p.issue(Order{Copy: c}, now), true
@@ -239,8 +239,8 @@
 	return n
 }
 
-// Kept reports whether the runner has held a copy before.
-func (p *Placer) Kept(c Copy) bool { return p.heldBefore.Has(c) }
+// HeldBefore reports whether the runner has held a copy before.
+func (p *Placer) HeldBefore(c Copy) bool { return p.heldBefore.Has(c) }
 
 // Waiting returns how many copies that requests wait for are neither resident
 // nor being loaded.
@@ -255,7 +255,7 @@
 }
 
 // nextLoad returns the requested copy to load next.
-func (p *Placer) nextLoad(now time.Time, room Room) (Copy, bool) {
+func (p *Placer) nextLoad(now time.Time, limit FetchLimit) (Copy, bool) {
 	var best Copy
 	var bestDemand demand
 	found := false
@@ -264,7 +264,7 @@
 			delete(p.demands, c)
 			continue
 		}
-		if w.Priority >= Spare && room < RoomForAny || room == NoRoom && !p.heldBefore.Has(c) {
+		if w.Priority >= Spare && limit < FetchAny || limit == NoFetch && !p.heldBefore.Has(c) {
 			continue
 		}
 		if s, taken := p.copies[c]; taken && (!s.unconfirmed || s.state == unloading) {
@@ -305,6 +305,6 @@
 		p.copies = make(map[Copy]*slot)
 		p.heldBefore.Limit = warmer.HostMemoryCopies
 		p.demands = make(map[Copy]demand)
-		p.clock.HalfLife = warmer.HalfLifePerSlot * float64(max(1, p.Places))
+		p.clock.HalfLife = warmer.HalfLifePerSlot * float64(max(1, p.AdapterSlots))
 	}
 }
--- a/internal/adapter/placer/placer_test.go
+++ b/internal/adapter/placer/placer_test.go
@@ -16,15 +16,15 @@
 func adapter(name string) placer.Copy { return placer.Copy{Model: "m", Adapter: name, Version: 1} }
 
 func newPlacer(slots int) *placer.Placer {
-	p := &placer.Placer{Model: "m", Places: slots, Load: 250 * time.Millisecond, Loads: 4}
-	p.Take(placer.Report{Models: []string{"m"}}, start)
+	p := &placer.Placer{Model: "m", AdapterSlots: slots, LoadTime: 250 * time.Millisecond, MaxLoads: 4}
+	p.ApplyReport(placer.Report{Models: []string{"m"}}, start)
 	return p
 }
 
 func ExamplePlacer_Next() {
 	p := newPlacer(2)
-	p.Want(adapter("a1"), 0, start)
-	order, _ := p.Next(start, placer.RoomForAny)
+	p.Request(adapter("a1"), 0, start)
+	order, _ := p.Next(start, placer.FetchAny)
 	fmt.Println(order.Copy, order.Unload, order.Expected)
 	p.Finish(placer.Accepted, start)
 	fmt.Println(p.Held()[adapter("a1")].Sub(start))
@@ -34,9 +34,9 @@
 }
 
 func TestNoOrderBeforeFirstReport(t *testing.T) {
-	p := &placer.Placer{Model: "m", Places: 1}
-	p.Want(adapter("a1"), 0, start)
-	if order, ok := p.Next(start, placer.RoomForAny); ok {
+	p := &placer.Placer{Model: "m", AdapterSlots: 1}
+	p.Request(adapter("a1"), 0, start)
+	if order, ok := p.Next(start, placer.FetchAny); ok {
 		t.Errorf("ordered %+v without knowing what the runner holds", order)
 	}
 }
@@ -46,14 +46,14 @@
 // slot must stay taken until a later order was accepted.
 func TestUnansweredLoadKeepsItsSlot(t *testing.T) {
 	p := newPlacer(1)
-	p.Want(adapter("a1"), 0, start)
-	first, _ := p.Next(start, placer.RoomForAny)
+	p.Request(adapter("a1"), 0, start)
+	first, _ := p.Next(start, placer.FetchAny)
 	p.Finish(placer.Lost, start)
 	now := start.Add(200 * time.Millisecond)
-	p.Take(placer.Report{Models: []string{"m"}}, now)
-	p.Want(adapter("a1"), 5, now)
-	p.Want(adapter("a2"), 0, now)
-	second, ok := p.Next(now, placer.RoomForAny)
+	p.ApplyReport(placer.Report{Models: []string{"m"}}, now)
+	p.Request(adapter("a1"), 5, now)
+	p.Request(adapter("a2"), 0, now)
+	second, ok := p.Next(now, placer.FetchAny)
 	if ok && second.Copy != first.Copy {
 		t.Fatalf("ordered %v while %v may still be loaded", second.Copy, first.Copy)
 	}
@@ -64,8 +64,8 @@
 // resolved the unanswered one, and requests were refused for 15 seconds.
 func TestUnansweredLoadStopsCountingAsFetch(t *testing.T) {
 	p := newPlacer(2)
-	p.Want(adapter("a1"), 0, start)
-	if _, ok := p.Next(start, placer.RoomForAny); !ok {
+	p.Request(adapter("a1"), 0, start)
+	if _, ok := p.Next(start, placer.FetchAny); !ok {
 		t.Fatal("no order")
 	}
 	p.Finish(placer.Lost, start)
@@ -73,24 +73,24 @@
 		t.Errorf("%d loads in progress right after the order, want 1", n)
 	}
 	now := start.Add(2 * time.Second)
-	p.Take(placer.Report{Models: []string{"m"}}, now)
+	p.ApplyReport(placer.Report{Models: []string{"m"}}, now)
 	if n := p.Fetching(now); n != 0 {
 		t.Errorf("%d loads in progress, want none", n)
 	}
-	p.Want(adapter("a2"), 0, now)
-	if order, ok := p.Next(now, placer.RoomForAny); !ok || order.Copy != adapter("a2") {
+	p.Request(adapter("a2"), 0, now)
+	if order, ok := p.Next(now, placer.FetchAny); !ok || order.Copy != adapter("a2") {
 		t.Errorf("ordered %v %v, want the next adapter", order, ok)
 	}
 }
 
 func TestEvictsLeastRecentlyUsedIdleCopy(t *testing.T) {
-	p := &placer.Placer{Model: "m", Places: 2, Loads: 4}
-	p.Take(placer.Report{Models: []string{"m"}, Resident: []placer.Copy{adapter("old"), adapter("new")}}, start)
-	p.Use(adapter("old"), start.Add(time.Second))
-	p.Use(adapter("new"), start.Add(2*time.Second))
+	p := &placer.Placer{Model: "m", AdapterSlots: 2, MaxLoads: 4}
+	p.ApplyReport(placer.Report{Models: []string{"m"}, Resident: []placer.Copy{adapter("old"), adapter("new")}}, start)
+	p.MarkAssigned(adapter("old"), start.Add(time.Second))
+	p.MarkAssigned(adapter("new"), start.Add(2*time.Second))
 	now := start.Add(2100 * time.Millisecond)
-	p.Want(adapter("x"), 0, now)
-	order, ok := p.Next(now, placer.RoomForAny)
+	p.Request(adapter("x"), 0, now)
+	order, ok := p.Next(now, placer.FetchAny)
 	if diff := cmp.Diff(placer.Order{Copy: adapter("old"), Unload: true}, order); !ok || diff != "" {
 		t.Errorf("order %v: %s", ok, diff)
 	}
@@ -100,20 +100,20 @@
 // late. Whatever happens to orders and answers, the runner must never be ordered to
 // hold more adapters than it has slots for.
 func TestNeverExceedsRunnerCapacity(t *testing.T) {
-	const places = 4
+	const slots = 4
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 1))
-		runner := &fakeRunner{t: t, places: places, seed: seed}
-		p := &placer.Placer{Model: "m", Places: places, Load: 250 * time.Millisecond, Loads: 4}
+		runner := &fakeRunner{t: t, slots: slots, seed: seed}
+		p := &placer.Placer{Model: "m", AdapterSlots: slots, LoadTime: 250 * time.Millisecond, MaxLoads: 4}
 		now := start
 		for range 400 {
 			now = now.Add(50 * time.Millisecond)
 			runner.tick(now)
-			p.Want(adapter(fmt.Sprint(rng.IntN(12))), rng.IntN(3), now)
+			p.Request(adapter(fmt.Sprint(rng.IntN(12))), rng.IntN(3), now)
 			if !p.Known() {
-				p.Take(runner.report(rng, now), now)
+				p.ApplyReport(runner.report(rng, now), now)
 			}
-			order, ok := p.Next(now, placer.RoomForAny)
+			order, ok := p.Next(now, placer.FetchAny)
 			if !ok {
 				continue
 			}
@@ -143,20 +143,20 @@
 	old, fresh := adapter("a1"), adapter("a1")
 	fresh.Version = 2
 	p := newPlacer(2)
-	p.Take(placer.Report{Models: []string{"m"}, Resident: []placer.Copy{old}}, start)
-	p.Use(old, start)
-	p.Want(fresh, 0, start)
-	if order, ok := p.Next(start, placer.RoomForAny); ok {
+	p.ApplyReport(placer.Report{Models: []string{"m"}, Resident: []placer.Copy{old}}, start)
+	p.MarkAssigned(old, start)
+	p.Request(fresh, 0, start)
+	if order, ok := p.Next(start, placer.FetchAny); ok {
 		t.Fatalf("ordered %+v while the old version is in use", order)
 	}
 	later := start.Add(800 * time.Millisecond)
-	p.Want(fresh, 0, later)
-	order, ok := p.Next(later, placer.RoomForAny)
+	p.Request(fresh, 0, later)
+	order, ok := p.Next(later, placer.FetchAny)
 	if diff := cmp.Diff(placer.Order{Copy: old, Unload: true}, order); !ok || diff != "" {
 		t.Fatalf("order %v: %s", ok, diff)
 	}
-	p.Finish(placer.Holds, later)
-	order, ok = p.Next(later, placer.RoomForAny)
+	p.Finish(placer.Applied, later)
+	order, ok = p.Next(later, placer.FetchAny)
 	if diff := cmp.Diff(placer.Order{Copy: fresh, Expected: 1}, order); !ok || diff != "" {
 		t.Errorf("order %v: %s", ok, diff)
 	}
@@ -167,14 +167,14 @@
 // more orders.
 func TestReportsWithLaggingSequenceAreApplied(t *testing.T) {
 	p := newPlacer(2)
-	p.Want(adapter("a1"), 0, start)
-	p.Next(start, placer.RoomForAny)
+	p.Request(adapter("a1"), 0, start)
+	p.Next(start, placer.FetchAny)
 	p.Finish(placer.Accepted, start)
 	report := placer.Report{Models: []string{"m"}, Resident: []placer.Copy{adapter("a1")}}
-	if p.Take(report, start.Add(200*time.Millisecond)) {
+	if p.ApplyReport(report, start.Add(200*time.Millisecond)) {
 		t.Error("applied a report that may be older than the order")
 	}
-	if !p.Take(report, start.Add(1300*time.Millisecond)) {
+	if !p.ApplyReport(report, start.Add(1300*time.Millisecond)) {
 		t.Error("ignored a report although none can be that old")
 	}
 }
@@ -186,7 +186,7 @@
 
 type fakeRunner struct {
 	t        *testing.T
-	places   int
+	slots    int
 	seed     uint64
 	held     map[placer.Copy]time.Time // when each load completes
 	delayed  []delayedOrder
@@ -211,11 +211,11 @@
 		return placer.Accepted
 	case o.Unload:
 		delete(f.held, o.Copy)
-		return placer.Holds
+		return placer.Applied
 	}
 	f.held[o.Copy] = now.Add(250 * time.Millisecond)
-	if len(f.held) > f.places {
-		f.t.Fatalf("seed %d: %d adapters ordered into %d slots", f.seed, len(f.held), f.places)
+	if len(f.held) > f.slots {
+		f.t.Fatalf("seed %d: %d adapters ordered into %d slots", f.seed, len(f.held), f.slots)
 	}
 	return placer.Accepted
 }
@@ -262,15 +262,15 @@
 		{"an adapter that another runner holds too", map[placer.Copy]int{adapter("often"): 2}, adapter("often")},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			p := &placer.Placer{Model: "m", Places: 2, Loads: 4, Copies: func(c placer.Copy) int { return tc.copies[c] }}
-			p.Take(placer.Report{Models: []string{"m"}, Resident: []placer.Copy{adapter("often"), adapter("once")}}, start)
-			p.There(adapter("often"), 2, start)
-			p.Use(adapter("often"), start)
-			p.There(adapter("once"), 1, start.Add(time.Second))
-			p.Use(adapter("once"), start.Add(time.Second))
+			p := &placer.Placer{Model: "m", AdapterSlots: 2, MaxLoads: 4, Copies: func(c placer.Copy) int { return tc.copies[c] }}
+			p.ApplyReport(placer.Report{Models: []string{"m"}, Resident: []placer.Copy{adapter("often"), adapter("once")}}, start)
+			p.ObserveHit(adapter("often"), 2, start)
+			p.MarkAssigned(adapter("often"), start)
+			p.ObserveHit(adapter("once"), 1, start.Add(time.Second))
+			p.MarkAssigned(adapter("once"), start.Add(time.Second))
 			now := start.Add(5 * time.Second)
-			p.Want(adapter("x"), 0, now)
-			order, ok := p.Next(now, placer.RoomForAny)
+			p.Request(adapter("x"), 0, now)
+			order, ok := p.Next(now, placer.FetchAny)
 			if diff := cmp.Diff(placer.Order{Copy: tc.want, Unload: true}, order); !ok || diff != "" {
 				t.Errorf("order %v: %s", ok, diff)
 			}
@@ -285,21 +285,21 @@
 	for _, tc := range []struct {
 		name  string
 		wants map[placer.Copy]int
-		room  placer.Room
+		limit placer.FetchLimit
 		want  placer.Copy
 	}{
-		{"hot and cold requested", map[placer.Copy]int{adapter("hot"): placer.Spare, adapter("cold"): 1}, placer.RoomForWaiting, adapter("cold")},
-		{"any load allowed", map[placer.Copy]int{adapter("hot"): placer.Spare, adapter("cold"): 1}, placer.RoomForAny, adapter("cold")},
-		{"only loads for waiting requests allowed", map[placer.Copy]int{adapter("hot"): placer.Spare}, placer.RoomForWaiting, placer.Copy{}},
-		{"only spare copy requested", map[placer.Copy]int{adapter("hot"): placer.Spare}, placer.RoomForAny, adapter("hot")},
-		{"no load allowed", map[placer.Copy]int{adapter("cold"): 1}, placer.NoRoom, placer.Copy{}},
+		{"hot and cold requested", map[placer.Copy]int{adapter("hot"): placer.Spare, adapter("cold"): 1}, placer.FetchForWaiting, adapter("cold")},
+		{"any load allowed", map[placer.Copy]int{adapter("hot"): placer.Spare, adapter("cold"): 1}, placer.FetchAny, adapter("cold")},
+		{"only loads for waiting requests allowed", map[placer.Copy]int{adapter("hot"): placer.Spare}, placer.FetchForWaiting, placer.Copy{}},
+		{"only spare copy requested", map[placer.Copy]int{adapter("hot"): placer.Spare}, placer.FetchAny, adapter("hot")},
+		{"no load allowed", map[placer.Copy]int{adapter("cold"): 1}, placer.NoFetch, placer.Copy{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := newPlacer(2)
 			for c, priority := range tc.wants {
-				p.Want(c, priority, start)
+				p.Request(c, priority, start)
 			}
-			order, _ := p.Next(start, tc.room)
+			order, _ := p.Next(start, tc.limit)
 			if diff := cmp.Diff(tc.want, order.Copy); diff != "" {
 				t.Error(diff)
 			}
@@ -312,18 +312,18 @@
 // use can be evicted at once, even if it was used a moment ago.
 func TestOnlyIdleCopiesAreEvicted(t *testing.T) {
 	used := map[placer.Copy]bool{adapter("long"): true, adapter("short"): true}
-	p := &placer.Placer{Model: "m", Places: 2, Loads: 4, InUse: func(c placer.Copy) bool { return used[c] }}
-	p.Take(placer.Report{Models: []string{"m"}, Resident: []placer.Copy{adapter("long"), adapter("short")}}, start)
+	p := &placer.Placer{Model: "m", AdapterSlots: 2, MaxLoads: 4, InUse: func(c placer.Copy) bool { return used[c] }}
+	p.ApplyReport(placer.Report{Models: []string{"m"}, Resident: []placer.Copy{adapter("long"), adapter("short")}}, start)
 	now := start.Add(10 * time.Second)
-	p.Want(adapter("x"), 0, now)
-	if order, ok := p.Next(now, placer.RoomForAny); ok || p.Vacant(now) != 0 {
+	p.Request(adapter("x"), 0, now)
+	if order, ok := p.Next(now, placer.FetchAny); ok || p.Vacant(now) != 0 {
 		t.Fatalf("ordered %+v, %d slots vacant, while both copies are in use", order, p.Vacant(now))
 	}
 	delete(used, adapter("short"))
 	if n := p.Vacant(now); n != 1 {
 		t.Errorf("%d slots vacant, want 1", n)
 	}
-	order, ok := p.Next(now, placer.RoomForAny)
+	order, ok := p.Next(now, placer.FetchAny)
 	if diff := cmp.Diff(placer.Order{Copy: adapter("short"), Unload: true}, order); !ok || diff != "" {
 		t.Errorf("order %v: %s", ok, diff)
 	}
@@ -350,10 +350,10 @@
 			now := start
 			for n, w := range tc.waits {
 				now = now.Add(time.Millisecond)
-				p.Wait(adapter(fmt.Sprint("a", n)), w, now)
+				p.SetDemand(adapter(fmt.Sprint("a", n)), w, now)
 			}
-			p.Unwant(adapter(tc.gone))
-			order, _ := p.Next(now, placer.RoomForAny)
+			p.ClearDemand(adapter(tc.gone))
+			order, _ := p.Next(now, placer.FetchAny)
 			if diff := cmp.Diff(adapter(tc.want), order.Copy); diff != "" {
 				t.Error(diff)
 			}
@@ -367,17 +367,17 @@
 // of the two.
 func TestOrdersContinueAfterUnansweredOne(t *testing.T) {
 	p := newPlacer(2)
-	p.Want(adapter("a1"), 0, start)
-	p.Next(start, placer.RoomForAny)
+	p.Request(adapter("a1"), 0, start)
+	p.Next(start, placer.FetchAny)
 	p.Finish(placer.Lost, start)
 	now := start.Add(time.Millisecond)
-	p.Want(adapter("a2"), 0, now)
-	order, ok := p.Next(now, placer.RoomForAny)
+	p.Request(adapter("a2"), 0, now)
+	order, ok := p.Next(now, placer.FetchAny)
 	if !ok || order.Unload || order.Expected != 0 {
 		t.Fatalf("ordered %+v, %v", order, ok)
 	}
 	p.Finish(placer.Accepted, now)
-	if order, ok = p.Next(now, placer.RoomForAny); !ok || order.Unload || order.Expected != 1 {
+	if order, ok = p.Next(now, placer.FetchAny); !ok || order.Unload || order.Expected != 1 {
 		t.Errorf("then ordered %+v, %v", order, ok)
 	}
 }
--- a/internal/adapter/placer/report.go
+++ b/internal/adapter/placer/report.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Take applies a report. It returns false if it ignores the report because an
+// ApplyReport applies a report. It returns false if it ignores the report because an
 // order is in flight or one was accepted after the report was made.
-func (p *Placer) Take(r Report, now time.Time) bool {
+func (p *Placer) ApplyReport(r Report, now time.Time) bool {
 	p.init()
 	if p.inFlight != nil || r.Sequence < p.seq && !p.laggingTooLong(now) {
 		return false
--- a/internal/adapter/placer/victim.go
+++ b/internal/adapter/placer/victim.go
@@ -76,7 +76,7 @@
 	case resident:
 		return now.Sub(s.lastUse) >= useGrace
 	case loading:
-		return now.Sub(s.readyAt) >= p.Load
+		return now.Sub(s.readyAt) >= p.LoadTime
 	default:
 		return false
 	}
--- a/internal/adapter/placer/window.go
+++ b/internal/adapter/placer/window.go
@@ -54,9 +54,9 @@
 	fastestDecay = 1.00005
 )
 
-// Learn adjusts the window to the current estimate of the load time. It is called
+// ObserveLoadTime adjusts the window to the current estimate of the load time. It is called
 // after each observed load.
-func (w *Window) Learn(load time.Duration, now time.Time) {
+func (w *Window) ObserveLoadTime(load time.Duration, now time.Time) {
 	w.init()
 	if w.fastest == 0 || load < w.fastest {
 		w.fastest = load
@@ -80,8 +80,8 @@
 	w.size = min(maxSize, w.size+step)
 }
 
-// Room returns how many loads may be in progress for a number of engines.
-func (w *Window) Room(engines int) int {
+// Limit returns how many loads may be in progress for a number of engines.
+func (w *Window) Limit(engines int) int {
 	w.init()
 	return max(1, int(math.Round(w.size*float64(engines))))
 }
--- a/internal/adapter/placer/window_test.go
+++ b/internal/adapter/placer/window_test.go
@@ -28,16 +28,16 @@
 			now := start
 			const steps = 4000
 			for step := range steps {
-				room := w.Room(engines)
-				inProgress := room
+				limit := w.Limit(engines)
+				inProgress := limit
 				if step%20 == 0 {
-					inProgress = room / 4 // demand comes in waves
+					inProgress = limit / 4 // demand comes in waves
 				}
 				slowdown := max(1, float64(inProgress)/float64(tc.capacity))
 				load := time.Duration(slowdown * float64(250*time.Millisecond))
 				now = now.Add(load / time.Duration(max(1, inProgress)))
-				w.Learn(load, now)
-				sum += room
+				w.ObserveLoadTime(load, now)
+				sum += limit
 			}
 			if mean := sum / steps; mean < tc.least || mean > tc.max {
 				t.Errorf("mean window %d, want %d to %d", mean, tc.least, tc.max)
@@ -53,17 +53,17 @@
 	const engines = 4
 	var w placer.Window
 	now := start
-	w.Learn(250*time.Millisecond, now)
+	w.ObserveLoadTime(250*time.Millisecond, now)
 	for range 40 {
 		now = now.Add(25 * time.Millisecond)
-		w.Learn(500*time.Millisecond, now)
+		w.ObserveLoadTime(500*time.Millisecond, now)
 	}
 	for range 8 {
 		now = now.Add(60 * time.Millisecond)
-		w.Learn(250*time.Millisecond, now)
+		w.ObserveLoadTime(250*time.Millisecond, now)
 	}
-	if room := w.Room(engines); room < engines {
-		t.Errorf("window allows %d loads for %d engines half a second later", room, engines)
+	if limit := w.Limit(engines); limit < engines {
+		t.Errorf("window allows %d loads for %d engines half a second later", limit, engines)
 	}
 }
 
@@ -76,9 +76,9 @@
 	now := start
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		w.Learn(300*time.Millisecond, now)
+		w.ObserveLoadTime(300*time.Millisecond, now)
 	}
-	if room := w.Room(engines); room > 2*engines {
-		t.Errorf("window allows %d loads for %d engines within a second", room, engines)
+	if limit := w.Limit(engines); limit > 2*engines {
+		t.Errorf("window allows %d loads for %d engines within a second", limit, engines)
 	}
 }
--- a/internal/experiment/stager/deployment.go
+++ b/internal/experiment/stager/deployment.go
@@ -244,7 +244,7 @@
 		if ready, _ := i.Server.Ready(); !ready {
 			return false
 		}
-		views := i.Server.Fleet.Views()
+		views := i.Server.Fleet.Statuses()
 		if len(views) == 0 && s.Plan.Engines >= len(s.Plan.Domains) {
 			return false
 		}
--- a/internal/instance/gatekeeper/apply.go
+++ b/internal/instance/gatekeeper/apply.go
@@ -51,11 +51,11 @@
 			others = make(map[string]tracker.Load)
 		}
 		addLoads(others, d.relayedLoads(now))
-		g.Fleet.OthersIn(l.domain, others)
+		g.Fleet.SetOtherLoads(l.domain, others)
 	}
-	g.Fleet.Staffed(l.domain, n.Acting)
-	g.Fleet.Line(l.domain, n.LoadQueueWait)
-	g.Fleet.LoadTimes(l.domain, tracker.Times{Load: n.LoadTime, Return: n.ReloadTime})
+	g.Fleet.SetLeaderPresent(l.domain, n.Acting)
+	g.Fleet.SetLoadQueueWait(l.domain, n.LoadQueueWait)
+	g.Fleet.SetLoadTimes(l.domain, tracker.LoadTimes{Load: n.LoadTime, Reload: n.ReloadTime})
 	d.recordRenewal(n.Lease, n.Renewal, n.Age)
 }
 
@@ -119,12 +119,12 @@
 			}
 		}
 		for runner, held := range copies {
-			fleet.Held(runner, held)
+			fleet.SetHeld(runner, held)
 		}
 	} else {
 		for _, h := range n.Held {
 			for _, s := range h.Copies {
-				fleet.HeldOne(h.Runner, h.Copy(s), now.Add(s.ReadyIn), s.ReadyIn >= 0)
+				fleet.SetHeldCopy(h.Runner, h.Copy(s), now.Add(s.ReadyIn), s.ReadyIn >= 0)
 			}
 		}
 	}
@@ -133,7 +133,7 @@
 		for _, r := range n.SlotWaits {
 			waits[r.Runner] = r.Wait
 		}
-		fleet.Rooms(waits)
+		fleet.SetAdapterSlotWaits(waits)
 	}
 }
 
--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -54,7 +54,7 @@
 	callInFlight    bool           // an order or a report request is in flight
 	reportRequested time.Time      // when the last report was requested
 	prefillQueue    admitter.PrefillSchedule
-	slots           tracker.Places // request slots of a plain service
+	slots           tracker.RequestSlots // request slots of a plain service
 	published       map[placer.Copy]time.Time
 	publishedWait   time.Duration // for an adapter slot, as last published
 	failures        failureScore
@@ -151,7 +151,7 @@
 		if c.placer == nil || c.callInFlight || c.runner.Leaving {
 			continue
 		}
-		c.placer.Load, c.placer.Return = d.gatekeeper.LoadTime(), d.gatekeeper.ReloadTime()
+		c.placer.LoadTime, c.placer.ReloadTime = d.gatekeeper.LoadTime(), d.gatekeeper.ReloadTime()
 		switch {
 		case !c.placer.Known():
 			if now.Sub(c.reportRequested) >= reportInterval {
@@ -160,7 +160,7 @@
 			}
 		default:
 			if o, ok := c.placer.Next(now, l.allows()); ok {
-				if !o.Unload && o.Copy.Adapter != "" && !c.placer.Kept(o.Copy) {
+				if !o.Unload && o.Copy.Adapter != "" && !c.placer.HeldBefore(o.Copy) {
 					l.fetching++
 				}
 				d.sendOrder(ctx, c, o)
@@ -212,12 +212,12 @@
 			break
 		}
 	}
-	places := engine.AdapterSlots
+	slots := engine.AdapterSlots
 	if model.AdapterSize > 0 {
-		places = min(places, (engine.Memory-model.Size)/model.AdapterSize)
+		slots = min(slots, (engine.Memory-model.Size)/model.AdapterSize)
 	}
 	inUse := func(c placer.Copy) bool { return d.aggregator.Uses(keyOf(r.ID, c)) > 0 }
-	return &placer.Placer{Copies: d.copyCount, InUse: inUse, Model: model.Name, Places: places, Loads: maxLoadsPerRunner}
+	return &placer.Placer{Copies: d.copyCount, InUse: inUse, Model: model.Name, AdapterSlots: slots, MaxLoads: maxLoadsPerRunner}
 }
 
 // requestReport asks a runner which adapters it holds.
@@ -234,7 +234,7 @@
 			d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "runner report failed", "runner", runner.ID, "err", err)
 			return
 		}
-		applied := p.Take(report, time.Now())
+		applied := p.ApplyReport(report, time.Now())
 		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "report", "runner", runner.ID, "sequence", report.Sequence,
 			"resident", len(report.Resident), "incoming", len(report.Incoming), "models", len(report.Models), "busy", report.Busy, "taken", applied)
 	}()
@@ -277,6 +277,6 @@
 	}
 	if c.placer.Known() || c.published != nil {
 		c.published = held
-		d.gatekeeper.Fleet.Held(c.runner.ID, held)
+		d.gatekeeper.Fleet.SetHeld(c.runner.ID, held)
 	}
 }
--- a/internal/instance/gatekeeper/crash.go
+++ b/internal/instance/gatekeeper/crash.go
@@ -137,7 +137,7 @@
 
 // probeLiveness probes a runner until it is clear whether it is alive, or until probeTimeout is
 // over.
-func (g *Gatekeeper) probeLiveness(runner tracker.Runner) tracker.Life {
+func (g *Gatekeeper) probeLiveness(runner tracker.Runner) tracker.ProbeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	refused := 0
@@ -146,8 +146,8 @@
 		if ctx.Err() != nil {
 			return tracker.Unknown
 		}
-		switch life := g.Engine.Lives(ctx, runner); life {
-		case tracker.Lives, tracker.Replaced:
+		switch life := g.Engine.Probe(ctx, runner); life {
+		case tracker.Alive, tracker.Replaced:
 			return life
 		case tracker.Refuses:
 			refused++
--- a/internal/instance/gatekeeper/crash_test.go
+++ b/internal/instance/gatekeeper/crash_test.go
@@ -15,11 +15,11 @@
 // A scriptedEngine answers liveness probes from a script.
 type scriptedEngine struct {
 	Engine
-	lives  []tracker.Life // the last one is repeated
+	lives  []tracker.ProbeResult // the last one is repeated
 	probes int
 }
 
-func (e *scriptedEngine) Lives(context.Context, tracker.Runner) tracker.Life {
+func (e *scriptedEngine) Probe(context.Context, tracker.Runner) tracker.ProbeResult {
 	e.probes++
 	return e.lives[min(e.probes, len(e.lives))-1]
 }
@@ -30,31 +30,31 @@
 // no crash.
 func TestCrashDetection(t *testing.T) {
 	const (
-		unknown, lives, refuses, replaced = tracker.Unknown, tracker.Lives, tracker.Refuses, tracker.Replaced
+		unknown, lives, refuses, replaced = tracker.Unknown, tracker.Alive, tracker.Refuses, tracker.Replaced
 	)
 	for _, tc := range []struct {
 		name  string
-		lives []tracker.Life
+		lives []tracker.ProbeResult
 		set   func(g *Gatekeeper, r tracker.Runner) // before the response breaks off
 		later func(g *Gatekeeper, r tracker.Runner) // right after
 		want  bool
 	}{
-		{"the runner refuses connections", []tracker.Life{refuses}, nil, nil, true},
-		{"no result while it dies, then refused", []tracker.Life{unknown, refuses}, nil, nil, true},
-		{"another incarnation answers", []tracker.Life{replaced}, nil, nil, true},
-		{"one connection reset, or response lost or corrupted", []tracker.Life{lives}, nil, nil, false},
-		{"out of connections for a moment", []tracker.Life{refuses, lives}, nil, nil, false},
-		{"network partition, or paused process", []tracker.Life{unknown}, nil, nil, false},
-		{"occasional refusals on a bad network", []tracker.Life{refuses, unknown, refuses, unknown, lives}, nil, nil, false},
-		{"shutdown announced before", []tracker.Life{refuses}, func(g *Gatekeeper, r tracker.Runner) {
+		{"the runner refuses connections", []tracker.ProbeResult{refuses}, nil, nil, true},
+		{"no result while it dies, then refused", []tracker.ProbeResult{unknown, refuses}, nil, nil, true},
+		{"another incarnation answers", []tracker.ProbeResult{replaced}, nil, nil, true},
+		{"one connection reset, or response lost or corrupted", []tracker.ProbeResult{lives}, nil, nil, false},
+		{"out of connections for a moment", []tracker.ProbeResult{refuses, lives}, nil, nil, false},
+		{"network partition, or paused process", []tracker.ProbeResult{unknown}, nil, nil, false},
+		{"occasional refusals on a bad network", []tracker.ProbeResult{refuses, unknown, refuses, unknown, lives}, nil, nil, false},
+		{"shutdown announced before", []tracker.ProbeResult{refuses}, func(g *Gatekeeper, r tracker.Runner) {
 			r.Leaving, r.Revision = true, 2
 			g.setRunner(r, fromStore)
 		}, nil, false},
-		{"shutdown announced just after", []tracker.Life{refuses}, nil, func(g *Gatekeeper, r tracker.Runner) {
+		{"shutdown announced just after", []tracker.ProbeResult{refuses}, nil, func(g *Gatekeeper, r tracker.Runner) {
 			r.Leaving, r.Revision = true, 2
 			g.setRunner(r, fromStore)
 		}, false},
-		{"removed before", []tracker.Life{refuses}, func(g *Gatekeeper, r tracker.Runner) { g.removeRunnerNow(r.ID, r.Revision, fromStore, whyRow) }, nil, false},
+		{"removed before", []tracker.ProbeResult{refuses}, func(g *Gatekeeper, r tracker.Runner) { g.removeRunnerNow(r.ID, r.Revision, fromStore, whyRow) }, nil, false},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -86,7 +86,7 @@
 func TestRunnerIsProbedOncePerCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newDomainGatekeeper("a-1", "a")
-		engine := &scriptedEngine{lives: []tracker.Life{tracker.Refuses}}
+		engine := &scriptedEngine{lives: []tracker.ProbeResult{tracker.Refuses}}
 		g.Engine = engine
 		r := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}
 		g.setRunner(r, fromStore)
--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -57,13 +57,13 @@
 	}
 	d.prefillShare.Record(demand.ShortGaps, demand.LongGaps)
 	for _, n := range demand.Hits {
-		d.withPlacer(n.Runner, func(p *placer.Placer) { d.observeArrival(p.There(n.Copy, n.Requests, now.Add(-n.Age))) })
+		d.withPlacer(n.Runner, func(p *placer.Placer) { d.observeArrival(p.ObserveHit(n.Copy, n.Requests, now.Add(-n.Age))) })
 	}
 	for _, n := range demand.Misses {
-		d.withPlacer(n.Runner, func(p *placer.Placer) { p.Late(n.Copy, now) })
+		d.withPlacer(n.Runner, func(p *placer.Placer) { p.ObserveMiss(n.Copy, now) })
 	}
 	for _, n := range demand.Spare {
-		d.withPlacer(n.Runner, func(p *placer.Placer) { p.Want(n.Copy, placer.Spare, now) })
+		d.withPlacer(n.Runner, func(p *placer.Placer) { p.Request(n.Copy, placer.Spare, now) })
 	}
 }
 
@@ -90,10 +90,10 @@
 func (d *controller) applyWaits(k gatherer.Key, all placer.Waiting) {
 	d.withPlacer(k.Runner, func(p *placer.Placer) {
 		if all.Requests == 0 {
-			p.Unwant(k.Copy)
+			p.ClearDemand(k.Copy)
 			return
 		}
-		p.Wait(k.Copy, all, time.Now())
+		p.SetDemand(k.Copy, all, time.Now())
 	})
 }
 
--- a/internal/instance/gatekeeper/demand_test.go
+++ b/internal/instance/gatekeeper/demand_test.go
@@ -80,8 +80,8 @@
 		}
 		r := tracker.Runner{ID: "i-1", Service: "llm", Domain: "a"}
 		g.Fleet.Set(r)
-		p := &placer.Placer{InUse: func(c placer.Copy) bool { return d.aggregator.Uses(keyOf("i-1", c)) > 0 }, Model: "m", Places: 2}
-		p.Take(placer.Report{Models: []string{"m"}, Resident: copies[:2]}, time.Now())
+		p := &placer.Placer{InUse: func(c placer.Copy) bool { return d.aggregator.Uses(keyOf("i-1", c)) > 0 }, Model: "m", AdapterSlots: 2}
+		p.ApplyReport(placer.Report{Models: []string{"m"}, Resident: copies[:2]}, time.Now())
 		d.runners["i-1"] = &runnerState{runner: r, placer: p}
 		time.Sleep(time.Second)
 		if wait := d.slotWait(d.runners["i-1"], time.Now()); wait != 0 {
@@ -92,7 +92,7 @@
 			demand.Waits = append(demand.Waits, relayer.Wait{Runner: "i-1", Copy: c, Waiting: placer.Waiting{Requests: 1}})
 		}
 		d.applyDemand("front-1", demand)
-		occupied := g.LoadTime() + g.Fleet.Run("llm")
+		occupied := g.LoadTime() + g.Fleet.RunTime("llm")
 		if wait := d.slotWait(d.runners["i-1"], time.Now()); wait != 4*occupied/2 {
 			t.Errorf("wait %s behind three others for two slots held %s each", wait, occupied)
 		}
--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -45,10 +45,10 @@
 
 // An Engine sends orders and queries to runners.
 type Engine interface {
-	// Order sends an order. The error explains an outcome other than Accepted and Holds.
+	// Order sends an order. The error explains an outcome other than Accepted and Applied.
 	Order(ctx context.Context, to tracker.Runner, o placer.Order, leader string, fence uint64) (placer.Outcome, error)
-	// Lives checks whether a runner is alive.
-	Lives(ctx context.Context, runner tracker.Runner) tracker.Life
+	// Probe checks whether a runner is alive.
+	Probe(ctx context.Context, runner tracker.Runner) tracker.ProbeResult
 	// Report queries which adapters a runner holds.
 	Report(ctx context.Context, from tracker.Runner) (placer.Report, error)
 }
--- a/internal/instance/gatekeeper/load_time.go
+++ b/internal/instance/gatekeeper/load_time.go
@@ -63,12 +63,12 @@
 // with empty runners, growing by a fraction for each took the estimate to its bound of
 // seconds, and callers were refused for ten seconds because of loads that would have taken a
 // third of a second.
-func (e *estimate) observe(a placer.Arrival, now time.Time) {
+func (e *estimate) observe(a placer.LoadObservation, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if a.Least > 0 {
+	if a.Min > 0 {
 		e.lastLate = now
-		took := min(a.Most, time.Duration((1+lateMargin)*float64(a.Least)))
+		took := min(a.Max, time.Duration((1+lateMargin)*float64(a.Min)))
 		e.current = min(maxLoadTime, max(e.current, took))
 	} else {
 		e.current = max(minLoadTime, time.Duration((1-e.shrinkFraction(now))*float64(e.current)))
@@ -84,15 +84,15 @@
 }
 
 // observeArrival records what the first use of a copy shows of load times.
-func (d *controller) observeArrival(a placer.Arrival, ok bool) {
+func (d *controller) observeArrival(a placer.LoadObservation, ok bool) {
 	switch {
 	case !ok:
-	case a.Return:
+	case a.Reload:
 		d.gatekeeper.reloadTime.observe(a, time.Now())
 	default:
 		now := time.Now()
 		d.gatekeeper.loadTime.observe(a, now)
-		d.loadWindow.Learn(d.gatekeeper.LoadTime(), now)
+		d.loadWindow.ObserveLoadTime(d.gatekeeper.LoadTime(), now)
 	}
 }
 
@@ -110,7 +110,7 @@
 			if service.Engine == nil {
 				continue
 			}
-			base, read := g.Fleet.Paces(name)
+			base, read := g.Fleet.Latency(name)
 			g.Recorder.Log(recorder.Belief, "msg", "paces", "service", name, "first", base, "token", read,
 				"load", g.LoadTime(), "return", g.ReloadTime(), "members", g.Members())
 		}
--- a/internal/instance/gatekeeper/load_time_test.go
+++ b/internal/instance/gatekeeper/load_time_test.go
@@ -19,8 +19,8 @@
 	var e estimate
 	e.set(initialLoadTime)
 	for n := range 250 {
-		// The first request to find it loaded came seconds later, so Most is a loose bound.
-		e.observe(placer.Arrival{Least: 400 * time.Millisecond, Most: 4 * time.Second}, startTime.Add(time.Duration(n)*time.Millisecond))
+		// The first request to find it loaded came seconds later, so Max is a loose bound.
+		e.observe(placer.LoadObservation{Min: 400 * time.Millisecond, Max: 4 * time.Second}, startTime.Add(time.Duration(n)*time.Millisecond))
 	}
 	if got := e.get(); got < 400*time.Millisecond || got > actual*5/4 {
 		t.Errorf("estimate %s after 250 late loads of %s", got, actual)
@@ -34,9 +34,9 @@
 	e.set(time.Second)
 	const actual = 250 * time.Millisecond
 	for n := range 80 {
-		a := placer.Arrival{Most: e.get()}
+		a := placer.LoadObservation{Max: e.get()}
 		if e.get() < actual {
-			a = placer.Arrival{Least: e.get(), Most: actual}
+			a = placer.LoadObservation{Min: e.get(), Max: actual}
 		}
 		e.observe(a, startTime.Add(time.Duration(n)*100*time.Millisecond))
 	}
@@ -60,7 +60,7 @@
 	e.set(initialLoadTime)
 	type observation struct {
 		at time.Time
-		a  placer.Arrival
+		a  placer.LoadObservation
 	}
 	var pending []observation
 	late, high := 0, 0
@@ -74,15 +74,15 @@
 		if expected > actual*5/4 {
 			high++
 		}
-		a := placer.Arrival{Most: expected}
-		for a.Most < actual {
-			a.Least = a.Most
-			a.Most += expected / 4
+		a := placer.LoadObservation{Max: expected}
+		for a.Max < actual {
+			a.Min = a.Max
+			a.Max += expected / 4
 		}
-		if a.Least > 0 {
+		if a.Min > 0 {
 			late++
 		}
-		pending = append(pending, observation{now.Add(a.Most), a})
+		pending = append(pending, observation{now.Add(a.Max), a})
 	}
 	if late > loads/6 || high > loads/20 {
 		t.Errorf("of %d loads %d were late, and %d had an estimate more than a quarter too high", loads, late, high)
--- a/internal/instance/gatekeeper/loads.go
+++ b/internal/instance/gatekeeper/loads.go
@@ -29,21 +29,21 @@
 			}
 		}
 	}
-	l.limit = d.loadWindow.Room(l.engines)
+	l.limit = d.loadWindow.Limit(l.engines)
 	return l
 }
 
 // allows returns which adapters may be fetched. Prefetching a copy that no request waits for
 // must not compete for the weight store with one that requests wait for: on a fault-free
 // recorded day on which adapter loads were the bottleneck, that cost 0.025 of the day's value.
-func (l loadStats) allows() placer.Room {
+func (l loadStats) allows() placer.FetchLimit {
 	switch {
 	case l.fetching >= l.limit:
-		return placer.NoRoom
+		return placer.NoFetch
 	case l.waiting > 0:
-		return placer.RoomForWaiting
+		return placer.FetchForWaiting
 	default:
-		return placer.RoomForAny
+		return placer.FetchAny
 	}
 }
 
@@ -102,5 +102,5 @@
 	}
 	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "loads", "domain", d.domain, "engines", l.engines, "room", l.limit,
 		"fetching", l.fetching, "waiting", l.waiting,
-		"places", use.Places, "loading", use.Loading, "running", use.Running, "vacant", use.Vacant)
+		"places", use.Slots, "loading", use.Loading, "running", use.Running, "vacant", use.Vacant)
 }
--- a/internal/instance/gatekeeper/pending_demand.go
+++ b/internal/instance/gatekeeper/pending_demand.go
@@ -50,11 +50,11 @@
 	queueWait := d.loadQueueWait(now)
 	slotWaits := d.slotWaits(now)
 	d.mu.Unlock()
-	g.Fleet.Line(domain, queueWait)
-	g.Fleet.Rooms(slotWaits)
-	g.Fleet.OthersIn(domain, others)
+	g.Fleet.SetLoadQueueWait(domain, queueWait)
+	g.Fleet.SetAdapterSlotWaits(slotWaits)
+	g.Fleet.SetOtherLoads(domain, others)
 	_, mayOrder := d.mayOrder()
-	g.Fleet.Staffed(domain, mayOrder)
+	g.Fleet.SetLeaderPresent(domain, mayOrder)
 	l := g.links[domain]
 	l.mu.Lock()
 	l.lastUpdate = now
@@ -184,7 +184,7 @@
 		delete(l.pendingDemand.uses, k)
 	}
 	l.mu.Unlock()
-	if over && l.gatekeeper.Fleet.Tight(k.Runner) {
+	if over && l.gatekeeper.Fleet.AdapterSlotsFull(k.Runner) {
 		l.reportNow()
 	}
 }
--- a/internal/instance/gatekeeper/relay.go
+++ b/internal/instance/gatekeeper/relay.go
@@ -145,7 +145,7 @@
 // reportFreed requests an urgent report when the last use of a relayed copy has ended and others
 // wait for its adapter slot.
 func (d *controller) reportFreed(k gatherer.Key) {
-	if d.orderingFence == 0 && d.gatekeeper.Fleet.Tight(k.Runner) {
+	if d.orderingFence == 0 && d.gatekeeper.Fleet.AdapterSlotsFull(k.Runner) {
 		d.gatekeeper.links[d.domain].reportNow()
 	}
 }
@@ -156,5 +156,5 @@
 	if d.elector.IsLeader(uptime()) {
 		return c.published, c.publishedWait
 	}
-	return d.gatekeeper.Fleet.Standing(c.runner.ID)
+	return d.gatekeeper.Fleet.HeldCopies(c.runner.ID)
 }
--- a/internal/instance/gatekeeper/relay_test.go
+++ b/internal/instance/gatekeeper/relay_test.go
@@ -225,7 +225,7 @@
 		done := c.relay.controllers["b"].addSubscriber()
 		defer done()
 		holds := func() bool {
-			held, _ := c.member.Fleet.Standing("i-1")
+			held, _ := c.member.Fleet.HeldCopies("i-1")
 			_, ok := held[testCopyKey.Copy]
 			return ok
 		}
@@ -242,7 +242,7 @@
 		if !holds() {
 			t.Error("a new copy was not relayed")
 		}
-		if !c.member.Fleet.Tight("i-1") {
+		if !c.member.Fleet.AdapterSlotsFull("i-1") {
 			t.Error("a wait for a slot was not relayed")
 		}
 		c.leader.controllers["b"].changes.add(event{copyChange: &copyEvent{runner: "i-1", copy: testCopyKey.Copy}})
--- a/internal/instance/gatekeeper/report.go
+++ b/internal/instance/gatekeeper/report.go
@@ -20,7 +20,7 @@
 func (l *link) report(ctx context.Context) {
 	g := l.gatekeeper
 	if l.sinceUpdate() > updateTimeout {
-		g.Fleet.Staffed(l.domain, false)
+		g.Fleet.SetLeaderPresent(l.domain, false)
 	}
 	if g.controllers[l.domain].leads() {
 		g.applyOwnDemand(l.domain, l.demand())
--- a/internal/instance/gatekeeper/reserve.go
+++ b/internal/instance/gatekeeper/reserve.go
@@ -16,7 +16,7 @@
 const askTimeout = 40 * time.Millisecond
 
 // Reserve implements forwarder.Placement.
-func (g *Gatekeeper) Reserve(ctx context.Context, a forwarder.ReserveRequest) (room forwarder.Reservation, refused *judge.Error, ok bool) {
+func (g *Gatekeeper) Reserve(ctx context.Context, a forwarder.ReserveRequest) (reservation forwarder.Reservation, refused *judge.Error, ok bool) {
 	l, found := g.linkOf(a.Runner)
 	if !found {
 		return forwarder.Reservation{}, nil, false
@@ -51,12 +51,12 @@
 func (g *Gatekeeper) reservation(a forwarder.ReserveRequest, reserved relayer.Reserved, err error) (forwarder.Reservation, *judge.Error, bool) {
 	if err == nil {
 		if !reserved.Absent {
-			g.Fleet.Reading(a.Runner, reserved.PrefillBacklog)
+			g.Fleet.SetPrefillBacklog(a.Runner, reserved.PrefillBacklog)
 		}
 		return forwarder.Reservation{Absent: reserved.Absent, Delay: reserved.Delay}, nil, true
 	}
 	if refused := capacityRefusal(err); refused != nil {
-		g.Fleet.Reading(a.Runner, a.Timeout+refused.RetryAfter)
+		g.Fleet.SetPrefillBacklog(a.Runner, a.Timeout+refused.RetryAfter)
 		return forwarder.Reservation{}, refused, true
 	}
 	return forwarder.Reservation{}, nil, false
@@ -75,12 +75,12 @@
 		if c.placer.Known() && !c.placer.Holds(r.Copy) {
 			return relayer.Reserved{Absent: true}, nil
 		}
-		c.placer.Use(r.Copy, now)
+		c.placer.MarkAssigned(r.Copy, now)
 		d.recordUse(cmp.Or(r.Reporter, from), keyOf(r.Runner, r.Copy))
 	}
 	fleet := d.gatekeeper.Fleet
 	wait, ok := c.prefillQueue.Reserve(admitter.Prompt{
-		MaxGap: r.MaxGap, SlotWait: fleet.Places(r.Runner), PrefillTime: fleet.Read(c.runner.Service, r.Tokens), Share: d.prefillShare.Value(), Timeout: r.Timeout,
+		MaxGap: r.MaxGap, SlotWait: fleet.RequestSlotWait(r.Runner), PrefillTime: fleet.PrefillTime(c.runner.Service, r.Tokens), Share: d.prefillShare.Value(), Timeout: r.Timeout,
 	}, now)
 	if !ok {
 		refused := judge.Refuse(judge.ReasonQueue, "%s of prompts are to be read there", c.prefillQueue.Backlog(now).Round(time.Millisecond))
--- a/internal/instance/gatekeeper/runners.go
+++ b/internal/instance/gatekeeper/runners.go
@@ -29,7 +29,7 @@
 	r = current
 	changed := !known || before.Leaving != r.Leaving
 	if changed {
-		removedAt := g.Fleet.Gone(r.ID)
+		removedAt := g.Fleet.RemovedRevision(r.ID)
 		if !known && removedAt > 0 && !r.Leaving {
 			g.Metrics.GetOrCreateCounter("sardinetiller_runners_back_total").Inc()
 		}
@@ -55,7 +55,7 @@
 // dropRunnerState drops the state of a removed runner other than its description.
 func (g *Gatekeeper) dropRunnerState(r tracker.Runner, by, why string) {
 	g.Pool.Drop(r.ID)
-	removedAt := g.Fleet.Gone(r.ID)
+	removedAt := g.Fleet.RemovedRevision(r.ID)
 	g.controller(r.Domain).removeRunner(r.ID, removedAt)
 	g.Recorder.Log(recorder.Belief, "msg", "runner gone", "runner", r.ID, "service", r.Service,
 		"known", r.Revision, "gone", removedAt, "by", by, "why", why)
--- a/internal/instance/gatekeeper/slot_wait.go
+++ b/internal/instance/gatekeeper/slot_wait.go
@@ -11,11 +11,11 @@
 	}
 	p := c.placer
 	ahead := p.Waiting() - p.Vacant(now) + 1
-	if ahead <= 0 || p.Places == 0 {
+	if ahead <= 0 || p.AdapterSlots == 0 {
 		return 0
 	}
-	occupied := d.gatekeeper.LoadTime() + d.gatekeeper.Fleet.Run(c.runner.Service)
-	return time.Duration(ahead) * occupied / time.Duration(p.Places)
+	occupied := d.gatekeeper.LoadTime() + d.gatekeeper.Fleet.RunTime(c.runner.Service)
+	return time.Duration(ahead) * occupied / time.Duration(p.AdapterSlots)
 }
 
 // publishSlotWait publishes how long a copy waits for an adapter slot at a runner, if that has
--- a/internal/instance/gatekeeper/stepdown_test.go
+++ b/internal/instance/gatekeeper/stepdown_test.go
@@ -55,7 +55,7 @@
 		for n := range 4 {
 			id := string(rune('a' + n))
 			g.Fleet.Set(tracker.Runner{ID: id, Domain: "a", Service: "llm", Revision: 1})
-			end := tracker.Dark
+			end := tracker.ConnectFailed
 			if n == 0 {
 				end = tracker.Done
 			}
--- a/internal/instance/gatekeeper/takeover.go
+++ b/internal/instance/gatekeeper/takeover.go
@@ -64,5 +64,5 @@
 // reach the runners of the domain.
 func (d *controller) defersTakeover() bool {
 	g := d.gatekeeper
-	return g.Fleet.Severed(d.domain, time.Now()) && g.links[d.domain].sinceUpdate() < deferralTime
+	return g.Fleet.Partitioned(d.domain, time.Now()) && g.links[d.domain].sinceUpdate() < deferralTime
 }
--- a/internal/instance/gatekeeper/watch.go
+++ b/internal/instance/gatekeeper/watch.go
@@ -162,7 +162,7 @@
 		g.setRunner(runner, fromStore)
 		return
 	}
-	id := g.Fleet.Named(runner.ID)
+	id := g.Fleet.CurrentID(runner.ID)
 	if known, ok := g.Fleet.Get(id); !ok || known.Revision < r.Version { // else it was described again since
 		g.removeRunner(id, r.Version, fromStore, whyRow)
 	}
--- a/internal/instance/server/heartbeat.go
+++ b/internal/instance/server/heartbeat.go
@@ -66,7 +66,7 @@
 	}
 	remote := base
 	s.mu.Lock()
-	remote.LoadQueue = s.Sharer.Total(remote.LoadQueue, now)
+	remote.LoadQueue = s.Sharer.QueueLength(remote.LoadQueue, now)
 	s.mu.Unlock()
 	for _, peer := range s.remotePeers(now) {
 		go func() { _ = s.Mesh.Send(ctx, peer.Address, remote) }() // retried with the next heartbeat
--- a/internal/instance/server/operator.go
+++ b/internal/instance/server/operator.go
@@ -106,7 +106,7 @@
 		Instance: s.Config.ID, Incarnation: s.Incarnation, Domain: s.Config.Domain, Ready: ready,
 		Leaving: s.stop.leaving(), Lease: s.Holder.Valid(now), Epoch: s.Holder.Epoch(),
 		Outage: s.tableFailedAt.Load() != 0, Blocked: blocked, Sent: s.Mesh.Bytes(), Memory: memory.HeapInuse,
-		Runners: s.Fleet.Views(), Peers: []PeerStatus{}, Quarantine: s.quarantine.quarantined(now),
+		Runners: s.Fleet.Statuses(), Peers: []PeerStatus{}, Quarantine: s.quarantine.quarantined(now),
 	}
 	if f := s.Watcher.Force(); f != nil {
 		status.Revision = f.Head.Revision
--- a/internal/instance/server/peer.go
+++ b/internal/instance/server/peer.go
@@ -105,8 +105,8 @@
 		s.pollSoon()
 		return relayer.Surrendered{}
 	}
-	surrender, given := s.Driver.Surrender(m.Runner)
-	return relayer.Surrendered{Released: given, Pins: surrender.Pins, Evicting: surrender.Doomed}
+	handover, released := s.Driver.Handover(m.Runner)
+	return relayer.Surrendered{Released: released, Pins: handover.Pins, Evicting: handover.Evicting}
 }
 
 // A replySink forwards a response to the instance that sent the call.
@@ -222,32 +222,32 @@
 }
 
 // RequestRelease implements driver.Ownership.
-func (s *Server) RequestRelease(ctx context.Context, owner, runner string) (keeper.Surrender, bool) {
+func (s *Server) RequestRelease(ctx context.Context, owner, runner string) (keeper.Handover, bool) {
 	s.mu.Lock()
 	epoch := s.Holder.Epoch()
 	_, onRoster := s.Holder.Roster().Member(owner)
 	terminated := !onRoster && s.Monitor.Terminated(owner, time.Now())
 	s.mu.Unlock()
 	if terminated {
-		return keeper.Surrender{}, true
+		return keeper.Handover{}, true
 	}
 	address, ok := s.address(owner)
 	if !ok {
-		return keeper.Surrender{}, false
+		return keeper.Handover{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.Config.Beat)
 	defer cancel()
 	c, err := s.Mesh.Open(ctx, address, relayer.Yield{Runner: runner, Epoch: epoch})
 	if err != nil {
-		return keeper.Surrender{}, false
+		return keeper.Handover{}, false
 	}
 	defer c.Close()
 	m, err := c.Next(ctx)
 	released, ok := m.(relayer.Surrendered)
 	if err != nil || !ok || !released.Released {
-		return keeper.Surrender{}, false
+		return keeper.Handover{}, false
 	}
-	return released.Surrender(), true
+	return released.Handover(), true
 }
 
 // PeerAddresses returns the peer addresses of the other instances, those of this
--- a/internal/instance/server/permit.go
+++ b/internal/instance/server/permit.go
@@ -113,8 +113,8 @@
 	if p.pending == nil {
 		p.pending = make(map[uint64]chan struct{})
 	}
-	p.Together = request.MaxConcurrent
-	p.Time = request.TTL
+	p.MaxConcurrent = request.MaxConcurrent
+	p.PermitTTL = request.TTL
 	p.lastID++
 	p.pending[p.lastID] = make(chan struct{})
 	granted := p.pending[p.lastID]
--- a/internal/instance/server/settings.go
+++ b/internal/instance/server/settings.go
@@ -85,8 +85,8 @@
 		shares[domain] /= total
 	}
 	s.mu.Lock()
-	own := loader.Stake{Fixed: float64(len(s.Holder.Owned())) / max(1, total), Line: queued}
-	share := s.Sharer.Part(own, shares, now)
+	own := loader.Allotment{Fixed: float64(len(s.Holder.Owned())) / max(1, total), QueueLength: queued}
+	share := s.Sharer.Share(own, shares, now)
 	s.mu.Unlock()
 	s.Driver.SetShare(force.Resolver.Weights(), share)
 }
--- a/internal/member/gatherer/gatherer_test.go
+++ b/internal/member/gatherer/gatherer_test.go
@@ -144,7 +144,7 @@
 		Instances: 1 + rng.IntN(3), Loads: make(map[string]tracker.Load), Uses: make(map[gatherer.Key]int), Waits: make(map[gatherer.Key]placer.Waiting),
 	}
 	for range rng.IntN(4) {
-		w.Loads[randomKey(rng).Runner] = tracker.Load{Running: 1 + rng.IntN(5), Unread: rng.IntN(1000)}
+		w.Loads[randomKey(rng).Runner] = tracker.Load{Running: 1 + rng.IntN(5), PrefillTokens: rng.IntN(1000)}
 		w.Uses[randomKey(rng)] = 1 + rng.IntN(3)
 		w.Waits[randomKey(rng)] = placer.Waiting{Priority: rng.IntN(3), Requests: 1 + rng.IntN(4), InTime: rng.IntN(2)}
 	}
--- a/internal/member/relayer/message.go
+++ b/internal/member/relayer/message.go
@@ -240,9 +240,9 @@
 	return Fail{Verdict: e.Verdict, Reason: e.Reason, Message: e.Message, Retry: e.RetryAfter}
 }
 
-// Surrender returns the references and evictions of the previous owner.
-func (s Surrendered) Surrender() keeper.Surrender {
-	return keeper.Surrender{Pins: s.Pins, Doomed: s.Evicting}
+// Handover returns the references and evictions of the previous owner.
+func (s Surrendered) Handover() keeper.Handover {
+	return keeper.Handover{Pins: s.Pins, Evicting: s.Evicting}
 }
 
 // Err returns the result of the commit in the form of a tabler.Table.
--- a/internal/request/admitter/queue_test.go
+++ b/internal/request/admitter/queue_test.go
@@ -73,7 +73,7 @@
 		}
 	}
 	if quiet != 5 {
-		t.Errorf("quiet account got %d of the first 10 places, want 5: %v", quiet, first)
+		t.Errorf("quiet account got %d of the first 10 positions, want 5: %v", quiet, first)
 	}
 }
 
--- a/internal/request/dispatcher/dispatcher.go
+++ b/internal/request/dispatcher/dispatcher.go
@@ -153,7 +153,7 @@
 		return false
 	}
 	step := &a.steps[len(a.steps)-1]
-	a.dispatcher.Fleet.Disown(step.Runner, step.Owner)
+	a.dispatcher.Fleet.ClearOwner(step.Runner, step.Owner)
 	a.tried = slices.DeleteFunc(a.tried, func(name string) bool { return name == step.Runner })
 	return true
 }
@@ -197,7 +197,7 @@
 	a.tried = append(a.tried, best.Runner)
 	call := *a.call
 	call.Runner = best.Runner
-	d.Fleet.Sent(best.Runner, a.call.Adapter)
+	d.Fleet.RecordSent(best.Runner, a.call.Adapter)
 	step.Owner = d.Fleet.Owner(best.Runner)
 	if step.Owner == d.Self {
 		return step, d.Local.Serve(ctx, &call, a.sink)
@@ -218,7 +218,7 @@
 	d := a.dispatcher
 	for until := time.Now().Add(handoverTimeout); ; {
 		candidates := d.Fleet.Candidates(a.call.Service, a.call.Adapter, a.tried, d.Peers.Alive)
-		if len(candidates) > 0 || !d.Fleet.Pending(a.call.Service, a.tried) || time.Now().After(until) {
+		if len(candidates) > 0 || !d.Fleet.HasUntried(a.call.Service, a.tried) || time.Now().After(until) {
 			return candidates
 		}
 		select {
@@ -289,7 +289,7 @@
 	a.tried = append(a.tried, u.Name)
 	call := *a.call
 	call.Runner = u.Name
-	return Step{Runner: u.Name}, caller.Plain(ctx, u.Address, &call, a.sink)
+	return Step{Runner: u.Name}, caller.RunPlain(ctx, u.Address, &call, a.sink)
 }
 
 func (d *Dispatcher) count(name string, err *judge.Error) {
--- a/internal/request/forwarder/attempt.go
+++ b/internal/request/forwarder/attempt.go
@@ -65,7 +65,7 @@
 	case err == nil:
 		return tracker.Done
 	case errors.Is(err, errCallerGone), errors.Is(context.Cause(ctx), context.Canceled):
-		return tracker.Left
+		return tracker.CallerLeft
 	default:
 		return tracker.Failed
 	}
@@ -84,12 +84,12 @@
 	end := tracker.Failed
 	switch {
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		end = tracker.Left
+		end = tracker.CallerLeft
 		err = errCallerGone
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		err = &judge.Error{Verdict: err.Verdict, Reason: judge.ReasonDeadline, Message: "the deadline passed at the runner"}
 	case unreachable:
-		end = tracker.Dark
+		end = tracker.ConnectFailed
 	}
 	run.End(end, time.Now())
 	p.tried[runner.ID] = true
@@ -108,7 +108,7 @@
 	case reply.Instance != "" && reply.Instance != runner.Name():
 		p.Fleet.Remove(runner.ID, 0) // its address now belongs to another runner
 	case reply.Misdirected:
-		p.Fleet.Missing(runner.ID, p.request.Copy)
+		p.Fleet.MarkMissing(runner.ID, p.request.Copy)
 		p.Placement.ReportMiss(runner.ID, p.request.Copy)
 	default:
 		p.tried[runner.ID] = true
--- a/internal/request/forwarder/choose.go
+++ b/internal/request/forwarder/choose.go
@@ -46,7 +46,7 @@
 		resident, refused := p.reserve(ctx, runner, terms)
 		if !resident {
 			p.releaseCopy()
-			p.Fleet.HeldOne(runner.ID, p.request.Copy, time.Time{}, false)
+			p.Fleet.SetHeldCopy(runner.ID, p.request.Copy, time.Time{}, false)
 			continue
 		}
 		if runner, ok = p.Fleet.Get(runner.ID); refused == nil && (!ok || runner.Leaving) {
@@ -123,7 +123,7 @@
 // limit is left, or that has already reached a runner, gets the full limit: it is served
 // late rather than refused, as the adapter is resident now.
 func (p *exchange) prefillTimeout(now time.Time) time.Duration {
-	left := p.queueLimit() - now.Sub(p.request.Arrived) - p.Fleet.Base(p.request.Service)
+	left := p.queueLimit() - now.Sub(p.request.Arrived) - p.Fleet.BaseLatency(p.request.Service)
 	if p.adapterWait > 0 && left < p.queueLimit()/2 || p.delivered > 0 {
 		return p.queueLimit()
 	}
@@ -150,8 +150,8 @@
 func (p *exchange) demand(tried map[string]bool) tracker.Demand {
 	r := p.request
 	return tracker.Demand{
-		Asked: p.loadRunner, Copy: r.Copy, Crowd: p.prefillLimit(), Full: p.fullRunners, Load: p.LoadTime(), Return: p.ReloadTime(), Service: r.Service, Tokens: r.Tokens,
-		Tried: tried,
+		LoadingRunner: p.loadRunner, Copy: r.Copy, MaxPrefill: p.prefillLimit(), Refused: p.fullRunners, LoadTime: p.LoadTime(), ReloadTime: p.ReloadTime(), Service: r.Service, Tokens: r.Tokens,
+		Excluded: tried,
 	}
 }
 
@@ -184,7 +184,7 @@
 // noRunner refuses a request that no runner can serve: either there is no runner, or none
 // holds the adapter and no instance can order it now.
 func (p *exchange) noRunner(now time.Time) *judge.Error {
-	if p.request.Copy.Adapter != "" && p.Fleet.Takes(p.demand(p.tried), now) {
+	if p.request.Copy.Adapter != "" && p.Fleet.AnyEligible(p.demand(p.tried), now) {
 		return judge.Refuse(judge.ReasonLoad, "nobody gives orders to the runners now").WithRetryAfter(retryAfter(noRunnerRetryAfter))
 	}
 	return judge.Refuse(judge.ReasonUpstream, "no runner of service %s takes requests", p.request.Service).WithRetryAfter(retryAfter(noRunnerRetryAfter))
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -219,10 +219,10 @@
 					spare: func(runner string) { requested = append(requested, runner) },
 				}, 2)
 				adapter := placer.Copy{Model: "m", Adapter: "a1", Version: 2}
-				f.Fleet.Held("i-0", map[placer.Copy]time.Time{adapter: {}})
-				f.Fleet.Held("i-1", nil)
+				f.Fleet.SetHeld("i-0", map[placer.Copy]time.Time{adapter: {}})
+				f.Fleet.SetHeld("i-1", nil)
 				if tc.loading {
-					f.Fleet.HeldOne("i-1", adapter, time.Now().Add(time.Second), true)
+					f.Fleet.SetHeldCopy("i-1", adapter, time.Now().Add(time.Second), true)
 				}
 				r := newRequest(resumableRoute())
 				r.Copy = adapter
@@ -313,8 +313,8 @@
 		}}
 		f := newForwarder(u, placement{}, 2)
 		old, newest := placer.Copy{Model: "m", Adapter: "a", Version: 1}, placer.Copy{Model: "m", Adapter: "a", Version: 2}
-		f.Fleet.Held("i-0", map[placer.Copy]time.Time{old: {}})
-		f.Fleet.Held("i-1", map[placer.Copy]time.Time{newest: {}})
+		f.Fleet.SetHeld("i-0", map[placer.Copy]time.Time{old: {}})
+		f.Fleet.SetHeld("i-1", map[placer.Copy]time.Time{newest: {}})
 		r := newRequest(resumableRoute())
 		r.Copy = old
 		var got sink
--- a/internal/request/forwarder/limits_test.go
+++ b/internal/request/forwarder/limits_test.go
@@ -33,8 +33,8 @@
 				f := newForwarder(u, placement{}, 1)
 				r := newRequest(resumableRoute())
 				r.Copy = placer.Copy{Model: "m", Adapter: "a1", Version: 2}
-				f.Fleet.Rooms(map[string]time.Duration{"i-0": tc.wait})
-				time.AfterFunc(time.Second, func() { f.Fleet.HeldOne("i-0", r.Copy, time.Time{}, true) })
+				f.Fleet.SetAdapterSlotWaits(map[string]time.Duration{"i-0": tc.wait})
+				time.AfterFunc(time.Second, func() { f.Fleet.SetHeldCopy("i-0", r.Copy, time.Time{}, true) })
 				var got sink
 				started := time.Now()
 				err := f.Forward(t.Context(), r, &got)
--- a/internal/upstream/caller/run.go
+++ b/internal/upstream/caller/run.go
@@ -82,8 +82,8 @@
 	return p.copyComplete()
 }
 
-// Plain sends a call to a plain service and forwards the response unchanged.
-func Plain(ctx context.Context, address string, call *streamer.Call, sink streamer.Sink) error {
+// RunPlain sends a call to a plain service and forwards the response unchanged.
+func RunPlain(ctx context.Context, address string, call *streamer.Call, sink streamer.Sink) error {
 	return withContextReason(ctx, plain(ctx, address, call, sink))
 }
 
--- a/internal/upstream/driver/check.go
+++ b/internal/upstream/driver/check.go
@@ -16,7 +16,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	// Read under the lock: ownership that starts from an older value could follow
-	// this instance's own surrender. It would then serve copies that the next owner,
+	// this instance's own handover. It would then serve copies that the next owner,
 	// which has this instance's confirmation of the release, evicts.
 	fence, mayAct := d.Ownership.FencingToken(name)
 	owns := d.Ownership.Owns(name)
@@ -49,7 +49,7 @@
 // queryEngine makes the network calls of check, outside the lock.
 func (d *Driver) queryEngine(ctx context.Context, e *engine) {
 	d.mu.Lock()
-	raise := e.fencing && !e.Keeper.Raised()
+	raise := e.fencing && !e.Keeper.FenceConfirmed()
 	fence := e.Keeper.Fence()
 	owners := e.Keeper.Uncleared()
 	address := e.address()
@@ -98,14 +98,14 @@
 
 // clear asks a previous owner to release the runner and records the release.
 func (d *Driver) clear(ctx context.Context, e *engine, owner string, fence uint64) {
-	surrender, ok := d.Ownership.RequestRelease(ctx, owner, e.Name)
+	handover, ok := d.Ownership.RequestRelease(ctx, owner, e.Name)
 	if !ok {
 		return
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if e.Keeper.Fence() == fence { // otherwise the answer belongs to an earlier ownership
-		e.Keeper.Clear(owner, surrender)
+		e.Keeper.Clear(owner, handover)
 		d.markChanged(e)
 	}
 }
@@ -116,7 +116,7 @@
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	e.Keeper.Raise(fence)
+	e.Keeper.ConfirmFence(fence)
 	d.markChanged(e)
 }
 
@@ -124,7 +124,7 @@
 	before := len(e.Keeper.Resident())
 	fence, mayAct := d.Ownership.FencingToken(e.Name)
 	restarted, err := e.Reconcile(keeper.Report{
-		Asked: requested, Held: mayAct && fence == e.Keeper.Fence(), Engine: report.Engine, Resident: report.Resident, Loading: report.Loading,
+		RequestedAt: requested, LeaseValid: mayAct && fence == e.Keeper.Fence(), Engine: report.Engine, Resident: report.Resident, Loading: report.Loading,
 	}, report.Leaving)
 	if err != nil {
 		d.warn("report is inconsistent with the slots", e.Name, err)
@@ -142,7 +142,7 @@
 }
 
 func (d *Driver) acquire(e *engine, fence uint64) {
-	e.Keeper.Take(fence, d.Ownership.PreviousOwners())
+	e.Keeper.Acquire(fence, d.Ownership.PreviousOwners())
 	e.reported = false
 	d.markChanged(e)
 	_ = level.Info(d.Logger).Log("msg", "acquired runner", "runner", e.Name, "fence", fence)
--- a/internal/upstream/driver/driver.go
+++ b/internal/upstream/driver/driver.go
@@ -32,9 +32,9 @@
 	// PreviousOwners returns the incarnations that may have owned a runner before.
 	PreviousOwners() []string
 	// RequestRelease asks a previous owner to release the runner. It returns false until
-	// that owner has released it, and an empty surrender if its process has
+	// that owner has released it, and an empty handover if its process has
 	// terminated.
-	RequestRelease(ctx context.Context, owner, runner string) (keeper.Surrender, bool)
+	RequestRelease(ctx context.Context, owner, runner string) (keeper.Handover, bool)
 }
 
 // Permits grants permits to load from the weight store.
@@ -172,19 +172,19 @@
 	}
 }
 
-// Surrender answers the next owner: whether this instance has released the
+// Handover answers the next owner: whether this instance has released the
 // runner, and which adapters its requests still use.
-func (d *Driver) Surrender(name string) (keeper.Surrender, bool) {
+func (d *Driver) Handover(name string) (keeper.Handover, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	e, ok := d.runners[name]
 	if !ok {
-		return keeper.Surrender{}, true // never known here
+		return keeper.Handover{}, true // never known here
 	}
 	if e.Keeper.Owned() && !d.Ownership.Owns(name) {
 		d.abandonOwnership(e)
 	}
-	return e.Keeper.Surrender()
+	return e.Keeper.Handover()
 }
 
 // Idle reports whether no request is queued or running here. Requests whose
@@ -219,7 +219,7 @@
 
 // abandonOwnership ends the ownership and refuses the queued requests, so that they go elsewhere.
 func (d *Driver) abandonOwnership(e *engine) {
-	e.Keeper.Abandon()
+	e.Keeper.Release()
 	e.rejectQueued(ownerRefusal(), anyItem)
 	d.markChanged(e)
 }
@@ -285,7 +285,7 @@
 		d.budget = &loader.Budget{Rate: rate.NewLimiter(limit, concurrent)}
 	}
 	d.budget.Rate.SetLimit(limit)
-	d.budget.Together = concurrent
+	d.budget.MaxConcurrent = concurrent
 }
 
 func (d *Driver) init() {
--- a/internal/upstream/driver/driver_test.go
+++ b/internal/upstream/driver/driver_test.go
@@ -58,8 +58,8 @@
 
 func (f *fakeOwnership) FencingToken(string) (uint64, bool) { return 1, f.owns.Load() }
 
-func (f *fakeOwnership) RequestRelease(context.Context, string, string) (keeper.Surrender, bool) {
-	return keeper.Surrender{}, true
+func (f *fakeOwnership) RequestRelease(context.Context, string, string) (keeper.Handover, bool) {
+	return keeper.Handover{}, true
 }
 
 func (f *fakeOwnership) MayOrder(string) bool { return f.mayOrder.Load() }
--- a/internal/upstream/driver/engine.go
+++ b/internal/upstream/driver/engine.go
@@ -46,7 +46,7 @@
 // pendingAdapters returns the adapters that are being loaded or queued for a load.
 // Further requests for one of them are best sent here too.
 func (e *engine) pendingAdapters() []string {
-	adapters := e.Keeper.Coming()
+	adapters := e.Keeper.LoadingAdapters()
 	for _, n := range e.Needs() {
 		adapters = append(adapters, n.Adapter)
 	}
--- a/internal/upstream/driver/permit.go
+++ b/internal/upstream/driver/permit.go
@@ -15,8 +15,8 @@
 // requestPermits requests permits, at most as many at once as the weight store serves
 // loads. The caller holds the lock.
 func (d *Driver) requestPermits(ctx context.Context, needs []loader.Need, now time.Time) {
-	for d.permitRequests < min(d.budget.Together, len(needs)) {
-		value := loader.Saved(needs[d.permitRequests], now)
+	for d.permitRequests < min(d.budget.MaxConcurrent, len(needs)) {
+		value := loader.StallRemoved(needs[d.permitRequests], now)
 		d.permitRequests++
 		go d.loadWithPermit(context.WithoutCancel(ctx), value)
 	}
--- a/internal/upstream/driver/preload.go
+++ b/internal/upstream/driver/preload.go
@@ -22,7 +22,7 @@
 	if !ok || !e.Keeper.Owned() {
 		return ownerRefusal()
 	}
-	e.Ahead(adapter, time.Now())
+	e.Preload(adapter, time.Now())
 	d.markChanged(e)
 	return nil
 }
--- a/internal/upstream/driver/serve.go
+++ b/internal/upstream/driver/serve.go
@@ -85,7 +85,7 @@
 	if !d.Ownership.MayOrder(n.Runner) {
 		return e, nil
 	}
-	action := e.Keeper.Want(n.Adapter, now)
+	action := e.Keeper.NextOrder(n.Adapter, now)
 	if action != nil {
 		d.markChanged(e)
 	}
--- a/internal/upstream/monitor/fleet.go
+++ b/internal/upstream/monitor/fleet.go
@@ -132,9 +132,9 @@
 	f.runners = next
 }
 
-// Disown clears the owner of a runner after it refused a request because it no
+// ClearOwner clears the owner of a runner after it refused a request because it no
 // longer owns the runner. The next owner's heartbeat sets it again.
-func (f *Fleet) Disown(name, owner string) {
+func (f *Fleet) ClearOwner(name, owner string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if r, ok := f.runners[name]; ok && r.owner == owner {
@@ -190,9 +190,9 @@
 	return ""
 }
 
-// Pending reports whether a runner of the service, except those in tried, is neither
+// HasUntried reports whether a runner of the service, except those in tried, is neither
 // draining nor drained. It may have no owner yet.
-func (f *Fleet) Pending(service string, tried []string) bool {
+func (f *Fleet) HasUntried(service string, tried []string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for name, r := range f.runners {
@@ -203,10 +203,10 @@
 	return false
 }
 
-// Sent counts a request that this instance sent to a runner, until the owner
+// RecordSent counts a request that this instance sent to a runner, until the owner
 // publishes its load again. An adapter that is not resident counts as being loaded
 // from now on.
-func (f *Fleet) Sent(name, adapter string) {
+func (f *Fleet) RecordSent(name, adapter string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	r, ok := f.runners[name]
@@ -230,8 +230,8 @@
 	return r.declared, true
 }
 
-// Views returns the runners, sorted by name.
-func (f *Fleet) Views() []RunnerStatus {
+// Statuses returns the runners, sorted by name.
+func (f *Fleet) Statuses() []RunnerStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	views := make([]RunnerStatus, 0, len(f.runners))
--- a/internal/upstream/orderer/runner.go
+++ b/internal/upstream/orderer/runner.go
@@ -31,9 +31,9 @@
 	Handle keeper.Handle
 }
 
-// Ahead requests the preload of an adapter that no request needs yet. It has the
+// Preload requests the preload of an adapter that no request needs yet. It has the
 // priority of a load for which no request waits.
-func (r *Runner) Ahead(adapter string, now time.Time) {
+func (r *Runner) Preload(adapter string, now time.Time) {
 	if r.preload == nil {
 		r.preload = make(map[string]time.Time)
 	}
--- a/internal/upstream/orderer/runner_test.go
+++ b/internal/upstream/orderer/runner_test.go
@@ -23,7 +23,7 @@
 
 func newRunner(slots int) *orderer.Runner {
 	k := &keeper.Keeper{Capacity: slots, Policy: keeper.LRU{}, Self: "b"}
-	k.Take(1, nil)
+	k.Acquire(1, nil)
 	r := &orderer.Runner{Name: "r", Batch: 4, Keeper: k, Queue: &admitter.Queue{Limit: 50, Share: 1}}
 	r.Warm()
 	return r
@@ -41,7 +41,7 @@
 	if diff := cmp.Diff(want, r.Needs()); diff != "" {
 		t.Error(diff)
 	}
-	r.Keeper.Want("x@1", start)
+	r.Keeper.NextOrder("x@1", start)
 	if diff := cmp.Diff(want[1:], r.Needs()); diff != "" {
 		t.Error(diff)
 	}
@@ -51,12 +51,12 @@
 // request.
 func TestRestartedEngineRampsUp(t *testing.T) {
 	r := newRunner(1)
-	_, _ = r.Reconcile(keeper.Report{Held: true, Asked: start, Engine: "e1"}, false)
-	_, _ = r.Reconcile(keeper.Report{Held: true, Asked: start, Engine: "e2"}, false)
+	_, _ = r.Reconcile(keeper.Report{LeaseValid: true, RequestedAt: start, Engine: "e1"}, false)
+	_, _ = r.Reconcile(keeper.Report{LeaseValid: true, RequestedAt: start, Engine: "e2"}, false)
 	if r.Ramp() != 0.25 {
 		t.Errorf("ramp after restart = %v, want 0.25", r.Ramp())
 	}
-	order := r.Keeper.Want("x@1", start)
+	order := r.Keeper.NextOrder("x@1", start)
 	_ = r.Keeper.Finish(order, keeper.Done, start)
 	for i := range 4 {
 		_, _ = r.Queue.Offer(admitter.Item{ID: fmt.Sprint(i), Adapter: "x@1"})
@@ -140,7 +140,7 @@
 
 func (m *model) want() {
 	for _, need := range m.runner.Needs() {
-		if action := m.runner.Keeper.Want(need.Adapter, m.now); action != nil {
+		if action := m.runner.Keeper.NextOrder(need.Adapter, m.now); action != nil {
 			m.orders = append(m.orders, action)
 		}
 	}
@@ -175,7 +175,7 @@
 
 func (m *model) report() error {
 	resident := slices.Sorted(maps.Keys(m.engine.resident))
-	_, err := m.runner.Reconcile(keeper.Report{Held: true, Asked: m.now, Engine: fmt.Sprint("e", m.engine.starts), Resident: resident}, false)
+	_, err := m.runner.Reconcile(keeper.Report{LeaseValid: true, RequestedAt: m.now, Engine: fmt.Sprint("e", m.engine.starts), Resident: resident}, false)
 	return err
 }
 
--- a/internal/upstream/tracker/candidate.go
+++ b/internal/upstream/tracker/candidate.go
@@ -10,25 +10,25 @@
 
 // A Demand describes a request for the choice of a runner.
 type Demand struct {
-	Asked   string          // runner that has been asked to load the copy; empty for none
-	Copy    placer.Copy     // zero for a plain service
-	Crowd   time.Duration   // prefill time at once above which a runner is crowded, as it stalls the running requests; 0 for no bound
-	Full    map[string]bool // runners that have refused it for lack of capacity
-	Load    time.Duration   // time to load an adapter from the weight store
-	Return  time.Duration   // time to load an adapter that the runner held before
-	Service string
-	Tokens  int             // length of the prompt
-	Tried   map[string]bool // runners that are excluded
+	LoadingRunner string          // runner that has been asked to load the copy; empty for none
+	Copy          placer.Copy     // zero for a plain service
+	MaxPrefill    time.Duration   // prefill time at once above which a runner is congested, as it stalls the running requests; 0 for no bound
+	Refused       map[string]bool // runners that have refused it for lack of capacity
+	LoadTime      time.Duration   // time to load an adapter from the weight store
+	ReloadTime    time.Duration   // time to load an adapter that the runner held before
+	Service       string
+	Tokens        int             // length of the prompt
+	Excluded      map[string]bool // runners that are excluded
 }
 
 // eligible reports whether the runner is eligible for the request at all.
 func (s *runnerState) eligible(id string, d Demand, now time.Time) bool {
-	return s.Service == d.Service && !s.Leaving && !d.Tried[id] && !now.Before(s.suspendedUntil)
+	return s.Service == d.Service && !s.Leaving && !d.Excluded[id] && !now.Before(s.suspendedUntil)
 }
 
-// Takes reports whether any runner is eligible for a request, whatever adapters it
+// AnyEligible reports whether any runner is eligible for a request, whatever adapters it
 // holds.
-func (f *Fleet) Takes(d Demand, now time.Time) bool {
+func (f *Fleet) AnyEligible(d Demand, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, s := range f.runners {
@@ -53,14 +53,14 @@
 			Runner: id, OtherDomain: s.Domain != f.Domain, Batch: s.Slots, Running: s.ownLoad.Running + s.otherLoad.Running,
 			Backlog: f.backlog(s, d), Failing: s.currentFailureRate(now), Resident: true,
 		}
-		if d.Full[id] {
+		if d.Refused[id] {
 			c.Backlog += refusalPenalty
 		}
-		c.Congested = d.Crowd > 0 && c.Backlog+prefill > d.Crowd
+		c.Congested = d.MaxPrefill > 0 && c.Backlog+prefill > d.MaxPrefill
 		if d.Copy != (placer.Copy{}) {
 			s.setReadiness(&c, d, f.loadQueueWait[s.Domain], f.loadTimesIn(s.Domain, d), now)
 		}
-		c.Loading = c.Loading || !c.Resident && id == d.Asked
+		c.Loading = c.Loading || !c.Resident && id == d.LoadingRunner
 		if !c.Resident && !c.Loading && f.leaderless[s.Domain] {
 			continue
 		}
@@ -71,7 +71,7 @@
 
 // setReadiness sets whether the copy is resident or being loaded at the runner, and how
 // long it takes until it can be used there.
-func (s *runnerState) setReadiness(c *router.Candidate, d Demand, queueWait time.Duration, times Times, now time.Time) {
+func (s *runnerState) setReadiness(c *router.Candidate, d Demand, queueWait time.Duration, times LoadTimes, now time.Time) {
 	if at, held := s.held[d.Copy]; held {
 		c.Resident = !now.Before(at)
 		c.Loading = !c.Resident
@@ -82,12 +82,12 @@
 	c.HeldBefore = s.evicted.Has(d.Copy)
 	c.ReadyIn = max(s.adapterSlotWait, queueWait) + times.Load
 	if c.HeldBefore {
-		c.ReadyIn = s.adapterSlotWait + times.Return // from the runner's host memory, without queueing for the weight store
+		c.ReadyIn = s.adapterSlotWait + times.Reload // from the runner's host memory, without queueing for the weight store
 	}
 	switch {
 	case s.otherVersion(d.Copy):
 		c.ReadyIn += versionReplaceTime
-	case s.ID == d.Asked:
+	case s.ID == d.LoadingRunner:
 		c.ReadyIn = min(c.ReadyIn, s.adapterSlotWait+times.Load) // it is in the load queue already
 	}
 }
@@ -115,7 +115,7 @@
 func (f *Fleet) backlog(s *runnerState, d Demand) time.Duration {
 	m := f.latency(d.Service)
 	load := s.ownLoad.Plus(s.otherLoad)
-	wait := max(float64(load.Unread)*m.prefill, time.Until(s.prefillUntil).Seconds()) + s.requestSlotWait(m)
+	wait := max(float64(load.PrefillTokens)*m.prefill, time.Until(s.prefillUntil).Seconds()) + s.requestSlotWait(m)
 	if d.Copy == (placer.Copy{}) && s.Slots > 0 {
 		// Concurrent requests to a plain service (one without adapters) share
 		// the processor of the runner and slow each other down before any queues.
@@ -133,15 +133,15 @@
 	return float64(running-s.Slots+1) / float64(s.Slots) * m.run
 }
 
-// Run returns the estimated run time of a request to a service.
-func (f *Fleet) Run(service string) time.Duration {
+// RunTime returns the estimated run time of a request to a service.
+func (f *Fleet) RunTime(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Duration(f.latency(service).run * float64(time.Second))
 }
 
-// Places returns the estimated time until a runner has a free request slot.
-func (f *Fleet) Places(id string) time.Duration {
+// RequestSlotWait returns the estimated time until a runner has a free request slot.
+func (f *Fleet) RequestSlotWait(id string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.runners[id]
@@ -151,19 +151,19 @@
 	return time.Duration(s.requestSlotWait(f.latency(s.Service)) * float64(time.Second))
 }
 
-// Paces returns the latency model of a service as estimated so far: the seconds to
+// Latency returns the latency model of a service as estimated so far: the seconds to
 // the first token of a short prompt on an idle runner, and the seconds of prefill
 // per prompt token.
-func (f *Fleet) Paces(service string) (base, prefill float64) {
+func (f *Fleet) Latency(service string) (base, prefill float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.latency(service)
 	return m.base, m.prefill
 }
 
-// Reading records the remaining prefill time of a runner, as reported by its
+// SetPrefillBacklog records the remaining prefill time of a runner, as reported by its
 // leader.
-func (f *Fleet) Reading(id string, backlog time.Duration) {
+func (f *Fleet) SetPrefillBacklog(id string, backlog time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s, ok := f.runners[id]; ok {
@@ -171,16 +171,16 @@
 	}
 }
 
-// Base returns the estimated time to the first token of a short prompt on an idle
+// BaseLatency returns the estimated time to the first token of a short prompt on an idle
 // runner.
-func (f *Fleet) Base(service string) time.Duration {
+func (f *Fleet) BaseLatency(service string) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return time.Duration(f.latency(service).base * float64(time.Second))
 }
 
-// Read returns the estimated prefill time of a prompt on an idle runner.
-func (f *Fleet) Read(service string, tokens int) time.Duration {
+// PrefillTime returns the estimated prefill time of a prompt on an idle runner.
+func (f *Fleet) PrefillTime(service string, tokens int) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.latency(service).prefillTime(tokens)
--- a/internal/upstream/tracker/fleet.go
+++ b/internal/upstream/tracker/fleet.go
@@ -23,13 +23,13 @@
 	latencies     map[string]*latencyModel // by service
 	loadQueueWait map[string]time.Duration // by failure domain: time until a further load begins
 	leaderless    map[string]bool          // failure domains without a leader to order loads
-	loadTimes     map[string]Times         // by failure domain, as last reported
+	loadTimes     map[string]LoadTimes     // by failure domain, as last reported
 }
 
-// Times are the load times of adapters.
-type Times struct {
+// LoadTimes are the load times of adapters.
+type LoadTimes struct {
 	Load   time.Duration // from the weight store
-	Return time.Duration // from the host memory of a runner that held the adapter before
+	Reload time.Duration // from the host memory of a runner that held the adapter before
 }
 
 // A runnerState is a runner with the observations of it.
@@ -103,10 +103,10 @@
 	f.completeTo[domain] = max(f.completeTo[domain], version)
 }
 
-// Named returns the ID of the current incarnation of a name. If none is known it
+// CurrentID returns the ID of the current incarnation of a name. If none is known it
 // returns the name itself, which is the ID of a runner that does not report when it
 // started.
-func (f *Fleet) Named(name string) (id string) {
+func (f *Fleet) CurrentID(name string) (id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if id, ok := f.idByName[name]; ok {
@@ -147,10 +147,10 @@
 	delete(f.runners, id)
 }
 
-// Severed reports whether most of the runners of a failure domain with recent
+// Partitioned reports whether most of the runners of a failure domain with recent
 // connections are unreachable from this instance: the last connection failed to more
 // runners than have answered recently.
-func (f *Fleet) Severed(domain string, now time.Time) bool {
+func (f *Fleet) Partitioned(domain string, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	reachable, unreachable := 0, 0
@@ -169,8 +169,8 @@
 // reachableFor is how long a runner counts as reachable after an answer.
 const reachableFor = 3 * time.Second
 
-// Gone returns the revision up to which a runner is known to be removed.
-func (f *Fleet) Gone(id string) uint64 {
+// RemovedRevision returns the revision up to which a runner is known to be removed.
+func (f *Fleet) RemovedRevision(id string) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.removed[id]
@@ -204,8 +204,8 @@
 	return runners
 }
 
-// Held records all copies that a runner holds, as reported by its leader.
-func (f *Fleet) Held(id string, held map[placer.Copy]time.Time) {
+// SetHeld records all copies that a runner holds, as reported by its leader.
+func (f *Fleet) SetHeld(id string, held map[placer.Copy]time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s, ok := f.runners[id]; ok {
@@ -214,15 +214,15 @@
 				s.evicted.Add(c)
 			}
 		}
-		s.held = make(map[placer.Copy]time.Time, len(held)) // HeldOne changes single copies until the next snapshot
+		s.held = make(map[placer.Copy]time.Time, len(held)) // SetHeldCopy changes single copies until the next snapshot
 		maps.Copy(s.held, held)
 		s.heldReported = true
 	}
 }
 
-// Standing returns the copies that a runner holds, with the time from which each can
+// HeldCopies returns the copies that a runner holds, with the time from which each can
 // be used, and how long a copy that it does not hold waits for an adapter slot there.
-func (f *Fleet) Standing(id string) (held map[placer.Copy]time.Time, wait time.Duration) {
+func (f *Fleet) HeldCopies(id string) (held map[placer.Copy]time.Time, wait time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.runners[id]
@@ -232,8 +232,8 @@
 	return maps.Clone(s.held), s.adapterSlotWait
 }
 
-// HeldOne records whether a runner holds a copy, and from when on it can be used.
-func (f *Fleet) HeldOne(id string, c placer.Copy, at time.Time, held bool) {
+// SetHeldCopy records whether a runner holds a copy, and from when on it can be used.
+func (f *Fleet) SetHeldCopy(id string, c placer.Copy, at time.Time, held bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.runners[id]
@@ -247,8 +247,8 @@
 	}
 }
 
-// Missing records that a runner has refused a request because it lacks a copy.
-func (f *Fleet) Missing(id string, c placer.Copy) {
+// MarkMissing records that a runner has refused a request because it lacks a copy.
+func (f *Fleet) MarkMissing(id string, c placer.Copy) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s, ok := f.runners[id]; ok {
@@ -257,9 +257,9 @@
 	}
 }
 
-// OthersIn records the load of other instances on the runners of a failure domain.
+// SetOtherLoads records the load of other instances on the runners of a failure domain.
 // Runners without an entry have none.
-func (f *Fleet) OthersIn(domain string, loads map[string]Load) {
+func (f *Fleet) SetOtherLoads(domain string, loads map[string]Load) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, s := range f.runners {
@@ -283,9 +283,9 @@
 	return loads
 }
 
-// Staffed records whether a failure domain has a leader now. Without one, adapters
+// SetLeaderPresent records whether a failure domain has a leader now. Without one, adapters
 // that its runners do not hold are not loaded.
-func (f *Fleet) Staffed(domain string, staffed bool) {
+func (f *Fleet) SetLeaderPresent(domain string, staffed bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.leaderless == nil {
@@ -294,9 +294,9 @@
 	f.leaderless[domain] = !staffed
 }
 
-// Rooms records, by runner ID, how long a copy that the runner does not hold waits
+// SetAdapterSlotWaits records, by runner ID, how long a copy that the runner does not hold waits
 // for an adapter slot.
-func (f *Fleet) Rooms(waits map[string]time.Duration) {
+func (f *Fleet) SetAdapterSlotWaits(waits map[string]time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for id, wait := range waits {
@@ -306,17 +306,17 @@
 	}
 }
 
-// Tight reports whether copies wait for an adapter slot at a runner.
-func (f *Fleet) Tight(id string) bool {
+// AdapterSlotsFull reports whether copies wait for an adapter slot at a runner.
+func (f *Fleet) AdapterSlotsFull(id string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s, ok := f.runners[id]
 	return ok && s.adapterSlotWait > 0
 }
 
-// Line records the time until the load of a further adapter begins in a failure
+// SetLoadQueueWait records the time until the load of a further adapter begins in a failure
 // domain.
-func (f *Fleet) Line(domain string, d time.Duration) {
+func (f *Fleet) SetLoadQueueWait(domain string, d time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.loadQueueWait == nil {
@@ -325,28 +325,28 @@
 	f.loadQueueWait[domain] = d
 }
 
-// LoadTimes records the load times of adapters in a failure domain, as measured by its
+// SetLoadTimes records the load times of adapters in a failure domain, as measured by its
 // leader. Instances that order no loads cannot measure them: when loads took twice as
 // long as under light load, 78 of 81 instances went on with the old estimate and chose
 // runners that had to load the adapter over those that held it. Publishing the times,
 // together with leaders that step down when they are partitioned, raised the served
 // fraction of the requests under heavy load from 0.62 to 0.71 in an experiment.
-func (f *Fleet) LoadTimes(domain string, t Times) {
+func (f *Fleet) SetLoadTimes(domain string, t LoadTimes) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.loadTimes == nil {
-		f.loadTimes = make(map[string]Times)
+		f.loadTimes = make(map[string]LoadTimes)
 	}
 	f.loadTimes[domain] = t
 }
 
 // loadTimesIn returns the load times in a failure domain: those reported by its leader, or
 // the estimates of the demand.
-func (f *Fleet) loadTimesIn(domain string, d Demand) Times {
+func (f *Fleet) loadTimesIn(domain string, d Demand) LoadTimes {
 	if t, reported := f.loadTimes[domain]; reported && t.Load > 0 {
 		return t
 	}
-	return Times{Load: d.Load, Return: d.Return}
+	return LoadTimes{Load: d.LoadTime, Reload: d.ReloadTime}
 }
 
 func (f *Fleet) init() {
--- a/internal/upstream/tracker/fleet_test.go
+++ b/internal/upstream/tracker/fleet_test.go
@@ -35,18 +35,18 @@
 			f.Set(tracker.Runner{ID: "i-1", Service: "llm", Domain: "a", Revision: 3}) // draining is final for an ID
 		}, tracker.Demand{Service: "llm"}, []string{"i-2"}},
 		{"not a runner that accepts no connection", func(f *tracker.Fleet) {
-			f.Begin("i-2", 0, time.Now()).End(tracker.Dark, time.Now())
+			f.Begin("i-2", 0, time.Now()).End(tracker.ConnectFailed, time.Now())
 		}, tracker.Demand{Service: "llm"}, []string{"i-1"}},
 		{"unresponsive runner is tried again later", func(f *tracker.Fleet) {
-			f.Begin("i-2", 0, time.Now()).End(tracker.Dark, time.Now())
+			f.Begin("i-2", 0, time.Now()).End(tracker.ConnectFailed, time.Now())
 			time.Sleep(time.Second)
 		}, tracker.Demand{Service: "llm"}, []string{"i-1", "i-2"}},
 		{"not in a domain without a leader", func(f *tracker.Fleet) {
-			f.Staffed("b", false)
+			f.SetLeaderPresent("b", false)
 		}, tracker.Demand{Service: "llm", Copy: adapter}, []string{"i-1"}},
 		{"resident copy in a domain without a leader", func(f *tracker.Fleet) {
-			f.Held("i-2", map[placer.Copy]time.Time{adapter: {}})
-			f.Staffed("b", false)
+			f.SetHeld("i-2", map[placer.Copy]time.Time{adapter: {}})
+			f.SetLeaderPresent("b", false)
 		}, tracker.Demand{Service: "llm", Copy: adapter}, []string{"i-1", "i-2"}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -76,23 +76,23 @@
 	}{
 		{"never held", func(*tracker.Fleet) {}, time.Second},
 		{"evicted", func(f *tracker.Fleet) {
-			f.HeldOne("i-1", adapter, time.Time{}, true)
-			f.HeldOne("i-1", adapter, time.Time{}, false)
+			f.SetHeldCopy("i-1", adapter, time.Time{}, true)
+			f.SetHeldCopy("i-1", adapter, time.Time{}, false)
 		}, 100 * time.Millisecond},
 		{"evicted between snapshots", func(f *tracker.Fleet) {
-			f.Held("i-1", map[placer.Copy]time.Time{adapter: {}})
-			f.Held("i-1", nil)
+			f.SetHeld("i-1", map[placer.Copy]time.Time{adapter: {}})
+			f.SetHeld("i-1", nil)
 		}, 100 * time.Millisecond},
 		{"request refused for lack of the adapter", func(f *tracker.Fleet) {
-			f.HeldOne("i-1", adapter, time.Time{}, true)
-			f.Missing("i-1", adapter)
+			f.SetHeldCopy("i-1", adapter, time.Time{}, true)
+			f.MarkMissing("i-1", adapter)
 		}, time.Second},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := &tracker.Fleet{Domain: "a"}
 			f.Set(tracker.Runner{ID: "i-1", Service: "llm", Domain: "a", Revision: 1})
 			tc.happen(f)
-			demand := tracker.Demand{Service: "llm", Copy: adapter, Load: time.Second, Return: 100 * time.Millisecond}
+			demand := tracker.Demand{Service: "llm", Copy: adapter, LoadTime: time.Second, ReloadTime: 100 * time.Millisecond}
 			if diff := cmp.Diff(tc.want, f.Candidates(demand, time.Now())[0].ReadyIn); diff != "" {
 				t.Error(diff)
 			}
@@ -110,7 +110,7 @@
 		later := tracker.Runner{ID: tracker.Incarnation("i-1", 200), Born: 200, Service: "llm", Domain: "a", Revision: 5}
 		f := &tracker.Fleet{Domain: "a"}
 		f.Set(first)
-		f.Held(first.ID, map[placer.Copy]time.Time{adapter: {}})
+		f.SetHeld(first.ID, map[placer.Copy]time.Time{adapter: {}})
 		run := f.Begin(first.ID, 100, time.Now())
 		replaced, ok := f.Set(later)
 		if diff := cmp.Diff(first, replaced); diff != "" || !ok {
@@ -119,14 +119,14 @@
 		late := first
 		late.Revision = 3
 		f.Set(late)
-		f.HeldOne(first.ID, adapter, time.Time{}, true)
-		run.End(tracker.Dark, time.Now())
+		f.SetHeldCopy(first.ID, adapter, time.Time{}, true)
+		run.End(tracker.ConnectFailed, time.Now())
 		got := f.Candidates(tracker.Demand{Service: "llm", Copy: adapter}, time.Now())
 		if len(got) != 1 || got[0].Runner != later.ID || got[0].Resident || got[0].Running != 0 {
 			t.Errorf("candidates %+v", got)
 		}
-		if f.Named("i-1") != later.ID {
-			t.Errorf("the name refers to %s", f.Named("i-1"))
+		if f.CurrentID("i-1") != later.ID {
+			t.Errorf("the name refers to %s", f.CurrentID("i-1"))
 		}
 	})
 }
@@ -140,17 +140,17 @@
 		f := &tracker.Fleet{Domain: "a"}
 		f.Set(tracker.Runner{ID: "i-1", Service: "llm", Domain: "a", Revision: 1})
 		f.Set(tracker.Runner{ID: "i-2", Service: "llm", Domain: "a", Revision: 1})
-		f.Rooms(map[string]time.Duration{"i-1": time.Second})
-		f.HeldOne("i-1", adapter, time.Time{}, false) // evicted: it could be loaded again quickly
+		f.SetAdapterSlotWaits(map[string]time.Duration{"i-1": time.Second})
+		f.SetHeldCopy("i-1", adapter, time.Time{}, false) // evicted: it could be loaded again quickly
 		got := make(map[string]time.Duration)
-		for _, c := range f.Candidates(tracker.Demand{Service: "llm", Copy: adapter, Load: 250 * time.Millisecond, Return: 25 * time.Millisecond}, time.Now()) {
+		for _, c := range f.Candidates(tracker.Demand{Service: "llm", Copy: adapter, LoadTime: 250 * time.Millisecond, ReloadTime: 25 * time.Millisecond}, time.Now()) {
 			got[c.Runner] = c.ReadyIn
 		}
 		want := map[string]time.Duration{"i-1": time.Second + 25*time.Millisecond, "i-2": 250 * time.Millisecond}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Error(diff)
 		}
-		if !f.Tight("i-1") || f.Tight("i-2") {
+		if !f.AdapterSlotsFull("i-1") || f.AdapterSlotsFull("i-2") {
 			t.Error("wrong runner reported as having no free adapter slot")
 		}
 	})
@@ -162,12 +162,12 @@
 func TestReadyUsesReportedLoadTimes(t *testing.T) {
 	now := time.Now()
 	demand := tracker.Demand{
-		Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}, Load: 270 * time.Millisecond, Return: 35 * time.Millisecond, Service: "llm",
+		Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}, LoadTime: 270 * time.Millisecond, ReloadTime: 35 * time.Millisecond, Service: "llm",
 	}
 	f := tracker.Fleet{Domain: "a"}
 	f.Set(tracker.Runner{ID: "near", Domain: "a", Service: "llm", Revision: 1})
 	f.Set(tracker.Runner{ID: "far", Domain: "b", Service: "llm", Revision: 1})
-	f.LoadTimes("b", tracker.Times{Load: 600 * time.Millisecond, Return: 60 * time.Millisecond})
+	f.SetLoadTimes("b", tracker.LoadTimes{Load: 600 * time.Millisecond, Reload: 60 * time.Millisecond})
 	got := make(map[string]time.Duration)
 	for _, c := range f.Candidates(demand, now) {
 		got[c.Runner] = c.ReadyIn
--- a/internal/upstream/tracker/plain_simulation_test.go
+++ b/internal/upstream/tracker/plain_simulation_test.go
@@ -27,7 +27,7 @@
 }
 
 type plainRunner struct {
-	places tracker.Places
+	places tracker.RequestSlots
 	active int
 	queue  []plainRequest
 }
--- /dev/null
+++ b/internal/upstream/tracker/probe.go
@@ -0,0 +1,18 @@
+package tracker
+
+// A ProbeResult is the result of probing one incarnation of a runner.
+type ProbeResult int
+
+// The values of ProbeResult. A time-out proves nothing, as a runner that is paused or
+// partitioned does not answer either.
+const (
+	Unknown  ProbeResult = iota // no answer in time
+	Alive                       // it answered
+	Refuses                     // it accepts no connection, or closes it without an answer
+	Replaced                    // another incarnation answered at its address
+)
+
+// String returns the name of the result in logs.
+func (l ProbeResult) String() string {
+	return [...]string{Unknown: "unknown", Alive: "lives", Refuses: "refuses", Replaced: "replaced"}[l]
+}
--- a/internal/upstream/tracker/places.go
+++ b/internal/upstream/tracker/request_slots.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Places counts the requests at one runner of a plain service (one without adapters), at
+// RequestSlots counts the requests at one runner of a plain service (one without adapters), at
 // the instance that assigns its request slots. The zero value is ready to use; it is not
 // safe for concurrent use.
-type Places struct {
+type RequestSlots struct {
 	active  int     // requests that run or wait
 	meanRun float64 // mean seconds of requests that did not wait for a slot; 0 before the first one
 }
@@ -17,7 +17,7 @@
 }
 
 // Wait estimates how long a further request waits for a slot.
-func (p *Places) Wait(slots int) time.Duration {
+func (p *RequestSlots) Wait(slots int) time.Duration {
 	if slots <= 0 || p.active < slots {
 		return 0
 	}
@@ -25,7 +25,7 @@
 }
 
 // Enter adds a request.
-func (p *Places) Enter(now time.Time) Entry {
+func (p *RequestSlots) Enter(now time.Time) Entry {
 	e := Entry{startedAt: now, ahead: p.active}
 	p.active++
 	return e
@@ -33,7 +33,7 @@
 
 // Leave removes a request. Its duration counts as run time only if it had a slot at once:
 // waiting time would make the runner look slower, and more requests would be refused.
-func (p *Places) Leave(e Entry, slots int, now time.Time) {
+func (p *RequestSlots) Leave(e Entry, slots int, now time.Time) {
 	p.active--
 	if e.ahead >= slots {
 		return
@@ -41,7 +41,7 @@
 	p.meanRun = p.meanRunTime() + runWeight*(now.Sub(e.startedAt).Seconds()-p.meanRunTime())
 }
 
-func (p *Places) meanRunTime() float64 {
+func (p *RequestSlots) meanRunTime() float64 {
 	if p.meanRun == 0 {
 		return initialRun
 	}
--- a/internal/upstream/tracker/places_test.go
+++ b/internal/upstream/tracker/request_slots_test.go
@@ -9,9 +9,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-func TestPlaces(t *testing.T) {
+func TestRequestSlots(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var p tracker.Places
+	var p tracker.RequestSlots
 	var waits []time.Duration
 	var entries []tracker.Entry
 	for range 4 {
@@ -34,7 +34,7 @@
 // longer requests wait, and more of them would be refused.
 func TestQueueTimeIsNotRunTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var p tracker.Places
+	var p tracker.RequestSlots
 	first := p.Enter(now)
 	for range 100 {
 		p.Leave(p.Enter(now), 1, now.Add(time.Minute))
--- a/internal/upstream/tracker/run.go
+++ b/internal/upstream/tracker/run.go
@@ -17,11 +17,11 @@
 
 // The values of End.
 const (
-	Done    End = iota // with an answer
-	Refused            // the runner refused the request without running it
-	Failed             // interrupted, invalid, or without an answer
-	Dark               // the runner accepted no connection
-	Left               // the caller disconnected; no information on the runner
+	Done          End = iota // with an answer
+	Refused                  // the runner refused the request without running it
+	Failed                   // interrupted, invalid, or without an answer
+	ConnectFailed            // the runner accepted no connection
+	CallerLeft               // the caller disconnected; no information on the runner
 )
 
 // Begin records that a request is sent to a runner now.
@@ -30,9 +30,9 @@
 	defer f.mu.Unlock()
 	r := &Run{fleet: f, id: id, startedAt: now, tokens: tokens, prefillTokens: tokens}
 	if s, ok := f.runners[id]; ok {
-		r.prefillTokens += s.ownLoad.Unread + s.otherLoad.Unread
+		r.prefillTokens += s.ownLoad.PrefillTokens + s.otherLoad.PrefillTokens
 		s.ownLoad.Running++
-		s.ownLoad.Unread += tokens
+		s.ownLoad.PrefillTokens += tokens
 	}
 	return r
 }
@@ -50,7 +50,7 @@
 	if !ok {
 		return
 	}
-	s.ownLoad.Unread = max(0, s.ownLoad.Unread-r.tokens)
+	s.ownLoad.PrefillTokens = max(0, s.ownLoad.PrefillTokens-r.tokens)
 	if r.prefillTokens > 0 {
 		r.fleet.latency(s.Service).observeFirstToken(r.prefillTokens, now.Sub(r.startedAt))
 	}
@@ -66,7 +66,7 @@
 	}
 	s.ownLoad.Running = max(0, s.ownLoad.Running-1)
 	if r.firstTokenAt.IsZero() {
-		s.ownLoad.Unread = max(0, s.ownLoad.Unread-r.tokens)
+		s.ownLoad.PrefillTokens = max(0, s.ownLoad.PrefillTokens-r.tokens)
 	}
 	s.recordOutcome(end, now)
 	if end == Done {
@@ -82,7 +82,7 @@
 		s.lastAnswer = now
 	}
 	switch end {
-	case Left:
+	case CallerLeft:
 		return
 	case Done:
 		s.failureRate = rate * (1 - failureWeight)
@@ -93,7 +93,7 @@
 	case Failed:
 		s.failureRate = rate + failureWeight*(1-rate)
 		s.connectFailures = 0
-	case Dark:
+	case ConnectFailed:
 		s.failureRate = rate + failureWeight*(1-rate)
 		s.suspendedUntil = now.Add(min(minSuspension<<min(s.connectFailures, 8), maxSuspension))
 		s.connectFailures++
--- a/internal/upstream/tracker/runner.go
+++ b/internal/upstream/tracker/runner.go
@@ -49,17 +49,17 @@
 
 // A Load is the load on a runner from one or several instances.
 type Load struct {
-	_       struct{} `cbor:",toarray"`
-	Running int      // requests in progress
-	Unread  int      // prompt tokens of those that wait for their first token
+	_             struct{} `cbor:",toarray"`
+	Running       int      // requests in progress
+	PrefillTokens int      // prompt tokens of those that wait for their first token
 }
 
 // Plus returns the sum of two loads.
 func (l Load) Plus(other Load) Load {
-	return Load{Running: l.Running + other.Running, Unread: l.Unread + other.Unread}
+	return Load{Running: l.Running + other.Running, PrefillTokens: l.PrefillTokens + other.PrefillTokens}
 }
 
 // Minus returns the difference of two loads.
 func (l Load) Minus(other Load) Load {
-	return Load{Running: l.Running - other.Running, Unread: l.Unread - other.Unread}
+	return Load{Running: l.Running - other.Running, PrefillTokens: l.PrefillTokens - other.PrefillTokens}
 }
