--- a/internal/account/limiter/spender.go
+++ b/internal/account/limiter/spender.go
@@ -163,8 +163,8 @@
 	return Admitted{}
 }
 
-// Return returns the tokens of a request that has not run.
-func (s *Spender) Return(account string, tokens int64, now time.Time) {
+// Refund returns the tokens of a request that has not run.
+func (s *Spender) Refund(account string, tokens int64, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a := s.account(account)
--- a/internal/account/limiter/spender_test.go
+++ b/internal/account/limiter/spender_test.go
@@ -106,7 +106,7 @@
 		if _, ok := s.Spend(request(40), start).(limiter.Admitted); !ok {
 			t.Fatal("returned tokens are not available")
 		}
-		s.Return("a", 40, start)
+		s.Refund("a", 40, start)
 	}
 	if diff := cmp.Diff([]limiter.Spent{{Account: "a", Seq: 1}}, s.Report(start)); diff != "" {
 		t.Error(diff)
--- a/internal/clock/repeater/repeater.go
+++ b/internal/clock/repeater/repeater.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// Now calls do immediately and then like Every.
-func Now(ctx context.Context, period time.Duration, trigger <-chan struct{}, do func()) {
+// EveryNow calls do immediately and then like Every.
+func EveryNow(ctx context.Context, period time.Duration, trigger <-chan struct{}, do func()) {
 	do()
 	Every(ctx, period, trigger, do)
 }
--- a/internal/clock/repeater/repeater_test.go
+++ b/internal/clock/repeater/repeater_test.go
@@ -11,14 +11,14 @@
 	"github.com/sardinetiller/sardinetiller/internal/clock/repeater"
 )
 
-func TestEveryAndNowCallPeriodicallyAndOnTrigger(t *testing.T) {
+func TestEveryAndEveryNowCallPeriodicallyAndOnTrigger(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		repeat func(ctx context.Context, period time.Duration, now <-chan struct{}, do func())
 		want   []time.Duration
 	}{
 		{"every", repeater.Every, []time.Duration{time.Second, 1500 * time.Millisecond, 2 * time.Second}},
-		{"now", repeater.Now, []time.Duration{0, time.Second, 1500 * time.Millisecond, 2 * time.Second}},
+		{"now", repeater.EveryNow, []time.Duration{0, time.Second, 1500 * time.Millisecond, 2 * time.Second}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/command/commander/adaptercmd.go
+++ b/internal/command/commander/adaptercmd.go
@@ -93,7 +93,7 @@
 		Example: "  sardinetiller adapter preload mill-7@1 --operator 127.0.0.1:8082",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var p server.Preloaded
+			var p server.PreloadResult
 			if err := flags.call(cmd.Context(), fasthttp.MethodPost, server.PathPreload+args[0], &p); err != nil {
 				return err
 			}
--- a/internal/command/commander/gatewaycmd.go
+++ b/internal/command/commander/gatewaycmd.go
@@ -65,7 +65,7 @@
 		return usage(err)
 	}
 	go reloadGateway(ctx, hangups, file, config, record)
-	g, err := platform.Compose(platform.Parts{Config: config, Listeners: listeners, Metrics: set, Recorder: record})
+	g, err := platform.Compose(platform.Dependencies{Config: config, Listeners: listeners, Metrics: set, Recorder: record})
 	if err != nil {
 		return err
 	}
--- a/internal/command/commander/platform.go
+++ b/internal/command/commander/platform.go
@@ -41,8 +41,8 @@
 		Token: newToken,
 	}
 	if dry {
-		p.Store = &storer.Dry{Store: p.Store}
-		p.Table = &tabler.Dry{Table: p.Table}
+		p.Store = &storer.DryRun{Store: p.Store}
+		p.Table = &tabler.DryRun{Table: p.Table}
 	}
 	return p, nil
 }
@@ -82,7 +82,7 @@
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	var r requester.Requester
-	status, body, seen := r.Whole(ctx, o.address, request)
+	status, body, seen := r.ReadAll(ctx, o.address, request)
 	if seen != nil {
 		return unreachable(judge.Judge(seen))
 	}
--- a/internal/command/commander/scripts_test.go
+++ b/internal/command/commander/scripts_test.go
@@ -158,7 +158,7 @@
 	request.SetRequestURI("http://" + ts.Getenv("CALLER") + "/v1/completions")
 	request.SetBodyString(body)
 	var r requester.Requester
-	status, response, seen := r.Whole(context.Background(), ts.Getenv("CALLER"), request)
+	status, response, seen := r.ReadAll(context.Background(), ts.Getenv("CALLER"), request)
 	if seen != nil {
 		ts.Fatalf("%+v", seen)
 	}
--- a/internal/command/commander/servecmd.go
+++ b/internal/command/commander/servecmd.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return usage(err)
 	}
-	s, err := composer.Compose(composer.Parts{Config: config, Keys: keys.keys(), Listeners: listeners, Logger: logger})
+	s, err := composer.Compose(composer.Options{Config: config, Keys: keys.keys(), Listeners: listeners, Logger: logger})
 	if err != nil {
 		return err
 	}
@@ -128,13 +128,13 @@
 // keys returns accessors for an instance; each use sees the keys loaded last.
 func (k *keyring) keys() composer.Keys {
 	keys := composer.Keys{
-		Secret: func() string { return k.loaded.Load().secret },
-		Token:  func() string { return k.loaded.Load().token },
+		Secret:        func() string { return k.loaded.Load().secret },
+		OperatorToken: func() string { return k.loaded.Load().token },
 	}
 	if k.config.TLS.Cert == "" {
 		return keys
 	}
-	keys.Dial = &tls.Config{
+	keys.PeerClientTLS = &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return k.loaded.Load().certificate, nil
@@ -142,7 +142,7 @@
 		InsecureSkipVerify: true, // VerifyConnection verifies against the CA pool loaded last
 		VerifyConnection:   k.verify,
 	}
-	keys.Take = &tls.Config{
+	keys.PeerServerTLS = &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ClientAuth: tls.RequireAnyClientCert,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
--- a/internal/experiment/sender/sender.go
+++ b/internal/experiment/sender/sender.go
@@ -138,7 +138,7 @@
 	r.Err = err.Message
 }
 
-func (r *Result) readResponse(response *requester.Answer) {
+func (r *Result) readResponse(response *requester.Response) {
 	r.Status = response.Status
 	r.Runner = string(response.Header.Peek(answerer.HeaderRunner))
 	r.Stall, _ = time.ParseDuration(string(response.Header.Peek(answerer.HeaderStall))) // 0 if absent
@@ -149,7 +149,7 @@
 	}
 	body, err := io.ReadAll(response.Body)
 	if err != nil {
-		r.setError(judge.Judge(response.Broken(err)))
+		r.setError(judge.Judge(response.BodyError(err)))
 		return
 	}
 	r.readBody(body)
@@ -183,7 +183,7 @@
 	Error *answerer.Detail
 }
 
-func (r *Result) readStream(response *requester.Answer) {
+func (r *Result) readStream(response *requester.Response) {
 	r.Verdict = judge.MayHaveRun
 	scanner := bufio.NewScanner(response.Body)
 	for scanner.Scan() {
--- a/internal/experiment/stager/deployment.go
+++ b/internal/experiment/stager/deployment.go
@@ -93,9 +93,9 @@
 	config.Beat = s.Plan.Beat
 	config.Poll = s.Plan.Poll
 	config.Notice = 500 * time.Millisecond
-	composed, err := composer.Compose(composer.Parts{
+	composed, err := composer.Compose(composer.Options{
 		Config: config, Listeners: listeners, LRU: s.Plan.LRU,
-		Keys:   composer.Keys{Secret: func() string { return "stage" }, Token: func() string { return "" }},
+		Keys:   composer.Keys{Secret: func() string { return "stage" }, OperatorToken: func() string { return "" }},
 		Logger: log.With(s.logger, "instance", id),
 	})
 	if err != nil {
@@ -172,7 +172,7 @@
 }
 
 func (s *Deployment) startPlatform() error {
-	l, err := listener.Local()
+	l, err := listener.ListenLoopback()
 	if err != nil {
 		return err
 	}
@@ -186,7 +186,7 @@
 func (s *Deployment) startEngines() ([]string, error) {
 	var addresses []string
 	for i := range s.Plan.Engines {
-		l, err := listener.Local()
+		l, err := listener.ListenLoopback()
 		if err != nil {
 			return nil, err
 		}
@@ -204,7 +204,7 @@
 func (s *Deployment) startServices() ([]string, error) {
 	var addresses []string
 	for range s.Plan.Services {
-		l, err := listener.Local()
+		l, err := listener.ListenLoopback()
 		if err != nil {
 			return nil, err
 		}
@@ -265,13 +265,13 @@
 func listeners() (server.Listeners, error) {
 	var l server.Listeners
 	var err error
-	if l.Caller, err = listener.Local(); err != nil {
+	if l.Caller, err = listener.ListenLoopback(); err != nil {
 		return l, err
 	}
-	if l.Operator, err = listener.Local(); err != nil {
+	if l.Operator, err = listener.ListenLoopback(); err != nil {
 		return l, err
 	}
-	l.Peer, err = listener.Local()
+	l.Peer, err = listener.ListenLoopback()
 	return l, err
 }
 
--- a/internal/experiment/stager/deployment_test.go
+++ b/internal/experiment/stager/deployment_test.go
@@ -37,7 +37,7 @@
 	request.SetRequestURI("http://" + address + path)
 	request.SetBodyString(body)
 	var r requester.Requester
-	status, answer, seen := r.Whole(t.Context(), address, request)
+	status, answer, seen := r.ReadAll(t.Context(), address, request)
 	if seen != nil {
 		t.Fatalf("%+v", seen)
 	}
--- a/internal/experiment/stager/hop_test.go
+++ b/internal/experiment/stager/hop_test.go
@@ -78,7 +78,7 @@
 	request.SetRequestURI("http://" + address + "/v1/completions")
 	request.SetBodyString(fmt.Sprintf(`{"model":%q,"max_tokens":1,"prompt":"x"}`, model))
 	var r requester.Requester
-	status, body, seen := r.Whole(b.Context(), address, request)
+	status, body, seen := r.ReadAll(b.Context(), address, request)
 	if seen != nil || status != fasthttp.StatusOK {
 		b.Errorf("status %d %s %+v", status, body, seen)
 	}
--- a/internal/instance/composer/composer.go
+++ b/internal/instance/composer/composer.go
@@ -33,8 +33,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/monitor"
 )
 
-// Parts are the inputs from which an instance is constructed.
-type Parts struct {
+// Options are the inputs from which an instance is constructed.
+type Options struct {
 	Config    configurer.Daemon
 	Keys      Keys
 	Listeners server.Listeners
@@ -44,10 +44,10 @@
 
 // Keys are the secrets of an instance. They may change while it runs.
 type Keys struct {
-	Secret func() string // shared by the instances
-	Token  func() string // operator token; empty for none
-	Dial   *tls.Config   // for outgoing links to peers; nil for none
-	Take   *tls.Config   // for incoming links from peers; nil for none
+	Secret        func() string // shared by the instances
+	OperatorToken func() string // operator token; empty for none
+	PeerClientTLS *tls.Config   // for outgoing links to peers; nil for none
+	PeerServerTLS *tls.Config   // for incoming links from peers; nil for none
 }
 
 // Time limits that are not settings of a daemon.
@@ -61,10 +61,10 @@
 type incarnation string
 
 // Compose returns an instance that is ready to run.
-func Compose(parts Parts) (*server.Server, error) {
+func Compose(parts Options) (*server.Server, error) {
 	return assembler.Assemble[*server.Server](
 		setDependencies,
-		func() Parts { return parts },
+		func() Options { return parts },
 		func() *server.Server { return &server.Server{} },
 		newIncarnation, newTable, newStore, newLister, newMetrics, newMonitor, newHolder,
 		newMesh, newSharer, newWatcher, newFleet, newDriver, newDispatcher, newClaimer, newAnswerer,
@@ -86,7 +86,7 @@
 	Mesh        *relayer.Mesh
 	Metrics     *metrics.Set
 	Monitor     *heartbeater.Monitor
-	Parts       Parts
+	Parts       Options
 	Server      *server.Server
 	Sharer      *loader.Sharer
 	Table       tabler.Table
@@ -112,14 +112,14 @@
 	s.Monitor = a.Monitor
 	s.Sharer = a.Sharer
 	s.Table = a.Table
-	s.TLS = a.Parts.Keys.Take
-	s.Token = a.Parts.Keys.Token
+	s.TLS = a.Parts.Keys.PeerServerTLS
+	s.Token = a.Parts.Keys.OperatorToken
 	s.Watcher = a.Watcher
 }
 
-func newAnswerer(p Parts, s *server.Server, c *claimer.Claimer, d *dispatcher.Dispatcher, m *metrics.Set) *answerer.Answerer {
+func newAnswerer(p Options, s *server.Server, c *claimer.Claimer, d *dispatcher.Dispatcher, m *metrics.Set) *answerer.Answerer {
 	return &answerer.Answerer{
-		Claimer: c, Dispatcher: d, Domain: p.Config.Domain, Settings: s.Force, Logger: p.Logger,
+		Claimer: c, Dispatcher: d, Domain: p.Config.Domain, Settings: s.Settings, Logger: p.Logger,
 		Metrics: m, Stopping: s.Stopping, Token: token,
 	}
 }
@@ -128,14 +128,14 @@
 	return &claimer.Claimer{Gone: s.Gone, Commit: s.CommitBatched, Self: string(i), Store: store, Table: table, Token: token}
 }
 
-func newDispatcher(p Parts, i incarnation, s *server.Server, d *driver.Driver, f *monitor.Fleet, m *metrics.Set) *dispatcher.Dispatcher {
+func newDispatcher(p Options, i incarnation, s *server.Server, d *driver.Driver, f *monitor.Fleet, m *metrics.Set) *dispatcher.Dispatcher {
 	return &dispatcher.Dispatcher{
-		Domain: p.Config.Domain, Drained: s.Drained, Fleet: f, Settings: s.Force, Local: d,
+		Domain: p.Config.Domain, Drained: s.Drained, Fleet: f, Settings: s.Settings, Local: d,
 		Metrics: m, Peers: s, Quarantine: s, Self: string(i),
 	}
 }
 
-func newDriver(p Parts, i incarnation, s *server.Server, f *monitor.Fleet, m *metrics.Set) *driver.Driver {
+func newDriver(p Options, i incarnation, s *server.Server, f *monitor.Fleet, m *metrics.Set) *driver.Driver {
 	evictor := func() keeper.Evictor { return keeper.Heat{Copies: f.Copies} }
 	if p.LRU {
 		evictor = func() keeper.Evictor { return keeper.LRU{} }
@@ -146,20 +146,20 @@
 	}
 }
 
-func newFleet(p Parts) *monitor.Fleet { return &monitor.Fleet{Domain: p.Config.Domain} }
+func newFleet(p Options) *monitor.Fleet { return &monitor.Fleet{Domain: p.Config.Domain} }
 
-func newHolder(p Parts, i incarnation) *leaser.Holder {
+func newHolder(p Options, i incarnation) *leaser.Holder {
 	return &leaser.Holder{Self: leaser.Member{ID: p.Config.ID, Incarnation: string(i)}, LeaseDuration: p.Config.Lease}
 }
 
-func newIncarnation(p Parts) incarnation { return incarnation(p.Config.ID + "-" + token()) }
+func newIncarnation(p Options) incarnation { return incarnation(p.Config.ID + "-" + token()) }
 
-func newLister(p Parts) lister.Lister {
+func newLister(p Options) lister.Lister {
 	return &lister.Client{Address: p.Config.Platform, Timeout: platformTimeout}
 }
 
-func newMesh(p Parts, s *server.Server) *relayer.Mesh {
-	return &relayer.Mesh{Handler: s, Secret: p.Keys.Secret, Self: s.Self, TLS: p.Keys.Dial}
+func newMesh(p Options, s *server.Server) *relayer.Mesh {
+	return &relayer.Mesh{Handler: s, Secret: p.Keys.Secret, Self: s.Self, TLS: p.Keys.PeerClientTLS}
 }
 
 // newMetrics returns the metrics of an instance. The counters of refusals and retries
@@ -175,19 +175,19 @@
 	return set
 }
 
-func newMonitor(p Parts) *heartbeater.Monitor {
+func newMonitor(p Options) *heartbeater.Monitor {
 	return &heartbeater.Monitor{SuspectAfter: missedHeartbeats * p.Config.Beat, GoneAfter: p.Config.Lease}
 }
 
-func newSharer(p Parts) *loader.Sharer {
+func newSharer(p Options) *loader.Sharer {
 	return &loader.Sharer{Fresh: missedHeartbeats * p.Config.Beat}
 }
 
-func newStore(p Parts) storer.Store {
+func newStore(p Options) storer.Store {
 	return &storer.Client{Address: p.Config.Platform, Timeout: platformTimeout}
 }
 
-func newTable(p Parts) tabler.Table {
+func newTable(p Options) tabler.Table {
 	return &tabler.Client{Address: p.Config.Platform, Timeout: platformTimeout}
 }
 
--- a/internal/instance/gatekeeper/apply.go
+++ b/internal/instance/gatekeeper/apply.go
@@ -156,6 +156,6 @@
 			g.removeRunner(r.ID, n.Revision, n.From, whyUnlisted) // the sender may have started after an outage; removeRunner then waits for the grace period
 		}
 	}
-	g.Recorder.Log(recorder.Belief, "msg", "snapshot", "domain", domain, "by", n.From, "fresh", n.Fresh, "revision", n.Revision,
+	g.Recorder.Log(recorder.View, "msg", "snapshot", "domain", domain, "by", n.From, "fresh", n.Fresh, "revision", n.Revision,
 		"runners", len(n.Runners), "dropped", dropped, "later", newer)
 }
--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -179,7 +179,7 @@
 		c.placer = nil
 		c.published = nil
 	}
-	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "giving orders", "domain", d.domain, "fence", fence, "runners", len(d.runners))
+	d.gatekeeper.Recorder.Log(recorder.View, "msg", "giving orders", "domain", d.domain, "fence", fence, "runners", len(d.runners))
 }
 
 // stopOrdering drops the state that is only valid on the leader.
@@ -193,7 +193,7 @@
 	for _, c := range d.runners {
 		c.placer = nil
 	}
-	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "giving no more orders", "domain", d.domain)
+	d.gatekeeper.Recorder.Log(recorder.View, "msg", "giving no more orders", "domain", d.domain)
 }
 
 // newPlacer returns a new placer for a runner's adapter slots, or nil for a plain service.
@@ -231,11 +231,11 @@
 		c.callInFlight = false
 		c.failures.recordReport(err)
 		if err != nil {
-			d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "runner report failed", "runner", runner.ID, "err", err)
+			d.gatekeeper.Recorder.Log(recorder.View, "msg", "runner report failed", "runner", runner.ID, "err", err)
 			return
 		}
 		applied := p.ApplyReport(report, time.Now())
-		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "report", "runner", runner.ID, "sequence", report.Sequence,
+		d.gatekeeper.Recorder.Log(recorder.View, "msg", "report", "runner", runner.ID, "sequence", report.Sequence,
 			"resident", len(report.Resident), "incoming", len(report.Incoming), "models", len(report.Models), "busy", report.Busy, "taken", applied)
 	}()
 }
--- a/internal/instance/gatekeeper/crash_rows.go
+++ b/internal/instance/gatekeeper/crash_rows.go
@@ -209,8 +209,8 @@
 
 // applyCrashRow applies a crash row. A deleted row means that the crash was cleared or has expired.
 func (g *Gatekeeper) applyCrashRow(c quarantiner.Crash, r tabler.Row) {
-	report := quarantiner.CrashReport{Digest: c.Digest, Runner: c.Runner, Cleared: r.Removed}
-	if !r.Removed {
+	report := quarantiner.CrashReport{Digest: c.Digest, Runner: c.Runner, Cleared: r.Deleted}
+	if !r.Deleted {
 		var row quarantiner.Row
 		if err := encoder.Unmarshal(r.Value, &row); err != nil {
 			g.Recorder.Log(recorder.Suspect, "msg", "malformed crash row", "row", r.Key, "err", err)
@@ -219,9 +219,9 @@
 		report = row.Report(c, time.Now())
 	}
 	g.applyCrashReports([]quarantiner.CrashReport{report}, fromStore)
-	g.quarantine.recordStored(c, !r.Removed)
+	g.quarantine.recordStored(c, !r.Deleted)
 	current, known := g.quarantine.ledger.Report(c, time.Now())
-	if !r.Removed && (known && current.Cleared || report.Age >= quarantiner.Retention) && g.leadsAny() {
+	if !r.Deleted && (known && current.Cleared || report.Age >= quarantiner.Retention) && g.leadsAny() {
 		// It was cleared before the row was written, or has expired. If the row stayed, the
 		// request would be suspected again after a restart of all instances, or the row would
 		// never be deleted.
--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -63,20 +63,20 @@
 
 // A Gatekeeper is one instance. Its fields are set before Run.
 type Gatekeeper struct {
-	Config     configurer.Gateway
-	Decoder    Decoder
-	Engine     Engine
-	Fleet      *tracker.Fleet
-	Forwarder  *forwarder.Forwarder
-	Front      fasthttp.RequestHandler
-	Listeners  Listeners
-	Metrics    *metrics.Set
-	Peers      Peers
-	Pool       *pooler.Pool
-	Ready      func(ready func() bool) fasthttp.RequestHandler
-	Recorder   *recorder.Recorder
-	Store      tabler.Feed
-	Unreadable func(c *fasthttp.RequestCtx, err error)
+	Config          configurer.Gateway
+	Decoder         Decoder
+	Engine          Engine
+	Fleet           *tracker.Fleet
+	Forwarder       *forwarder.Forwarder
+	Front           fasthttp.RequestHandler
+	Listeners       Listeners
+	Metrics         *metrics.Set
+	Peers           Peers
+	Pool            *pooler.Pool
+	Ready           func(ready func() bool) fasthttp.RequestHandler
+	Recorder        *recorder.Recorder
+	Store           tabler.Feed
+	HandleMalformed func(c *fasthttp.RequestCtx, err error)
 
 	catalog    atomic.Pointer[matcher.Catalog]
 	orderWake  chan struct{}
@@ -162,7 +162,7 @@
 	g.reloadTime.set(initialReloadTime)
 	g.sourceDomains = g.orderSourceDomains()
 	for _, domain := range g.domains() {
-		late, lastUpdate := rand.N(takeoverJitter)+g.Config.Link.Late(), time.Time{}
+		late, lastUpdate := rand.N(takeoverJitter)+g.Config.Link.TakeoverDelay(), time.Time{}
 		if domain != g.Config.Domain {
 			// At a start no domain has a leader. Without this each instance tried to acquire
 			// the leases of all domains at once: 500 calls by 64 instances.
@@ -171,7 +171,7 @@
 		d := &controller{
 			gatekeeper: g, domain: domain, runners: make(map[string]*runnerState),
 			elector: elector.Elector{
-				Self: g.Config.ID, Address: g.Config.Reached(), LeaseDuration: leaseDuration, QuietPeriod: g.Config.Bounds.Quiet + quietMargin, TakeoverDelay: late,
+				Self: g.Config.ID, Address: g.Config.AdvertisedAddress(), LeaseDuration: leaseDuration, QuietPeriod: g.Config.Bounds.Quiet + quietMargin, TakeoverDelay: late,
 			},
 		}
 		d.aggregator = gatherer.Aggregator{OnFreed: d.reportFreed, MemberTimeout: memberTimeout, OnWaiting: d.applyWaits}
@@ -209,11 +209,11 @@
 // Catalog returns the configuration in force, or nil.
 func (g *Gatekeeper) Catalog() *matcher.Catalog { return g.catalog.Load() }
 
-// Current reports whether the configuration in force is known to be the newest.
-func (g *Gatekeeper) Current() bool { return g.operator.current(time.Now()) }
+// ConfigCurrent reports whether the configuration in force is known to be the newest.
+func (g *Gatekeeper) ConfigCurrent() bool { return g.operator.current(time.Now()) }
 
-// Newest returns the version of an adapter that a request is to use.
-func (g *Gatekeeper) Newest(model, adapter string) int {
+// NewestVersion returns the version of an adapter that a request is to use.
+func (g *Gatekeeper) NewestVersion(model, adapter string) int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if v, ok := g.adapterVersions[adapterKey{model, adapter}]; ok {
@@ -224,12 +224,12 @@
 
 // Serving reports whether this instance can serve callers.
 func (g *Gatekeeper) Serving() bool {
-	return !g.Leaving() && g.catalog.Load() != nil && len(g.Fleet.All()) > 0
+	return !g.Stopping() && g.catalog.Load() != nil && len(g.Fleet.All()) > 0
 }
 
 // closeIdle closes idle connections.
 func (g *Gatekeeper) closeIdle(ctx context.Context) {
-	repeater.Every(ctx, time.Second, nil, func() { g.Pool.Sweep(time.Now()) })
+	repeater.Every(ctx, time.Second, nil, func() { g.Pool.CloseExpired(time.Now()) })
 }
 
 // signal wakes the receiver of a channel with a buffer of one.
--- a/internal/instance/gatekeeper/lease.go
+++ b/internal/instance/gatekeeper/lease.go
@@ -45,7 +45,7 @@
 
 // lead maintains the leases and sends orders until ctx ends.
 func (g *Gatekeeper) lead(ctx context.Context) {
-	repeater.Now(ctx, leadInterval, g.orderWake, func() {
+	repeater.EveryNow(ctx, leadInterval, g.orderWake, func() {
 		for _, d := range g.controllers {
 			d.maintainLease(ctx)
 			d.sendDue(ctx)
@@ -69,7 +69,7 @@
 
 // maintainLease reads or writes the lease row if that is due.
 func (d *controller) maintainLease(ctx context.Context) {
-	if d.gatekeeper.Leaving() {
+	if d.gatekeeper.Stopping() {
 		return
 	}
 	d.mu.Lock()
@@ -191,14 +191,14 @@
 	if err != nil {
 		d.elector.WriteFailed()
 		d.retryAt = uptime() + minRetryDelay
-		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease write failed", "domain", d.domain, "fence", w.Row.Fence,
+		d.gatekeeper.Recorder.Log(recorder.View, "msg", "lease write failed", "domain", d.domain, "fence", w.Row.Fence,
 			"takeover", w.Takeover, "err", err)
 		return
 	}
 	d.elector.WriteSucceeded(w, version, uptime())
 	if w.Takeover {
 		d.firstReportAt = time.Time{} // members whose reports were relayed are not all members
-		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease acquired", "domain", d.domain, "fence", w.Row.Fence, "version", version)
+		d.gatekeeper.Recorder.Log(recorder.View, "msg", "lease acquired", "domain", d.domain, "fence", w.Row.Fence, "version", version)
 		d.gatekeeper.links[d.domain].setLeader(w.Row)
 	}
 }
@@ -225,7 +225,7 @@
 	if errors.As(err, &conflict) {
 		err = d.retryReleaseRow(ctx, w)
 	}
-	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease released", "domain", d.domain, "fence", w.Row.Fence, "err", err)
+	d.gatekeeper.Recorder.Log(recorder.View, "msg", "lease released", "domain", d.domain, "fence", w.Row.Fence, "err", err)
 }
 
 func (d *controller) retryReleaseRow(ctx context.Context, w elector.Write) error {
@@ -272,7 +272,7 @@
 	}
 	var lease elector.Lease
 	if err := encoder.Unmarshal(r.Value, &lease); err != nil {
-		g.Recorder.Log(recorder.Belief, "msg", "malformed lease row", "row", r.Key, "err", err)
+		g.Recorder.Log(recorder.View, "msg", "malformed lease row", "row", r.Key, "err", err)
 		return
 	}
 	domain := r.Key[len(tableLeaders)+1:]
--- a/internal/instance/gatekeeper/link.go
+++ b/internal/instance/gatekeeper/link.go
@@ -56,7 +56,7 @@
 		l.lastUpdate = time.Now() // gives a new leader time to send its first update before the lease counts as vacant
 	}
 	l.leader = lease
-	l.gatekeeper.Recorder.Log(recorder.Belief, "msg", "leader changed", "domain", l.domain, "holder", lease.Leader, "fence", lease.Fence)
+	l.gatekeeper.Recorder.Log(recorder.View, "msg", "leader changed", "domain", l.domain, "holder", lease.Leader, "fence", lease.Fence)
 }
 
 // leaderAndSource returns the leader, which sends orders in the domain, and the source of its
@@ -75,7 +75,7 @@
 	g.headcount.observe(members, time.Now())
 	after := g.headcount.reported()
 	if max(before, after) > 2*min(before, after) { // the count need not be exact: small changes matter little
-		g.Recorder.Log(recorder.Belief, "msg", "members", "count", after)
+		g.Recorder.Log(recorder.View, "msg", "members", "count", after)
 	}
 }
 
--- a/internal/instance/gatekeeper/load_time.go
+++ b/internal/instance/gatekeeper/load_time.go
@@ -111,7 +111,7 @@
 				continue
 			}
 			base, read := g.Fleet.Latency(name)
-			g.Recorder.Log(recorder.Belief, "msg", "paces", "service", name, "first", base, "token", read,
+			g.Recorder.Log(recorder.View, "msg", "paces", "service", name, "first", base, "token", read,
 				"load", g.LoadTime(), "return", g.ReloadTime(), "members", g.Members())
 		}
 		for _, d := range g.controllers {
--- a/internal/instance/gatekeeper/loads.go
+++ b/internal/instance/gatekeeper/loads.go
@@ -100,7 +100,7 @@
 			use.Add(c.placer.Usage(now))
 		}
 	}
-	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "loads", "domain", d.domain, "engines", l.engines, "room", l.limit,
+	d.gatekeeper.Recorder.Log(recorder.View, "msg", "loads", "domain", d.domain, "engines", l.engines, "room", l.limit,
 		"fetching", l.fetching, "waiting", l.waiting,
 		"places", use.Slots, "loading", use.Loading, "running", use.Running, "vacant", use.Vacant)
 }
--- a/internal/instance/gatekeeper/publish.go
+++ b/internal/instance/gatekeeper/publish.go
@@ -90,7 +90,7 @@
 // publishes reports whether this instance publishes updates of the domain: as its leader, or as
 // the leader of another domain, which relays what it receives.
 func (d *controller) publishes() bool {
-	return !d.gatekeeper.Leaving() && (d.leads() || d.gatekeeper.leadsAny())
+	return !d.gatekeeper.Stopping() && (d.leads() || d.gatekeeper.leadsAny())
 }
 
 // publishIntervals are the intervals between updates of a domain.
--- a/internal/instance/gatekeeper/quarantine_random_test.go
+++ b/internal/instance/gatekeeper/quarantine_random_test.go
@@ -63,7 +63,7 @@
 func (s *crashSimulation) hasUnstoredCrash() bool {
 	stored := make(map[quarantiner.Digest]int)
 	for _, r := range s.rows {
-		if c, ok := parseCrashKey(r.Key); ok && !r.Removed {
+		if c, ok := parseCrashKey(r.Key); ok && !r.Deleted {
 			stored[c.Digest]++
 		}
 	}
--- a/internal/instance/gatekeeper/quarantine_simulation_test.go
+++ b/internal/instance/gatekeeper/quarantine_simulation_test.go
@@ -273,7 +273,7 @@
 		s.rows[p.Key] = tabler.Row{Key: p.Key, Value: p.Value, Version: s.version}
 	}
 	for _, key := range txn.Deletes {
-		s.rows[key] = tabler.Row{Key: key, Removed: true, Version: s.version}
+		s.rows[key] = tabler.Row{Key: key, Deleted: true, Version: s.version}
 	}
 	if s.rng.IntN(6) > 0 { // else the response is lost
 		m.g.quarantine.recordWritten(states)
--- a/internal/instance/gatekeeper/quarantine_test.go
+++ b/internal/instance/gatekeeper/quarantine_test.go
@@ -130,7 +130,7 @@
 			return is
 		}
 		row := func(runner string, removed bool) tabler.Row {
-			r := tabler.Row{Key: "holder/crash/d/" + runner, Removed: removed}
+			r := tabler.Row{Key: "holder/crash/d/" + runner, Deleted: removed}
 			if !removed {
 				r.Value = encodeCrashRow(quarantiner.Row{At: time.Now().Add(-time.Minute).Unix()})
 			}
--- a/internal/instance/gatekeeper/quota.go
+++ b/internal/instance/gatekeeper/quota.go
@@ -92,10 +92,10 @@
 	}
 }
 
-// Return refunds the tokens of a request that has not run.
-func (g *Gatekeeper) Return(r limiter.Request) {
+// Refund refunds the tokens of a request that has not run.
+func (g *Gatekeeper) Refund(r limiter.Request) {
 	if r.Limit.Limited() {
-		g.quotas.spender.Return(r.Account, r.Tokens, time.Now())
+		g.quotas.spender.Refund(r.Account, r.Tokens, time.Now())
 	}
 }
 
--- a/internal/instance/gatekeeper/removal.go
+++ b/internal/instance/gatekeeper/removal.go
@@ -66,7 +66,7 @@
 		return
 	}
 	g.pending[id] = pendingRemoval{revision: revision, by: by, why: why}
-	g.Recorder.Log(recorder.Belief, "msg", "runner removal pending", "runner", id, "revision", revision, "by", by, "why", why,
+	g.Recorder.Log(recorder.View, "msg", "runner removal pending", "runner", id, "revision", revision, "by", by, "why", why,
 		"until", due.Sub(now))
 }
 
--- a/internal/instance/gatekeeper/resync.go
+++ b/internal/instance/gatekeeper/resync.go
@@ -128,7 +128,7 @@
 	l.mu.Unlock()
 	if due {
 		g.Metrics.GetOrCreateCounter("sardinetiller_resyncs_total").Inc()
-		g.Recorder.Log(recorder.Belief, "msg", "runners differ from those of the source; requesting a snapshot", "domain", l.domain, "since", time.Since(since))
+		g.Recorder.Log(recorder.View, "msg", "runners differ from those of the source; requesting a snapshot", "domain", l.domain, "since", time.Since(since))
 	}
 	return due
 }
--- a/internal/instance/gatekeeper/runners.go
+++ b/internal/instance/gatekeeper/runners.go
@@ -33,7 +33,7 @@
 		if !known && removedAt > 0 && !r.Leaving {
 			g.Metrics.GetOrCreateCounter("sardinetiller_runners_back_total").Inc()
 		}
-		g.Recorder.Log(recorder.Belief, "msg", "runner", "runner", r.ID, "service", r.Service, "domain", r.Domain,
+		g.Recorder.Log(recorder.View, "msg", "runner", "runner", r.ID, "service", r.Service, "domain", r.Domain,
 			"leaving", r.Leaving, "revision", r.Revision, "by", by, "gone", removedAt)
 	}
 	g.controller(r.Domain).setRunner(r, changed)
@@ -54,10 +54,10 @@
 
 // dropRunnerState drops the state of a removed runner other than its description.
 func (g *Gatekeeper) dropRunnerState(r tracker.Runner, by, why string) {
-	g.Pool.Drop(r.ID)
+	g.Pool.ClosePeer(r.ID)
 	removedAt := g.Fleet.RemovedRevision(r.ID)
 	g.controller(r.Domain).removeRunner(r.ID, removedAt)
-	g.Recorder.Log(recorder.Belief, "msg", "runner gone", "runner", r.ID, "service", r.Service,
+	g.Recorder.Log(recorder.View, "msg", "runner gone", "runner", r.ID, "service", r.Service,
 		"known", r.Revision, "gone", removedAt, "by", by, "why", why)
 }
 
--- a/internal/instance/gatekeeper/serve.go
+++ b/internal/instance/gatekeeper/serve.go
@@ -29,14 +29,14 @@
 	peers := router.New()
 	peers.GET(relayer.Path, g.Peers.Serve)
 	servers := []listener.Server{
-		{Handler: g.Front, Idle: callerIdleTimeout, Listener: g.Listeners.Caller, Plain: true, Refuse: g.Unreadable, Drain: time.Millisecond},
-		{Handler: peers.Handler, Listener: g.Listeners.Peer, Drain: time.Millisecond},
-		{Handler: g.Ready(g.Serving), Listener: g.Listeners.Ready, Drain: time.Millisecond},
+		{Handler: g.Front, IdleTimeout: callerIdleTimeout, Listener: g.Listeners.Caller, NoDefaultHeaders: true, HandleError: g.HandleMalformed, DrainTimeout: time.Millisecond},
+		{Handler: peers.Handler, Listener: g.Listeners.Peer, DrainTimeout: time.Millisecond},
+		{Handler: g.Ready(g.Serving), Listener: g.Listeners.Ready, DrainTimeout: time.Millisecond},
 	}
 	if g.Listeners.Metrics != nil {
 		counters := router.New()
 		counters.GET(metricsPath, func(c *fasthttp.RequestCtx) { g.Metrics.WritePrometheus(c) })
-		servers = append(servers, listener.Server{Handler: counters.Handler, Listener: g.Listeners.Metrics, Drain: time.Millisecond})
+		servers = append(servers, listener.Server{Handler: counters.Handler, Listener: g.Listeners.Metrics, DrainTimeout: time.Millisecond})
 	}
 	failed := make(chan error, len(servers))
 	for _, server := range servers {
@@ -52,18 +52,18 @@
 // Forward handles a request, unless the instance is about to stop.
 func (g *Gatekeeper) Forward(ctx context.Context, r *forwarder.Request, sink forwarder.Sink) *judge.Error {
 	if err := g.refuseLate(); err != nil {
-		g.Refused(r.ID, err)
+		g.Rejected(r.ID, err)
 		return err
 	}
 	if err := g.Admit(ctx, r.Quota); err != nil {
-		g.Refused(r.ID, err)
+		g.Rejected(r.ID, err)
 		return err
 	}
 	g.requestsInProgress.Add(1)
 	defer g.requestsInProgress.Add(-1)
 	err := g.Forwarder.Forward(ctx, r, sink)
 	if err != nil && err.Verdict == judge.NotRun {
-		g.Return(r.Quota)
+		g.Refund(r.Quota)
 	}
 	g.recordResult(r, err)
 	return err
@@ -84,20 +84,20 @@
 	g.Metrics.GetOrCreateCounter(fmt.Sprintf(`sardinetiller_refusals_total{reason=%q,verdict=%q}`, err.Reason, err.Verdict)).Inc()
 }
 
-// Retried counts a retried request by the error that caused the retry.
-func (g *Gatekeeper) Retried(err *judge.Error) {
+// CountRetry counts a retried request by the error that caused the retry.
+func (g *Gatekeeper) CountRetry(err *judge.Error) {
 	g.Metrics.GetOrCreateCounter(fmt.Sprintf(`sardinetiller_retries_total{reason=%q,verdict=%q}`, err.Reason, err.Verdict)).Inc()
 }
 
-// Refused counts and logs a request that was refused before it was forwarded.
-func (g *Gatekeeper) Refused(id string, err *judge.Error) {
+// Rejected counts and logs a request that was refused before it was forwarded.
+func (g *Gatekeeper) Rejected(id string, err *judge.Error) {
 	g.countRefused(err)
 	g.Recorder.Log(recorder.Failed, "request", id, "verdict", err.Verdict, "reason", err.Reason, "retry", err.RetryAfter, "err", err.Message)
 }
 
-// Burst returns this instance's part of the retries that a service may make beyond its share of
+// RetryBurst returns this instance's part of the retries that a service may make beyond its share of
 // the requests.
-func (g *Gatekeeper) Burst() float64 {
+func (g *Gatekeeper) RetryBurst() float64 {
 	return g.Config.Bounds.Slack * burstFraction / float64(g.Members())
 }
 
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -83,15 +83,15 @@
 // ensureLedger starts or stops the ledger that this instance keeps for others, as every leader
 // does, and reports whether it keeps one now.
 func (g *Gatekeeper) ensureLedger(now time.Time) bool {
-	keeps := g.leadsAny() && !g.Leaving()
+	keeps := g.leadsAny() && !g.Stopping()
 	_, kept := g.quotas.ledger.StartedAt()
 	switch {
 	case keeps && !kept:
 		g.quotas.ledger.Begin(now)
-		g.Recorder.Log(recorder.Belief, "msg", "quota ledger started")
+		g.Recorder.Log(recorder.View, "msg", "quota ledger started")
 	case !keeps && kept:
 		g.quotas.ledger.End()
-		g.Recorder.Log(recorder.Belief, "msg", "quota ledger stopped")
+		g.Recorder.Log(recorder.View, "msg", "quota ledger stopped")
 	}
 	return keeps
 }
@@ -127,7 +127,7 @@
 	update := relayer.Settle{Reporter: g.reporter(now), Unsubscribed: true}
 	go func() {
 		if _, err := g.exchange(ctx, former, update, settleTimeout); err != nil {
-			g.Recorder.Log(recorder.Belief, "msg", "quota unsubscribe failed", "instance", former.id, "err", err)
+			g.Recorder.Log(recorder.View, "msg", "quota unsubscribe failed", "instance", former.id, "err", err)
 		}
 	}()
 }
--- a/internal/instance/gatekeeper/simulation_runner_test.go
+++ b/internal/instance/gatekeeper/simulation_runner_test.go
@@ -40,7 +40,7 @@
 
 // removeRow removes the row of a runner.
 func (s *simulation) removeRow(r *simRunner) {
-	s.store.put(tabler.Row{Key: "runners/" + r.id, Removed: true})
+	s.store.put(tabler.Row{Key: "runners/" + r.id, Deleted: true})
 	r.rowSince = time.Time{}
 }
 
--- a/internal/instance/gatekeeper/simulation_store_test.go
+++ b/internal/instance/gatekeeper/simulation_store_test.go
@@ -58,7 +58,7 @@
 	}
 	rows, version, err := p.feedStore.Scan(ctx, table)
 	p.owner.awaitResumed(ctx)
-	rows = slices.DeleteFunc(rows, func(r tabler.Row) bool { return r.Removed })
+	rows = slices.DeleteFunc(rows, func(r tabler.Row) bool { return r.Deleted })
 	return rows, version, err
 }
 
@@ -87,7 +87,7 @@
 // Runner implements Decoder.
 func (simDecoder) Runner(r tabler.Row) (tracker.Runner, error) {
 	runner := tracker.Runner{ID: r.Key[len("runners/"):], Revision: r.Version}
-	if r.Removed {
+	if r.Deleted {
 		return runner, nil
 	}
 	err := encoder.Unmarshal(r.Value, &runner)
--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -125,7 +125,7 @@
 		g.recordStoreCall(time.Now(), errNoAnswer)
 		time.Sleep(5 * time.Second)
 		g.recordStoreCall(time.Now(), nil)
-		g.applyRunnerRow(tabler.Row{Key: "runners/i-1", Version: 9, Removed: true})
+		g.applyRunnerRow(tabler.Row{Key: "runners/i-1", Version: 9, Deleted: true})
 		runner.Revision = 7
 		g.setRunner(runner, "b-1")
 		time.Sleep(2 * removalGrace)
--- a/internal/instance/gatekeeper/source.go
+++ b/internal/instance/gatekeeper/source.go
@@ -135,7 +135,7 @@
 func (g *Gatekeeper) currentSource() (source, bool) {
 	s := g.selectSource(time.Now())
 	if g.source.set(s, time.Now()) {
-		g.Recorder.Log(recorder.Belief, "msg", "source selected", "instance", s.id)
+		g.Recorder.Log(recorder.View, "msg", "source selected", "instance", s.id)
 	}
 	return s, s != (source{})
 }
--- a/internal/instance/gatekeeper/stepdown.go
+++ b/internal/instance/gatekeeper/stepdown.go
@@ -71,7 +71,7 @@
 	w, led := d.elector.StepDown(uptime(), stepDownBackoff)
 	d.stopOrdering()
 	d.releasedFence = fence
-	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "stepping down", "domain", d.domain, "fence", fence, "why", why)
+	d.gatekeeper.Recorder.Log(recorder.View, "msg", "stepping down", "domain", d.domain, "fence", fence, "why", why)
 	if led {
 		go d.releaseRow(ctx, w)
 	}
--- a/internal/instance/gatekeeper/stop.go
+++ b/internal/instance/gatekeeper/stop.go
@@ -52,15 +52,15 @@
 	g.Recorder.Log(recorder.Lifecycle, "msg", "stopped", "working", g.requestsInProgress.Load(), "took", time.Since(began))
 }
 
-// Leaving reports whether the instance is stopping.
-func (g *Gatekeeper) Leaving() bool {
+// Stopping reports whether the instance is stopping.
+func (g *Gatekeeper) Stopping() bool {
 	_, leaving := g.stoppingSince.get()
 	return leaving
 }
 
-// Ending reports whether the instance ends so soon that a request still waiting can no longer
+// StoppingSoon reports whether the instance ends so soon that a request still waiting can no longer
 // be answered.
-func (g *Gatekeeper) Ending() bool {
+func (g *Gatekeeper) StoppingSoon() bool {
 	since, leaving := g.stoppingSince.get()
 	return leaving && time.Since(since) >= g.Config.Bounds.Grace-exitMargin-refuseMargin
 }
--- a/internal/instance/gatekeeper/store_test.go
+++ b/internal/instance/gatekeeper/store_test.go
@@ -143,7 +143,7 @@
 		state := s.since(table, after)
 		switch {
 		case state.compacted:
-			return nil, 0, tabler.ErrForgotten
+			return nil, 0, tabler.ErrCompacted
 		case len(state.rows) > 0:
 			return state.rows, state.version, nil
 		}
--- a/internal/instance/gatekeeper/subscribe.go
+++ b/internal/instance/gatekeeper/subscribe.go
@@ -168,7 +168,7 @@
 		l.previousSource, l.unsubscribeAt = l.source, now.Add(handoverOverlap)
 	}
 	l.source = from
-	g.Recorder.Log(recorder.Belief, "msg", "source of domain changed", "domain", l.domain, "instance", from.id, "holder", l.leader.Leader)
+	g.Recorder.Log(recorder.View, "msg", "source of domain changed", "domain", l.domain, "instance", from.id, "holder", l.leader.Leader)
 }
 
 // handoverOverlap is how long an instance also reports to its previous source after a change:
--- a/internal/instance/gatekeeper/table.go
+++ b/internal/instance/gatekeeper/table.go
@@ -48,7 +48,7 @@
 				continue
 			}
 			if err := v.applyUpdate(t, now); err != nil {
-				g.Recorder.Log(recorder.Belief, "msg", "published rows cannot be decoded", "table", t.Name, "err", err)
+				g.Recorder.Log(recorder.View, "msg", "published rows cannot be decoded", "table", t.Name, "err", err)
 			}
 		}
 	}
@@ -106,7 +106,7 @@
 const rowLimit = 1 << 20
 
 func pack(r tabler.Row) relayer.Row {
-	packed := relayer.Row{Key: r.Key, Value: r.Value, Removed: r.Removed, Version: r.Version}
+	packed := relayer.Row{Key: r.Key, Value: r.Value, Removed: r.Deleted, Version: r.Version}
 	if len(r.Value) < compressFrom {
 		return packed
 	}
@@ -122,7 +122,7 @@
 }
 
 func unpack(r relayer.Row) (tabler.Row, error) {
-	row := tabler.Row{Key: r.Key, Value: r.Value, Removed: r.Removed, Version: r.Version}
+	row := tabler.Row{Key: r.Key, Value: r.Value, Deleted: r.Removed, Version: r.Version}
 	if !r.Packed {
 		return row, nil
 	}
--- a/internal/instance/gatekeeper/table_test.go
+++ b/internal/instance/gatekeeper/table_test.go
@@ -152,7 +152,7 @@
 func TestPackedRowsAreRestored(t *testing.T) {
 	for _, row := range []tabler.Row{
 		{Key: "op/small", Value: []byte("{}"), Version: 3},
-		{Key: "op/none", Version: 4, Removed: true},
+		{Key: "op/none", Version: 4, Deleted: true},
 		{Key: "op/large", Value: []byte(strings.Repeat(`{"prefix":"/v1/","service":"llm"},`, 2000)), Version: 5},
 	} {
 		packed := pack(row)
--- a/internal/instance/gatekeeper/takeover.go
+++ b/internal/instance/gatekeeper/takeover.go
@@ -20,7 +20,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.retryAt = uptime() + pollInterval
-	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease left to others", "domain", d.domain, "why", "runners are not reached")
+	d.gatekeeper.Recorder.Log(recorder.View, "msg", "lease left to others", "domain", d.domain, "why", "runners are not reached")
 }
 
 const (
--- a/internal/instance/gatekeeper/view_refresh.go
+++ b/internal/instance/gatekeeper/view_refresh.go
@@ -108,7 +108,7 @@
 	sentAt := time.Now()
 	after := v.upTo()
 	rows, version, err := g.Store.Watch(ctx, v.name, after, 0)
-	if errors.Is(err, tabler.ErrForgotten) {
+	if errors.Is(err, tabler.ErrCompacted) {
 		g.resetView(v, after)
 		v.replace(time.Now())
 		return nil
@@ -119,7 +119,7 @@
 	}
 	g.applyChanges(v, rows, version, sentAt)
 	if len(rows) > 0 {
-		g.Recorder.Log(recorder.Belief, "msg", "changes missed by the watch call; replacing it", "table", v.name, "rows", len(rows), "waited", v.state(sentAt).Waits)
+		g.Recorder.Log(recorder.View, "msg", "changes missed by the watch call; replacing it", "table", v.name, "rows", len(rows), "waited", v.state(sentAt).Waits)
 		v.replace(sentAt)
 	}
 	return nil
@@ -151,7 +151,7 @@
 		return nil
 	}
 	rows, version, err := g.Store.Watch(ctx, v.name, after, wait)
-	if errors.Is(err, tabler.ErrForgotten) {
+	if errors.Is(err, tabler.ErrCompacted) {
 		g.resetView(v, after)
 		return nil
 	}
@@ -172,7 +172,7 @@
 }
 
 func (g *Gatekeeper) resetView(v *view, after uint64) {
-	g.Recorder.Log(recorder.Belief, "msg", "changes no longer available in the store; reading the whole table", "table", v.name, "after", after)
+	g.Recorder.Log(recorder.View, "msg", "changes no longer available in the store; reading the whole table", "table", v.name, "after", after)
 	v.invalidate()
 }
 
--- a/internal/instance/server/heartbeat.go
+++ b/internal/instance/server/heartbeat.go
@@ -36,7 +36,7 @@
 func (s *Server) heartbeatLoop(ctx context.Context) {
 	var sentVersion, sentEpoch uint64
 	var lastHeartbeat time.Time
-	repeater.Now(ctx, min(changeInterval, s.Config.Beat), nil, func() {
+	repeater.EveryNow(ctx, min(changeInterval, s.Config.Beat), nil, func() {
 		now := time.Now()
 		_, states, version := s.Driver.Loads(sentVersion)
 		epoch := s.epoch()
@@ -72,7 +72,7 @@
 		go func() { _ = s.Mesh.Send(ctx, peer.Address, remote) }() // retried with the next heartbeat
 	}
 	s.sendCrashReports(ctx, now)
-	if s.Watcher.Force() == nil {
+	if s.Watcher.Active() == nil {
 		s.contactSeeds(ctx, base)
 	}
 }
@@ -163,12 +163,12 @@
 
 // announce registers this instance in the platform's instance list, or its end.
 func (s *Server) announce(ctx context.Context, ended bool) error {
-	return s.Lister.Announce(ctx, lister.Announcement{Instance: s.Self(), Process: os.Getpid(), Ended: ended})
+	return s.Lister.Announce(ctx, lister.Announcement{Instance: s.Self(), Process: os.Getpid(), Stopped: ended})
 }
 
 // listLoop announces this instance and reads the platform's instance list.
 func (s *Server) listLoop(ctx context.Context) {
-	repeater.Now(ctx, s.Config.Poll, nil, func() {
+	repeater.EveryNow(ctx, s.Config.Poll, nil, func() {
 		if err := s.announce(ctx, false); err != nil {
 			s.countReason("sardinetiller_platform_failures_total", "list")
 			return
--- a/internal/instance/server/operator.go
+++ b/internal/instance/server/operator.go
@@ -74,7 +74,7 @@
 	r.GET(PathLive, func(c *fasthttp.RequestCtx) { c.SetBodyString("live\n") })
 	r.GET(PathReady, s.ready)
 	r.GET(PathMetrics, s.metrics)
-	r.GET(PathStatus, s.requireOperator(func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, s.Status()) }))
+	r.GET(PathStatus, s.requireOperator(func(c *fasthttp.RequestCtx) { listener.WriteJSON(c, fasthttp.StatusOK, s.Status()) }))
 	r.GET(PathExplain+"{id}", s.requireOperator(s.explain))
 	r.POST(PathPreload+"{adapter}", s.requireOperator(s.preload))
 	r.POST(PathDrain, s.requireOperator(func(*fasthttp.RequestCtx) { s.Drain() }))
@@ -86,7 +86,7 @@
 	switch {
 	case s.stop.leaving():
 		return false, "leaving"
-	case s.Watcher.Force() == nil:
+	case s.Watcher.Active() == nil:
 		return false, "no settings are in force here yet"
 	default:
 		return true, "ready"
@@ -108,7 +108,7 @@
 		Outage: s.tableFailedAt.Load() != 0, Blocked: blocked, Sent: s.Mesh.Bytes(), Memory: memory.HeapInuse,
 		Runners: s.Fleet.Statuses(), Peers: []PeerStatus{}, Quarantine: s.quarantine.quarantined(now),
 	}
-	if f := s.Watcher.Force(); f != nil {
+	if f := s.Watcher.Active(); f != nil {
 		status.Revision = f.Head.Revision
 		status.Since = f.Since
 	}
@@ -132,7 +132,7 @@
 		c.Error("no such request here; ask the instance that the caller reached", fasthttp.StatusNotFound)
 		return
 	}
-	listener.JSON(c, fasthttp.StatusOK, Explanation{Request: id, Steps: steps})
+	listener.WriteJSON(c, fasthttp.StatusOK, Explanation{Request: id, Steps: steps})
 }
 
 // requireOperator rejects requests without the operator token.
--- a/internal/instance/server/peer.go
+++ b/internal/instance/server/peer.go
@@ -26,11 +26,11 @@
 	case relayer.Fetch:
 		data, ok := s.Watcher.Object(m.Key)
 		if !ok {
-			return storer.ErrAbsent
+			return storer.ErrNotFound
 		}
 		return reply.Send(relayer.Data{Data: data})
 	case relayer.Inquire:
-		force := s.Watcher.Force()
+		force := s.Watcher.Active()
 		if force == nil {
 			return errors.New("no settings are in force here")
 		}
--- a/internal/instance/server/permit.go
+++ b/internal/instance/server/permit.go
@@ -49,7 +49,7 @@
 // permitRequest returns a permit request with the limits of the settings in force, or
 // false if there are none.
 func (s *Server) permitRequest(value float64) (relayer.Permit, bool) {
-	force := s.Watcher.Force()
+	force := s.Watcher.Active()
 	if force == nil {
 		return relayer.Permit{}, false
 	}
--- a/internal/instance/server/poll.go
+++ b/internal/instance/server/poll.go
@@ -29,7 +29,7 @@
 func DrainKey(domain, upstream string) string { return DomainPrefix(domain) + drainInfix + upstream }
 
 func (s *Server) pollLoop(ctx context.Context) {
-	repeater.Now(ctx, s.Config.Poll, s.pollNow, func() {
+	repeater.EveryNow(ctx, s.Config.Poll, s.pollNow, func() {
 		s.poll(ctx)
 		s.pollSettings(ctx)
 	})
--- a/internal/instance/server/preload.go
+++ b/internal/instance/server/preload.go
@@ -9,8 +9,8 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/listener"
 )
 
-// A Preloaded names the runner on which an adapter is preloaded.
-type Preloaded struct {
+// A PreloadResult names the runner on which an adapter is preloaded.
+type PreloadResult struct {
 	Adapter string `json:"adapter" yaml:"adapter"`
 	Runner  string `json:"runner" yaml:"runner"`
 }
@@ -19,7 +19,7 @@
 // which a request for it would be routed.
 func (s *Server) preload(c *fasthttp.RequestCtx) {
 	adapter, _ := c.UserValue("adapter").(string)
-	force := s.Force()
+	force := s.Settings()
 	if force == nil {
 		c.Error("no settings are in force here yet", fasthttp.StatusServiceUnavailable)
 		return
@@ -38,7 +38,7 @@
 		c.Error(err.Error(), fasthttp.StatusServiceUnavailable)
 		return
 	}
-	listener.JSON(c, fasthttp.StatusOK, Preloaded{Adapter: adapter, Runner: step.Runner})
+	listener.WriteJSON(c, fasthttp.StatusOK, PreloadResult{Adapter: adapter, Runner: step.Runner})
 }
 
 func (s *Server) preloadOn(ctx context.Context, owner, runner, adapter string) error {
--- a/internal/instance/server/server.go
+++ b/internal/instance/server/server.go
@@ -130,7 +130,7 @@
 	}
 	failed := make(chan error, 3)
 	for _, server := range []listener.Server{
-		{Handler: s.Answerer.Handler(), Listener: s.Listeners.Caller, Refuse: s.Answerer.Unreadable},
+		{Handler: s.Answerer.Handler(), Listener: s.Listeners.Caller, HandleError: s.Answerer.HandleMalformed},
 		{Handler: peers.Handler, Listener: peerListener},
 		{Handler: s.operatorHandler(), Listener: s.Listeners.Operator},
 	} {
@@ -154,16 +154,16 @@
 	}
 }
 
-// Force returns the settings in force, or nil.
-func (s *Server) Force() *resolver.Resolver {
-	if f := s.Watcher.Force(); f != nil {
+// Settings returns the settings in force, or nil.
+func (s *Server) Settings() *resolver.Resolver {
+	if f := s.Watcher.Active(); f != nil {
 		return f.Resolver
 	}
 	return nil
 }
 
 func (s *Server) driveLoop(ctx context.Context) {
-	repeater.Now(ctx, driveInterval, nil, func() {
+	repeater.EveryNow(ctx, driveInterval, nil, func() {
 		now := time.Now()
 		s.updateShare(now)
 		s.grantFreedPermits()
--- a/internal/instance/server/settings.go
+++ b/internal/instance/server/settings.go
@@ -46,7 +46,7 @@
 // fleet, and the runners that can be owned to the holder. The driver calls this
 // server while it holds its own lock, so it must not be called under the server's.
 func (s *Server) declareUpstreams() {
-	force := s.Watcher.Force()
+	force := s.Watcher.Active()
 	if force == nil {
 		return
 	}
@@ -65,7 +65,7 @@
 
 // updateShare sets the driver's share of the weight store's rate.
 func (s *Server) updateShare(now time.Time) {
-	force := s.Watcher.Force()
+	force := s.Watcher.Active()
 	if force == nil {
 		return
 	}
--- a/internal/member/relayer/mesh_test.go
+++ b/internal/member/relayer/mesh_test.go
@@ -49,7 +49,7 @@
 // of the latter.
 func newPair(t *testing.T, secret string) (*Mesh, string, *fakeHandler) {
 	t.Helper()
-	l, err := listener.Local()
+	l, err := listener.ListenLoopback()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 	r.GET(Path, server.Serve)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	httpServer := listener.Server{Handler: r.Handler, Listener: l, Drain: time.Millisecond}
+	httpServer := listener.Server{Handler: r.Handler, Listener: l, DrainTimeout: time.Millisecond}
 	go func() { _ = httpServer.Run(ctx) }()
 	return &Mesh{Handler: h, Secret: func() string { return secret }, Self: self}, l.Addr().String(), h
 }
--- a/internal/platform/lister/lister.go
+++ b/internal/platform/lister/lister.go
@@ -30,7 +30,7 @@
 type Announcement struct {
 	Instance heartbeater.Instance `cbor:"1,keyasint"`
 	Process  int                  `cbor:"2,keyasint"` // process ID, by which the platform's agent identifies the process
-	Ended    bool                 `cbor:"3,keyasint"` // the instance has stopped, even if its process still exists
+	Stopped  bool                 `cbor:"3,keyasint"` // the instance has stopped, even if its process still exists
 }
 
 // The paths of the instance list.
--- a/internal/platform/storer/store.go
+++ b/internal/platform/storer/store.go
@@ -17,16 +17,16 @@
 )
 
 // A Store is an object store. Client accesses the platform's store, Memory keeps
-// objects in memory, and Dry discards writes.
+// objects in memory, and DryRun discards writes.
 type Store interface {
-	// Get returns an object, or ErrAbsent.
+	// Get returns an object, or ErrNotFound.
 	Get(ctx context.Context, key string) ([]byte, error)
 	// Put writes an object. A failed Put may have taken effect.
 	Put(ctx context.Context, key string, data []byte) error
 }
 
-// ErrAbsent is returned for an object that does not exist.
-var ErrAbsent = errors.New("no such object")
+// ErrNotFound is returned for an object that does not exist.
+var ErrNotFound = errors.New("no such object")
 
 // PathObject is the path under which the object store keeps objects.
 const PathObject = "/object/"
@@ -43,7 +43,7 @@
 func (c *Client) Get(ctx context.Context, key string) ([]byte, error) {
 	status, body, err := c.call(ctx, fasthttp.MethodGet, key, nil)
 	if err == nil && status == fasthttp.StatusNotFound {
-		return nil, ErrAbsent
+		return nil, ErrNotFound
 	}
 	return body, err
 }
@@ -63,7 +63,7 @@
 	request.SetRequestURI("http://" + c.Address + PathObject + key)
 	request.SetBody(data)
 	var r requester.Requester
-	status, body, observation := r.Whole(ctx, c.Address, request)
+	status, body, observation := r.ReadAll(ctx, c.Address, request)
 	if observation != nil {
 		return 0, nil, judge.Judge(observation)
 	}
@@ -73,16 +73,16 @@
 	return status, body, nil
 }
 
-// A Dry store reads from another Store and discards writes, for dry runs.
-type Dry struct{ Store Store }
+// A DryRun store reads from another Store and discards writes, for dry runs.
+type DryRun struct{ Store Store }
 
-var _ Store = (*Dry)(nil)
+var _ Store = (*DryRun)(nil)
 
 // Get implements Store.
-func (d *Dry) Get(ctx context.Context, key string) ([]byte, error) { return d.Store.Get(ctx, key) }
+func (d *DryRun) Get(ctx context.Context, key string) ([]byte, error) { return d.Store.Get(ctx, key) }
 
 // Put implements Store.
-func (d *Dry) Put(context.Context, string, []byte) error { return nil }
+func (d *DryRun) Put(context.Context, string, []byte) error { return nil }
 
 // A Memory is an in-memory Store. Its zero value is ready to use; it is safe for
 // concurrent use.
@@ -99,7 +99,7 @@
 	defer m.mu.Unlock()
 	data, ok := m.objects[key]
 	if !ok {
-		return nil, ErrAbsent
+		return nil, ErrNotFound
 	}
 	return data, nil
 }
--- a/internal/platform/tabler/dry.go
+++ b/internal/platform/tabler/dry_run.go
@@ -2,18 +2,18 @@
 
 import "context"
 
-// A Dry table reads from another Table and writes nothing. It verifies the
+// A DryRun table reads from another Table and writes nothing. It verifies the
 // checks of each transaction and records it in Committed, for dry runs.
-type Dry struct {
+type DryRun struct {
 	Table Table
 
 	Committed []Txn
 }
 
-var _ Table = (*Dry)(nil)
+var _ Table = (*DryRun)(nil)
 
 // Commit implements Table.
-func (d *Dry) Commit(ctx context.Context, txn Txn) error {
+func (d *DryRun) Commit(ctx context.Context, txn Txn) error {
 	for _, c := range txn.Checks {
 		row, err := d.Table.Get(ctx, c.Key)
 		if err != nil {
@@ -28,9 +28,9 @@
 }
 
 // Get implements Table.
-func (d *Dry) Get(ctx context.Context, key string) (Row, error) { return d.Table.Get(ctx, key) }
+func (d *DryRun) Get(ctx context.Context, key string) (Row, error) { return d.Table.Get(ctx, key) }
 
 // Scan implements Table.
-func (d *Dry) Scan(ctx context.Context, prefix string) ([]Row, error) {
+func (d *DryRun) Scan(ctx context.Context, prefix string) ([]Row, error) {
 	return d.Table.Scan(ctx, prefix)
 }
--- a/internal/platform/tabler/feed.go
+++ b/internal/platform/tabler/feed.go
@@ -14,7 +14,7 @@
 	// snapshot, which is the newest version of any row.
 	Scan(ctx context.Context, table string) ([]Row, uint64, error)
 	// Watch waits up to wait for rows of a table to change after a version. It
-	// returns them with the version to continue from. It returns ErrForgotten
+	// returns them with the version to continue from. It returns ErrCompacted
 	// if the changes since that version have been compacted; the caller then
 	// has to Scan again.
 	Watch(ctx context.Context, table string, after uint64, wait time.Duration) ([]Row, uint64, error)
--- a/internal/platform/tabler/table.go
+++ b/internal/platform/tabler/table.go
@@ -14,7 +14,7 @@
 )
 
 // A Table is a table service. Client accesses the platform's service, Memory
-// keeps rows in memory, and Dry does not write.
+// keeps rows in memory, and DryRun does not write.
 type Table interface {
 	// Commit commits a transaction. It returns a *ConflictError if a check did
 	// not hold, an *UnknownError if the transaction may have taken effect, and
@@ -31,12 +31,12 @@
 	Key     string `cbor:"1,keyasint"`
 	Value   []byte `cbor:"2,keyasint"`
 	Version uint64 `cbor:"3,keyasint"`           // 0: no such row
-	Removed bool   `cbor:"4,keyasint,omitempty"` // reported by Feed.Watch: the row was deleted
+	Deleted bool   `cbor:"4,keyasint,omitempty"` // reported by Feed.Watch: the row was deleted
 }
 
-// ErrForgotten is returned by Feed.Watch if the requested changes have been
+// ErrCompacted is returned by Feed.Watch if the requested changes have been
 // compacted.
-var ErrForgotten = errors.New("the table service has forgotten these changes")
+var ErrCompacted = errors.New("the table service has forgotten these changes")
 
 // A Check is a precondition of a transaction: the row has this version, or does
 // not exist if the version is 0.
--- a/internal/request/answerer/answerer.go
+++ b/internal/request/answerer/answerer.go
@@ -77,9 +77,9 @@
 	return len(a.open) == 0
 }
 
-// Unreadable responds to a request that could not be read because it is too large
+// HandleMalformed responds to a request that could not be read because it is too large
 // or malformed.
-func (a *Answerer) Unreadable(c *fasthttp.RequestCtx, err error) {
+func (a *Answerer) HandleMalformed(c *fasthttp.RequestCtx, err error) {
 	a.refuse(c, judge.Refuse(judge.ReasonBody, "the request could not be read: %v", err))
 }
 
@@ -208,5 +208,5 @@
 		models = append(models, model{ID: name, Object: "model", Owner: account})
 		return true
 	})
-	listener.JSON(c, fasthttp.StatusOK, map[string]any{"object": "list", "data": models})
+	listener.WriteJSON(c, fasthttp.StatusOK, map[string]any{"object": "list", "data": models})
 }
--- a/internal/request/answerer/failure.go
+++ b/internal/request/answerer/failure.go
@@ -75,7 +75,7 @@
 }
 
 func writeError(c *fasthttp.RequestCtx, err *judge.Error) {
-	listener.JSON(c, status(err), failure(err))
+	listener.WriteJSON(c, status(err), failure(err))
 	if err.RetryAfter > 0 {
 		seconds := int(math.Ceil(err.RetryAfter.Seconds()))
 		c.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds))
--- a/internal/request/forwarder/choose.go
+++ b/internal/request/forwarder/choose.go
@@ -66,7 +66,7 @@
 // awaitAdapter requests the adapter at a runner and waits for the next poll. It refuses the
 // request if the adapter is expected too late.
 func (p *exchange) awaitAdapter(ctx context.Context, best router.Terms, now time.Time) *judge.Error {
-	if p.Stopping() {
+	if p.StoppingSoon() {
 		return judge.Refuse(judge.ReasonStopping, "the instance ends before the adapter is there").WithRetryAfter(retryAfter(0))
 	}
 	stall := time.Duration(best.Stall * float64(time.Second))
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -20,7 +20,7 @@
 // it is safe for concurrent use.
 type Forwarder struct {
 	RetryBurst        func() float64 // this instance's share of the retries allowed beyond RetriesPerRequest
-	Stopping          func() bool    // this instance stops too soon for waiting requests to be served
+	StoppingSoon      func() bool    // this instance stops too soon for waiting requests to be served
 	Fleet             *tracker.Fleet
 	LoadTime          func() time.Duration            // expected time of an adapter load from the weight store
 	NewestVersion     func(model, adapter string) int // adapter version that new executions use
@@ -178,7 +178,7 @@
 		"queue", p.queueWait, "arrivals", p.delivered, "runs", p.executions, "after", p.lastEventID, "waited", p.adapterWait, "first", p.timeToFirst, "pause", p.longestGap, "took", time.Since(r.Arrived),
 	}
 	if err == nil {
-		p.Recorder.Log(recorder.Answered, append(fields, "status", p.status)...)
+		p.Recorder.Log(recorder.Completed, append(fields, "status", p.status)...)
 		return
 	}
 	fields = append(fields, "digest", p.digest(), "verdict", err.Verdict, "reason", err.Reason, "retry", err.RetryAfter, "err", err.Message)
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -134,7 +134,7 @@
 		fleet.Set(tracker.Runner{ID: fmt.Sprint("i-", n), Service: "llm", Domain: "a", Slots: 8, Models: []string{"m"}, Revision: 1})
 	}
 	return &forwarder.Forwarder{
-		RetryBurst: func() float64 { return 20 }, Stopping: func() bool { return false }, Fleet: fleet, LoadTime: func() time.Duration { return time.Second },
+		RetryBurst: func() float64 { return 20 }, StoppingSoon: func() bool { return false }, Fleet: fleet, LoadTime: func() time.Duration { return time.Second },
 		NewestVersion: func(string, string) int { return 2 }, RetriesPerRequest: 0.2, Placement: p, Quarantine: &quarantine{}, Recorder: &recorder.Recorder{Metrics: metrics.NewSet(), Out: io.Discard}, OnRetry: func(*judge.Error) {},
 		ReloadTime: func() time.Duration { return time.Second }, Upstream: u, RetryWindow: 10 * time.Second,
 	}
@@ -385,7 +385,7 @@
 		}}
 		f := newForwarder(u, placement{}, 1)
 		ends := time.Now().Add(time.Second)
-		f.Stopping = func() bool { return !time.Now().Before(ends) }
+		f.StoppingSoon = func() bool { return !time.Now().Before(ends) }
 		r := newRequest(resumableRoute())
 		r.Copy = placer.Copy{Model: "m", Adapter: "a1", Version: 2}
 		started := time.Now()
--- a/internal/setting/configurer/configurer.go
+++ b/internal/setting/configurer/configurer.go
@@ -191,7 +191,7 @@
 		case time.Duration:
 			duration, err := time.ParseDuration(text)
 			if err != nil {
-				return fmt.Errorf("%s: %q is no time; write one such as 10s", field, text)
+				return fmt.Errorf("%s: %q is not a valid duration; write one such as 10s", field, text)
 			}
 			v.Field(i).SetInt(int64(duration))
 		}
--- a/internal/setting/configurer/gateway.go
+++ b/internal/setting/configurer/gateway.go
@@ -37,9 +37,9 @@
 	maxTakeoverDelay     = time.Second
 )
 
-// Late returns the extra delay before an instance with this link takes over a
+// TakeoverDelay returns the extra delay before an instance with this link takes over a
 // lease, so that one with a larger link can take it over first.
-func (l Link) Late() time.Duration {
+func (l Link) TakeoverDelay() time.Duration {
 	if l <= 0 {
 		return 0
 	}
@@ -69,8 +69,8 @@
 	},
 }
 
-// Reached returns the address under which peers reach the instance.
-func (g *Gateway) Reached() string {
+// AdvertisedAddress returns the address under which peers reach the instance.
+func (g *Gateway) AdvertisedAddress() string {
 	if g.Advertise != "" {
 		return g.Advertise
 	}
--- a/internal/setting/watcher/watcher.go
+++ b/internal/setting/watcher/watcher.go
@@ -40,8 +40,8 @@
 	objects  map[string][]byte // by key, for peers that cannot reach the store
 }
 
-// Force returns the active revision, or nil if there is none yet.
-func (w *Watcher) Force() *ActiveRevision { return w.active.Load() }
+// Active returns the active revision, or nil if there is none yet.
+func (w *Watcher) Active() *ActiveRevision { return w.active.Load() }
 
 // Object returns the object with the key if it belongs to the active revision.
 func (w *Watcher) Object(key string) ([]byte, bool) {
@@ -56,7 +56,7 @@
 func (w *Watcher) Offer(ctx context.Context, head publisher.Head) (bool, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	current := w.Force()
+	current := w.Active()
 	if head.Revision == 0 || (current != nil && head.Revision <= current.Head.Revision) {
 		return false, nil
 	}
@@ -79,7 +79,7 @@
 
 // Revision returns the number of the active revision, or 0 if there is none.
 func (w *Watcher) Revision() uint64 {
-	if f := w.Force(); f != nil {
+	if f := w.Active(); f != nil {
 		return f.Head.Revision
 	}
 	return 0
--- a/internal/setting/watcher/watcher_test.go
+++ b/internal/setting/watcher/watcher_test.go
@@ -195,7 +195,7 @@
 	if w.Revision() < before || w.Revision() < head.Revision {
 		t.Fatalf("went from revision %d to %d when offered head %d", before, w.Revision(), head.Revision)
 	}
-	if f := w.Force(); f != nil {
+	if f := w.Active(); f != nil {
 		want, _ := w.Object("setting/manifest/" + f.Head.Manifest)
 		if diff := cmp.Diff(f.Head.Manifest, publisher.Digest(want)); diff != "" {
 			t.Fatal(diff)
--- a/internal/standin/generator/engine.go
+++ b/internal/standin/generator/engine.go
@@ -73,8 +73,8 @@
 	r.POST(PathEvict, e.handleOrder(e.evict))
 	r.POST(PathFence, e.handleOrder(e.acceptFence))
 	r.POST(PathLoad, e.handleOrder(e.load))
-	r.GET(PathReport, func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, e.report()) })
-	r.GET(PathBooks, func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, e.Record()) })
+	r.GET(PathReport, func(c *fasthttp.RequestCtx) { listener.WriteJSON(c, fasthttp.StatusOK, e.report()) })
+	r.GET(PathBooks, func(c *fasthttp.RequestCtx) { listener.WriteJSON(c, fasthttp.StatusOK, e.Record()) })
 	r.POST(PathControl, e.handleControl)
 	server := listener.Server{Listener: e.Listener, Handler: r.Handler}
 	return server.Run(ctx)
@@ -97,7 +97,7 @@
 // handleCancel aborts a request if it is running or queued.
 func (e *Engine) handleCancel(c *fasthttp.RequestCtx) {
 	var received Cancel
-	if !listener.Decode(c, &received) {
+	if !listener.DecodeJSON(c, &received) {
 		return
 	}
 	e.mu.Lock()
@@ -111,7 +111,7 @@
 
 func (e *Engine) handleControl(c *fasthttp.RequestCtx) {
 	var f Faults
-	if !listener.Decode(c, &f) {
+	if !listener.DecodeJSON(c, &f) {
 		return
 	}
 	e.Set(f)
@@ -171,7 +171,7 @@
 	defer fasthttp.ReleaseRequest(request)
 	request.SetRequestURI("http://" + e.Weights + "/weights/" + adapter)
 	var r requester.Requester
-	status, _, seen := r.Whole(context.Background(), e.Weights, request)
+	status, _, seen := r.ReadAll(context.Background(), e.Weights, request)
 	if seen != nil || status != fasthttp.StatusOK {
 		return fmt.Errorf("weight store: status %d, %v", status, seen)
 	}
@@ -182,7 +182,7 @@
 func (e *Engine) handleOrder(execute func(Order) (int, string)) fasthttp.RequestHandler {
 	return func(c *fasthttp.RequestCtx) {
 		var o Order
-		if !listener.Decode(c, &o) {
+		if !listener.DecodeJSON(c, &o) {
 			return
 		}
 		e.mu.Lock()
@@ -198,7 +198,7 @@
 			_ = c.Conn().Close()
 			return
 		}
-		listener.JSON(c, status, map[string]string{"message": message})
+		listener.WriteJSON(c, status, map[string]string{"message": message})
 	}
 }
 
--- a/internal/standin/generator/sequence.go
+++ b/internal/standin/generator/sequence.go
@@ -89,7 +89,7 @@
 // in one body.
 func (e *Engine) handleCompletion(c *fasthttp.RequestCtx) {
 	var p completionRequest
-	if !listener.Decode(c, &p) {
+	if !listener.DecodeJSON(c, &p) {
 		return
 	}
 	s, cutAt, ok := e.enqueue(&p, c)
--- a/internal/standin/registrar/platform.go
+++ b/internal/standin/registrar/platform.go
@@ -72,7 +72,7 @@
 	r.GET(storer.PathObject+"{key:*}", p.withFaults(p.object))
 	r.PUT(storer.PathObject+"{key:*}", p.withFaults(p.putObject))
 	r.GET(PathWeights+"{adapter}", p.weights)
-	r.GET(PathBooks, func(c *fasthttp.RequestCtx) { listener.JSON(c, fasthttp.StatusOK, p.Counters()) })
+	r.GET(PathBooks, func(c *fasthttp.RequestCtx) { listener.WriteJSON(c, fasthttp.StatusOK, p.Counters()) })
 	r.POST(PathControl, p.control)
 	server := listener.Server{Listener: p.Listener, Handler: r.Handler}
 	return server.Run(ctx)
@@ -131,7 +131,7 @@
 
 func (p *Platform) control(c *fasthttp.RequestCtx) {
 	var f Faults
-	if !listener.Decode(c, &f) {
+	if !listener.DecodeJSON(c, &f) {
 		return
 	}
 	p.Set(f)
@@ -189,7 +189,7 @@
 // real platform runs on the same machine and can tell; a paused process still
 // exists.
 func (a *announcement) terminated() bool {
-	return a.Ended || errors.Is(syscall.Kill(a.Process, 0), syscall.ESRCH)
+	return a.Stopped || errors.Is(syscall.Kill(a.Process, 0), syscall.ESRCH)
 }
 
 func (p *Platform) object(c *fasthttp.RequestCtx) {
--- a/internal/standin/responder/service.go
+++ b/internal/standin/responder/service.go
@@ -75,7 +75,7 @@
 
 func (s *Service) control(c *fasthttp.RequestCtx) {
 	var f Faults
-	if !listener.Decode(c, &f) {
+	if !listener.DecodeJSON(c, &f) {
 		return
 	}
 	s.Set(f)
@@ -84,7 +84,7 @@
 func (s *Service) handle(c *fasthttp.RequestCtx) {
 	switch string(c.Path()) {
 	case PathBooks:
-		listener.JSON(c, fasthttp.StatusOK, s.Calls())
+		listener.WriteJSON(c, fasthttp.StatusOK, s.Calls())
 	case PathControl:
 		s.control(c)
 	default:
@@ -116,5 +116,5 @@
 		_ = c.Conn().Close()
 		return
 	}
-	listener.JSON(c, fasthttp.StatusCreated, Echo{Method: string(c.Method()), Path: string(c.Path()), Body: string(c.PostBody())})
+	listener.WriteJSON(c, fasthttp.StatusCreated, Echo{Method: string(c.Method()), Path: string(c.Path()), Body: string(c.PostBody())})
 }
--- a/internal/upstream/caller/caller.go
+++ b/internal/upstream/caller/caller.go
@@ -100,7 +100,7 @@
 	defer fasthttp.ReleaseRequest(request)
 	request.SetRequestURI("http://" + address + pathReport)
 	var r requester.Requester
-	status, body, observed := r.Whole(ctx, address, request)
+	status, body, observed := r.ReadAll(ctx, address, request)
 	if err := statusError(status, observed); err != nil {
 		return Report{}, err
 	}
@@ -130,6 +130,6 @@
 	request.SetRequestURI("http://" + address + path)
 	request.SetBody(body)
 	var r requester.Requester
-	status, _, observed := r.Whole(ctx, address, request)
+	status, _, observed := r.ReadAll(ctx, address, request)
 	return status, observed
 }
--- a/internal/upstream/caller/run.go
+++ b/internal/upstream/caller/run.go
@@ -104,7 +104,7 @@
 	defer response.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err != nil {
-		return judge.Judge(response.Broken(err))
+		return judge.Judge(response.BodyError(err))
 	}
 	head := streamer.Head{Status: response.Status, ContentType: string(response.Header.ContentType()), Runner: call.Runner}
 	return deliver(sink, head, body)
@@ -146,7 +146,7 @@
 
 // A responseCopier copies one response from the engine to the sink.
 type responseCopier struct {
-	response *requester.Answer
+	response *requester.Response
 	call     *streamer.Call
 	handle   string
 	head     streamer.Head
@@ -159,7 +159,7 @@
 		Model string `json:"model"`
 	}
 	if err := json.Unmarshal(data, &part); err != nil {
-		return judge.Judge(p.response.Broken(err))
+		return judge.Judge(p.response.BodyError(err))
 	}
 	if part.Model != p.handle {
 		return judge.Judge(judge.Mismatched{Want: p.handle, Got: part.Model})
@@ -201,13 +201,13 @@
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return judge.Judge(p.response.Broken(err))
+	return judge.Judge(p.response.BodyError(err))
 }
 
 func (p *responseCopier) copyComplete() error {
 	body, err := io.ReadAll(io.LimitReader(p.response.Body, maxResponseSize))
 	if err != nil {
-		return judge.Judge(p.response.Broken(err))
+		return judge.Judge(p.response.BodyError(err))
 	}
 	if err := p.checkModel(body); err != nil {
 		return err
--- a/internal/wire/listener/conn.go
+++ b/internal/wire/listener/conn.go
@@ -35,8 +35,8 @@
 // bytes. The rest stays in the kernel's receive buffer.
 const lookaheadSize = 512
 
-// Watch calls onDisconnect if the client closes the connection before Unwatch.
-func (c *Conn) Watch(onDisconnect func()) {
+// WatchDisconnect calls onDisconnect if the client closes the connection before StopWatch.
+func (c *Conn) WatchDisconnect(onDisconnect func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.watchDone != nil || len(c.lookahead) > 0 {
@@ -61,8 +61,8 @@
 	}()
 }
 
-// Unwatch ends the watch. The connection can be read again afterwards.
-func (c *Conn) Unwatch() {
+// StopWatch ends the watch. The connection can be read again afterwards.
+func (c *Conn) StopWatch() {
 	c.mu.Lock()
 	done := c.watchDone
 	c.mu.Unlock()
--- a/internal/wire/listener/listener.go
+++ b/internal/wire/listener/listener.go
@@ -13,14 +13,14 @@
 // A Server is an HTTP server with size limits and timeouts. Its fields are set
 // before Run.
 type Server struct {
-	Body     int           // maximum request body in bytes; 0 means bodyLimit
-	Drain    time.Duration // time for in-flight requests after shutdown begins; 0 means drainTimeout
-	Handler  fasthttp.RequestHandler
-	Header   int           // maximum request header in bytes; 0 means headerLimit
-	Idle     time.Duration // idle timeout of keep-alive connections; 0 means idleTimeout
-	Listener net.Listener
-	Plain    bool                                      // add no default Date and Content-Type header to responses
-	Refuse   func(ctx *fasthttp.RequestCtx, err error) // responds to a request that could not be parsed; nil for plain text
+	MaxBodySize      int           // maximum request body in bytes; 0 means bodyLimit
+	DrainTimeout     time.Duration // time for in-flight requests after shutdown begins; 0 means drainTimeout
+	Handler          fasthttp.RequestHandler
+	MaxHeaderSize    int           // maximum request header in bytes; 0 means headerLimit
+	IdleTimeout      time.Duration // idle timeout of keep-alive connections; 0 means idleTimeout
+	Listener         net.Listener
+	NoDefaultHeaders bool                                      // add no default Date and Content-Type header to responses
+	HandleError      func(ctx *fasthttp.RequestCtx, err error) // responds to a request that could not be parsed; nil for plain text
 }
 
 const (
@@ -31,20 +31,20 @@
 	idleTimeout  = 30 * time.Second
 )
 
-// Run serves until ctx ends, then waits up to Drain for in-flight requests.
+// Run serves until ctx ends, then waits up to DrainTimeout for in-flight requests.
 func (s *Server) Run(ctx context.Context) error {
 	server := &fasthttp.Server{
 		Handler:               s.Handler,
-		IdleTimeout:           orDefault(s.Idle, idleTimeout),
-		NoDefaultContentType:  s.Plain,
-		NoDefaultDate:         s.Plain,
-		MaxRequestBodySize:    orDefault(s.Body, bodyLimit),
+		IdleTimeout:           orDefault(s.IdleTimeout, idleTimeout),
+		NoDefaultContentType:  s.NoDefaultHeaders,
+		NoDefaultDate:         s.NoDefaultHeaders,
+		MaxRequestBodySize:    orDefault(s.MaxBodySize, bodyLimit),
 		NoDefaultServerHeader: true,
-		ReadBufferSize:        orDefault(s.Header, headerLimit),
+		ReadBufferSize:        orDefault(s.MaxHeaderSize, headerLimit),
 		ReadTimeout:           readTimeout,
 		Logger:                discardLogger{},
 		CloseOnShutdown:       true,
-		ErrorHandler:          s.Refuse,
+		ErrorHandler:          s.HandleError,
 	}
 	serveErr := make(chan error, 1)
 	go func() { serveErr <- server.Serve(Listener{s.Listener}) }()
@@ -53,15 +53,15 @@
 		return err
 	case <-ctx.Done():
 	}
-	drainCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orDefault(s.Drain, drainTimeout))
+	drainCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), orDefault(s.DrainTimeout, drainTimeout))
 	defer cancel()
 	_ = server.ShutdownWithContext(drainCtx) // requests still in flight end with the process
 	return nil
 }
 
-// Decode decodes the JSON body of a request. On failure it responds with status
+// DecodeJSON decodes the JSON body of a request. On failure it responds with status
 // 400 and returns false.
-func Decode(ctx *fasthttp.RequestCtx, into any) bool {
+func DecodeJSON(ctx *fasthttp.RequestCtx, into any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), into); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
 		return false
@@ -69,8 +69,8 @@
 	return true
 }
 
-// JSON responds with a value encoded as JSON.
-func JSON(ctx *fasthttp.RequestCtx, status int, value any) {
+// WriteJSON responds with a value encoded as WriteJSON.
+func WriteJSON(ctx *fasthttp.RequestCtx, status int, value any) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("application/json")
 	data, err := json.Marshal(value)
@@ -81,8 +81,8 @@
 	ctx.SetBody(data)
 }
 
-// Local listens on a free port of the loopback address.
-func Local() (net.Listener, error) {
+// ListenLoopback listens on a free port of the loopback address.
+func ListenLoopback() (net.Listener, error) {
 	return net.Listen("tcp", "127.0.0.1:0")
 }
 
--- a/internal/wire/pooler/exchange.go
+++ b/internal/wire/pooler/exchange.go
@@ -16,16 +16,16 @@
 // A Call is one request, encoded for the wire.
 type Call struct {
 	Address string // host:port
-	Key     string // identifies the peer
+	PeerKey string // identifies the peer
 	Message []byte // header and body
 	NoBody  bool   // the response has no body whatever its header says, as for HEAD
 
-	// Own reports whether a response names this request. Nil accepts any.
-	Own func(header *fasthttp.ResponseHeader) bool
+	// Matches reports whether a response names this request. Nil accepts any.
+	Matches func(header *fasthttp.ResponseHeader) bool
 }
 
-// An Answer is a response whose body may be a stream. It must be closed.
-type Answer struct {
+// An Response is a response whose body may be a stream. It must be closed.
+type Response struct {
 	Status int
 	Header *fasthttp.ResponseHeader
 	Body   io.Reader
@@ -48,8 +48,8 @@
 // Do sends a request and reads the header of its response. The request is
 // cancelled when ctx ends. If there is no response, the observation says how far
 // the request got.
-func (p *Pool) Do(ctx context.Context, call Call) (*Answer, judge.Observation) {
-	c := p.get(call.Key, time.Now())
+func (p *Pool) Do(ctx context.Context, call Call) (*Response, judge.Observation) {
+	c := p.get(call.PeerKey, time.Now())
 	if c == nil {
 		var err error
 		if c, err = p.dial(ctx, call.Address); err != nil {
@@ -63,12 +63,12 @@
 		_ = c.Close()
 		return nil, judge.Broken{Written: c.bytesWritten(), Err: err}
 	}
-	answer.pool, answer.conn, answer.key, answer.detach = p, c, call.Key, detach
+	answer.pool, answer.conn, answer.key, answer.detach = p, c, call.PeerKey, detach
 	return answer, nil
 }
 
 // exchange writes a request and reads responses until one names it.
-func (c *conn) exchange(call Call) (*Answer, error) {
+func (c *conn) exchange(call Call) (*Response, error) {
 	if _, err := c.Write(call.Message); err != nil {
 		return nil, err
 	}
@@ -85,8 +85,8 @@
 		case length >= 0:
 			body = Exact(body, length)
 		}
-		if call.Own == nil || call.Own(&response.Header) {
-			return &Answer{Status: response.StatusCode(), Header: &response.Header, Body: body}, nil
+		if call.Matches == nil || call.Matches(&response.Header) {
+			return &Response{Status: response.StatusCode(), Header: &response.Header, Body: body}, nil
 		}
 		if _, err := io.Copy(io.Discard, body); err != nil {
 			return nil, err
@@ -95,14 +95,14 @@
 	return nil, ErrMismatched
 }
 
-// Broken returns the observation for a body that could not be read completely.
-func (a *Answer) Broken(err error) judge.Observation {
+// BodyError returns the observation for a body that could not be read completely.
+func (a *Response) BodyError(err error) judge.Observation {
 	return judge.Broken{Written: a.conn.bytesWritten(), Head: true, Err: err}
 }
 
 // Close returns the connection to the pool if the body was read completely.
 // Otherwise it closes the connection, which cancels the work of the peer.
-func (a *Answer) Close(complete bool) {
+func (a *Response) Close(complete bool) {
 	if a.closed {
 		return
 	}
@@ -114,7 +114,7 @@
 		return
 	}
 	if limit, ok := keepAliveTimeout(a.Header); ok {
-		a.conn.idleTimeout = min(a.pool.Idle, limit)
+		a.conn.idleTimeout = min(a.pool.IdleTimeout, limit)
 	}
 	a.pool.put(a.key, a.conn)
 }
--- a/internal/wire/pooler/pool.go
+++ b/internal/wire/pooler/pool.go
@@ -21,8 +21,8 @@
 // its address, as another process may start to listen on that address. Its
 // fields are set before use; it is safe for concurrent use.
 type Pool struct {
-	Dial time.Duration // dial timeout
-	Idle time.Duration // idle timeout, unless the peer announces a shorter one
+	DialTimeout time.Duration // dial timeout
+	IdleTimeout time.Duration // idle timeout, unless the peer announces a shorter one
 
 	mu     sync.Mutex
 	idle   map[string][]*conn
@@ -69,8 +69,8 @@
 // Dialed returns how many connections were established.
 func (p *Pool) Dialed() int64 { return p.dialed.Load() }
 
-// Drop closes the idle connections to a peer that was removed.
-func (p *Pool) Drop(key string) {
+// ClosePeer closes the idle connections to a peer that was removed.
+func (p *Pool) ClosePeer(key string) {
 	p.mu.Lock()
 	conns := p.idle[key]
 	delete(p.idle, key)
@@ -80,8 +80,8 @@
 	}
 }
 
-// Sweep closes the connections whose idle timeout has passed.
-func (p *Pool) Sweep(now time.Time) {
+// CloseExpired closes the connections whose idle timeout has passed.
+func (p *Pool) CloseExpired(now time.Time) {
 	p.mu.Lock()
 	var expired []*conn
 	for key, conns := range p.idle {
@@ -137,7 +137,7 @@
 
 func (p *Pool) dial(ctx context.Context, address string) (*conn, error) {
 	dialer := net.Dialer{
-		Timeout:         p.Dial,
+		Timeout:         p.DialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: ackTimeout, Interval: ackTimeout / 2, Count: 2},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var sockErr error
@@ -155,7 +155,7 @@
 		return nil, err
 	}
 	p.dialed.Add(1)
-	return &conn{Conn: c, reader: bufio.NewReaderSize(c, bufferSize), idleTimeout: p.Idle}, nil
+	return &conn{Conn: c, reader: bufio.NewReaderSize(c, bufferSize), idleTimeout: p.IdleTimeout}, nil
 }
 
 // reusable reports whether the connection is open and no data has arrived since
--- a/internal/wire/pooler/pool_test.go
+++ b/internal/wire/pooler/pool_test.go
@@ -52,8 +52,8 @@
 
 func newCall(address, id string) pooler.Call {
 	return pooler.Call{
-		Address: address, Key: address, Message: []byte("GET / HTTP/1.1\r\nHost: a\r\nId: " + id + "\r\n\r\n"),
-		Own: func(h *fasthttp.ResponseHeader) bool { return string(h.Peek("Id")) == id },
+		Address: address, PeerKey: address, Message: []byte("GET / HTTP/1.1\r\nHost: a\r\nId: " + id + "\r\n\r\n"),
+		Matches: func(h *fasthttp.ResponseHeader) bool { return string(h.Peek("Id")) == id },
 	}
 }
 
@@ -70,12 +70,12 @@
 	data, err := io.ReadAll(a.Body)
 	a.Close(err == nil)
 	if err != nil {
-		return "", a.Broken(err)
+		return "", a.BodyError(err)
 	}
 	return string(data), nil
 }
 
-func newPool() *pooler.Pool { return &pooler.Pool{Dial: time.Second, Idle: time.Minute} }
+func newPool() *pooler.Pool { return &pooler.Pool{DialTimeout: time.Second, IdleTimeout: time.Minute} }
 
 func TestConnectionIsReusedOnlyAfterCompleteResponse(t *testing.T) {
 	for _, tc := range []struct {
--- a/internal/wire/requester/requester.go
+++ b/internal/wire/requester/requester.go
@@ -26,8 +26,8 @@
 // A Requester sends requests. Its fields are set before use; the zero value
 // works.
 type Requester struct {
-	Dial  time.Duration // dial timeout; 0 means dialTimeout
-	Limit int           // maximum body that Whole and Post read, in bytes; 0 means bodyLimit
+	DialTimeout time.Duration // dial timeout; 0 means dialTimeout
+	MaxBodySize int           // maximum body that ReadAll and Post read, in bytes; 0 means bodyLimit
 }
 
 const (
@@ -36,8 +36,8 @@
 	bufferSize  = 4096
 )
 
-// An Answer is a response whose body may be a stream.
-type Answer struct {
+// An Response is a response whose body may be a stream.
+type Response struct {
 	Status int
 	Header *fasthttp.ResponseHeader
 	Body   io.Reader
@@ -46,17 +46,17 @@
 	bytesWritten func() int
 }
 
-// Broken returns the observation for a body that could not be read completely.
-func (a *Answer) Broken(err error) judge.Observation {
+// BodyError returns the observation for a body that could not be read completely.
+func (a *Response) BodyError(err error) judge.Observation {
 	return judge.Broken{Written: a.bytesWritten(), Head: true, Err: err}
 }
 
 // Close closes the connection. It may be called more than once.
-func (a *Answer) Close() { a.close() }
+func (a *Response) Close() { a.close() }
 
 // Do sends a request to a host:port. The connection is closed when ctx ends. If
 // there is no response, the observation says how far the request got.
-func (r *Requester) Do(ctx context.Context, address string, request *fasthttp.Request) (*Answer, judge.Observation) {
+func (r *Requester) Do(ctx context.Context, address string, request *fasthttp.Request) (*Response, judge.Observation) {
 	dialer := net.Dialer{Timeout: r.dialTimeout()}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -92,11 +92,11 @@
 	request.Header.SetMethod(fasthttp.MethodPost)
 	request.SetRequestURI("http://" + address + path)
 	request.SetBody(data)
-	return r.Whole(ctx, address, request)
+	return r.ReadAll(ctx, address, request)
 }
 
-// Whole sends a request and reads the complete body, up to Limit.
-func (r *Requester) Whole(ctx context.Context, address string, request *fasthttp.Request) (int, []byte, judge.Observation) {
+// ReadAll sends a request and reads the complete body, up to MaxBodySize.
+func (r *Requester) ReadAll(ctx context.Context, address string, request *fasthttp.Request) (int, []byte, judge.Observation) {
 	answer, observation := r.Do(ctx, address, request)
 	if observation != nil {
 		return 0, nil, observation
@@ -104,27 +104,27 @@
 	defer answer.Close()
 	body, err := io.ReadAll(io.LimitReader(answer.Body, int64(r.bodyLimit())))
 	if err != nil {
-		return 0, nil, answer.Broken(err)
+		return 0, nil, answer.BodyError(err)
 	}
 	return answer.Status, body, nil
 }
 
 func (r *Requester) bodyLimit() int {
-	if r.Limit > 0 {
-		return r.Limit
+	if r.MaxBodySize > 0 {
+		return r.MaxBodySize
 	}
 	return bodyLimit
 }
 
 func (r *Requester) dialTimeout() time.Duration {
-	if r.Dial > 0 {
-		return r.Dial
+	if r.DialTimeout > 0 {
+		return r.DialTimeout
 	}
 	return dialTimeout
 }
 
 // exchange writes the request and reads the header of the response.
-func exchange(conn net.Conn, request *fasthttp.Request) (*Answer, error) {
+func exchange(conn net.Conn, request *fasthttp.Request) (*Response, error) {
 	writer := bufio.NewWriterSize(conn, bufferSize)
 	if err := request.Write(writer); err != nil {
 		return nil, err
@@ -140,7 +140,7 @@
 	if length := response.Header.ContentLength(); length >= 0 {
 		body = pooler.Exact(body, length)
 	}
-	return &Answer{Status: response.StatusCode(), Header: &response.Header, Body: body}, nil
+	return &Response{Status: response.StatusCode(), Header: &response.Header, Body: body}, nil
 }
 
 // A countingConn counts the bytes that the kernel accepted.
