--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/member/elector"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 	"github.com/sardinetiller/sardinetiller/internal/request/admitter"
 	"github.com/sardinetiller/sardinetiller/internal/request/matcher"
@@ -31,9 +31,9 @@
 	callInFlight  bool          // a store call for the lease is in flight
 	polling       bool          // the domain appears to have no leader, and the lease row is polled
 	runners       map[string]*runnerState
-	checksum      uint64              // checksum of the runner descriptions
-	aggregator    gatherer.Aggregator // sums up members' demand reports, on the leader or on an instance that relays them to it
-	firstReportAt time.Time           // when this instance received the first demand report as leader
+	checksum      uint64                // checksum of the runner descriptions
+	aggregator    aggregator.Aggregator // sums up members' demand reports, on the leader or on an instance that relays them to it
+	firstReportAt time.Time             // when this instance received the first demand report as leader
 	changes       changeLog
 	loadWindow    placer.Window         // limits the concurrent loads from the weight store
 	prefillShare  admitter.PrefillShare // learned from the gaps in responses
--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/member/heartbeater"
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
@@ -13,8 +13,8 @@
 // memberTimeout is the time after its last demand report at which a member is dropped.
 const memberTimeout = 3 * time.Second
 
-// HandleDemand implements relayer.DemandHandler: it handles a member's demand report as the leader of
-// the domain, or relays it to the leader.
+// HandleDemand implements relayer.DemandHandler: it handles a member's demand report as the
+// leader of the domain, or relays it to the leader.
 func (g *Gatekeeper) HandleDemand(from heartbeater.Instance, demand relayer.Demand) {
 	d, ok := g.controllers[demand.Domain]
 	switch {
@@ -68,11 +68,11 @@
 }
 
 // summedReport returns the part of a demand report that is summed up over all members.
-func summedReport(demand relayer.Demand) gatherer.Report {
-	sums := gatherer.Report{
+func summedReport(demand relayer.Demand) aggregator.Report {
+	sums := aggregator.Report{
 		Instances: 1 + demand.OtherInstances, Loads: demand.Loads,
-		Uses:  make(map[gatherer.Key]int, len(demand.Uses)),
-		Waits: make(map[gatherer.Key]placer.Waiting, len(demand.Waits)),
+		Uses:  make(map[aggregator.Key]int, len(demand.Uses)),
+		Waits: make(map[aggregator.Key]placer.Waiting, len(demand.Waits)),
 	}
 	for _, u := range demand.Uses {
 		sums.Uses[keyOf(u.Runner, u.Copy)] += u.Requests
@@ -83,11 +83,13 @@
 	return sums
 }
 
-func keyOf(runner string, c placer.Copy) gatherer.Key { return gatherer.Key{Runner: runner, Copy: c} }
+func keyOf(runner string, c placer.Copy) aggregator.Key {
+	return aggregator.Key{Runner: runner, Copy: c}
+}
 
 // applyWaits updates a runner's placer with the number of requests of all members that wait for a
 // copy.
-func (d *controller) applyWaits(k gatherer.Key, all placer.Waiting) {
+func (d *controller) applyWaits(k aggregator.Key, all placer.Waiting) {
 	d.withPlacer(k.Runner, func(p *placer.Placer) {
 		if all.Requests == 0 {
 			p.ClearDemand(k.Copy)
@@ -105,7 +107,7 @@
 }
 
 // recordUse counts a use that a member has begun.
-func (d *controller) recordUse(by string, k gatherer.Key) { d.aggregator.AddUse(by, k, time.Now()) }
+func (d *controller) recordUse(by string, k aggregator.Key) { d.aggregator.AddUse(by, k, time.Now()) }
 
 func (d *controller) withPlacer(runner string, do func(p *placer.Placer)) {
 	if c, ok := d.runners[runner]; ok && c.placer != nil {
--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -18,8 +18,8 @@
 
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
 	"github.com/sardinetiller/sardinetiller/internal/clock/repeater"
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/member/elector"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
 	"github.com/sardinetiller/sardinetiller/internal/platform/tabler"
 	"github.com/sardinetiller/sardinetiller/internal/request/forwarder"
 	"github.com/sardinetiller/sardinetiller/internal/request/matcher"
@@ -174,7 +174,7 @@
 				Self: g.Config.ID, Address: g.Config.AdvertisedAddress(), LeaseDuration: leaseDuration, QuietPeriod: g.Config.Bounds.Quiet + quietMargin, TakeoverDelay: late,
 			},
 		}
-		d.aggregator = gatherer.Aggregator{OnFreed: d.reportFreed, MemberTimeout: memberTimeout, OnWaiting: d.applyWaits}
+		d.aggregator = aggregator.Aggregator{OnFreed: d.reportFreed, MemberTimeout: memberTimeout, OnWaiting: d.applyWaits}
 		g.controllers[domain] = d
 		g.links[domain] = &link{gatekeeper: g, domain: domain, lastUpdate: lastUpdate, wake: make(chan struct{}, 1), relayTimeout: minRelayTimeout + rand.N(relayTimeoutJitter)}
 	}
--- a/internal/instance/gatekeeper/link.go
+++ b/internal/instance/gatekeeper/link.go
@@ -4,8 +4,8 @@
 	"sync"
 	"time"
 
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/member/elector"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
 	"github.com/sardinetiller/sardinetiller/internal/wire/recorder"
 )
 
@@ -16,7 +16,7 @@
 	wake       chan struct{}
 
 	mu             sync.Mutex
-	urgentAt       map[gatherer.Key]time.Time // when the leader was last sent an urgent request for a copy
+	urgentAt       map[aggregator.Key]time.Time // when the leader was last sent an urgent request for a copy
 	diverged       divergence
 	previousSource source        // previous source, to which this instance reported before
 	freshAt        time.Time     // when the source last had current runners that matched this instance's
--- a/internal/instance/gatekeeper/pending_demand.go
+++ b/internal/instance/gatekeeper/pending_demand.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 	"github.com/sardinetiller/sardinetiller/internal/request/admitter"
 	"github.com/sardinetiller/sardinetiller/internal/request/forwarder"
@@ -14,13 +14,13 @@
 // reported as a full snapshot, so that the next report makes up for one that was lost; the
 // other fields hold what was observed since the last report.
 type pendingDemand struct {
-	shortGaps int                   // responses with only short gaps
-	longGaps  int                   // responses with a long gap
-	misses    map[gatherer.Key]bool // copies that requests did not find loaded
-	spare     map[gatherer.Key]bool // further copies requested, for later requests
-	hits      map[gatherer.Key]hitCount
-	uses      map[gatherer.Key]int
-	waits     map[gatherer.Key]map[string]waiter // by copy and request ID
+	shortGaps int                     // responses with only short gaps
+	longGaps  int                     // responses with a long gap
+	misses    map[aggregator.Key]bool // copies that requests did not find loaded
+	spare     map[aggregator.Key]bool // further copies requested, for later requests
+	hits      map[aggregator.Key]hitCount
+	uses      map[aggregator.Key]int
+	waits     map[aggregator.Key]map[string]waiter // by copy and request ID
 }
 
 // A hitCount counts the requests that found a copy loaded on a runner.
@@ -85,7 +85,7 @@
 	k := keyOf(w.Runner, w.Copy)
 	l.mu.Lock()
 	if l.pendingDemand.waits == nil {
-		l.pendingDemand.waits = make(map[gatherer.Key]map[string]waiter)
+		l.pendingDemand.waits = make(map[aggregator.Key]map[string]waiter)
 	}
 	if l.pendingDemand.waits[k] == nil {
 		l.pendingDemand.waits[k] = make(map[string]waiter)
@@ -123,12 +123,12 @@
 
 // newlyRequested reports whether the copy was not requested within urgentInterval, so that the
 // leader needs an immediate report.
-func (l *link) newlyRequested(k gatherer.Key, now time.Time) bool {
+func (l *link) newlyRequested(k aggregator.Key, now time.Time) bool {
 	if now.Sub(l.urgentAt[k]) <= urgentInterval {
 		return false
 	}
 	if l.urgentAt == nil {
-		l.urgentAt = make(map[gatherer.Key]time.Time)
+		l.urgentAt = make(map[aggregator.Key]time.Time)
 	}
 	l.urgentAt[k] = now
 	return true
@@ -146,9 +146,9 @@
 }
 
 // recordHits records requests that found a copy.
-func (n *pendingDemand) recordHits(k gatherer.Key, more hitCount) {
+func (n *pendingDemand) recordHits(k aggregator.Key, more hitCount) {
 	if n.hits == nil {
-		n.hits = make(map[gatherer.Key]hitCount)
+		n.hits = make(map[aggregator.Key]hitCount)
 	}
 	f := n.hits[k]
 	if f.requests == 0 || more.sent.Before(f.sent) {
@@ -170,13 +170,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pendingDemand.uses == nil {
-		l.pendingDemand.uses = make(map[gatherer.Key]int)
+		l.pendingDemand.uses = make(map[aggregator.Key]int)
 	}
 	l.pendingDemand.uses[k]++
 	return func() { l.endUse(k) }
 }
 
-func (l *link) endUse(k gatherer.Key) {
+func (l *link) endUse(k aggregator.Key) {
 	l.mu.Lock()
 	l.pendingDemand.uses[k]--
 	over := l.pendingDemand.uses[k] <= 0
@@ -189,15 +189,15 @@
 	}
 }
 
-func (l *link) addPending(set *map[gatherer.Key]bool, k gatherer.Key) {
+func (l *link) addPending(set *map[aggregator.Key]bool, k aggregator.Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	*set = mark(*set, k)
 }
 
-func mark(set map[gatherer.Key]bool, k gatherer.Key) map[gatherer.Key]bool {
+func mark(set map[aggregator.Key]bool, k aggregator.Key) map[aggregator.Key]bool {
 	if set == nil {
-		set = make(map[gatherer.Key]bool)
+		set = make(map[aggregator.Key]bool)
 	}
 	set[k] = true
 	return set
--- a/internal/instance/gatekeeper/publish.go
+++ b/internal/instance/gatekeeper/publish.go
@@ -26,8 +26,8 @@
 	farUpdateInterval     = 250 * time.Millisecond
 )
 
-// HandleRequest implements relayer.Handler. It handles subscriptions, reservations, requests for a
-// request slot and settlements of quotas.
+// HandleRequest implements relayer.Handler. It handles subscriptions, reservations, requests for
+// a request slot and settlements of quotas.
 func (g *Gatekeeper) HandleRequest(ctx context.Context, from heartbeater.Instance, m relayer.Message, reply *relayer.Reply) error {
 	return g.handle(ctx, from, m, reply)
 }
@@ -83,8 +83,8 @@
 	return d, nil
 }
 
-// HandleHeartbeat implements relayer.Handler. It ignores heartbeats: the demand reports of members show
-// that they are alive.
+// HandleHeartbeat implements relayer.Handler. It ignores heartbeats: the demand reports of
+// members show that they are alive.
 func (g *Gatekeeper) HandleHeartbeat(heartbeater.Instance, relayer.Beat) {}
 
 // publishes reports whether this instance publishes updates of the domain: as its leader, or as
--- a/internal/instance/gatekeeper/relay.go
+++ b/internal/instance/gatekeeper/relay.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
@@ -88,7 +88,7 @@
 }
 
 // relayedDemand returns the sum of the demand that is relayed to the leader of the domain.
-func (d *controller) relayedDemand(now time.Time) gatherer.Report {
+func (d *controller) relayedDemand(now time.Time) aggregator.Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.aggregator.Remove(d.gatekeeper.Config.ID) // recorded while this instance was leader
@@ -144,7 +144,7 @@
 
 // reportFreed requests an urgent report when the last use of a relayed copy has ended and others
 // wait for its adapter slot.
-func (d *controller) reportFreed(k gatherer.Key) {
+func (d *controller) reportFreed(k aggregator.Key) {
 	if d.orderingFence == 0 && d.gatekeeper.Fleet.AdapterSlotsFull(k.Runner) {
 		d.gatekeeper.links[d.domain].reportNow()
 	}
--- a/internal/instance/gatekeeper/relay_test.go
+++ b/internal/instance/gatekeeper/relay_test.go
@@ -10,8 +10,8 @@
 	"github.com/google/go-cmp/cmp"
 
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/member/elector"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
 	"github.com/sardinetiller/sardinetiller/internal/member/heartbeater"
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
@@ -81,7 +81,7 @@
 	c.leader.HandleDemand(heartbeater.Instance{ID: "a-1", Domain: "a"}, c.relay.links["b"].demand())
 }
 
-var testCopyKey = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}}
+var testCopyKey = aggregator.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}}
 
 func (c *chain) addRunner() {
 	for _, g := range []*Gatekeeper{c.leader, c.relay, c.member} {
--- a/internal/instance/gatekeeper/report.go
+++ b/internal/instance/gatekeeper/report.go
@@ -7,7 +7,7 @@
 
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
 	"github.com/sardinetiller/sardinetiller/internal/clock/repeater"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 )
 
@@ -84,7 +84,7 @@
 }
 
 // demandOf returns the message that reports the sums.
-func demandOf(domain string, sums gatherer.Report) relayer.Demand {
+func demandOf(domain string, sums aggregator.Report) relayer.Demand {
 	d := relayer.Demand{Domain: domain, OtherInstances: sums.Instances - 1, Loads: sums.Loads}
 	for k, n := range sums.Uses {
 		d.Uses = append(d.Uses, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy, Requests: n})
@@ -97,7 +97,7 @@
 
 // totalDemand returns the sums of this instance's requests in the domain, and those of the
 // instances whose reports it relays.
-func (l *link) totalDemand() gatherer.Report {
+func (l *link) totalDemand() aggregator.Report {
 	sums := l.ownDemand()
 	g := l.gatekeeper
 	if d := g.controllers[l.domain]; !d.leads() {
@@ -107,11 +107,11 @@
 }
 
 // ownDemand returns the sums of this instance's requests in the domain.
-func (l *link) ownDemand() gatherer.Report {
+func (l *link) ownDemand() aggregator.Report {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sums := gatherer.Report{
-		Instances: 1, Loads: l.gatekeeper.Fleet.LoadsIn(l.domain), Uses: maps.Clone(l.pendingDemand.uses), Waits: make(map[gatherer.Key]placer.Waiting),
+	sums := aggregator.Report{
+		Instances: 1, Loads: l.gatekeeper.Fleet.LoadsIn(l.domain), Uses: maps.Clone(l.pendingDemand.uses), Waits: make(map[aggregator.Key]placer.Waiting),
 	}
 	now := time.Now()
 	for k, waiters := range l.pendingDemand.waits {
--- a/internal/instance/gatekeeper/request_slot.go
+++ b/internal/instance/gatekeeper/request_slot.go
@@ -11,8 +11,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// AcquireSlot implements forwarder.Placement. The leader of the runner's domain counts the requests at
-// the runner: what an instance knows of the requests of others is as old as a few runs take.
+// AcquireSlot implements forwarder.Placement. The leader of the runner's domain counts the
+// requests at the runner: what an instance knows of the requests of others is as old as a few
+// runs take.
 func (g *Gatekeeper) AcquireSlot(ctx context.Context, runner string, within time.Duration) (p forwarder.RequestSlot, refused *judge.Error, ok bool) {
 	l, found := g.linkOf(runner)
 	if !found {
--- a/internal/instance/gatekeeper/stop.go
+++ b/internal/instance/gatekeeper/stop.go
@@ -58,8 +58,8 @@
 	return leaving
 }
 
-// StoppingSoon reports whether the instance ends so soon that a request still waiting can no longer
-// be answered.
+// StoppingSoon reports whether the instance ends so soon that a request still waiting can no
+// longer be answered.
 func (g *Gatekeeper) StoppingSoon() bool {
 	since, leaving := g.stoppingSince.get()
 	return leaving && time.Since(since) >= g.Config.Bounds.Grace-exitMargin-refuseMargin
--- a/internal/member/gatherer/gatherer.go
+++ b/internal/member/aggregator/aggregator.go
@@ -1,11 +1,11 @@
-// Package gatherer aggregates what the requests of many instances need and use at
+// Package aggregator aggregates what the requests of many instances need and use at
 // the runners of a failure domain.
 //
 // Each instance repeatedly reports its complete state, so the next report makes up
 // for a lost one, and an instance that stops reporting is removed after a timeout.
 // The sums are updated incrementally: the cost of a report does not depend on the
 // number of instances.
-package gatherer
+package aggregator
 
 import (
 	"time"
--- a/internal/member/gatherer/gatherer_test.go
+++ b/internal/member/aggregator/aggregator_test.go
@@ -1,4 +1,4 @@
-package gatherer_test
+package aggregator_test
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
@@ -19,16 +19,16 @@
 
 var (
 	start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	hot   = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}}
-	cold  = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a2", Version: 1}}
+	hot   = aggregator.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}}
+	cold  = aggregator.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a2", Version: 1}}
 )
 
 func ExampleAggregator_Report() {
-	g := gatherer.Aggregator{MemberTimeout: memberTimeout}
-	g.Report("front-1", gatherer.Report{Instances: 1, Uses: map[gatherer.Key]int{hot: 2}}, start)
-	g.Report("front-2", gatherer.Report{Instances: 1, Uses: map[gatherer.Key]int{hot: 1}}, start)
+	g := aggregator.Aggregator{MemberTimeout: memberTimeout}
+	g.Report("front-1", aggregator.Report{Instances: 1, Uses: map[aggregator.Key]int{hot: 2}}, start)
+	g.Report("front-2", aggregator.Report{Instances: 1, Uses: map[aggregator.Key]int{hot: 1}}, start)
 	fmt.Println(g.Uses(hot))
-	g.Report("front-1", gatherer.Report{Instances: 1}, start) // complete: its uses have ended
+	g.Report("front-1", aggregator.Report{Instances: 1}, start) // complete: its uses have ended
 	fmt.Println(g.Uses(hot))
 	g.Expire(start.Add(memberTimeout + time.Second)) // no reports since
 	fmt.Println(g.Uses(hot), g.Instances())
@@ -42,17 +42,17 @@
 // whichever reported last: given the requests of one instance only, it gave the adapter
 // slot to a copy for which fewer requests waited.
 func TestWaitingRequestsOfAllMembersAreSummed(t *testing.T) {
-	notified := make(map[gatherer.Key]placer.Waiting)
-	g := gatherer.Aggregator{MemberTimeout: memberTimeout, OnWaiting: func(k gatherer.Key, all placer.Waiting) { notified[k] = all }}
-	waits := func(priority, requests, inTime int) gatherer.Report {
-		return gatherer.Report{Waits: map[gatherer.Key]placer.Waiting{hot: {Priority: priority, Requests: requests, InTime: inTime}}}
+	notified := make(map[aggregator.Key]placer.Waiting)
+	g := aggregator.Aggregator{MemberTimeout: memberTimeout, OnWaiting: func(k aggregator.Key, all placer.Waiting) { notified[k] = all }}
+	waits := func(priority, requests, inTime int) aggregator.Report {
+		return aggregator.Report{Waits: map[aggregator.Key]placer.Waiting{hot: {Priority: priority, Requests: requests, InTime: inTime}}}
 	}
 	g.Report("front-1", waits(1, 2, 1), start)
 	g.Report("front-2", waits(0, 3, 2), start)
 	if diff := cmp.Diff(placer.Waiting{Priority: 0, Requests: 5, InTime: 3}, notified[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
 		t.Error("requests of both wait:", diff)
 	}
-	g.Report("front-2", gatherer.Report{}, start)
+	g.Report("front-2", aggregator.Report{}, start)
 	if diff := cmp.Diff(placer.Waiting{Priority: 1, Requests: 2, InTime: 1}, notified[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
 		t.Error("after the urgent requests ended:", diff)
 	}
@@ -66,18 +66,18 @@
 // ended. An instance that relays reports must be notified of that, or the adapter slot
 // stays occupied until the next report.
 func TestFreedIsCalledWhenLastUseEnds(t *testing.T) {
-	var freed []gatherer.Key
-	g := gatherer.Aggregator{MemberTimeout: memberTimeout, OnFreed: func(k gatherer.Key) { freed = append(freed, k) }}
-	uses := func(n int) gatherer.Report { return gatherer.Report{Uses: map[gatherer.Key]int{hot: n, cold: 1}} }
+	var freed []aggregator.Key
+	g := aggregator.Aggregator{MemberTimeout: memberTimeout, OnFreed: func(k aggregator.Key) { freed = append(freed, k) }}
+	uses := func(n int) aggregator.Report { return aggregator.Report{Uses: map[aggregator.Key]int{hot: n, cold: 1}} }
 	g.Report("front-1", uses(2), start)
 	g.Report("front-2", uses(1), start)
 	g.Report("front-1", uses(1), start)
-	g.Report("front-2", gatherer.Report{Uses: map[gatherer.Key]int{cold: 1}}, start)
+	g.Report("front-2", aggregator.Report{Uses: map[aggregator.Key]int{cold: 1}}, start)
 	if len(freed) > 0 {
 		t.Errorf("Freed was called for %v, which are in use", freed)
 	}
-	g.Report("front-1", gatherer.Report{Uses: map[gatherer.Key]int{cold: 1}}, start)
-	if diff := cmp.Diff([]gatherer.Key{hot}, freed); diff != "" {
+	g.Report("front-1", aggregator.Report{Uses: map[aggregator.Key]int{cold: 1}}, start)
+	if diff := cmp.Diff([]aggregator.Key{hot}, freed); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -93,8 +93,8 @@
 }
 
 func compareWithReports(t *testing.T, rng *rand.Rand) {
-	g := gatherer.Aggregator{MemberTimeout: memberTimeout}
-	reports := make(map[string]gatherer.Report)
+	g := aggregator.Aggregator{MemberTimeout: memberTimeout}
+	reports := make(map[string]aggregator.Report)
 	lastReportAt := make(map[string]time.Time)
 	now := start
 	for range 60 {
@@ -109,7 +109,7 @@
 			g.AddUse(id, k, now)
 			if _, known := reports[id]; !known {
 				lastReportAt[id] = now
-				reports[id] = gatherer.Report{Uses: make(map[gatherer.Key]int)}
+				reports[id] = aggregator.Report{Uses: make(map[aggregator.Key]int)}
 			}
 			reports[id].Uses[k]++
 		case 2:
@@ -125,7 +125,7 @@
 			w.Uses = maps.Clone(w.Uses)
 			g.Report(id, w, now)
 		}
-		var want gatherer.Report
+		var want aggregator.Report
 		for _, w := range reports {
 			want.Add(w)
 		}
@@ -135,13 +135,13 @@
 	}
 }
 
-func randomKey(rng *rand.Rand) gatherer.Key {
-	return gatherer.Key{Runner: fmt.Sprint("i-", rng.IntN(3)), Copy: placer.Copy{Model: "m", Adapter: fmt.Sprint("a", rng.IntN(3)), Version: 1}}
+func randomKey(rng *rand.Rand) aggregator.Key {
+	return aggregator.Key{Runner: fmt.Sprint("i-", rng.IntN(3)), Copy: placer.Copy{Model: "m", Adapter: fmt.Sprint("a", rng.IntN(3)), Version: 1}}
 }
 
-func randomReport(rng *rand.Rand) gatherer.Report {
-	w := gatherer.Report{
-		Instances: 1 + rng.IntN(3), Loads: make(map[string]tracker.Load), Uses: make(map[gatherer.Key]int), Waits: make(map[gatherer.Key]placer.Waiting),
+func randomReport(rng *rand.Rand) aggregator.Report {
+	w := aggregator.Report{
+		Instances: 1 + rng.IntN(3), Loads: make(map[string]tracker.Load), Uses: make(map[aggregator.Key]int), Waits: make(map[aggregator.Key]placer.Waiting),
 	}
 	for range rng.IntN(4) {
 		w.Loads[randomKey(rng).Runner] = tracker.Load{Running: 1 + rng.IntN(5), PrefillTokens: rng.IntN(1000)}
@@ -156,11 +156,11 @@
 	for _, members := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprint("members=", members), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
-			g := gatherer.Aggregator{MemberTimeout: memberTimeout, OnWaiting: func(gatherer.Key, placer.Waiting) {}}
+			g := aggregator.Aggregator{MemberTimeout: memberTimeout, OnWaiting: func(aggregator.Key, placer.Waiting) {}}
 			for n := range members {
 				g.Report(fmt.Sprint("front-", n), randomReport(rng), start)
 			}
-			reports := []gatherer.Report{randomReport(rng), randomReport(rng)}
+			reports := []aggregator.Report{randomReport(rng), randomReport(rng)}
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
 				g.Report("front-0", reports[n%2], start)
--- a/internal/member/gatherer/report.go
+++ b/internal/member/aggregator/report.go
@@ -1,4 +1,4 @@
-package gatherer
+package aggregator
 
 import (
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
