--- a/internal/account/limiter/message.go
+++ b/internal/account/limiter/message.go
@@ -12,7 +12,7 @@
 }
 
 // isLedger reports whether the reporter is a Ledger.
-func (p Reporter) isLedger() bool { return p.Domain != "" }
+func (r Reporter) isLedger() bool { return r.Domain != "" }
 
 // A Spent is the report of the tokens spent of one account's quota.
 type Spent struct {
--- a/internal/adapter/keeper/keeper_test.go
+++ b/internal/adapter/keeper/keeper_test.go
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestSurrenderWaitsForPendingEviction(t *testing.T) {
+func TestHandoverWaitsForPendingEviction(t *testing.T) {
 	k := newKeeper()
 	load(t, k, "x@1", start)
 	load(t, k, "y@1", start)
--- a/internal/instance/server/crashrow.go
+++ b/internal/instance/server/crashrow.go
@@ -52,14 +52,14 @@
 // has reached MinPersistedCrashes; a cleared one only if it is stored or queued already.
 func (s *Server) storeCrashReports(reports []quarantiner.CrashReport) {
 	now := time.Now()
-	for _, w := range reports {
-		if w.Cleared {
-			if s.quarantine.isStoredOrQueued(w.Crash()) {
-				s.quarantine.queueRow(w.Crash(), false)
+	for _, r := range reports {
+		if r.Cleared {
+			if s.quarantine.isStoredOrQueued(r.Crash()) {
+				s.quarantine.queueRow(r.Crash(), false)
 			}
 			continue
 		}
-		crashes := s.quarantine.ledger.Uncleared(w.Digest, now)
+		crashes := s.quarantine.ledger.Uncleared(r.Digest, now)
 		if len(crashes) < quarantiner.MinPersistedCrashes {
 			continue
 		}
--- a/internal/instance/server/quarantine.go
+++ b/internal/instance/server/quarantine.go
@@ -81,9 +81,9 @@
 // applyCrashReports applies crash reports and returns those that were new.
 func (s *Server) applyCrashReports(reports []quarantiner.CrashReport, from string) []quarantiner.CrashReport {
 	newReports := s.quarantine.ledger.Apply(reports, time.Now())
-	for _, w := range newReports {
-		left, held := s.quarantine.ledger.Quarantined(w.Digest, time.Now())
-		_ = level.Info(s.Logger).Log("msg", "request suspected", "digest", w.Digest, "engine", w.Runner, "cleared", w.Cleared,
+	for _, r := range newReports {
+		left, held := s.quarantine.ledger.Quarantined(r.Digest, time.Now())
+		_ = level.Info(s.Logger).Log("msg", "request suspected", "digest", r.Digest, "engine", r.Runner, "cleared", r.Cleared,
 			"from", from, "held", held, "for", left)
 	}
 	s.Metrics.GetOrCreateCounter("sardinetiller_suspected_total").Add(len(newReports))
@@ -110,8 +110,8 @@
 	if q.repeatedSince == nil {
 		q.repeatedSince = make(map[quarantiner.Crash]time.Time)
 	}
-	for _, w := range reports {
-		q.repeatedSince[w.Crash()] = time.Now()
+	for _, r := range reports {
+		q.repeatedSince[r.Crash()] = time.Now()
 	}
 }
 
--- a/internal/instance/server/settings.go
+++ b/internal/instance/server/settings.go
@@ -101,8 +101,8 @@
 	}
 	defer c.Close()
 	response, err := c.Next(ctx)
-	if told, ok := response.(relayer.Told); ok && err == nil {
-		s.offerSettings(ctx, told.Head)
+	if settings, ok := response.(relayer.Told); ok && err == nil {
+		s.offerSettings(ctx, settings.Head)
 		s.declareUpstreams()
 	}
 }
--- a/internal/member/aggregator/aggregator.go
+++ b/internal/member/aggregator/aggregator.go
@@ -36,80 +36,80 @@
 }
 
 // Report replaces the last report of a member.
-func (g *Aggregator) Report(from string, w Report, now time.Time) {
-	m := g.member(from, now)
+func (a *Aggregator) Report(from string, r Report, now time.Time) {
+	m := a.member(from, now)
 	m.lastReportAt = now
 	previous := m.lastReport.Uses
-	g.replaceReport(from, m, w)
-	if g.OnFreed == nil {
+	a.replaceReport(from, m, r)
+	if a.OnFreed == nil {
 		return
 	}
 	for k := range previous {
-		if g.uses[k] == 0 {
-			g.OnFreed(k)
+		if a.uses[k] == 0 {
+			a.OnFreed(k)
 		}
 	}
 }
 
 // AddUse counts a use that a member has begun. The member's next report replaces the
 // count and includes this use for as long as it lasts.
-func (g *Aggregator) AddUse(by string, k Key, now time.Time) {
-	m := g.member(by, now)
+func (a *Aggregator) AddUse(by string, k Key, now time.Time) {
+	m := a.member(by, now)
 	if m.lastReport.Uses == nil {
 		m.lastReport.Uses = make(map[Key]int)
 	}
 	m.lastReport.Uses[k]++
-	g.addUses(k, 1)
+	a.addUses(k, 1)
 }
 
 // Remove removes a member.
-func (g *Aggregator) Remove(id string) {
-	if m, ok := g.members[id]; ok {
-		g.replaceReport(id, m, Report{})
-		delete(g.members, id)
+func (a *Aggregator) Remove(id string) {
+	if m, ok := a.members[id]; ok {
+		a.replaceReport(id, m, Report{})
+		delete(a.members, id)
 	}
 }
 
 // Clear removes all members.
-func (g *Aggregator) Clear() {
-	for id := range g.members {
-		g.Remove(id)
+func (a *Aggregator) Clear() {
+	for id := range a.members {
+		a.Remove(id)
 	}
 }
 
 // Expire removes the members that stopped reporting. Without it the uses of a
 // crashed instance would occupy their adapter slots for good.
-func (g *Aggregator) Expire(now time.Time) {
-	if now.Sub(g.oldestReport) <= g.MemberTimeout {
+func (a *Aggregator) Expire(now time.Time) {
+	if now.Sub(a.oldestReport) <= a.MemberTimeout {
 		return
 	}
-	g.oldestReport = now
-	for id, m := range g.members {
-		if now.Sub(m.lastReportAt) > g.MemberTimeout {
-			g.Remove(id)
-		} else if m.lastReportAt.Before(g.oldestReport) {
-			g.oldestReport = m.lastReportAt
+	a.oldestReport = now
+	for id, m := range a.members {
+		if now.Sub(m.lastReportAt) > a.MemberTimeout {
+			a.Remove(id)
+		} else if m.lastReportAt.Before(a.oldestReport) {
+			a.oldestReport = m.lastReportAt
 		}
 	}
 }
 
 // IsMember reports whether id is a member.
-func (g *Aggregator) IsMember(id string) bool {
-	_, ok := g.members[id]
+func (a *Aggregator) IsMember(id string) bool {
+	_, ok := a.members[id]
 	return ok
 }
 
 // Instances returns the number of instances that the members report for.
-func (g *Aggregator) Instances() int { return g.instances }
+func (a *Aggregator) Instances() int { return a.instances }
 
 // Loads returns the load of each runner from all members but one.
-func (g *Aggregator) Loads(except string) map[string]tracker.Load {
+func (a *Aggregator) Loads(except string) map[string]tracker.Load {
 	var own map[string]tracker.Load
-	if m, ok := g.members[except]; ok {
+	if m, ok := a.members[except]; ok {
 		own = m.lastReport.Loads
 	}
-	others := make(map[string]tracker.Load, len(g.loads))
-	for runner, load := range g.loads {
+	others := make(map[string]tracker.Load, len(a.loads))
+	for runner, load := range a.loads {
 		if rest := load.Minus(own[runner]); rest != (tracker.Load{}) {
 			others[runner] = rest
 		}
@@ -118,111 +118,111 @@
 }
 
 // Uses returns how many requests use a copy, which must not be evicted meanwhile.
-func (g *Aggregator) Uses(k Key) int { return g.uses[k] }
+func (a *Aggregator) Uses(k Key) int { return a.uses[k] }
 
 // Sum returns the sum of the reports of all members.
-func (g *Aggregator) Sum() Report {
-	w := Report{Instances: g.instances, Loads: g.Loads(""), Uses: make(map[Key]int, len(g.uses)), Waits: make(map[Key]placer.Waiting, len(g.waiting))}
-	for k, n := range g.uses {
+func (a *Aggregator) Sum() Report {
+	w := Report{Instances: a.instances, Loads: a.Loads(""), Uses: make(map[Key]int, len(a.uses)), Waits: make(map[Key]placer.Waiting, len(a.waiting))}
+	for k, n := range a.uses {
 		w.Uses[k] = n
 	}
-	for k := range g.waiting {
-		w.Waits[k] = g.totalWaiting(k)
+	for k := range a.waiting {
+		w.Waits[k] = a.totalWaiting(k)
 	}
 	return w
 }
 
-func (g *Aggregator) member(id string, now time.Time) *member {
-	m, ok := g.members[id]
+func (a *Aggregator) member(id string, now time.Time) *member {
+	m, ok := a.members[id]
 	if !ok {
 		m = &member{lastReportAt: now}
-		if g.members == nil {
-			g.members = make(map[string]*member)
-			g.oldestReport = now
+		if a.members == nil {
+			a.members = make(map[string]*member)
+			a.oldestReport = now
 		}
-		g.members[id] = m
+		a.members[id] = m
 	}
 	return m
 }
 
 // replaceReport replaces a member's last report and updates the sums.
-func (g *Aggregator) replaceReport(id string, m *member, w Report) {
+func (a *Aggregator) replaceReport(id string, m *member, r Report) {
 	previous := m.lastReport
-	m.lastReport = w
-	g.instances += w.Instances - previous.Instances
+	m.lastReport = r
+	a.instances += r.Instances - previous.Instances
 	for runner, load := range previous.Loads {
-		g.addLoad(runner, tracker.Load{}.Minus(load))
+		a.addLoad(runner, tracker.Load{}.Minus(load))
 	}
-	for runner, load := range w.Loads {
-		g.addLoad(runner, load)
+	for runner, load := range r.Loads {
+		a.addLoad(runner, load)
 	}
 	for k, n := range previous.Uses {
-		g.addUses(k, -n)
+		a.addUses(k, -n)
 	}
-	for k, n := range w.Uses {
-		g.addUses(k, n)
+	for k, n := range r.Uses {
+		a.addUses(k, n)
 	}
 	for k := range previous.Waits {
-		if _, still := w.Waits[k]; !still {
-			g.removeWaiting(id, k)
+		if _, still := r.Waits[k]; !still {
+			a.removeWaiting(id, k)
 		}
 	}
-	for k, waiting := range w.Waits {
-		g.setWaiting(id, k, waiting)
+	for k, waiting := range r.Waits {
+		a.setWaiting(id, k, waiting)
 	}
 }
 
-func (g *Aggregator) addLoad(runner string, change tracker.Load) {
-	if g.loads == nil {
-		g.loads = make(map[string]tracker.Load)
+func (a *Aggregator) addLoad(runner string, change tracker.Load) {
+	if a.loads == nil {
+		a.loads = make(map[string]tracker.Load)
 	}
-	sum := g.loads[runner].Plus(change)
+	sum := a.loads[runner].Plus(change)
 	if sum == (tracker.Load{}) {
-		delete(g.loads, runner)
+		delete(a.loads, runner)
 		return
 	}
-	g.loads[runner] = sum
+	a.loads[runner] = sum
 }
 
-func (g *Aggregator) addUses(k Key, n int) {
-	if g.uses == nil {
-		g.uses = make(map[Key]int)
+func (a *Aggregator) addUses(k Key, n int) {
+	if a.uses == nil {
+		a.uses = make(map[Key]int)
 	}
-	g.uses[k] += n
-	if g.uses[k] <= 0 {
-		delete(g.uses, k)
+	a.uses[k] += n
+	if a.uses[k] <= 0 {
+		delete(a.uses, k)
 	}
 }
 
-func (g *Aggregator) setWaiting(id string, k Key, waiting placer.Waiting) {
-	if g.waiting == nil {
-		g.waiting = make(map[Key]map[string]placer.Waiting)
+func (a *Aggregator) setWaiting(id string, k Key, waiting placer.Waiting) {
+	if a.waiting == nil {
+		a.waiting = make(map[Key]map[string]placer.Waiting)
 	}
-	if g.waiting[k] == nil {
-		g.waiting[k] = make(map[string]placer.Waiting)
+	if a.waiting[k] == nil {
+		a.waiting[k] = make(map[string]placer.Waiting)
 	}
-	g.waiting[k][id] = waiting
-	g.notifyWaits(k)
+	a.waiting[k][id] = waiting
+	a.notifyWaits(k)
 }
 
-func (g *Aggregator) removeWaiting(id string, k Key) {
-	delete(g.waiting[k], id)
-	if len(g.waiting[k]) == 0 {
-		delete(g.waiting, k)
+func (a *Aggregator) removeWaiting(id string, k Key) {
+	delete(a.waiting[k], id)
+	if len(a.waiting[k]) == 0 {
+		delete(a.waiting, k)
 	}
-	g.notifyWaits(k)
+	a.notifyWaits(k)
 }
 
-func (g *Aggregator) notifyWaits(k Key) {
-	if g.OnWaiting != nil {
-		g.OnWaiting(k, g.totalWaiting(k))
+func (a *Aggregator) notifyWaits(k Key) {
+	if a.OnWaiting != nil {
+		a.OnWaiting(k, a.totalWaiting(k))
 	}
 }
 
 // totalWaiting returns the sum over all members of the requests that wait for a copy.
-func (g *Aggregator) totalWaiting(k Key) placer.Waiting {
+func (a *Aggregator) totalWaiting(k Key) placer.Waiting {
 	total := placer.Waiting{Priority: placer.Spare}
-	for _, waiting := range g.waiting[k] {
+	for _, waiting := range a.waiting[k] {
 		total = total.Plus(waiting)
 	}
 	return total
--- a/internal/member/aggregator/aggregator_test.go
+++ b/internal/member/aggregator/aggregator_test.go
@@ -126,8 +126,8 @@
 			g.Report(id, w, now)
 		}
 		var want aggregator.Report
-		for _, w := range reports {
-			want.Add(w)
+		for _, r := range reports {
+			want.Add(r)
 		}
 		if diff := cmp.Diff(want, g.Sum(), cmpopts.EquateEmpty(), cmp.AllowUnexported(placer.Waiting{}, tracker.Load{})); diff != "" {
 			t.Fatal(diff)
--- a/internal/member/leaser/holder.go
+++ b/internal/member/leaser/holder.go
@@ -136,13 +136,13 @@
 // PreviousOwners returns the incarnations that may have used a runner before: every
 // other member, and all departed ones not yet known to have terminated.
 func (h *Holder) PreviousOwners() []string {
-	var parties []string
+	var previous []string
 	for _, m := range h.roster.Members {
 		if m.Incarnation != h.Self.Incarnation {
-			parties = append(parties, m.Incarnation)
+			previous = append(previous, m.Incarnation)
 		}
 	}
-	return append(parties, h.roster.Departed...)
+	return append(previous, h.roster.Departed...)
 }
 
 // Removed records that a renewal failed because the lease row no longer exists:
--- a/internal/request/claimer/batcher_test.go
+++ b/internal/request/claimer/batcher_test.go
@@ -62,8 +62,8 @@
 	}
 }
 
-// BenchmarkGather measures the cost of a claim in the batcher, with a table in memory.
-func BenchmarkGather(b *testing.B) {
+// BenchmarkCommitBatched measures the cost of a claim in the batcher, with a table in memory.
+func BenchmarkCommitBatched(b *testing.B) {
 	c := &claimer.Claimer{Self: "i", Table: &tabler.Memory{}, Gone: func(string) bool { return false }}
 	go c.Run(b.Context())
 	var serial atomic.Int64
--- a/internal/request/forwarder/attempt.go
+++ b/internal/request/forwarder/attempt.go
@@ -172,7 +172,7 @@
 	case errors.Is(cause, context.Canceled):
 		return errCallerGone
 	default:
-		broken := judge.Judge(reply.Broken(err))
+		broken := judge.Judge(reply.BodyError(err))
 		p.reportBroken(ctx, runner, broken)
 		return broken
 	}
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -40,15 +40,15 @@
 
 // A placement is a scripted forwarder.Placement. Unset functions grant nothing.
 type placement struct {
-	place   func(runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool)
-	reserve func(a forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool)
-	spare   func(runner string)
+	place            func(runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool)
+	reserve          func(a forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool)
+	requestSpareCopy func(runner string)
 }
 
 func (p placement) ReportWaiting(w forwarder.Waiter) { p.RequestSpareCopy(w.Runner, w.Copy) }
 func (p placement) RequestSpareCopy(runner string, _ placer.Copy) {
-	if p.spare != nil {
-		p.spare(runner)
+	if p.requestSpareCopy != nil {
+		p.requestSpareCopy(runner)
 	}
 }
 
@@ -124,7 +124,7 @@
 func streamReply(b *body) *forwarder.Reply {
 	return &forwarder.Reply{
 		Status: 200, Body: b, Close: func(bool) {},
-		Broken: func(err error) judge.Observation { return judge.Broken{Written: 1, Head: true, Err: err} },
+		BodyError: func(err error) judge.Observation { return judge.Broken{Written: 1, Head: true, Err: err} },
 	}
 }
 
@@ -216,7 +216,7 @@
 					reserve: func(forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool) {
 						return forwarder.Reservation{Delay: tc.wait}, nil, true
 					},
-					spare: func(runner string) { requested = append(requested, runner) },
+					requestSpareCopy: func(runner string) { requested = append(requested, runner) },
 				}, 2)
 				adapter := placer.Copy{Model: "m", Adapter: "a1", Version: 2}
 				f.Fleet.SetHeld("i-0", map[placer.Copy]time.Time{adapter: {}})
@@ -340,7 +340,7 @@
 			}
 			return &forwarder.Reply{
 				Status: 503, NotRun: true, Body: &body{ctx: ctx, from: 1, end: io.EOF}, Close: func(bool) {},
-				Broken: func(err error) judge.Observation { return judge.Broken{Written: 1, Head: true, Err: err} },
+				BodyError: func(err error) judge.Observation { return judge.Broken{Written: 1, Head: true, Err: err} },
 			}, nil
 		}}
 		var got sink
--- a/internal/request/forwarder/request.go
+++ b/internal/request/forwarder/request.go
@@ -67,8 +67,8 @@
 	NotRun      bool   // the runner states that the request did not run
 	Misdirected bool   // the runner is another one or does not hold the adapter
 	Body        io.Reader
-	Close       func(whole bool) // whole: the body was read to its end
-	Broken      func(err error) judge.Observation
+	Close       func(complete bool) // complete: the body was read to its end
+	BodyError   func(err error) judge.Observation
 }
 
 // An Upstream sends requests to runners.
--- a/internal/request/forwarder/stream.go
+++ b/internal/request/forwarder/stream.go
@@ -83,7 +83,7 @@
 		}
 	}
 	if err != nil {
-		return judge.Judge(reply.Broken(err))
+		return judge.Judge(reply.BodyError(err))
 	}
 	return nil
 }
--- a/internal/request/quarantiner/crash.go
+++ b/internal/request/quarantiner/crash.go
@@ -20,4 +20,4 @@
 }
 
 // Crash returns the crash that is reported.
-func (w CrashReport) Crash() Crash { return Crash{w.Digest, w.Runner} }
+func (r CrashReport) Crash() Crash { return Crash{r.Digest, r.Runner} }
--- a/internal/request/quarantiner/ledger.go
+++ b/internal/request/quarantiner/ledger.go
@@ -89,9 +89,9 @@
 func (l *Ledger) Apply(reports []CrashReport, now time.Time) (changed []CrashReport) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, w := range reports {
-		if w.Age < Retention && l.apply(w, now) {
-			changed = append(changed, w)
+	for _, r := range reports {
+		if r.Age < Retention && l.apply(r, now) {
+			changed = append(changed, r)
 		}
 	}
 	if len(changed) > 0 {
@@ -102,26 +102,26 @@
 }
 
 // apply applies a crash report and reports whether it changed the ledger.
-func (l *Ledger) apply(w CrashReport, now time.Time) bool {
+func (l *Ledger) apply(r CrashReport, now time.Time) bool {
 	if l.suspects == nil {
 		l.suspects = make(map[Digest]*suspect)
 	}
-	s, ok := l.suspects[w.Digest]
+	s, ok := l.suspects[r.Digest]
 	if !ok {
 		s = &suspect{crashes: make(map[string]*entry)}
-		l.suspects[w.Digest] = s
+		l.suspects[r.Digest] = s
 	}
-	e, ok := s.crashes[w.Runner]
-	if ok && (e.cleared || !w.Cleared && w.RunTime >= e.runTime) {
+	e, ok := s.crashes[r.Runner]
+	if ok && (e.cleared || !r.Cleared && r.RunTime >= e.runTime) {
 		return false
 	}
 	if !ok {
-		e = &entry{at: now.Add(-max(0, w.Age)), runTime: w.RunTime}
-		s.crashes[w.Runner] = e
+		e = &entry{at: now.Add(-max(0, r.Age)), runTime: r.RunTime}
+		s.crashes[r.Runner] = e
 		l.crashes++
 	}
 	l.seq++
-	e.cleared, e.runTime, e.seq = w.Cleared, min(e.runTime, w.RunTime), l.seq
+	e.cleared, e.runTime, e.seq = r.Cleared, min(e.runTime, r.RunTime), l.seq
 	return true
 }
 
@@ -159,7 +159,7 @@
 }
 
 // Report returns the report of a crash; ok is false if the crash is not known.
-func (l *Ledger) Report(c Crash, now time.Time) (w CrashReport, ok bool) {
+func (l *Ledger) Report(c Crash, now time.Time) (r CrashReport, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	s, ok := l.suspects[c.Digest]
--- a/internal/request/quarantiner/ledger_test.go
+++ b/internal/request/quarantiner/ledger_test.go
@@ -115,8 +115,8 @@
 		for i := range verdicts {
 			var l quarantiner.Ledger
 			rng.Shuffle(len(reports), func(a, b int) { reports[a], reports[b] = reports[b], reports[a] })
-			for _, w := range reports {
-				l.Apply([]quarantiner.CrashReport{w}, start)
+			for _, r := range reports {
+				l.Apply([]quarantiner.CrashReport{r}, start)
 				if rng.IntN(4) == 0 {
 					l.Apply([]quarantiner.CrashReport{reports[rng.IntN(len(reports))]}, start)
 				}
--- a/internal/request/quarantiner/row.go
+++ b/internal/request/quarantiner/row.go
@@ -16,8 +16,8 @@
 }
 
 // Row returns the row of a crash that is reported now.
-func (w CrashReport) Row(now time.Time) Row {
-	return Row{At: now.Add(-w.Age).Unix(), RunTime: w.RunTime, Cleared: w.Cleared}
+func (r CrashReport) Row(now time.Time) Row {
+	return Row{At: now.Add(-r.Age).Unix(), RunTime: r.RunTime, Cleared: r.Cleared}
 }
 
 // Report returns the crash report, as of now, of a persisted crash.
--- a/internal/upstream/tracker/fleet.go
+++ b/internal/upstream/tracker/fleet.go
@@ -285,13 +285,13 @@
 
 // SetLeaderPresent records whether a failure domain has a leader now. Without one, adapters
 // that its runners do not hold are not loaded.
-func (f *Fleet) SetLeaderPresent(domain string, staffed bool) {
+func (f *Fleet) SetLeaderPresent(domain string, present bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.leaderless == nil {
 		f.leaderless = make(map[string]bool)
 	}
-	f.leaderless[domain] = !staffed
+	f.leaderless[domain] = !present
 }
 
 // SetAdapterSlotWaits records, by runner ID, how long a copy that the runner does not hold waits
