--- a/internal/adapter/keeper/ownership_test.go
+++ b/internal/adapter/keeper/ownership_test.go
@@ -24,7 +24,7 @@
 	sent         []keeper.Handle
 }
 
-// A custody models one engine and several owners, one of which holds the lease.
+// An ownershipModel models one engine and several owners, one of which holds the lease.
 type ownershipModel struct {
 	epoch        uint64
 	fence        uint64 // highest fencing token that the engine has received
--- a/internal/adapter/loader/share.go
+++ b/internal/adapter/loader/share.go
@@ -18,7 +18,7 @@
 	peers   map[string]queueReport
 }
 
-// A Allotment is the fixed share of the rate of an instance or a domain, by the engines
+// An Allotment is the fixed share of the rate of an instance or a domain, by the engines
 // that it owns, and its queue length.
 type Allotment struct {
 	Fixed       float64 // 0 to 1
--- a/internal/adapter/placer/load_observation.go
+++ b/internal/adapter/placer/load_observation.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// An LoadObservation bounds how long a load took, as observed from the requests for the
+// A LoadObservation bounds how long a load took, as observed from the requests for the
 // copy.
 type LoadObservation struct {
 	Min    time.Duration // from the order to the last request that did not find the copy; 0 if there was none
--- a/internal/member/aggregator/aggregator.go
+++ b/internal/member/aggregator/aggregator.go
@@ -14,7 +14,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// A Aggregator holds the last report of each member and the sums over all of them.
+// An Aggregator holds the last report of each member and the sums over all of them.
 // Its exported fields are set before use; it is not safe for concurrent use.
 type Aggregator struct {
 	OnFreed       func(k Key)                     // called when a report ends the last use of a copy; may be nil
--- a/internal/member/aggregator/aggregator_test.go
+++ b/internal/member/aggregator/aggregator_test.go
@@ -65,7 +65,7 @@
 // Copies are queued for a runner and the last request that used another copy there has
 // ended. An instance that relays reports must be notified of that, or the adapter slot
 // stays occupied until the next report.
-func TestFreedIsCalledWhenLastUseEnds(t *testing.T) {
+func TestOnFreedIsCalledWhenLastUseEnds(t *testing.T) {
 	var freed []aggregator.Key
 	g := aggregator.Aggregator{MemberTimeout: memberTimeout, OnFreed: func(k aggregator.Key) { freed = append(freed, k) }}
 	uses := func(n int) aggregator.Report { return aggregator.Report{Uses: map[aggregator.Key]int{hot: n, cold: 1}} }
--- a/internal/member/elector/elector_test.go
+++ b/internal/member/elector/elector_test.go
@@ -71,7 +71,7 @@
 // A leader steps down while the response to a renewal is in flight. If that response
 // made it the leader again, it would send orders at the same time as the instance that
 // takes over the released lease.
-func TestLateRenewalResponseDoesNotUndoYield(t *testing.T) {
+func TestLateRenewalResponseDoesNotUndoStepDown(t *testing.T) {
 	e := newElector("a-1")
 	e.ObserveRow(elector.Lease{}, 0, 0)
 	w, _ := e.Next(0)
--- a/internal/request/forwarder/request.go
+++ b/internal/request/forwarder/request.go
@@ -117,7 +117,7 @@
 	ReportMiss(runner string, c placer.Copy)
 }
 
-// An ReserveRequest is a request for prefill capacity at a runner.
+// A ReserveRequest is a request for prefill capacity at a runner.
 type ReserveRequest struct {
 	Copy    placer.Copy
 	Runner  string
--- a/internal/standin/generator/wire.go
+++ b/internal/standin/generator/wire.go
@@ -68,7 +68,7 @@
 	Complete   bool      `json:"whole"` // all tokens were emitted
 }
 
-// A InUseEviction is an eviction that aborted a request.
+// An InUseEviction is an eviction that aborted a request.
 type InUseEviction struct {
 	Handle     string        `json:"handle"`
 	Fence      uint64        `json:"fence"` // fencing token of the order
--- a/internal/wire/pooler/exchange.go
+++ b/internal/wire/pooler/exchange.go
@@ -24,7 +24,7 @@
 	Matches func(header *fasthttp.ResponseHeader) bool
 }
 
-// An Response is a response whose body may be a stream. It must be closed.
+// A Response is a response whose body may be a stream. It must be closed.
 type Response struct {
 	Status int
 	Header *fasthttp.ResponseHeader
--- a/internal/wire/recorder/recorder.go
+++ b/internal/wire/recorder/recorder.go
@@ -49,7 +49,7 @@
 	buckets map[Kind]*bucket
 }
 
-// A budget is the token bucket of one kind.
+// A bucket is the token bucket of one kind.
 type bucket struct {
 	tokens   float64
 	refilled time.Time
--- a/internal/wire/requester/requester.go
+++ b/internal/wire/requester/requester.go
@@ -36,7 +36,7 @@
 	bufferSize  = 4096
 )
 
-// An Response is a response whose body may be a stream.
+// A Response is a response whose body may be a stream.
 type Response struct {
 	Status int
 	Header *fasthttp.ResponseHeader
