--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -57,7 +57,7 @@
 	}
 	d.prefillShare.Record(demand.ShortGaps, demand.LongGaps)
 	for _, n := range demand.Hits {
-		d.withPlacer(n.Runner, func(p *placer.Placer) { d.observeArrival(p.ObserveHit(n.Copy, n.Requests, now.Add(-n.Age))) })
+		d.withPlacer(n.Runner, func(p *placer.Placer) { d.observeLoad(p.ObserveHit(n.Copy, n.Requests, now.Add(-n.Age))) })
 	}
 	for _, n := range demand.Misses {
 		d.withPlacer(n.Runner, func(p *placer.Placer) { p.ObserveMiss(n.Copy, now) })
--- a/internal/instance/gatekeeper/load_time.go
+++ b/internal/instance/gatekeeper/load_time.go
@@ -83,8 +83,8 @@
 	return rate * min(maxStep, now.Sub(e.lastObserved)).Seconds()
 }
 
-// observeArrival records what the first use of a copy shows of load times.
-func (d *controller) observeArrival(a placer.LoadObservation, ok bool) {
+// observeLoad records what the first use of a copy shows of load times.
+func (d *controller) observeLoad(a placer.LoadObservation, ok bool) {
 	switch {
 	case !ok:
 	case a.Reload:
--- a/internal/request/admitter/schedule_test.go
+++ b/internal/request/admitter/schedule_test.go
@@ -30,11 +30,11 @@
 func TestReserveBoundsPrefillPerGap(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	const read, pause, within = 20 * time.Millisecond, 250 * time.Millisecond, 900 * time.Millisecond
-	var timeline admitter.PrefillSchedule
+	var schedule admitter.PrefillSchedule
 	var sent []time.Duration
 	refused := 0
 	for range 60 {
-		wait, ok := timeline.Reserve(admitter.Prompt{MaxGap: pause, PrefillTime: read, Timeout: within}, start)
+		wait, ok := schedule.Reserve(admitter.Prompt{MaxGap: pause, PrefillTime: read, Timeout: within}, start)
 		if !ok {
 			refused++
 			continue
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -40,7 +40,7 @@
 
 // A placement is a scripted forwarder.Placement. Unset functions grant nothing.
 type placement struct {
-	place            func(runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool)
+	acquireSlot      func(runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool)
 	reserve          func(a forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool)
 	requestSpareCopy func(runner string)
 }
@@ -53,10 +53,10 @@
 }
 
 func (p placement) AcquireSlot(_ context.Context, runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool) {
-	if p.place == nil {
+	if p.acquireSlot == nil {
 		return forwarder.RequestSlot{}, nil, false
 	}
-	return p.place(runner, within)
+	return p.acquireSlot(runner, within)
 }
 func (placement) AcquireCopy(string, placer.Copy) func()         { return func() {} }
 func (placement) ReportHit(string, placer.Copy, time.Time)       {}
--- a/internal/request/forwarder/slot_test.go
+++ b/internal/request/forwarder/slot_test.go
@@ -25,7 +25,7 @@
 	held  map[string]int
 }
 
-func (w *slotAllocator) place(runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool) {
+func (w *slotAllocator) acquireSlot(runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool) {
 	w.asked = append(w.asked, runner)
 	wait, ok := w.waits[runner]
 	switch {
@@ -74,7 +74,7 @@
 					}
 					return &forwarder.Reply{Status: 200, Body: strings.NewReader("body"), Close: func(bool) {}}, nil
 				}}
-				f := newForwarder(u, placement{place: w.place}, 0)
+				f := newForwarder(u, placement{acquireSlot: w.acquireSlot}, 0)
 				f.Fleet.Set(tracker.Runner{ID: "own", Service: "plain", Domain: "a", Slots: 6, Revision: 1})
 				f.Fleet.Set(tracker.Runner{ID: "far", Service: "plain", Domain: "b", Slots: 6, Revision: 1})
 				if _, third := tc.waits["farther"]; third {
@@ -119,7 +119,7 @@
 			}
 			return &forwarder.Reply{Status: 200, Body: strings.NewReader("body"), Close: func(bool) {}}, nil
 		}}
-		f := newForwarder(u, placement{place: w.place}, 0)
+		f := newForwarder(u, placement{acquireSlot: w.acquireSlot}, 0)
 		for n := range 2 {
 			f.Fleet.Set(tracker.Runner{ID: fmt.Sprint("i-", n), Service: "plain", Domain: "a", Slots: 6, Revision: 1})
 		}
