--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/member/heartbeater"
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
@@ -13,9 +13,9 @@
 // memberTimeout is the time after its last demand report at which a member is dropped.
 const memberTimeout = 3 * time.Second
 
-// Demanded implements relayer.Demander: it handles a member's demand report as the leader of
-// the domain, or relays it to the leader.
-func (g *Gatekeeper) Demanded(from heartbeater.Instance, demand relayer.Demand) {
+// HandleDemand implements relayer.DemandHandler: it handles a member's demand report as the
+// leader of the domain, or relays it to the leader.
+func (g *Gatekeeper) HandleDemand(from heartbeater.Instance, demand relayer.Demand) {
 	d, ok := g.controllers[demand.Domain]
 	switch {
 	case !ok:
@@ -36,7 +36,7 @@
 func (d *controller) relaysFor(member string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.aggregator.Knows(member)
+	return d.aggregator.IsMember(member)
 }
 
 // applyDemand applies a member's demand report.
@@ -44,35 +44,35 @@
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if demand.Parted {
-		d.aggregator.Drop(from)
+	if demand.Unsubscribed {
+		d.aggregator.Remove(from)
 		return
 	}
 	if d.firstReportAt.IsZero() {
 		d.firstReportAt = now
 	}
-	d.aggregator.Tell(from, summedReport(demand), now)
+	d.aggregator.Report(from, summedReport(demand), now)
 	if from != d.gatekeeper.Config.ID && reportsResponse(demand) {
 		d.partition.respondedElsewhere = now
 	}
-	d.prefillShare.Learn(demand.Short, demand.Long)
-	for _, n := range demand.There {
-		d.withPlacer(n.Runner, func(p *placer.Placer) { d.observeArrival(p.There(n.Copy, n.Requests, now.Add(-n.Ago))) })
+	d.prefillShare.Record(demand.ShortGaps, demand.LongGaps)
+	for _, n := range demand.Hits {
+		d.withPlacer(n.Runner, func(p *placer.Placer) { d.observeLoad(p.ObserveHit(n.Copy, n.Requests, now.Add(-n.Age))) })
 	}
-	for _, n := range demand.Missing {
-		d.withPlacer(n.Runner, func(p *placer.Placer) { p.Late(n.Copy, now) })
+	for _, n := range demand.Misses {
+		d.withPlacer(n.Runner, func(p *placer.Placer) { p.ObserveMiss(n.Copy, now) })
 	}
 	for _, n := range demand.Spare {
-		d.withPlacer(n.Runner, func(p *placer.Placer) { p.Want(n.Copy, placer.Spare, now) })
+		d.withPlacer(n.Runner, func(p *placer.Placer) { p.Request(n.Copy, placer.Spare, now) })
 	}
 }
 
 // summedReport returns the part of a demand report that is summed up over all members.
-func summedReport(demand relayer.Demand) gatherer.Word {
-	sums := gatherer.Word{
-		Instances: 1 + demand.Others, Loads: demand.Loads,
-		Uses:  make(map[gatherer.Key]int, len(demand.Uses)),
-		Waits: make(map[gatherer.Key]placer.Waiting, len(demand.Waits)),
+func summedReport(demand relayer.Demand) aggregator.Report {
+	sums := aggregator.Report{
+		Instances: 1 + demand.OtherInstances, Loads: demand.Loads,
+		Uses:  make(map[aggregator.Key]int, len(demand.Uses)),
+		Waits: make(map[aggregator.Key]placer.Waiting, len(demand.Waits)),
 	}
 	for _, u := range demand.Uses {
 		sums.Uses[keyOf(u.Runner, u.Copy)] += u.Requests
@@ -83,17 +83,19 @@
 	return sums
 }
 
-func keyOf(runner string, c placer.Copy) gatherer.Key { return gatherer.Key{Runner: runner, Copy: c} }
+func keyOf(runner string, c placer.Copy) aggregator.Key {
+	return aggregator.Key{Runner: runner, Copy: c}
+}
 
 // applyWaits updates a runner's placer with the number of requests of all members that wait for a
 // copy.
-func (d *controller) applyWaits(k gatherer.Key, all placer.Waiting) {
+func (d *controller) applyWaits(k aggregator.Key, all placer.Waiting) {
 	d.withPlacer(k.Runner, func(p *placer.Placer) {
 		if all.Requests == 0 {
-			p.Unwant(k.Copy)
+			p.ClearDemand(k.Copy)
 			return
 		}
-		p.Wait(k.Copy, all, time.Now())
+		p.SetDemand(k.Copy, all, time.Now())
 	})
 }
 
@@ -105,7 +107,7 @@
 }
 
 // recordUse counts a use that a member has begun.
-func (d *controller) recordUse(by string, k gatherer.Key) { d.aggregator.Use(by, k, time.Now()) }
+func (d *controller) recordUse(by string, k aggregator.Key) { d.aggregator.AddUse(by, k, time.Now()) }
 
 func (d *controller) withPlacer(runner string, do func(p *placer.Placer)) {
 	if c, ok := d.runners[runner]; ok && c.placer != nil {
--- a/internal/instance/gatekeeper/pending_demand.go
+++ b/internal/instance/gatekeeper/pending_demand.go
@@ -4,7 +4,7 @@
 	"time"
 
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 	"github.com/sardinetiller/sardinetiller/internal/request/admitter"
 	"github.com/sardinetiller/sardinetiller/internal/request/forwarder"
@@ -14,13 +14,13 @@
 // reported as a full snapshot, so that the next report makes up for one that was lost; the
 // other fields hold what was observed since the last report.
 type pendingDemand struct {
-	shortGaps int                   // responses with only short gaps
-	longGaps  int                   // responses with a long gap
-	misses    map[gatherer.Key]bool // copies that requests did not find loaded
-	spare     map[gatherer.Key]bool // further copies requested, for later requests
-	hits      map[gatherer.Key]hitCount
-	uses      map[gatherer.Key]int
-	waits     map[gatherer.Key]map[string]waiter // by copy and request ID
+	shortGaps int                     // responses with only short gaps
+	longGaps  int                     // responses with a long gap
+	misses    map[aggregator.Key]bool // copies that requests did not find loaded
+	spare     map[aggregator.Key]bool // further copies requested, for later requests
+	hits      map[aggregator.Key]hitCount
+	uses      map[aggregator.Key]int
+	waits     map[aggregator.Key]map[string]waiter // by copy and request ID
 }
 
 // A hitCount counts the requests that found a copy loaded on a runner.
@@ -50,11 +50,11 @@
 	queueWait := d.loadQueueWait(now)
 	slotWaits := d.slotWaits(now)
 	d.mu.Unlock()
-	g.Fleet.Line(domain, queueWait)
-	g.Fleet.Rooms(slotWaits)
-	g.Fleet.OthersIn(domain, others)
+	g.Fleet.SetLoadQueueWait(domain, queueWait)
+	g.Fleet.SetAdapterSlotWaits(slotWaits)
+	g.Fleet.SetOtherLoads(domain, others)
 	_, mayOrder := d.mayOrder()
-	g.Fleet.Staffed(domain, mayOrder)
+	g.Fleet.SetLeaderPresent(domain, mayOrder)
 	l := g.links[domain]
 	l.mu.Lock()
 	l.lastUpdate = now
@@ -75,8 +75,8 @@
 	return l, ok
 }
 
-// Wait implements forwarder.Placement.
-func (g *Gatekeeper) Wait(w forwarder.Waiter) {
+// ReportWaiting implements forwarder.Placement.
+func (g *Gatekeeper) ReportWaiting(w forwarder.Waiter) {
 	l, ok := g.linkOf(w.Runner)
 	if !ok {
 		return
@@ -85,7 +85,7 @@
 	k := keyOf(w.Runner, w.Copy)
 	l.mu.Lock()
 	if l.pendingDemand.waits == nil {
-		l.pendingDemand.waits = make(map[gatherer.Key]map[string]waiter)
+		l.pendingDemand.waits = make(map[aggregator.Key]map[string]waiter)
 	}
 	if l.pendingDemand.waits[k] == nil {
 		l.pendingDemand.waits[k] = make(map[string]waiter)
@@ -98,8 +98,8 @@
 	}
 }
 
-// Paused implements forwarder.Placement.
-func (g *Gatekeeper) Paused(runner string, longest, limit time.Duration) {
+// ReportGap implements forwarder.Placement.
+func (g *Gatekeeper) ReportGap(runner string, longest, limit time.Duration) {
 	l, ok := g.linkOf(runner)
 	if !ok {
 		return
@@ -107,15 +107,15 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
-	case admitter.Short(longest, limit):
+	case admitter.IsShortGap(longest, limit):
 		l.pendingDemand.shortGaps++
-	case admitter.Long(longest, limit):
+	case admitter.IsLongGap(longest, limit):
 		l.pendingDemand.longGaps++
 	}
 }
 
-// Spare implements forwarder.Placement.
-func (g *Gatekeeper) Spare(runner string, c placer.Copy) {
+// RequestSpareCopy implements forwarder.Placement.
+func (g *Gatekeeper) RequestSpareCopy(runner string, c placer.Copy) {
 	if l, ok := g.linkOf(runner); ok {
 		l.addPending(&l.pendingDemand.spare, keyOf(runner, c))
 	}
@@ -123,19 +123,19 @@
 
 // newlyRequested reports whether the copy was not requested within urgentInterval, so that the
 // leader needs an immediate report.
-func (l *link) newlyRequested(k gatherer.Key, now time.Time) bool {
+func (l *link) newlyRequested(k aggregator.Key, now time.Time) bool {
 	if now.Sub(l.urgentAt[k]) <= urgentInterval {
 		return false
 	}
 	if l.urgentAt == nil {
-		l.urgentAt = make(map[gatherer.Key]time.Time)
+		l.urgentAt = make(map[aggregator.Key]time.Time)
 	}
 	l.urgentAt[k] = now
 	return true
 }
 
-// There implements forwarder.Placement.
-func (g *Gatekeeper) There(runner string, c placer.Copy, sent time.Time) {
+// ReportHit implements forwarder.Placement.
+func (g *Gatekeeper) ReportHit(runner string, c placer.Copy, sent time.Time) {
 	l, ok := g.linkOf(runner)
 	if !ok {
 		return
@@ -146,9 +146,9 @@
 }
 
 // recordHits records requests that found a copy.
-func (n *pendingDemand) recordHits(k gatherer.Key, more hitCount) {
+func (n *pendingDemand) recordHits(k aggregator.Key, more hitCount) {
 	if n.hits == nil {
-		n.hits = make(map[gatherer.Key]hitCount)
+		n.hits = make(map[aggregator.Key]hitCount)
 	}
 	f := n.hits[k]
 	if f.requests == 0 || more.sent.Before(f.sent) {
@@ -158,10 +158,10 @@
 	n.hits[k] = f
 }
 
-// Use implements forwarder.Placement. The end of a use is reported at once if other copies
+// AcquireCopy implements forwarder.Placement. The end of a use is reported at once if other copies
 // wait for a slot: the next periodic report would come up to one interval later, a large
 // part of the time for which a short run occupies its slot.
-func (g *Gatekeeper) Use(runner string, c placer.Copy) (done func()) {
+func (g *Gatekeeper) AcquireCopy(runner string, c placer.Copy) (done func()) {
 	l, ok := g.linkOf(runner)
 	if !ok {
 		return func() {}
@@ -170,13 +170,13 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.pendingDemand.uses == nil {
-		l.pendingDemand.uses = make(map[gatherer.Key]int)
+		l.pendingDemand.uses = make(map[aggregator.Key]int)
 	}
 	l.pendingDemand.uses[k]++
 	return func() { l.endUse(k) }
 }
 
-func (l *link) endUse(k gatherer.Key) {
+func (l *link) endUse(k aggregator.Key) {
 	l.mu.Lock()
 	l.pendingDemand.uses[k]--
 	over := l.pendingDemand.uses[k] <= 0
@@ -184,27 +184,27 @@
 		delete(l.pendingDemand.uses, k)
 	}
 	l.mu.Unlock()
-	if over && l.gatekeeper.Fleet.Tight(k.Runner) {
+	if over && l.gatekeeper.Fleet.AdapterSlotsFull(k.Runner) {
 		l.reportNow()
 	}
 }
 
-func (l *link) addPending(set *map[gatherer.Key]bool, k gatherer.Key) {
+func (l *link) addPending(set *map[aggregator.Key]bool, k aggregator.Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	*set = mark(*set, k)
 }
 
-func mark(set map[gatherer.Key]bool, k gatherer.Key) map[gatherer.Key]bool {
+func mark(set map[aggregator.Key]bool, k aggregator.Key) map[aggregator.Key]bool {
 	if set == nil {
-		set = make(map[gatherer.Key]bool)
+		set = make(map[aggregator.Key]bool)
 	}
 	set[k] = true
 	return set
 }
 
-// Missing implements forwarder.Placement.
-func (g *Gatekeeper) Missing(runner string, c placer.Copy) {
+// ReportMiss implements forwarder.Placement.
+func (g *Gatekeeper) ReportMiss(runner string, c placer.Copy) {
 	l, ok := g.linkOf(runner)
 	if !ok {
 		return
--- a/internal/instance/gatekeeper/quarantine_simulation_test.go
+++ b/internal/instance/gatekeeper/quarantine_simulation_test.go
@@ -223,7 +223,7 @@
 	if now.Before(s.lossyUntil) || s.rng.IntN(4) == 0 {
 		return // the report is lost
 	}
-	src.g.HeardCrashes(heartbeater.Instance{ID: m.id}, relayer.Crashes{Words: reports})
+	src.g.HandleCrashReports(heartbeater.Instance{ID: m.id}, relayer.Crashes{Reports: reports})
 }
 
 func (m *simMember) observeLeader(domain string, at time.Time) {
@@ -273,7 +273,7 @@
 		s.rows[p.Key] = tabler.Row{Key: p.Key, Value: p.Value, Version: s.version}
 	}
 	for _, key := range txn.Deletes {
-		s.rows[key] = tabler.Row{Key: key, Removed: true, Version: s.version}
+		s.rows[key] = tabler.Row{Key: key, Deleted: true, Version: s.version}
 	}
 	if s.rng.IntN(6) > 0 { // else the response is lost
 		m.g.quarantine.recordWritten(states)
--- a/internal/instance/gatekeeper/source.go
+++ b/internal/instance/gatekeeper/source.go
@@ -13,7 +13,7 @@
 // A source is an instance that publishes updates to others.
 type source struct{ id, address string }
 
-func sourceOf(lease elector.Tenure) source { return source{id: lease.Holder, address: lease.Address} }
+func sourceOf(lease elector.Lease) source { return source{id: lease.Leader, address: lease.Address} }
 
 // A sourceSelection is the source from which this instance receives the updates of all domains:
 // the leader of its own failure domain, or in its place the leader of another one. Its zero
@@ -135,7 +135,7 @@
 func (g *Gatekeeper) currentSource() (source, bool) {
 	s := g.selectSource(time.Now())
 	if g.source.set(s, time.Now()) {
-		g.Recorder.Log(recorder.Belief, "msg", "source selected", "instance", s.id)
+		g.Recorder.Log(recorder.View, "msg", "source selected", "instance", s.id)
 	}
 	return s, s != (source{})
 }
--- a/internal/member/gatherer/gatherer_test.go
+++ b/internal/member/aggregator/aggregator_test.go
@@ -1,4 +1,4 @@
-package gatherer_test
+package aggregator_test
 
 import (
 	"fmt"
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp/cmpopts"
 
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
@@ -19,16 +19,16 @@
 
 var (
 	start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	hot   = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}}
-	cold  = gatherer.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a2", Version: 1}}
+	hot   = aggregator.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a1", Version: 1}}
+	cold  = aggregator.Key{Runner: "i-1", Copy: placer.Copy{Model: "m", Adapter: "a2", Version: 1}}
 )
 
-func ExampleGatherer_Tell() {
-	g := gatherer.Gatherer{Silent: memberTimeout}
-	g.Tell("front-1", gatherer.Word{Instances: 1, Uses: map[gatherer.Key]int{hot: 2}}, start)
-	g.Tell("front-2", gatherer.Word{Instances: 1, Uses: map[gatherer.Key]int{hot: 1}}, start)
+func ExampleAggregator_Report() {
+	g := aggregator.Aggregator{MemberTimeout: memberTimeout}
+	g.Report("front-1", aggregator.Report{Instances: 1, Uses: map[aggregator.Key]int{hot: 2}}, start)
+	g.Report("front-2", aggregator.Report{Instances: 1, Uses: map[aggregator.Key]int{hot: 1}}, start)
 	fmt.Println(g.Uses(hot))
-	g.Tell("front-1", gatherer.Word{Instances: 1}, start) // complete: its uses have ended
+	g.Report("front-1", aggregator.Report{Instances: 1}, start) // complete: its uses have ended
 	fmt.Println(g.Uses(hot))
 	g.Expire(start.Add(memberTimeout + time.Second)) // no reports since
 	fmt.Println(g.Uses(hot), g.Instances())
@@ -42,21 +42,21 @@
 // whichever reported last: given the requests of one instance only, it gave the adapter
 // slot to a copy for which fewer requests waited.
 func TestWaitingRequestsOfAllMembersAreSummed(t *testing.T) {
-	notified := make(map[gatherer.Key]placer.Waiting)
-	g := gatherer.Gatherer{Silent: memberTimeout, Waits: func(k gatherer.Key, all placer.Waiting) { notified[k] = all }}
-	waits := func(priority, requests, inTime int) gatherer.Word {
-		return gatherer.Word{Waits: map[gatherer.Key]placer.Waiting{hot: {Priority: priority, Requests: requests, InTime: inTime}}}
+	notified := make(map[aggregator.Key]placer.Waiting)
+	g := aggregator.Aggregator{MemberTimeout: memberTimeout, OnWaiting: func(k aggregator.Key, all placer.Waiting) { notified[k] = all }}
+	waits := func(priority, requests, inTime int) aggregator.Report {
+		return aggregator.Report{Waits: map[aggregator.Key]placer.Waiting{hot: {Priority: priority, Requests: requests, InTime: inTime}}}
 	}
-	g.Tell("front-1", waits(1, 2, 1), start)
-	g.Tell("front-2", waits(0, 3, 2), start)
+	g.Report("front-1", waits(1, 2, 1), start)
+	g.Report("front-2", waits(0, 3, 2), start)
 	if diff := cmp.Diff(placer.Waiting{Priority: 0, Requests: 5, InTime: 3}, notified[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
 		t.Error("requests of both wait:", diff)
 	}
-	g.Tell("front-2", gatherer.Word{}, start)
+	g.Report("front-2", aggregator.Report{}, start)
 	if diff := cmp.Diff(placer.Waiting{Priority: 1, Requests: 2, InTime: 1}, notified[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
 		t.Error("after the urgent requests ended:", diff)
 	}
-	g.Drop("front-1")
+	g.Remove("front-1")
 	if notified[hot].Requests != 0 {
 		t.Errorf("%d requests wait after all have ended", notified[hot].Requests)
 	}
@@ -65,19 +65,19 @@
 // Copies are queued for a runner and the last request that used another copy there has
 // ended. An instance that relays reports must be notified of that, or the adapter slot
 // stays occupied until the next report.
-func TestFreedIsCalledWhenLastUseEnds(t *testing.T) {
-	var freed []gatherer.Key
-	g := gatherer.Gatherer{Silent: memberTimeout, Freed: func(k gatherer.Key) { freed = append(freed, k) }}
-	uses := func(n int) gatherer.Word { return gatherer.Word{Uses: map[gatherer.Key]int{hot: n, cold: 1}} }
-	g.Tell("front-1", uses(2), start)
-	g.Tell("front-2", uses(1), start)
-	g.Tell("front-1", uses(1), start)
-	g.Tell("front-2", gatherer.Word{Uses: map[gatherer.Key]int{cold: 1}}, start)
+func TestOnFreedIsCalledWhenLastUseEnds(t *testing.T) {
+	var freed []aggregator.Key
+	g := aggregator.Aggregator{MemberTimeout: memberTimeout, OnFreed: func(k aggregator.Key) { freed = append(freed, k) }}
+	uses := func(n int) aggregator.Report { return aggregator.Report{Uses: map[aggregator.Key]int{hot: n, cold: 1}} }
+	g.Report("front-1", uses(2), start)
+	g.Report("front-2", uses(1), start)
+	g.Report("front-1", uses(1), start)
+	g.Report("front-2", aggregator.Report{Uses: map[aggregator.Key]int{cold: 1}}, start)
 	if len(freed) > 0 {
 		t.Errorf("Freed was called for %v, which are in use", freed)
 	}
-	g.Tell("front-1", gatherer.Word{Uses: map[gatherer.Key]int{cold: 1}}, start)
-	if diff := cmp.Diff([]gatherer.Key{hot}, freed); diff != "" {
+	g.Report("front-1", aggregator.Report{Uses: map[aggregator.Key]int{cold: 1}}, start)
+	if diff := cmp.Diff([]aggregator.Key{hot}, freed); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -93,8 +93,8 @@
 }
 
 func compareWithReports(t *testing.T, rng *rand.Rand) {
-	g := gatherer.Gatherer{Silent: memberTimeout}
-	reports := make(map[string]gatherer.Word)
+	g := aggregator.Aggregator{MemberTimeout: memberTimeout}
+	reports := make(map[string]aggregator.Report)
 	lastReportAt := make(map[string]time.Time)
 	now := start
 	for range 60 {
@@ -102,14 +102,14 @@
 		id := fmt.Sprint("front-", rng.IntN(6))
 		switch rng.IntN(8) {
 		case 0:
-			g.Drop(id)
+			g.Remove(id)
 			delete(reports, id)
 		case 1:
 			k := randomKey(rng)
-			g.Use(id, k, now)
+			g.AddUse(id, k, now)
 			if _, known := reports[id]; !known {
 				lastReportAt[id] = now
-				reports[id] = gatherer.Word{Uses: make(map[gatherer.Key]int)}
+				reports[id] = aggregator.Report{Uses: make(map[aggregator.Key]int)}
 			}
 			reports[id].Uses[k]++
 		case 2:
@@ -123,28 +123,28 @@
 			w := randomReport(rng)
 			reports[id], lastReportAt[id] = w, now
 			w.Uses = maps.Clone(w.Uses)
-			g.Tell(id, w, now)
+			g.Report(id, w, now)
 		}
-		var want gatherer.Word
-		for _, w := range reports {
-			want.Add(w)
+		var want aggregator.Report
+		for _, r := range reports {
+			want.Add(r)
 		}
-		if diff := cmp.Diff(want, g.Word(), cmpopts.EquateEmpty(), cmp.AllowUnexported(placer.Waiting{}, tracker.Load{})); diff != "" {
+		if diff := cmp.Diff(want, g.Sum(), cmpopts.EquateEmpty(), cmp.AllowUnexported(placer.Waiting{}, tracker.Load{})); diff != "" {
 			t.Fatal(diff)
 		}
 	}
 }
 
-func randomKey(rng *rand.Rand) gatherer.Key {
-	return gatherer.Key{Runner: fmt.Sprint("i-", rng.IntN(3)), Copy: placer.Copy{Model: "m", Adapter: fmt.Sprint("a", rng.IntN(3)), Version: 1}}
+func randomKey(rng *rand.Rand) aggregator.Key {
+	return aggregator.Key{Runner: fmt.Sprint("i-", rng.IntN(3)), Copy: placer.Copy{Model: "m", Adapter: fmt.Sprint("a", rng.IntN(3)), Version: 1}}
 }
 
-func randomReport(rng *rand.Rand) gatherer.Word {
-	w := gatherer.Word{
-		Instances: 1 + rng.IntN(3), Loads: make(map[string]tracker.Load), Uses: make(map[gatherer.Key]int), Waits: make(map[gatherer.Key]placer.Waiting),
+func randomReport(rng *rand.Rand) aggregator.Report {
+	w := aggregator.Report{
+		Instances: 1 + rng.IntN(3), Loads: make(map[string]tracker.Load), Uses: make(map[aggregator.Key]int), Waits: make(map[aggregator.Key]placer.Waiting),
 	}
 	for range rng.IntN(4) {
-		w.Loads[randomKey(rng).Runner] = tracker.Load{Running: 1 + rng.IntN(5), Unread: rng.IntN(1000)}
+		w.Loads[randomKey(rng).Runner] = tracker.Load{Running: 1 + rng.IntN(5), PrefillTokens: rng.IntN(1000)}
 		w.Uses[randomKey(rng)] = 1 + rng.IntN(3)
 		w.Waits[randomKey(rng)] = placer.Waiting{Priority: rng.IntN(3), Requests: 1 + rng.IntN(4), InTime: rng.IntN(2)}
 	}
@@ -152,18 +152,18 @@
 }
 
 // The cost of one report with 30 to 1,000 members; it must not depend on their number.
-func BenchmarkTell(b *testing.B) {
+func BenchmarkReport(b *testing.B) {
 	for _, members := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprint("members=", members), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
-			g := gatherer.Gatherer{Silent: memberTimeout, Waits: func(gatherer.Key, placer.Waiting) {}}
+			g := aggregator.Aggregator{MemberTimeout: memberTimeout, OnWaiting: func(aggregator.Key, placer.Waiting) {}}
 			for n := range members {
-				g.Tell(fmt.Sprint("front-", n), randomReport(rng), start)
+				g.Report(fmt.Sprint("front-", n), randomReport(rng), start)
 			}
-			reports := []gatherer.Word{randomReport(rng), randomReport(rng)}
+			reports := []aggregator.Report{randomReport(rng), randomReport(rng)}
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
-				g.Tell("front-0", reports[n%2], start)
+				g.Report("front-0", reports[n%2], start)
 				g.Loads("front-0")
 			}
 		})
--- a/internal/member/relayer/mesh_test.go
+++ b/internal/member/relayer/mesh_test.go
@@ -25,7 +25,7 @@
 	unsent chan string
 }
 
-func (h *fakeHandler) Answer(ctx context.Context, _ heartbeater.Instance, m Message, reply *Reply) error {
+func (h *fakeHandler) HandleRequest(ctx context.Context, _ heartbeater.Instance, m Message, reply *Reply) error {
 	fetch, ok := m.(Fetch)
 	if !ok {
 		return judge.Refuse(judge.ReasonOwner, "no Fetch")
@@ -43,13 +43,13 @@
 	return ctx.Err()
 }
 
-func (h *fakeHandler) Heard(_ heartbeater.Instance, beat Beat) { h.beats <- beat }
+func (h *fakeHandler) HandleHeartbeat(_ heartbeater.Instance, beat Beat) { h.beats <- beat }
 
 // newPair returns a mesh that dials, the address of one that responds, and the handler
 // of the latter.
 func newPair(t *testing.T, secret string) (*Mesh, string, *fakeHandler) {
 	t.Helper()
-	l, err := listener.Local()
+	l, err := listener.ListenLoopback()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,7 +60,7 @@
 	r.GET(Path, server.Serve)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	httpServer := listener.Server{Handler: r.Handler, Listener: l, Drain: time.Millisecond}
+	httpServer := listener.Server{Handler: r.Handler, Listener: l, DrainTimeout: time.Millisecond}
 	go func() { _ = httpServer.Run(ctx) }()
 	return &Mesh{Handler: h, Secret: func() string { return secret }, Self: self}, l.Addr().String(), h
 }
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m.Cut(address)
+	m.CloseLink(address)
 	for {
 		if _, err = c.Next(t.Context()); err != nil {
 			break
@@ -148,7 +148,7 @@
 	var s streamer.Sequencer
 	for i, tc := range []struct {
 		number uint32
-		want   streamer.Place
+		want   streamer.Position
 	}{{1, streamer.Next}, {1, streamer.Stale}, {2, streamer.Next}, {4, streamer.Gap}, {1, streamer.Stale}, {3, streamer.Next}} {
 		if got := s.Accept(tc.number); got != tc.want {
 			t.Errorf("step %d: Accept(%d) = %v, want %v", i, tc.number, got, tc.want)
@@ -204,7 +204,7 @@
 					continue
 				}
 				_, _ = c.Next(t.Context()) // whatever the result, the link is closed next
-				client.Cut(l.Addr().String())
+				client.CloseLink(l.Addr().String())
 			}
 		})
 	}
@@ -215,7 +215,7 @@
 // link fails.
 type floodHandler struct{}
 
-func (floodHandler) Answer(_ context.Context, _ heartbeater.Instance, _ Message, reply *Reply) error {
+func (floodHandler) HandleRequest(_ context.Context, _ heartbeater.Instance, _ Message, reply *Reply) error {
 	for {
 		if err := reply.Send(Data{Data: make([]byte, 16<<10)}); err != nil {
 			return err
@@ -223,7 +223,7 @@
 	}
 }
 
-func (floodHandler) Heard(heartbeater.Instance, Beat) {}
+func (floodHandler) HandleHeartbeat(heartbeater.Instance, Beat) {}
 
 // An instance is so busy that its heartbeats are late, but it still sends the responses
 // that its peer's callers wait for. Its link was closed nevertheless and the callers got
@@ -237,11 +237,11 @@
 		t.Fatal(err)
 	}
 	readAll(t, c)
-	m.CutSilent(address, timeout, time.Now())
+	m.CloseIdleLink(address, timeout, time.Now())
 	if _, linked := m.Linked(address); !linked {
 		t.Error("a link was closed over which a response had just been received")
 	}
-	m.CutSilent(address, timeout, time.Now().Add(2*timeout))
+	m.CloseIdleLink(address, timeout, time.Now().Add(2*timeout))
 	if _, linked := m.Linked(address); linked {
 		t.Error("a link without recent frames was kept open")
 	}
--- a/internal/request/answerer/answerer.go
+++ b/internal/request/answerer/answerer.go
@@ -28,7 +28,7 @@
 	Claimer    *claimer.Claimer
 	Dispatcher Dispatcher
 	Domain     string
-	Force      func() *resolver.Resolver // current settings; nil if there are none yet
+	Settings   func() *resolver.Resolver // current settings; nil if there are none yet
 	Logger     log.Logger
 	Metrics    *metrics.Set
 	Stopping   func() bool   // reports whether new requests are refused
@@ -77,9 +77,9 @@
 	return len(a.open) == 0
 }
 
-// Unreadable responds to a request that could not be read because it is too large
+// HandleMalformed responds to a request that could not be read because it is too large
 // or malformed.
-func (a *Answerer) Unreadable(c *fasthttp.RequestCtx, err error) {
+func (a *Answerer) HandleMalformed(c *fasthttp.RequestCtx, err error) {
 	a.refuse(c, judge.Refuse(judge.ReasonBody, "the request could not be read: %v", err))
 }
 
@@ -102,9 +102,9 @@
 
 // authenticate identifies the account of a request.
 func (a *Answerer) authenticate(c *fasthttp.RequestCtx) (*resolver.Resolver, resolver.Caller, *judge.Error) {
-	settings := a.Force()
+	settings := a.Settings()
 	if settings == nil {
-		return nil, resolver.Caller{}, judge.Refuse(judge.ReasonStarting, "no settings are in force here yet").After(time.Second)
+		return nil, resolver.Caller{}, judge.Refuse(judge.ReasonStarting, "no settings are in force here yet").WithRetryAfter(time.Second)
 	}
 	caller, ok := settings.Caller(bearer(c))
 	if !ok {
@@ -118,13 +118,13 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.Stopping() {
-		return judge.Refuse(judge.ReasonStopping, "this instance is leaving; ask again").After(time.Second)
+		return judge.Refuse(judge.ReasonStopping, "this instance is leaving; ask again").WithRetryAfter(time.Second)
 	}
 	if a.open == nil {
 		a.open = make(map[string]int)
 	}
 	if a.open[account] >= limit {
-		return judge.Refuse(judge.ReasonShare, "account %s has %d requests open here", account, limit).After(time.Second)
+		return judge.Refuse(judge.ReasonShare, "account %s has %d requests open here", account, limit).WithRetryAfter(time.Second)
 	}
 	a.open[account]++
 	return nil
@@ -208,5 +208,5 @@
 		models = append(models, model{ID: name, Object: "model", Owner: account})
 		return true
 	})
-	listener.JSON(c, fasthttp.StatusOK, map[string]any{"object": "list", "data": models})
+	listener.WriteJSON(c, fasthttp.StatusOK, map[string]any{"object": "list", "data": models})
 }
--- a/internal/request/answerer/failure.go
+++ b/internal/request/answerer/failure.go
@@ -75,9 +75,9 @@
 }
 
 func writeError(c *fasthttp.RequestCtx, err *judge.Error) {
-	listener.JSON(c, status(err), failure(err))
-	if err.Retry > 0 {
-		seconds := int(math.Ceil(err.Retry.Seconds()))
+	listener.WriteJSON(c, status(err), failure(err))
+	if err.RetryAfter > 0 {
+		seconds := int(math.Ceil(err.RetryAfter.Seconds()))
 		c.Response.Header.Set(fasthttp.HeaderRetryAfter, strconv.Itoa(seconds))
 	}
 }
--- a/internal/request/claimer/batcher_test.go
+++ b/internal/request/claimer/batcher_test.go
@@ -43,7 +43,7 @@
 						time.Sleep(time.Duration(i) * time.Second / time.Duration(tc.claims))
 						key := fmt.Sprint("claim/", i)
 						txn := tabler.Txn{Checks: []tabler.Check{{Key: key}}, Puts: []tabler.Put{{Key: key}}}
-						if err := c.Gather(ctx, txn); err != nil {
+						if err := c.CommitBatched(ctx, txn); err != nil {
 							t.Error(err)
 						}
 					})
@@ -62,8 +62,8 @@
 	}
 }
 
-// BenchmarkGather measures the cost of a claim in the batcher, with a table in memory.
-func BenchmarkGather(b *testing.B) {
+// BenchmarkCommitBatched measures the cost of a claim in the batcher, with a table in memory.
+func BenchmarkCommitBatched(b *testing.B) {
 	c := &claimer.Claimer{Self: "i", Table: &tabler.Memory{}, Gone: func(string) bool { return false }}
 	go c.Run(b.Context())
 	var serial atomic.Int64
@@ -71,7 +71,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			key := fmt.Sprint("claim/", serial.Add(1))
-			if err := c.Gather(b.Context(), tabler.Txn{Checks: []tabler.Check{{Key: key}}, Puts: []tabler.Put{{Key: key}}}); err != nil {
+			if err := c.CommitBatched(b.Context(), tabler.Txn{Checks: []tabler.Check{{Key: key}}, Puts: []tabler.Put{{Key: key}}}); err != nil {
 				b.Error(err)
 			}
 		}
--- a/internal/request/forwarder/limits_test.go
+++ b/internal/request/forwarder/limits_test.go
@@ -33,8 +33,8 @@
 				f := newForwarder(u, placement{}, 1)
 				r := newRequest(resumableRoute())
 				r.Copy = placer.Copy{Model: "m", Adapter: "a1", Version: 2}
-				f.Fleet.Rooms(map[string]time.Duration{"i-0": tc.wait})
-				time.AfterFunc(time.Second, func() { f.Fleet.HeldOne("i-0", r.Copy, time.Time{}, true) })
+				f.Fleet.SetAdapterSlotWaits(map[string]time.Duration{"i-0": tc.wait})
+				time.AfterFunc(time.Second, func() { f.Fleet.SetHeldCopy("i-0", r.Copy, time.Time{}, true) })
 				var got sink
 				started := time.Now()
 				err := f.Forward(t.Context(), r, &got)
@@ -44,7 +44,7 @@
 					}
 					return
 				}
-				if err == nil || err.Verdict != judge.NotRun || err.Retry < tc.wait || time.Since(started) > 0 {
+				if err == nil || err.Verdict != judge.NotRun || err.RetryAfter < tc.wait || time.Since(started) > 0 {
 					t.Errorf("%+v after %s", err, time.Since(started))
 				}
 			})
--- a/internal/upstream/caller/caller.go
+++ b/internal/upstream/caller/caller.go
@@ -100,7 +100,7 @@
 	defer fasthttp.ReleaseRequest(request)
 	request.SetRequestURI("http://" + address + pathReport)
 	var r requester.Requester
-	status, body, observed := r.Whole(ctx, address, request)
+	status, body, observed := r.ReadAll(ctx, address, request)
 	if err := statusError(status, observed); err != nil {
 		return Report{}, err
 	}
@@ -121,7 +121,7 @@
 func post(ctx context.Context, address, path string, value any) (int, judge.Observation) {
 	body, err := json.Marshal(value)
 	if err != nil {
-		return 0, judge.Dialed{Err: err}
+		return 0, judge.DialFailed{Err: err}
 	}
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -130,6 +130,6 @@
 	request.SetRequestURI("http://" + address + path)
 	request.SetBody(body)
 	var r requester.Requester
-	status, _, observed := r.Whole(ctx, address, request)
+	status, _, observed := r.ReadAll(ctx, address, request)
 	return status, observed
 }
--- a/internal/upstream/driver/driver_test.go
+++ b/internal/upstream/driver/driver_test.go
@@ -33,7 +33,7 @@
 type noQuarantine struct{}
 
 func (noQuarantine) Crashed(string, map[quarantiner.Digest]time.Duration) {}
-func (noQuarantine) Held(*streamer.Call) *judge.Error                     { return nil }
+func (noQuarantine) Refusal(*streamer.Call) *judge.Error                  { return nil }
 
 func (f *fakeEngine) Cancel(context.Context, string, string) bool { return true }
 
@@ -46,7 +46,7 @@
 
 func (f *fakeEngine) Report(context.Context, string) (caller.Report, error) {
 	if f.unresponsive.Load() {
-		return caller.Report{}, judge.Judge(judge.Dialed{})
+		return caller.Report{}, judge.Judge(judge.DialFailed{})
 	}
 	return caller.Report{Engine: "e-1", Leaving: f.leaving.Load()}, nil
 }
@@ -58,8 +58,8 @@
 
 func (f *fakeOwnership) FencingToken(string) (uint64, bool) { return 1, f.owns.Load() }
 
-func (f *fakeOwnership) RequestRelease(context.Context, string, string) (keeper.Surrender, bool) {
-	return keeper.Surrender{}, true
+func (f *fakeOwnership) RequestRelease(context.Context, string, string) (keeper.Handover, bool) {
+	return keeper.Handover{}, true
 }
 
 func (f *fakeOwnership) MayOrder(string) bool { return f.mayOrder.Load() }
