--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -8,8 +8,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"github.com/sardinetiller/sardinetiller/internal/adapter/placer"
+	"github.com/sardinetiller/sardinetiller/internal/member/aggregator"
 	"github.com/sardinetiller/sardinetiller/internal/member/elector"
-	"github.com/sardinetiller/sardinetiller/internal/member/gatherer"
 	"github.com/sardinetiller/sardinetiller/internal/member/relayer"
 	"github.com/sardinetiller/sardinetiller/internal/request/admitter"
 	"github.com/sardinetiller/sardinetiller/internal/request/matcher"
@@ -31,12 +31,12 @@
 	callInFlight  bool          // a store call for the lease is in flight
 	polling       bool          // the domain appears to have no leader, and the lease row is polled
 	runners       map[string]*runnerState
-	checksum      uint64            // checksum of the runner descriptions
-	aggregator    gatherer.Gatherer // sums up members' demand reports, on the leader or on an instance that relays them to it
-	firstReportAt time.Time         // when this instance received the first demand report as leader
+	checksum      uint64                // checksum of the runner descriptions
+	aggregator    aggregator.Aggregator // sums up members' demand reports, on the leader or on an instance that relays them to it
+	firstReportAt time.Time             // when this instance received the first demand report as leader
 	changes       changeLog
-	loadWindow    placer.Window  // limits the concurrent loads from the weight store
-	prefillShare  admitter.Share // learned from the gaps in responses
+	loadWindow    placer.Window         // limits the concurrent loads from the weight store
+	prefillShare  admitter.PrefillShare // learned from the gaps in responses
 	partition     partitionDetector
 	cutOffSince   time.Time    // since when other leaders have reached the store and this one has not
 	releasedFence uint64       // fencing token of the lease that was released last
@@ -53,8 +53,8 @@
 	placer          *placer.Placer // nil while this instance sends no orders, and for a plain service
 	callInFlight    bool           // an order or a report request is in flight
 	reportRequested time.Time      // when the last report was requested
-	prefillQueue    admitter.Timeline
-	slots           tracker.Places // request slots of a plain service
+	prefillQueue    admitter.PrefillSchedule
+	slots           tracker.RequestSlots // request slots of a plain service
 	published       map[placer.Copy]time.Time
 	publishedWait   time.Duration // for an adapter slot, as last published
 	failures        failureScore
@@ -103,21 +103,21 @@
 	}
 	d.toggleChecksum(c.runner)
 	delete(d.runners, id)
-	d.changes.add(event{removal: &relayer.Gone{Runner: id, Revision: revision}})
+	d.changes.add(event{removal: &relayer.RemovedRunner{Runner: id, Revision: revision}})
 }
 
 // mayOrder returns the fencing token of the lease and whether orders may be sent now.
 func (d *controller) mayOrder() (uint64, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.elector.Acts(uptime())
+	return d.elector.MaySendOrders(uptime())
 }
 
 // leads reports whether this instance leads the domain.
 func (d *controller) leads() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.elector.Holds(uptime())
+	return d.elector.IsLeader(uptime())
 }
 
 // sendDue sends the orders and report requests that are due.
@@ -125,7 +125,7 @@
 	now := time.Now()
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	fence, ok := d.elector.Acts(uptime())
+	fence, ok := d.elector.MaySendOrders(uptime())
 	if !ok {
 		d.stopOrdering()
 		return
@@ -151,7 +151,7 @@
 		if c.placer == nil || c.callInFlight || c.runner.Leaving {
 			continue
 		}
-		c.placer.Load, c.placer.Return = d.gatekeeper.LoadTime(), d.gatekeeper.ReturnTime()
+		c.placer.LoadTime, c.placer.ReloadTime = d.gatekeeper.LoadTime(), d.gatekeeper.ReloadTime()
 		switch {
 		case !c.placer.Known():
 			if now.Sub(c.reportRequested) >= reportInterval {
@@ -160,7 +160,7 @@
 			}
 		default:
 			if o, ok := c.placer.Next(now, l.allows()); ok {
-				if !o.Unload && o.Copy.Adapter != "" && !c.placer.Kept(o.Copy) {
+				if !o.Unload && o.Copy.Adapter != "" && !c.placer.HeldBefore(o.Copy) {
 					l.fetching++
 				}
 				d.sendOrder(ctx, c, o)
@@ -179,7 +179,7 @@
 		c.placer = nil
 		c.published = nil
 	}
-	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "giving orders", "domain", d.domain, "fence", fence, "runners", len(d.runners))
+	d.gatekeeper.Recorder.Log(recorder.View, "msg", "giving orders", "domain", d.domain, "fence", fence, "runners", len(d.runners))
 }
 
 // stopOrdering drops the state that is only valid on the leader.
@@ -193,7 +193,7 @@
 	for _, c := range d.runners {
 		c.placer = nil
 	}
-	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "giving no more orders", "domain", d.domain)
+	d.gatekeeper.Recorder.Log(recorder.View, "msg", "giving no more orders", "domain", d.domain)
 }
 
 // newPlacer returns a new placer for a runner's adapter slots, or nil for a plain service.
@@ -212,12 +212,12 @@
 			break
 		}
 	}
-	places := engine.Places
+	slots := engine.AdapterSlots
 	if model.AdapterSize > 0 {
-		places = min(places, (engine.Memory-model.Size)/model.AdapterSize)
+		slots = min(slots, (engine.Memory-model.Size)/model.AdapterSize)
 	}
 	inUse := func(c placer.Copy) bool { return d.aggregator.Uses(keyOf(r.ID, c)) > 0 }
-	return &placer.Placer{Copies: d.copyCount, InUse: inUse, Model: model.Name, Places: places, Loads: maxLoadsPerRunner}
+	return &placer.Placer{Copies: d.copyCount, InUse: inUse, Model: model.Name, AdapterSlots: slots, MaxLoads: maxLoadsPerRunner}
 }
 
 // requestReport asks a runner which adapters it holds.
@@ -231,11 +231,11 @@
 		c.callInFlight = false
 		c.failures.recordReport(err)
 		if err != nil {
-			d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "runner report failed", "runner", runner.ID, "err", err)
+			d.gatekeeper.Recorder.Log(recorder.View, "msg", "runner report failed", "runner", runner.ID, "err", err)
 			return
 		}
-		applied := p.Take(report, time.Now())
-		d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "report", "runner", runner.ID, "sequence", report.Sequence,
+		applied := p.ApplyReport(report, time.Now())
+		d.gatekeeper.Recorder.Log(recorder.View, "msg", "report", "runner", runner.ID, "sequence", report.Sequence,
 			"resident", len(report.Resident), "incoming", len(report.Incoming), "models", len(report.Models), "busy", report.Busy, "taken", applied)
 	}()
 }
@@ -277,6 +277,6 @@
 	}
 	if c.placer.Known() || c.published != nil {
 		c.published = held
-		d.gatekeeper.Fleet.Held(c.runner.ID, held)
+		d.gatekeeper.Fleet.SetHeld(c.runner.ID, held)
 	}
 }
--- a/internal/instance/gatekeeper/load_time.go
+++ b/internal/instance/gatekeeper/load_time.go
@@ -63,12 +63,12 @@
 // with empty runners, growing by a fraction for each took the estimate to its bound of
 // seconds, and callers were refused for ten seconds because of loads that would have taken a
 // third of a second.
-func (e *estimate) observe(a placer.Arrival, now time.Time) {
+func (e *estimate) observe(a placer.LoadObservation, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if a.Least > 0 {
+	if a.Min > 0 {
 		e.lastLate = now
-		took := min(a.Most, time.Duration((1+lateMargin)*float64(a.Least)))
+		took := min(a.Max, time.Duration((1+lateMargin)*float64(a.Min)))
 		e.current = min(maxLoadTime, max(e.current, took))
 	} else {
 		e.current = max(minLoadTime, time.Duration((1-e.shrinkFraction(now))*float64(e.current)))
@@ -83,16 +83,16 @@
 	return rate * min(maxStep, now.Sub(e.lastObserved)).Seconds()
 }
 
-// observeArrival records what the first use of a copy shows of load times.
-func (d *controller) observeArrival(a placer.Arrival, ok bool) {
+// observeLoad records what the first use of a copy shows of load times.
+func (d *controller) observeLoad(a placer.LoadObservation, ok bool) {
 	switch {
 	case !ok:
-	case a.Return:
+	case a.Reload:
 		d.gatekeeper.reloadTime.observe(a, time.Now())
 	default:
 		now := time.Now()
 		d.gatekeeper.loadTime.observe(a, now)
-		d.loadWindow.Learn(d.gatekeeper.LoadTime(), now)
+		d.loadWindow.ObserveLoadTime(d.gatekeeper.LoadTime(), now)
 	}
 }
 
@@ -110,9 +110,9 @@
 			if service.Engine == nil {
 				continue
 			}
-			base, read := g.Fleet.Paces(name)
-			g.Recorder.Log(recorder.Belief, "msg", "paces", "service", name, "first", base, "token", read,
-				"load", g.LoadTime(), "return", g.ReturnTime(), "members", g.Members())
+			base, read := g.Fleet.Latency(name)
+			g.Recorder.Log(recorder.View, "msg", "paces", "service", name, "first", base, "token", read,
+				"load", g.LoadTime(), "return", g.ReloadTime(), "members", g.Members())
 		}
 		for _, d := range g.controllers {
 			d.logLoads()
@@ -123,5 +123,5 @@
 // LoadTime returns the estimated time to load an adapter from the weight store.
 func (g *Gatekeeper) LoadTime() time.Duration { return g.loadTime.get() }
 
-// ReturnTime returns the estimated time to load an adapter that the runner held before.
-func (g *Gatekeeper) ReturnTime() time.Duration { return g.reloadTime.get() }
+// ReloadTime returns the estimated time to load an adapter that the runner held before.
+func (g *Gatekeeper) ReloadTime() time.Duration { return g.reloadTime.get() }
--- a/internal/instance/gatekeeper/quarantine_random_test.go
+++ b/internal/instance/gatekeeper/quarantine_random_test.go
@@ -63,7 +63,7 @@
 func (s *crashSimulation) hasUnstoredCrash() bool {
 	stored := make(map[quarantiner.Digest]int)
 	for _, r := range s.rows {
-		if c, ok := parseCrashKey(r.Key); ok && !r.Removed {
+		if c, ok := parseCrashKey(r.Key); ok && !r.Deleted {
 			stored[c.Digest]++
 		}
 	}
@@ -87,7 +87,7 @@
 	if !m.running(now) {
 		return
 	}
-	if _, held := m.g.Held(c.digest); held {
+	if _, held := m.g.Quarantined(c.digest); held {
 		return
 	}
 	if len(c.crashes) >= 3 && now.Sub(c.crashes[2]) > 3*time.Second && s.countsForRule(m, now) {
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -25,9 +25,9 @@
 )
 
 // reporter returns the reporter for this instance's own spending.
-func (g *Gatekeeper) reporter(now time.Time) limiter.Party {
+func (g *Gatekeeper) reporter(now time.Time) limiter.Reporter {
 	born := g.quotas.started
-	return limiter.Party{Instance: g.Config.ID, Born: born.UnixNano(), Age: now.Sub(born)}
+	return limiter.Reporter{Instance: g.Config.ID, Incarnation: born.UnixNano(), Age: now.Sub(born)}
 }
 
 // exchange settles with another instance.
@@ -46,13 +46,13 @@
 
 // settle answers a Settle.
 func (g *Gatekeeper) settle(m relayer.Settle) (relayer.Settled, error) {
-	if m.Parted {
-		g.quotas.ledger.Part(m.Party.Instance)
+	if m.Unsubscribed {
+		g.quotas.ledger.Remove(m.Reporter.Instance)
 		return relayer.Settled{}, nil
 	}
 	now := time.Now()
-	balances, ok := g.quotas.ledger.Settle(m.Party, m.Spent, now)
-	since, keeps := g.quotas.ledger.Began()
+	balances, ok := g.quotas.ledger.Settle(m.Reporter, m.Spent, now)
+	since, keeps := g.quotas.ledger.StartedAt()
 	if !ok || !keeps {
 		return relayer.Settled{}, judge.Refuse(judge.ReasonOwner, "no quotas are settled here")
 	}
@@ -83,15 +83,15 @@
 // ensureLedger starts or stops the ledger that this instance keeps for others, as every leader
 // does, and reports whether it keeps one now.
 func (g *Gatekeeper) ensureLedger(now time.Time) bool {
-	keeps := g.leadsAny() && !g.Leaving()
-	_, kept := g.quotas.ledger.Began()
+	keeps := g.leadsAny() && !g.Stopping()
+	_, kept := g.quotas.ledger.StartedAt()
 	switch {
 	case keeps && !kept:
 		g.quotas.ledger.Begin(now)
-		g.Recorder.Log(recorder.Belief, "msg", "quota ledger started")
+		g.Recorder.Log(recorder.View, "msg", "quota ledger started")
 	case !keeps && kept:
 		g.quotas.ledger.End()
-		g.Recorder.Log(recorder.Belief, "msg", "quota ledger stopped")
+		g.Recorder.Log(recorder.View, "msg", "quota ledger stopped")
 	}
 	return keeps
 }
@@ -108,7 +108,7 @@
 		return
 	}
 	// Failures need no handling: the spender notices that its balances get old.
-	if settled, err := g.exchange(ctx, to, relayer.Settle{Party: g.reporter(now), Spent: report}, settleTimeout); err == nil {
+	if settled, err := g.exchange(ctx, to, relayer.Settle{Reporter: g.reporter(now), Spent: report}, settleTimeout); err == nil {
 		g.applyBalances(settled.Balances, now)
 	}
 }
@@ -124,10 +124,10 @@
 	if former == to || former == (source{}) {
 		return
 	}
-	update := relayer.Settle{Party: g.reporter(now), Parted: true}
+	update := relayer.Settle{Reporter: g.reporter(now), Unsubscribed: true}
 	go func() {
 		if _, err := g.exchange(ctx, former, update, settleTimeout); err != nil {
-			g.Recorder.Log(recorder.Belief, "msg", "quota unsubscribe failed", "instance", former.id, "err", err)
+			g.Recorder.Log(recorder.View, "msg", "quota unsubscribe failed", "instance", former.id, "err", err)
 		}
 	}()
 }
@@ -137,7 +137,7 @@
 	now := time.Now()
 	for _, b := range balances {
 		if limit, ok := g.limitOf(b.Account); ok {
-			g.quotas.spender.Settled(b, limit, sentAt, now)
+			g.quotas.spender.ApplyBalance(b, limit, sentAt, now)
 		}
 	}
 }
@@ -145,13 +145,13 @@
 // settleWithLeaders reports to the leaders of the other domains what the instances that settle
 // here have spent.
 func (g *Gatekeeper) settleWithLeaders(ctx context.Context, now time.Time) {
-	since, ok := g.quotas.ledger.Began()
+	since, ok := g.quotas.ledger.StartedAt()
 	if catalog := g.Catalog(); !ok || catalog == nil || catalog.Accounts == nil {
 		return
 	}
 	update := relayer.Settle{
-		Party: limiter.Party{Instance: g.Config.ID, Born: since.UnixNano(), Domain: g.Config.Domain, Age: now.Sub(since)},
-		Spent: g.quotas.ledger.Report(now),
+		Reporter: limiter.Reporter{Instance: g.Config.ID, Incarnation: since.UnixNano(), Domain: g.Config.Domain, Age: now.Sub(since)},
+		Spent:    g.quotas.ledger.Report(now),
 	}
 	for _, to := range g.otherLeaders() {
 		go g.settleWithLeader(ctx, to, update)
--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -125,7 +125,7 @@
 		g.recordStoreCall(time.Now(), errNoAnswer)
 		time.Sleep(5 * time.Second)
 		g.recordStoreCall(time.Now(), nil)
-		g.applyRunnerRow(tabler.Row{Key: "runners/i-1", Version: 9, Removed: true})
+		g.applyRunnerRow(tabler.Row{Key: "runners/i-1", Version: 9, Deleted: true})
 		runner.Revision = 7
 		g.setRunner(runner, "b-1")
 		time.Sleep(2 * removalGrace)
@@ -142,7 +142,7 @@
 		g := newDomainGatekeeper("a-2", "a")
 		g.setRunner(tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}, fromStore)
 		g.links["b"].apply(relayer.News{Fresh: true})
-		g.links["a"].apply(relayer.News{Fresh: true, Whole: true})
+		g.links["a"].apply(relayer.News{Fresh: true, Snapshot: true})
 		if _, known := g.Fleet.Get("i-1"); !known {
 			t.Error("a runner was removed")
 		}
--- a/internal/instance/gatekeeper/takeover.go
+++ b/internal/instance/gatekeeper/takeover.go
@@ -20,7 +20,7 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.retryAt = uptime() + pollInterval
-	d.gatekeeper.Recorder.Log(recorder.Belief, "msg", "lease left to others", "domain", d.domain, "why", "runners are not reached")
+	d.gatekeeper.Recorder.Log(recorder.View, "msg", "lease left to others", "domain", d.domain, "why", "runners are not reached")
 }
 
 const (
@@ -64,5 +64,5 @@
 // reach the runners of the domain.
 func (d *controller) defersTakeover() bool {
 	g := d.gatekeeper
-	return g.Fleet.Severed(d.domain, time.Now()) && g.links[d.domain].sinceUpdate() < deferralTime
+	return g.Fleet.Partitioned(d.domain, time.Now()) && g.links[d.domain].sinceUpdate() < deferralTime
 }
--- a/internal/instance/server/peer.go
+++ b/internal/instance/server/peer.go
@@ -16,21 +16,21 @@
 
 var _ relayer.Handler = (*Server)(nil)
 
-// Answer implements relayer.Handler.
-func (s *Server) Answer(ctx context.Context, from heartbeater.Instance, m relayer.Message, reply *relayer.Reply) error {
+// HandleRequest implements relayer.Handler.
+func (s *Server) HandleRequest(ctx context.Context, from heartbeater.Instance, m relayer.Message, reply *relayer.Reply) error {
 	switch m := m.(type) {
 	case relayer.Ask:
 		return s.answerAsk(ctx, &m.Call, reply)
 	case relayer.Commit:
-		return reply.Send(commitResult(s.Claimer.Gather(ctx, m.Txn)))
+		return reply.Send(commitResult(s.Claimer.CommitBatched(ctx, m.Txn)))
 	case relayer.Fetch:
 		data, ok := s.Watcher.Object(m.Key)
 		if !ok {
-			return storer.ErrAbsent
+			return storer.ErrNotFound
 		}
 		return reply.Send(relayer.Data{Data: data})
 	case relayer.Inquire:
-		force := s.Watcher.Force()
+		force := s.Watcher.Active()
 		if force == nil {
 			return errors.New("no settings are in force here")
 		}
@@ -46,20 +46,20 @@
 	}
 }
 
-// Heard implements relayer.Handler.
-func (s *Server) Heard(from heartbeater.Instance, beat relayer.Beat) {
+// HandleHeartbeat implements relayer.Handler.
+func (s *Server) HandleHeartbeat(from heartbeater.Instance, beat relayer.Beat) {
 	now := time.Now()
 	s.mu.Lock()
-	s.Monitor.Beat(from, now)
+	s.Monitor.ObserveHeartbeat(from, now)
 	s.peerHeartbeats[from.Incarnation] = relayer.Beat{Epoch: beat.Epoch, Revision: beat.Revision, Leaving: beat.Leaving}
 	sameDomain := from.Domain == s.Config.Domain
 	newerEpoch := false
 	if sameDomain {
-		s.Holder.Adopted(from.Incarnation, beat.Epoch)
-		s.Sharer.Peer(from.Incarnation, beat.Line, now)
+		s.Holder.ObserveAdopted(from.Incarnation, beat.Epoch)
+		s.Sharer.Peer(from.Incarnation, beat.LoadQueue, now)
 		newerEpoch = beat.Epoch > s.Holder.Epoch()
 	} else {
-		s.Sharer.Domain(from.Domain, beat.Line, now)
+		s.Sharer.Domain(from.Domain, beat.LoadQueue, now)
 	}
 	s.mu.Unlock()
 	if sameDomain {
@@ -85,7 +85,7 @@
 // answerAsk serves a call that a peer forwarded, on the named runner or, if none
 // is named, on any runner of this failure domain.
 func (s *Server) answerAsk(ctx context.Context, call *streamer.Call, reply *relayer.Reply) error {
-	call.Deadline = time.Now().Add(call.Left)
+	call.Deadline = time.Now().Add(call.TimeLeft)
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
 	if call.Runner == "" {
@@ -105,8 +105,8 @@
 		s.pollSoon()
 		return relayer.Surrendered{}
 	}
-	surrender, given := s.Driver.Surrender(m.Runner)
-	return relayer.Surrendered{Given: given, Pins: surrender.Pins, Doom: surrender.Doomed}
+	handover, released := s.Driver.Handover(m.Runner)
+	return relayer.Surrendered{Released: released, Pins: handover.Pins, Evicting: handover.Evicting}
 }
 
 // A replySink forwards a response to the instance that sent the call.
@@ -131,13 +131,13 @@
 	return health == heartbeater.Live || health == heartbeater.Leaving
 }
 
-// Ask implements dispatcher.Peers.
-func (s *Server) Ask(ctx context.Context, incarnation string, call *streamer.Call, sink streamer.Sink) error {
+// Forward implements dispatcher.Peers.
+func (s *Server) Forward(ctx context.Context, incarnation string, call *streamer.Call, sink streamer.Sink) error {
 	address, ok := s.address(incarnation)
 	if !ok {
 		return judge.Refuse(judge.ReasonPeer, "instance %s is not known", incarnation)
 	}
-	call.Left = time.Until(call.Deadline)
+	call.TimeLeft = time.Until(call.Deadline)
 	c, err := s.Mesh.Open(ctx, address, relayer.Ask{Call: *call})
 	if err != nil {
 		return err
@@ -164,8 +164,8 @@
 	}
 }
 
-// Elsewhere implements dispatcher.Peers.
-func (s *Server) Elsewhere() []string {
+// RemotePeers implements dispatcher.Peers.
+func (s *Server) RemotePeers() []string {
 	var incarnations []string
 	for _, i := range s.remotePeers(time.Now()) {
 		incarnations = append(incarnations, i.Incarnation)
@@ -184,7 +184,7 @@
 func (s *Server) FencingToken(runner string) (uint64, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Holder.Acts(runner, time.Now())
+	return s.Holder.MaySendOrders(runner, time.Now())
 }
 
 // Owns implements driver.Ownership.
@@ -218,36 +218,36 @@
 func (s *Server) PreviousOwners() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Holder.Parties()
+	return s.Holder.PreviousOwners()
 }
 
 // RequestRelease implements driver.Ownership.
-func (s *Server) RequestRelease(ctx context.Context, owner, runner string) (keeper.Surrender, bool) {
+func (s *Server) RequestRelease(ctx context.Context, owner, runner string) (keeper.Handover, bool) {
 	s.mu.Lock()
 	epoch := s.Holder.Epoch()
 	_, onRoster := s.Holder.Roster().Member(owner)
-	terminated := !onRoster && s.Monitor.Gone(owner, time.Now())
+	terminated := !onRoster && s.Monitor.Terminated(owner, time.Now())
 	s.mu.Unlock()
 	if terminated {
-		return keeper.Surrender{}, true
+		return keeper.Handover{}, true
 	}
 	address, ok := s.address(owner)
 	if !ok {
-		return keeper.Surrender{}, false
+		return keeper.Handover{}, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.Config.Beat)
 	defer cancel()
 	c, err := s.Mesh.Open(ctx, address, relayer.Yield{Runner: runner, Epoch: epoch})
 	if err != nil {
-		return keeper.Surrender{}, false
+		return keeper.Handover{}, false
 	}
 	defer c.Close()
 	m, err := c.Next(ctx)
 	released, ok := m.(relayer.Surrendered)
-	if err != nil || !ok || !released.Given {
-		return keeper.Surrender{}, false
+	if err != nil || !ok || !released.Released {
+		return keeper.Handover{}, false
 	}
-	return released.Surrender(), true
+	return released.Handover(), true
 }
 
 // PeerAddresses returns the peer addresses of the other instances, those of this
@@ -268,5 +268,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.Monitor.Gone(incarnation, time.Now())
+	return s.Monitor.Terminated(incarnation, time.Now())
 }
--- a/internal/instance/server/permit.go
+++ b/internal/instance/server/permit.go
@@ -49,7 +49,7 @@
 // permitRequest returns a permit request with the limits of the settings in force, or
 // false if there are none.
 func (s *Server) permitRequest(value float64) (relayer.Permit, bool) {
-	force := s.Watcher.Force()
+	force := s.Watcher.Active()
 	if force == nil {
 		return relayer.Permit{}, false
 	}
@@ -59,7 +59,7 @@
 	}
 	concurrent := max(1, w.Together)
 	loadTime := time.Duration(float64(concurrent) / w.Rate * float64(time.Second))
-	return relayer.Permit{Value: value, Together: concurrent, Time: permitLifetimeLoads*loadTime + s.Config.Beat}, true
+	return relayer.Permit{Value: value, MaxConcurrent: concurrent, TTL: permitLifetimeLoads*loadTime + s.Config.Beat}, true
 }
 
 // allocatorAddress returns the address of the instance that grants permits, or false if
@@ -113,8 +113,8 @@
 	if p.pending == nil {
 		p.pending = make(map[uint64]chan struct{})
 	}
-	p.Together = request.Together
-	p.Time = request.Time
+	p.MaxConcurrent = request.MaxConcurrent
+	p.PermitTTL = request.TTL
 	p.lastID++
 	p.pending[p.lastID] = make(chan struct{})
 	granted := p.pending[p.lastID]
--- a/internal/instance/server/settings.go
+++ b/internal/instance/server/settings.go
@@ -46,7 +46,7 @@
 // fleet, and the runners that can be owned to the holder. The driver calls this
 // server while it holds its own lock, so it must not be called under the server's.
 func (s *Server) declareUpstreams() {
-	force := s.Watcher.Force()
+	force := s.Watcher.Active()
 	if force == nil {
 		return
 	}
@@ -65,7 +65,7 @@
 
 // updateShare sets the driver's share of the weight store's rate.
 func (s *Server) updateShare(now time.Time) {
-	force := s.Watcher.Force()
+	force := s.Watcher.Active()
 	if force == nil {
 		return
 	}
@@ -85,8 +85,8 @@
 		shares[domain] /= total
 	}
 	s.mu.Lock()
-	own := loader.Stake{Fixed: float64(len(s.Holder.Owned())) / max(1, total), Line: queued}
-	share := s.Sharer.Part(own, shares, now)
+	own := loader.Allotment{Fixed: float64(len(s.Holder.Owned())) / max(1, total), QueueLength: queued}
+	share := s.Sharer.Share(own, shares, now)
 	s.mu.Unlock()
 	s.Driver.SetShare(force.Resolver.Weights(), share)
 }
@@ -101,8 +101,8 @@
 	}
 	defer c.Close()
 	response, err := c.Next(ctx)
-	if told, ok := response.(relayer.Told); ok && err == nil {
-		s.offerSettings(ctx, told.Head)
+	if settings, ok := response.(relayer.Told); ok && err == nil {
+		s.offerSettings(ctx, settings.Head)
 		s.declareUpstreams()
 	}
 }
@@ -152,7 +152,7 @@
 	defer conversation.Close()
 	response, err := conversation.Next(ctx)
 	if ctx.Err() != nil {
-		c.Mesh.Cut(address) // the next request opens a new link
+		c.Mesh.CloseLink(address) // the next request opens a new link
 	}
 	data, ok := response.(relayer.Data)
 	return data.Data, ok && err == nil
--- a/internal/request/forwarder/attempt.go
+++ b/internal/request/forwarder/attempt.go
@@ -35,7 +35,7 @@
 	defer p.releaseSlot()
 	wd := p.newWatchdog(runner.ID, cancel)
 	defer wd.stop()
-	reply, observation := p.Upstream.Send(ctx, Attempt{Request: p.request, Runner: runner, After: p.lastEventID, Left: deadline.Sub(now)})
+	reply, observation := p.Upstream.Send(ctx, Attempt{Request: p.request, Runner: runner, LastEventID: p.lastEventID, Timeout: deadline.Sub(now)})
 	if observation != nil {
 		return p.handleNoResponse(ctx, run, runner, observation)
 	}
@@ -49,8 +49,8 @@
 	var err *judge.Error
 	if p.request.Route.Kind == matcher.Streaming && reply.Status < 300 {
 		err = p.relayStream(ctx, runner, reply, wd)
-		if gap := p.request.Route.Gap; err == nil && p.executions == 1 && p.longestGap > 0 && gap > 0 {
-			p.Placement.Paused(runner.ID, p.longestGap, gap)
+		if gap := p.request.Route.MaxGap; err == nil && p.executions == 1 && p.longestGap > 0 && gap > 0 {
+			p.Placement.ReportGap(runner.ID, p.longestGap, gap)
 		}
 	} else {
 		wd.stop()
@@ -65,7 +65,7 @@
 	case err == nil:
 		return tracker.Done
 	case errors.Is(err, errCallerGone), errors.Is(context.Cause(ctx), context.Canceled):
-		return tracker.Left
+		return tracker.CallerLeft
 	default:
 		return tracker.Failed
 	}
@@ -74,7 +74,7 @@
 // handleNoResponse derives the error of an attempt that got no response head.
 func (p *exchange) handleNoResponse(ctx context.Context, run *tracker.Run, runner tracker.Runner, observation judge.Observation) *judge.Error {
 	err := judge.Judge(observation)
-	_, unreachable := observation.(judge.Dialed)
+	_, unreachable := observation.(judge.DialFailed)
 	if !unreachable {
 		p.delivered++
 	}
@@ -84,12 +84,12 @@
 	end := tracker.Failed
 	switch {
 	case errors.Is(context.Cause(ctx), context.Canceled):
-		end = tracker.Left
+		end = tracker.CallerLeft
 		err = errCallerGone
 	case errors.Is(context.Cause(ctx), context.DeadlineExceeded):
 		err = &judge.Error{Verdict: err.Verdict, Reason: judge.ReasonDeadline, Message: "the deadline passed at the runner"}
 	case unreachable:
-		end = tracker.Dark
+		end = tracker.ConnectFailed
 	}
 	run.End(end, time.Now())
 	p.tried[runner.ID] = true
@@ -107,9 +107,9 @@
 	switch {
 	case reply.Instance != "" && reply.Instance != runner.Name():
 		p.Fleet.Remove(runner.ID, 0) // its address now belongs to another runner
-	case reply.Absent:
-		p.Fleet.Missing(runner.ID, p.request.Copy)
-		p.Placement.Missing(runner.ID, p.request.Copy)
+	case reply.Misdirected:
+		p.Fleet.MarkMissing(runner.ID, p.request.Copy)
+		p.Placement.ReportMiss(runner.ID, p.request.Copy)
 	default:
 		p.tried[runner.ID] = true
 	}
@@ -128,9 +128,9 @@
 	if p.headSent {
 		return judge.Judge(judge.Failed{Status: reply.Status})
 	}
-	if reply.Status >= 500 && p.request.Route.Repeatable() && p.executions < p.request.Route.Attempts && p.budget.Withdraw() {
+	if reply.Status >= 500 && p.request.Route.Repeatable() && p.executions < p.request.Route.MaxExecutions && p.budget.Withdraw() {
 		p.tried[runner.ID] = true
-		p.Retried(judge.Judge(judge.Failed{Status: reply.Status}))
+		p.OnRetry(judge.Judge(judge.Failed{Status: reply.Status}))
 		return p.retryFailed(ctx, reply, body)
 	}
 	return p.deliver(reply, body)
@@ -138,7 +138,7 @@
 
 // deliver passes a complete response to the caller.
 func (p *exchange) deliver(reply *Reply, body []byte) *judge.Error {
-	if p.sink.Whole(reply, body) != nil {
+	if p.sink.Complete(reply, body) != nil {
 		return errCallerGone
 	}
 	p.status = reply.Status
@@ -172,7 +172,7 @@
 	case errors.Is(cause, context.Canceled):
 		return errCallerGone
 	default:
-		broken := judge.Judge(reply.Broken(err))
+		broken := judge.Judge(reply.BodyError(err))
 		p.reportBroken(ctx, runner, broken)
 		return broken
 	}
--- a/internal/upstream/caller/run.go
+++ b/internal/upstream/caller/run.go
@@ -73,7 +73,7 @@
 		return judge.Judge(judge.Mismatched{Want: call.Adapter, Got: got})
 	}
 	head.Status = response.Status
-	head.Type = string(response.Header.ContentType())
+	head.ContentType = string(response.Header.ContentType())
 	head.Adapter = call.Adapter
 	p := &responseCopier{response: response, call: call, handle: handle, head: head, sink: sink}
 	if call.Stream {
@@ -82,8 +82,8 @@
 	return p.copyComplete()
 }
 
-// Plain sends a call to a plain service and forwards the response unchanged.
-func Plain(ctx context.Context, address string, call *streamer.Call, sink streamer.Sink) error {
+// RunPlain sends a call to a plain service and forwards the response unchanged.
+func RunPlain(ctx context.Context, address string, call *streamer.Call, sink streamer.Sink) error {
 	return withContextReason(ctx, plain(ctx, address, call, sink))
 }
 
@@ -104,9 +104,9 @@
 	defer response.Close()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxResponseSize))
 	if err != nil {
-		return judge.Judge(response.Broken(err))
+		return judge.Judge(response.BodyError(err))
 	}
-	head := streamer.Head{Status: response.Status, Type: string(response.Header.ContentType()), Runner: call.Runner}
+	head := streamer.Head{Status: response.Status, ContentType: string(response.Header.ContentType()), Runner: call.Runner}
 	return deliver(sink, head, body)
 }
 
@@ -146,7 +146,7 @@
 
 // A responseCopier copies one response from the engine to the sink.
 type responseCopier struct {
-	response *requester.Answer
+	response *requester.Response
 	call     *streamer.Call
 	handle   string
 	head     streamer.Head
@@ -159,7 +159,7 @@
 		Model string `json:"model"`
 	}
 	if err := json.Unmarshal(data, &part); err != nil {
-		return judge.Judge(p.response.Broken(err))
+		return judge.Judge(p.response.BodyError(err))
 	}
 	if part.Model != p.handle {
 		return judge.Judge(judge.Mismatched{Want: p.handle, Got: part.Model})
@@ -201,13 +201,13 @@
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return judge.Judge(p.response.Broken(err))
+	return judge.Judge(p.response.BodyError(err))
 }
 
 func (p *responseCopier) copyComplete() error {
 	body, err := io.ReadAll(io.LimitReader(p.response.Body, maxResponseSize))
 	if err != nil {
-		return judge.Judge(p.response.Broken(err))
+		return judge.Judge(p.response.BodyError(err))
 	}
 	if err := p.checkModel(body); err != nil {
 		return err
