--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -172,7 +172,7 @@
 }
 
 // startOrdering discards all placer state: another leader may have changed which adapters the
-// runners hold since the earlier lease.
+// runners hold since this instance last led.
 func (d *controller) startOrdering(fence uint64) {
 	d.orderingFence = fence
 	for _, c := range d.runners {
--- a/internal/instance/gatekeeper/crash.go
+++ b/internal/instance/gatekeeper/crash.go
@@ -52,7 +52,7 @@
 //
 // Requests that were sent after the first response broke off are not suspected. A runner
 // that is down may appear to accept them, behind a proxy; requests that were sent to three
-// such runners before their rows were gone were rejected permanently.
+// such runners before their rows were deleted were rejected permanently.
 func (c *crashChecks) add(runner string, d quarantiner.Digest, sent time.Time) (begin, crashed bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/instance/gatekeeper/dependency.go
+++ b/internal/instance/gatekeeper/dependency.go
@@ -18,8 +18,8 @@
 
 // observe records the outcome of a call that was sent at the given time, and reports whether
 // the availability changed. A failure of a call that was sent before another one succeeded is
-// ignored: calls sent during an outage may fail when it is over, and each made the instance see
-// the store lost and back once more.
+// ignored: calls sent during an outage may fail after its end, and each of them made the instance
+// record another loss and recovery of the store.
 func (d *dependency) observe(up bool, sent, now time.Time) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -68,8 +68,8 @@
 
 // recoveredAt returns when the dependency became available again for the first instance to reach
 // it; wasDown is false if it was never unavailable to this instance. When the time was counted
-// from this instance's own recovery, runners that had been removed were used for longer, by as
-// much as it recovered later than the others.
+// from this instance's own recovery, the instance used removed runners for longer, by as much as
+// it recovered later than the others.
 func (d *dependency) recoveredAt(now time.Time) (at time.Time, wasDown bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,14 +77,14 @@
 	case d.down && d.others.current(now):
 		return d.others.first, true
 	case d.down:
-		return now, true // a row applied now arrives with the first answer
+		return now, true // a row applied now came with the first successful call
 	default:
 		return d.changedAt, !d.changedAt.IsZero()
 	}
 }
 
-// recordStall records that the instance was stalled until now: its calls in progress say nothing
-// about how long the dependency was unavailable.
+// recordStall records that the instance was stalled until now: its calls in progress do not show
+// how long the dependency was unavailable.
 func (d *dependency) recordStall(now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/instance/gatekeeper/headcount.go
+++ b/internal/instance/gatekeeper/headcount.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// A headcount is the number of instances as reported to this one. It rises at once and falls
-// late. Its zero value is ready; it is safe for concurrent use.
+// A headcount is the number of instances as reported to this one. An increase takes effect at
+// once, a decrease with a delay. Its zero value is ready; it is safe for concurrent use.
 type headcount struct {
 	mu          sync.Mutex
 	windowStart time.Time // start of the current window; zero before the first report
-	current     int       // largest count reported in it
-	previous    int       // and in the window before
+	current     int       // largest count reported in the current window
+	previous    int       // largest count reported in the window before
 }
 
 const (
@@ -22,7 +22,7 @@
 	// instead of hundreds, each instance would spend the retries of a hundred others. All have
 	// reported within three intervals.
 	countSettleTime = 3*updateInterval + 50*time.Millisecond
-	// assumedInstances is the number of instances that is assumed without a recent report: a
+	// assumedInstances is the number of instances that is assumed before the first report: a
 	// share of the retries that is safe among hundreds is safe in a small deployment too.
 	assumedInstances = 400
 )
@@ -43,7 +43,7 @@
 	h.current = max(h.current, n)
 }
 
-// get returns the count, or that of a large deployment without a recent report.
+// get returns the count, or assumedInstances before the first report.
 func (h *headcount) get() int {
 	if n := h.reported(); n > 0 {
 		return n
@@ -51,7 +51,7 @@
 	return assumedInstances
 }
 
-// reported returns the largest count reported recently, 0 for none.
+// reported returns the largest count of the last two windows, 0 before the first report.
 func (h *headcount) reported() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/instance/gatekeeper/lease.go
+++ b/internal/instance/gatekeeper/lease.go
@@ -39,7 +39,7 @@
 	// pollsPerInterval is the target for the total number of polls in pollInterval by all
 	// instances of a domain, if there are more instances than that. A leader that stopped
 	// gracefully is then replaced within an eighth of a second; with one poll a second by each
-	// instance, the death of a leader cost hundreds of calls.
+	// instance, the failure of a leader cost hundreds of calls.
 	pollsPerInterval = 8
 )
 
--- a/internal/instance/gatekeeper/load_time.go
+++ b/internal/instance/gatekeeper/load_time.go
@@ -26,12 +26,12 @@
 	lateMargin = 0.05
 	// shrinkRate is the rate per second at which the estimate decreases right after a late load,
 	// and shrinkTime the time until that rate has doubled; it goes on growing with the square
-	// of the time, up to maxShrinkRate. The estimate then takes two seconds to come down to the
-	// point where loads are late, which all loads started within one load time find out: one
-	// in seven. After a time in which all loads took twice as long it is right again within
-	// five seconds. When each load in time decreased it by a fixed fraction instead, hundreds
-	// of loads did so before the first late one was observed: two in five were late, and each
-	// cost one of the retries that all instances share.
+	// of the time, up to maxShrinkRate. The estimate then takes two seconds to fall below the
+	// actual duration; all loads that start within one load time from then on are late: one in
+	// seven. After a period in which all loads took twice as long, the estimate is correct again
+	// within five seconds. When each load that was not late decreased it by a fixed fraction
+	// instead, hundreds of loads did so before the first late one was observed: two in five were
+	// late, and each cost one of the retries that all instances share.
 	shrinkRate    = 0.02
 	shrinkTime    = 1500 * time.Millisecond
 	maxShrinkRate = 0.25
@@ -76,7 +76,7 @@
 	e.lastObserved = now
 }
 
-// shrinkFraction returns the fraction by which a load in time decreases the estimate.
+// shrinkFraction returns the fraction by which a load that is not late decreases the estimate.
 func (e *estimate) shrinkFraction(now time.Time) float64 {
 	since := float64(now.Sub(e.lastLate)) / float64(shrinkTime)
 	rate := min(maxShrinkRate, shrinkRate*(1+since*since))
--- a/internal/instance/gatekeeper/publish.go
+++ b/internal/instance/gatekeeper/publish.go
@@ -117,7 +117,7 @@
 	defer d.addSubscriber()()
 	intervals := d.intervals(member, s)
 	sequence, lastDue := -1, time.Time{}
-	crashes := 0 // last change of the ledger that was sent
+	crashes := 0 // sequence number of the last change of the ledger that was sent
 	fence := d.currentFence()
 	ticker := time.NewTicker(intervals.changes)
 	defer ticker.Stop()
@@ -148,8 +148,8 @@
 	}
 }
 
-// endStream ends a subscription. It reports if this instance has stepped down since the
-// subscription began.
+// endStream ends a subscription. If this instance has stepped down since the subscription began,
+// it sends the fencing token of the released lease first.
 func (d *controller) endStream(reply responder, fence uint64) error {
 	d.mu.Lock()
 	released := d.releasedFence
@@ -251,8 +251,8 @@
 	}
 }
 
-// delay returns the time until the copy is usable, as clocks differ between instances; negative
-// if the runner does not hold it.
+// delay returns the time until the copy is usable; negative if the runner does not hold it. It is
+// a duration, not a point in time, as clocks differ between instances.
 func (h copyEvent) delay(now time.Time) time.Duration {
 	if !h.present {
 		return -1
--- a/internal/instance/gatekeeper/quarantine.go
+++ b/internal/instance/gatekeeper/quarantine.go
@@ -26,7 +26,7 @@
 	ledger quarantiner.Ledger
 
 	mu           sync.Mutex
-	lastReport   time.Time                       // when a crash report last brought something new
+	lastReport   time.Time                       // when a new crash report was last recorded
 	ownReports   map[quarantiner.Crash]ownReport // crashes and clearances observed by this instance
 	logged       map[quarantiner.Digest]bool     // requests in quarantine, as last logged
 	rowStates    map[quarantiner.Crash]rowState  // desired states of the store's rows
@@ -109,7 +109,7 @@
 	}
 	for _, r := range added {
 		if !r.Cleared && len(g.quarantine.ledger.Uncleared(r.Digest, time.Now())) >= quarantiner.MinPersistedCrashes {
-			g.logCrash(r, from) // other crashes are logged only where they were observed, as many innocent requests run beside each culprit
+			g.logCrash(r, from) // other crashes are logged only where they were observed, as most requests that run during a crash did not cause it
 		}
 	}
 	q := &g.quarantine
--- a/internal/instance/gatekeeper/request_slot.go
+++ b/internal/instance/gatekeeper/request_slot.go
@@ -12,8 +12,7 @@
 )
 
 // AcquireSlot implements forwarder.Placement. The leader of the runner's domain counts the
-// requests at the runner: what an instance knows of the requests of others is as old as a few
-// runs take.
+// requests at the runner: what another instance knows of them is already several run times old.
 func (g *Gatekeeper) AcquireSlot(ctx context.Context, runner string, within time.Duration) (p forwarder.RequestSlot, refused *judge.Error, ok bool) {
 	l, found := g.linkOf(runner)
 	if !found {
--- a/internal/instance/gatekeeper/reserve.go
+++ b/internal/instance/gatekeeper/reserve.go
@@ -32,7 +32,7 @@
 	}
 	if via.id != leader.id {
 		r.Reporter = via.id
-		l.reportNow() // the report of the instance that relays this use must not arrive without it
+		l.reportNow() // the relaying instance's next report replaces its uses at the leader, and must include this one
 	}
 	conversation, message, err := g.askPeer(ctx, leader.address, r, askTimeout)
 	if err != nil {
--- a/internal/instance/gatekeeper/resync.go
+++ b/internal/instance/gatekeeper/resync.go
@@ -12,7 +12,7 @@
 
 // Each message about runners carries a checksum of those that its sender knows. After a
 // snapshot only deltas are sent: a receiver that differs, for whatever reason, would differ
-// for good. It requests a snapshot, and meanwhile does not rely on the sender.
+// permanently. It requests a snapshot, and meanwhile does not rely on the sender.
 
 const (
 	// divergenceTimeout is how long the runners may differ before a snapshot is requested, as
@@ -87,8 +87,8 @@
 }
 
 // deferToSource cancels the pending removals that the sender has read too without removing the
-// runner: its row is back, which is no delta, or the removal is pending there. A leader relies
-// on its own reading.
+// runner: either its row is back, which is not published as a change, or the removal is pending
+// there. A leader relies on its own reading.
 func (g *Gatekeeper) deferToSource(domain string, revision uint64) {
 	if !g.hasPending() || g.leadsAny() {
 		return
--- a/internal/instance/gatekeeper/runners.go
+++ b/internal/instance/gatekeeper/runners.go
@@ -48,7 +48,7 @@
 		return
 	}
 	for _, d := range g.controllers {
-		d.removeRunner(id, revision) // its incarnation may have been found replaced by another one at its address
+		d.removeRunner(id, revision) // the fleet may already know another incarnation at its address instead
 	}
 }
 
--- a/internal/instance/gatekeeper/serve.go
+++ b/internal/instance/gatekeeper/serve.go
@@ -95,7 +95,7 @@
 	g.Recorder.Log(recorder.Failed, "request", id, "verdict", err.Verdict, "reason", err.Reason, "retry", err.RetryAfter, "err", err.Message)
 }
 
-// RetryBurst returns this instance's part of the retries that a service may make beyond its
+// RetryBurst returns this instance's share of the retries that a service may make beyond its
 // share of the requests.
 func (g *Gatekeeper) RetryBurst() float64 {
 	return g.Config.Bounds.Slack * burstFraction / float64(g.Members())
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -17,7 +17,7 @@
 const (
 	// settleInterval is how often an instance settles what it has spent. Leaders settle with each
 	// other at the first such time at least exchangeInterval after the last: traffic between
-	// domains is paid for.
+	// domains is billed.
 	settleInterval   = 150 * time.Millisecond
 	exchangeInterval = 250 * time.Millisecond
 	// settleTimeout bounds such an exchange. No request waits for it.
@@ -44,7 +44,7 @@
 	return settled, nil
 }
 
-// settle answers a Settle.
+// settle handles a relayer.Settle.
 func (g *Gatekeeper) settle(m relayer.Settle) (relayer.Settled, error) {
 	if m.Unsubscribed {
 		g.quotas.ledger.Remove(m.Reporter.Instance)
--- a/internal/instance/gatekeeper/source.go
+++ b/internal/instance/gatekeeper/source.go
@@ -154,9 +154,9 @@
 		switch {
 		case s.id == "" || s.id == g.Config.ID || !g.source.eligible(s, now):
 		case sending && s != last && sinceUpdate > updateTimeout:
-			// The current source receives nothing from that leader. When it was tried all the
-			// same every second, a leader that was stalled for seven seconds left its instances
-			// without updates for half of them.
+			// The current source receives nothing from that leader. When it was
+			// nevertheless tried every second, a leader that was stalled for seven seconds left its
+			// instances without updates for half of that time.
 		default:
 			return s
 		}
--- a/internal/instance/gatekeeper/stop.go
+++ b/internal/instance/gatekeeper/stop.go
@@ -12,7 +12,7 @@
 // A stopState is the progress of a graceful stop.
 type stopState struct {
 	stoppingSince      atomicTime   // when the stop began
-	requestsInProgress atomic.Int64 // requests in progress
+	requestsInProgress atomic.Int64
 }
 
 const (
--- a/internal/instance/gatekeeper/subscribe.go
+++ b/internal/instance/gatekeeper/subscribe.go
@@ -184,8 +184,8 @@
 }
 
 // reportToPrevious reports the demand to the previous source for a while, and then unsubscribes
-// from it. Without that the leader would count each use twice, for as long as it counts a
-// failed instance.
+// from it. Without that the leader would count each use twice until the previous source drops
+// this instance's last report, as it does for a failed instance.
 func (l *link) reportToPrevious(ctx context.Context) {
 	previous, until, ok := l.previousTarget()
 	if !ok {
@@ -199,7 +199,7 @@
 	if time.Now().Before(until) {
 		demand = demandOf(l.domain, l.totalDemand())
 	}
-	_ = peers.Send(ctx, previous.address, demand) // it drops this instance's report after a while without one
+	_ = peers.Send(ctx, previous.address, demand) // if this fails, the previous source drops this instance's last report after memberTimeout
 }
 
 // previousTarget returns the previous source, and until when this instance reports to it; ok is
--- a/internal/instance/gatekeeper/table.go
+++ b/internal/instance/gatekeeper/table.go
@@ -16,12 +16,12 @@
 )
 
 // An instance that publishes updates also sends the rows of the operator and of the leases, so
-// that one instance of a failure domain polls the store for all of them. Each update says how
+// that one instance of a failure domain polls the store for all of them. Each update states how
 // long ago a call to the store showed that there is no newer row. That age only grows on the
 // way, and the instances that receive rows in this way publish to nobody.
 
-// tableUpdates returns the rows that a member lacks. after is up to which version it knows each
-// table, and is updated. due says whether to include the ages.
+// tableUpdates returns the rows that a member lacks. after holds the version up to which it knows
+// each table, and is updated. due says whether to include the ages.
 func (g *Gatekeeper) tableUpdates(after map[string]uint64, due bool) []relayer.Table {
 	var tables []relayer.Table
 	now := time.Now()
@@ -75,8 +75,8 @@
 	return t, true
 }
 
-// applyUpdate applies the rows that another instance published, and records as of when they
-// were all there were.
+// applyUpdate applies the rows that another instance published, and records as of when there were
+// no newer ones.
 func (v *view) applyUpdate(t relayer.Table, now time.Time) error {
 	for _, packed := range t.Rows {
 		row, err := unpack(packed)
--- a/internal/instance/gatekeeper/view.go
+++ b/internal/instance/gatekeeper/view.go
@@ -25,7 +25,7 @@
 	mu             sync.Mutex
 	rows           map[string]relayer.Row // by key, as published to others; not for tables with applyTable
 	publishedAt    time.Time              // when an instance that polls the store for this one last published it
-	known          bool                   // the whole table was received up to after
+	known          bool                   // the whole table was received, up to version after
 	after          uint64                 // version up to which the table is known
 	newest         uint64                 // version of the newest row received
 	currentAt      time.Time              // as of when calls showed it to be current
@@ -45,7 +45,7 @@
 // A viewState is the age of a view and the reasons for it.
 type viewState struct {
 	After  uint64        // the version up to which it is known
-	Age    time.Duration // since it was last known to be current; never if it was not yet
+	Age    time.Duration // since it was last known to be current; the constant never if it has not been
 	Failed int           // calls that failed since the last one that succeeded
 	Err    error         // of the last of them
 	Waits  time.Duration // duration of the watch call in progress; 0 if there is none
@@ -113,7 +113,7 @@
 }
 
 // behind reports whether another instance knows of a row that should have arrived by now. The
-// lock is held.
+// caller holds v.mu.
 func (v *view) behind(now time.Time) bool {
 	return v.othersNewest > v.after && now.Sub(v.othersNewestAt) > deliveryTime
 }
@@ -217,7 +217,7 @@
 	v.storeRows(packed)
 }
 
-// storeRows stores rows for publication to others.
+// storeRows stores rows for publication to others. The caller holds v.mu.
 func (v *view) storeRows(rows []relayer.Row) {
 	if v.rows == nil {
 		v.rows = make(map[string]relayer.Row)
--- a/internal/instance/gatekeeper/view_refresh.go
+++ b/internal/instance/gatekeeper/view_refresh.go
@@ -36,7 +36,7 @@
 	maxAgeLeader  = time.Second
 	maxAgeStagger = 300 * time.Millisecond
 	// maxAgeLeases is the same for the leases, which are known to be current while updates of
-	// all leaders are received. Half of a lease: nobody waits for one.
+	// all leaders are received. Half of a lease's duration is enough, as no request waits for one.
 	maxAgeLeases = leaseDuration / 2
 	// deliveryTime is how long a row that another instance knows may take to arrive here. Rows
 	// reach all instances within some 50 ms; a configuration of 64 KB takes as long on a link
@@ -94,7 +94,7 @@
 	}
 }
 
-// skipStoreCall reports whether a call to the store would only fail again: the store is lost,
+// skipStoreCall reports whether a call to the store would only fail again: the store is unavailable,
 // and the calls for the runners show when it is back. Without this check the calls during an
 // outage would double.
 func (g *Gatekeeper) skipStoreCall() bool {
@@ -176,15 +176,15 @@
 	v.invalidate()
 }
 
-// newBackOff returns the pauses between calls that fail one after the other.
+// newBackOff returns the pauses between consecutive failed calls.
 func newBackOff() *backoff.ExponentialBackOff {
 	return &backoff.ExponentialBackOff{InitialInterval: minRetryDelay, Multiplier: 2, MaxInterval: maxRetryDelay}
 }
 
 // retryDelay returns the time from the beginning of a call to that of the next one: none after
 // a success. It counts from the beginning, as a failed call may have taken a good part of it:
-// counted from its end, an instance polled a store that did not answer every 3.7 s, and noticed
-// its return too late.
+// counted from its end, an instance polled an unresponsive store only every 3.7 s, and noticed
+// its recovery too late.
 func retryDelay(err error, failed *backoff.ExponentialBackOff) time.Duration {
 	if err == nil {
 		failed.Reset()
--- a/internal/instance/gatekeeper/views.go
+++ b/internal/instance/gatekeeper/views.go
@@ -48,7 +48,8 @@
 	return maxAge
 }
 
-// earliest returns the earliest of a time of each link; ok is false if one has none.
+// earliest returns the earliest of the times that of returns for the links; ok is false if one of
+// them is zero.
 func (g *Gatekeeper) earliest(of func(l *link) time.Time) (earliest time.Time, ok bool) {
 	for _, l := range g.links {
 		l.mu.Lock()
--- a/internal/instance/gatekeeper/watch.go
+++ b/internal/instance/gatekeeper/watch.go
@@ -19,12 +19,12 @@
 	leaderPollPause = 400 * time.Millisecond
 	// pendingPollPause is the pause of a leader while it waits for expired rows to come back.
 	pendingPollPause = 100 * time.Millisecond
-	// maxLeaderRetryDelay bounds the pause of a leader between two failed calls. It
-	// publishes when the store is back: soon after, others must know which runners were removed.
+	// maxLeaderRetryDelay bounds the pause of a leader between two failed calls: soon after the
+	// store is back, others must learn from the leader which runners were removed.
 	maxLeaderRetryDelay = 500 * time.Millisecond
 	// unpublishedPollPause is the pause of an instance to which nobody publishes.
 	unpublishedPollPause = 600 * time.Millisecond
-	// updateTimeout is how long without an update an instance considers a source alive.
+	// updateTimeout is how long an instance considers a source alive without an update from it.
 	updateTimeout = 700 * time.Millisecond
 	// freshTimeout is how long an instance relies on published runners without an update whose
 	// sender has recently reached the store, and checkInterval how often that is checked.
@@ -124,7 +124,7 @@
 	}
 }
 
-// pollPause returns the pause before the next call for the runners. failed is what is left of
+// pollPause returns the pause before the next call for the runners. failed is the rest of
 // the retry delay after a failed call.
 func (g *Gatekeeper) pollPause(failed time.Duration) time.Duration {
 	switch {
