--- a/internal/instance/gatekeeper/apply.go
+++ b/internal/instance/gatekeeper/apply.go
@@ -11,63 +11,63 @@
 )
 
 // apply applies an update of the domain.
-func (l *link) apply(n relayer.News) {
+func (l *link) apply(update relayer.News) {
 	now := time.Now()
 	g := l.gatekeeper
-	if n.ReleasedFence > 0 {
-		l.leaderEnded(n.ReleasedFence)
+	if update.ReleasedFence > 0 {
+		l.leaderEnded(update.ReleasedFence)
 		return
 	}
-	g.applyReachability(n, now)
-	matches := l.applyRunners(n)
+	g.applyReachability(update, now)
+	matches := l.applyRunners(update)
 	l.mu.Lock()
 	l.diverged.observe(matches, now)
-	if n.Fresh && matches {
+	if update.Fresh && matches {
 		l.freshAt = now
 	}
-	if sent := now.Add(-n.SinceLeaderUpdate); sent.After(l.lastUpdate) {
+	if sent := now.Add(-update.SinceLeaderUpdate); sent.After(l.lastUpdate) {
 		l.lastUpdate = sent
 	}
-	if n.HasLoads {
-		l.setMembers(n.Members)
+	if update.HasLoads {
+		l.setMembers(update.Members)
 	}
 	l.mu.Unlock()
-	if n.Lease.Leader != "" {
-		l.setLeader(n.Lease)
+	if update.Lease.Leader != "" {
+		l.setLeader(update.Lease)
 	}
-	g.applyTables(n.Tables, now)
-	if n.Operator.Newest > 0 && g.operator.observeVersion(n.Operator.Newest, now) {
-		g.operator.confirmedAt.advance(now.Add(-n.Operator.Age))
+	g.applyTables(update.Tables, now)
+	if update.Operator.Newest > 0 && g.operator.observeVersion(update.Operator.Newest, now) {
+		g.operator.confirmedAt.advance(now.Add(-update.Operator.Age))
 	}
-	if lacksLeaderState(n) {
+	if lacksLeaderState(update) {
 		return
 	}
-	l.applyCopies(n, now)
-	d := g.controllers[l.domain]
-	d.recordUpdate(n, now)
-	if n.HasLoads {
-		others := maps.Clone(n.Loads)
+	l.applyCopies(update, now)
+	c := g.controllers[l.domain]
+	c.recordUpdate(update, now)
+	if update.HasLoads {
+		others := maps.Clone(update.Loads)
 		if others == nil {
 			others = make(map[string]tracker.Load)
 		}
-		addLoads(others, d.relayedLoads(now))
+		addLoads(others, c.relayedLoads(now))
 		g.Fleet.SetOtherLoads(l.domain, others)
 	}
-	g.Fleet.SetLeaderPresent(l.domain, n.Acting)
-	g.Fleet.SetLoadQueueWait(l.domain, n.LoadQueueWait)
-	g.Fleet.SetLoadTimes(l.domain, tracker.LoadTimes{Load: n.LoadTime, Reload: n.ReloadTime})
-	d.recordRenewal(n.Lease, n.Renewal, n.Age)
+	g.Fleet.SetLeaderPresent(l.domain, update.Acting)
+	g.Fleet.SetLoadQueueWait(l.domain, update.LoadQueueWait)
+	g.Fleet.SetLoadTimes(l.domain, tracker.LoadTimes{Load: update.LoadTime, Reload: update.ReloadTime})
+	c.recordRenewal(update.Lease, update.Renewal, update.Age)
 }
 
 // applyReachability records since when another leader has reached the store.
-func (g *Gatekeeper) applyReachability(n relayer.News, now time.Time) {
-	if n.Operator.Newest > 0 {
-		at := now.Add(-n.Operator.Age)
+func (g *Gatekeeper) applyReachability(update relayer.News, now time.Time) {
+	if update.Operator.Newest > 0 {
+		at := now.Add(-update.Operator.Age)
 		g.othersReachedStoreAt.advance(at)
 		g.storeUp.observeOthers(at, at, now)
 	}
-	if n.StoreReached != (relayer.Span{}) {
-		g.storeUp.observeOthers(now.Add(-n.StoreReached.First), now.Add(-n.StoreReached.Last), now)
+	if update.StoreReached != (relayer.Span{}) {
+		g.storeUp.observeOthers(now.Add(-update.StoreReached.First), now.Add(-update.StoreReached.Last), now)
 	}
 }
 
@@ -83,34 +83,34 @@
 
 // applyRunners applies the changes of the runners, and reports whether this instance now has
 // the same runners as the sender.
-func (l *link) applyRunners(n relayer.News) (matches bool) {
+func (l *link) applyRunners(update relayer.News) (matches bool) {
 	g := l.gatekeeper
 	g.runnerUpdateMu.Lock()
 	defer g.runnerUpdateMu.Unlock()
-	if n.Snapshot {
-		g.applySnapshot(l.domain, n)
+	if update.Snapshot {
+		g.applySnapshot(l.domain, update)
 	}
-	for _, r := range n.Runners {
-		g.setRunner(r, n.From)
+	for _, r := range update.Runners {
+		g.setRunner(r, update.From)
 	}
-	for _, removal := range n.Removed {
+	for _, removal := range update.Removed {
 		if known, ok := g.Fleet.Get(removal.Runner); !ok || known.Revision <= removal.Revision { // else it was described again since
-			g.removeRunnerNow(removal.Runner, removal.Revision, n.From, whyPublished)
+			g.removeRunnerNow(removal.Runner, removal.Revision, update.From, whyPublished)
 		}
 	}
-	if n.Snapshot {
-		g.Fleet.CompleteTo(l.domain, n.Revision)
+	if update.Snapshot {
+		g.Fleet.CompleteTo(l.domain, update.Revision)
 	}
-	return g.matches(l.domain, n)
+	return g.matches(l.domain, update)
 }
 
 // applyCopies applies which copies the runners hold, and how long copies wait for an adapter
 // slot.
-func (l *link) applyCopies(n relayer.News, now time.Time) {
+func (l *link) applyCopies(update relayer.News, now time.Time) {
 	fleet := l.gatekeeper.Fleet
-	if n.Snapshot {
+	if update.Snapshot {
 		copies := make(map[string]map[placer.Copy]time.Time)
-		for _, h := range n.Held {
+		for _, h := range update.Held {
 			if copies[h.Runner] == nil {
 				copies[h.Runner] = make(map[placer.Copy]time.Time)
 			}
@@ -122,15 +122,15 @@
 			fleet.SetHeld(runner, held)
 		}
 	} else {
-		for _, h := range n.Held {
+		for _, h := range update.Held {
 			for _, s := range h.Copies {
 				fleet.SetHeldCopy(h.Runner, h.Copy(s), now.Add(s.ReadyIn), s.ReadyIn >= 0)
 			}
 		}
 	}
-	if len(n.SlotWaits) > 0 {
-		waits := make(map[string]time.Duration, len(n.SlotWaits))
-		for _, r := range n.SlotWaits {
+	if len(update.SlotWaits) > 0 {
+		waits := make(map[string]time.Duration, len(update.SlotWaits))
+		for _, r := range update.SlotWaits {
 			waits[r.Runner] = r.Wait
 		}
 		fleet.SetAdapterSlotWaits(waits)
@@ -140,22 +140,22 @@
 // applySnapshot removes the runners of a domain that a snapshot lacks. The snapshot is complete
 // up to the revision up to which its sender has read the store, and does not cover runners that
 // were described later.
-func (g *Gatekeeper) applySnapshot(domain string, n relayer.News) {
-	listed := make(map[string]bool, len(n.Runners))
-	for _, r := range n.Runners {
+func (g *Gatekeeper) applySnapshot(domain string, update relayer.News) {
+	listed := make(map[string]bool, len(update.Runners))
+	for _, r := range update.Runners {
 		listed[r.ID] = true
 	}
 	dropped, newer := 0, 0
 	for _, r := range g.controllers[domain].runnerDescriptions() {
 		switch {
 		case r.Domain != domain, listed[r.ID]:
-		case r.Revision > n.Revision:
+		case r.Revision > update.Revision:
 			newer++
 		default:
 			dropped++
-			g.removeRunner(r.ID, n.Revision, n.From, whyUnlisted) // the sender may have started after an outage; removeRunner then waits for the grace period
+			g.removeRunner(r.ID, update.Revision, update.From, whyUnlisted) // the sender may have started after an outage; removeRunner then waits for the grace period
 		}
 	}
-	g.Recorder.Log(recorder.View, "msg", "snapshot", "domain", domain, "by", n.From, "fresh", n.Fresh, "revision", n.Revision,
-		"runners", len(n.Runners), "dropped", dropped, "later", newer)
+	g.Recorder.Log(recorder.View, "msg", "snapshot", "domain", domain, "by", update.From, "fresh", update.Fresh, "revision", update.Revision,
+		"runners", len(update.Runners), "dropped", dropped, "later", newer)
 }
--- a/internal/instance/gatekeeper/atomictime.go
+++ b/internal/instance/gatekeeper/atomictime.go
@@ -10,21 +10,21 @@
 // back, a time long past looks recent.
 type atomicTime struct{ at atomic.Pointer[time.Time] }
 
-func (m *atomicTime) set(t time.Time) { m.at.Store(&t) }
+func (a *atomicTime) set(t time.Time) { a.at.Store(&t) }
 
 // advance sets the time unless a later one was set.
-func (m *atomicTime) advance(t time.Time) {
+func (a *atomicTime) advance(t time.Time) {
 	for {
-		p := m.at.Load()
-		if p != nil && !t.After(*p) || m.at.CompareAndSwap(p, &t) {
+		p := a.at.Load()
+		if p != nil && !t.After(*p) || a.at.CompareAndSwap(p, &t) {
 			return
 		}
 	}
 }
 
 // get returns the time that was set last; ok is false if none was.
-func (m *atomicTime) get() (t time.Time, ok bool) {
-	if p := m.at.Load(); p != nil {
+func (a *atomicTime) get() (t time.Time, ok bool) {
+	if p := a.at.Load(); p != nil {
 		return *p, true
 	}
 	return time.Time{}, false
--- a/internal/instance/gatekeeper/changelog.go
+++ b/internal/instance/gatekeeper/changelog.go
@@ -61,9 +61,9 @@
 
 // since returns the events from a sequence number on; ok is false if some of them are no longer
 // retained.
-func (l *changeLog) since(number int) (events []event, ok bool) {
-	if number < l.first {
+func (l *changeLog) since(sequence int) (events []event, ok bool) {
+	if sequence < l.first {
 		return nil, false
 	}
-	return l.events[number-l.first:], true
+	return l.events[sequence-l.first:], true
 }
--- a/internal/instance/gatekeeper/controller.go
+++ b/internal/instance/gatekeeper/controller.go
@@ -65,139 +65,139 @@
 const reportInterval = 250 * time.Millisecond
 
 // setRunner adds or replaces the description of a runner.
-func (d *controller) setRunner(r tracker.Runner, changed bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	c, ok := d.runners[r.ID]
+func (c *controller) setRunner(r tracker.Runner, changed bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state, ok := c.runners[r.ID]
 	if ok {
-		d.toggleChecksum(c.runner)
+		c.toggleChecksum(state.runner)
 	} else {
-		c = &runnerState{}
-		d.runners[r.ID] = c
+		state = &runnerState{}
+		c.runners[r.ID] = state
 	}
-	d.toggleChecksum(r)
-	c.runner = r
+	c.toggleChecksum(r)
+	state.runner = r
 	if changed {
-		d.changes.add(event{runner: &r})
+		c.changes.add(event{runner: &r})
 	}
 }
 
 // runnerDescriptions returns the descriptions of all runners.
-func (d *controller) runnerDescriptions() []tracker.Runner {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	runners := make([]tracker.Runner, 0, len(d.runners))
-	for _, c := range d.runners {
-		runners = append(runners, c.runner)
+func (c *controller) runnerDescriptions() []tracker.Runner {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	runners := make([]tracker.Runner, 0, len(c.runners))
+	for _, state := range c.runners {
+		runners = append(runners, state.runner)
 	}
 	return runners
 }
 
 // removeRunner removes a runner, if it is known.
-func (d *controller) removeRunner(id string, revision uint64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	c, known := d.runners[id]
+func (c *controller) removeRunner(id string, revision uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state, known := c.runners[id]
 	if !known {
 		return
 	}
-	d.toggleChecksum(c.runner)
-	delete(d.runners, id)
-	d.changes.add(event{removal: &relayer.RemovedRunner{Runner: id, Revision: revision}})
+	c.toggleChecksum(state.runner)
+	delete(c.runners, id)
+	c.changes.add(event{removal: &relayer.RemovedRunner{Runner: id, Revision: revision}})
 }
 
 // mayOrder returns the fencing token of the lease and whether orders may be sent now.
-func (d *controller) mayOrder() (uint64, bool) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.elector.MaySendOrders(uptime())
+func (c *controller) mayOrder() (uint64, bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.elector.MaySendOrders(uptime())
 }
 
 // leads reports whether this instance leads the domain.
-func (d *controller) leads() bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.elector.IsLeader(uptime())
+func (c *controller) leads() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.elector.IsLeader(uptime())
 }
 
 // sendDue sends the orders and report requests that are due.
-func (d *controller) sendDue(ctx context.Context) {
+func (c *controller) sendDue(ctx context.Context) {
 	now := time.Now()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	fence, ok := d.elector.MaySendOrders(uptime())
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	fence, ok := c.elector.MaySendOrders(uptime())
 	if !ok {
-		d.stopOrdering()
+		c.stopOrdering()
 		return
 	}
-	if d.orderingFence != fence {
-		d.startOrdering(fence)
+	if c.orderingFence != fence {
+		c.startOrdering(fence)
 	}
 	switch {
-	case d.partitioned(now):
-		d.stepDown(ctx, "runners are not reached")
+	case c.partitioned(now):
+		c.stepDown(ctx, "runners are not reached")
 		return
-	case d.cutOffFromStore(now):
-		d.stepDown(ctx, "the store is not reached")
+	case c.cutOffFromStore(now):
+		c.stepDown(ctx, "the store is not reached")
 		return
 	}
-	catalog := d.gatekeeper.Catalog()
-	l := d.loadStats(now)
-	for _, id := range d.runnersByWaiting() {
-		c := d.runners[id]
-		if c.placer == nil {
-			c.placer = d.newPlacer(catalog, c.runner)
+	catalog := c.gatekeeper.Catalog()
+	l := c.loadStats(now)
+	for _, id := range c.runnersByWaiting() {
+		state := c.runners[id]
+		if state.placer == nil {
+			state.placer = c.newPlacer(catalog, state.runner)
 		}
-		if c.placer == nil || c.callInFlight || c.runner.Leaving {
+		if state.placer == nil || state.callInFlight || state.runner.Leaving {
 			continue
 		}
-		c.placer.LoadTime, c.placer.ReloadTime = d.gatekeeper.LoadTime(), d.gatekeeper.ReloadTime()
+		state.placer.LoadTime, state.placer.ReloadTime = c.gatekeeper.LoadTime(), c.gatekeeper.ReloadTime()
 		switch {
-		case !c.placer.Known():
-			if now.Sub(c.reportRequested) >= reportInterval {
-				c.reportRequested = now
-				d.requestReport(ctx, c)
+		case !state.placer.Known():
+			if now.Sub(state.reportRequested) >= reportInterval {
+				state.reportRequested = now
+				c.requestReport(ctx, state)
 			}
 		default:
-			if o, ok := c.placer.Next(now, l.allows()); ok {
-				if !o.Unload && o.Copy.Adapter != "" && !c.placer.HeldBefore(o.Copy) {
+			if o, ok := state.placer.Next(now, l.allows()); ok {
+				if !o.Unload && o.Copy.Adapter != "" && !state.placer.HeldBefore(o.Copy) {
 					l.fetching++
 				}
-				d.sendOrder(ctx, c, o)
+				c.sendOrder(ctx, state, o)
 			}
 		}
-		d.publishCopies(c)
-		d.publishSlotWait(c, now)
+		c.publishCopies(state)
+		c.publishSlotWait(state, now)
 	}
 }
 
 // startOrdering discards all placer state: another leader may have changed which adapters the
 // runners hold since this instance last led.
-func (d *controller) startOrdering(fence uint64) {
-	d.orderingFence = fence
-	for _, c := range d.runners {
-		c.placer = nil
-		c.published = nil
+func (c *controller) startOrdering(fence uint64) {
+	c.orderingFence = fence
+	for _, state := range c.runners {
+		state.placer = nil
+		state.published = nil
 	}
-	d.gatekeeper.Recorder.Log(recorder.View, "msg", "giving orders", "domain", d.domain, "fence", fence, "runners", len(d.runners))
+	c.gatekeeper.Recorder.Log(recorder.View, "msg", "giving orders", "domain", c.domain, "fence", fence, "runners", len(c.runners))
 }
 
 // stopOrdering drops the state that is only valid on the leader.
-func (d *controller) stopOrdering() {
-	if d.orderingFence == 0 {
+func (c *controller) stopOrdering() {
+	if c.orderingFence == 0 {
 		return
 	}
-	d.orderingFence = 0
-	d.aggregator.Clear() // members report to the next leader
-	d.firstReportAt = time.Time{}
-	for _, c := range d.runners {
-		c.placer = nil
+	c.orderingFence = 0
+	c.aggregator.Clear() // members report to the next leader
+	c.firstReportAt = time.Time{}
+	for _, state := range c.runners {
+		state.placer = nil
 	}
-	d.gatekeeper.Recorder.Log(recorder.View, "msg", "giving no more orders", "domain", d.domain)
+	c.gatekeeper.Recorder.Log(recorder.View, "msg", "giving no more orders", "domain", c.domain)
 }
 
 // newPlacer returns a new placer for a runner's adapter slots, or nil for a plain service.
-func (d *controller) newPlacer(catalog *matcher.Catalog, r tracker.Runner) *placer.Placer {
+func (c *controller) newPlacer(catalog *matcher.Catalog, r tracker.Runner) *placer.Placer {
 	if catalog == nil {
 		return nil
 	}
@@ -216,67 +216,67 @@
 	if model.AdapterSize > 0 {
 		slots = min(slots, (engine.Memory-model.Size)/model.AdapterSize)
 	}
-	inUse := func(c placer.Copy) bool { return d.aggregator.Uses(keyOf(r.ID, c)) > 0 }
-	return &placer.Placer{Copies: d.copyCount, InUse: inUse, Model: model.Name, AdapterSlots: slots, MaxLoads: maxLoadsPerRunner}
+	inUse := func(copied placer.Copy) bool { return c.aggregator.Uses(keyOf(r.ID, copied)) > 0 }
+	return &placer.Placer{Copies: c.copyCount, InUse: inUse, Model: model.Name, AdapterSlots: slots, MaxLoads: maxLoadsPerRunner}
 }
 
 // requestReport asks a runner which adapters it holds.
-func (d *controller) requestReport(ctx context.Context, c *runnerState) {
-	c.callInFlight = true
-	p, runner := c.placer, c.runner
+func (c *controller) requestReport(ctx context.Context, state *runnerState) {
+	state.callInFlight = true
+	p, runner := state.placer, state.runner
 	go func() {
-		report, err := d.gatekeeper.Engine.Report(ctx, runner)
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		c.callInFlight = false
-		c.failures.recordReport(err)
+		report, err := c.gatekeeper.Engine.Report(ctx, runner)
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		state.callInFlight = false
+		state.failures.recordReport(err)
 		if err != nil {
-			d.gatekeeper.Recorder.Log(recorder.View, "msg", "runner report failed", "runner", runner.ID, "err", err)
+			c.gatekeeper.Recorder.Log(recorder.View, "msg", "runner report failed", "runner", runner.ID, "err", err)
 			return
 		}
 		applied := p.ApplyReport(report, time.Now())
-		d.gatekeeper.Recorder.Log(recorder.View, "msg", "report", "runner", runner.ID, "sequence", report.Sequence,
+		c.gatekeeper.Recorder.Log(recorder.View, "msg", "report", "runner", runner.ID, "sequence", report.Sequence,
 			"resident", len(report.Resident), "incoming", len(report.Incoming), "models", len(report.Models), "busy", report.Busy, "taken", applied)
 	}()
 }
 
 // sendOrder sends an order, provided that the lease is still valid when it is sent.
-func (d *controller) sendOrder(ctx context.Context, c *runnerState, o placer.Order) {
-	c.callInFlight = true
-	p, runner, fence := c.placer, c.runner, d.orderingFence
+func (c *controller) sendOrder(ctx context.Context, state *runnerState, o placer.Order) {
+	state.callInFlight = true
+	p, runner, fence := state.placer, state.runner, c.orderingFence
 	go func() {
 		began := time.Now()
 		outcome, err := placer.Refused, error(nil)
-		if current, ok := d.mayOrder(); ok && current == fence {
-			outcome, err = d.gatekeeper.Engine.Order(ctx, runner, o, d.gatekeeper.Config.ID, fence)
+		if current, ok := c.mayOrder(); ok && current == fence {
+			outcome, err = c.gatekeeper.Engine.Order(ctx, runner, o, c.gatekeeper.Config.ID, fence)
 		}
-		d.mu.Lock()
+		c.mu.Lock()
 		p.Finish(outcome, time.Now())
-		c.failures.recordOrder(outcome)
-		c.callInFlight = false
-		d.mu.Unlock()
-		d.gatekeeper.logOrder(runner, o, outcome, fence, time.Since(began), err)
-		d.gatekeeper.checkOrdersNow()
+		state.failures.recordOrder(outcome)
+		state.callInFlight = false
+		c.mu.Unlock()
+		c.gatekeeper.logOrder(runner, o, outcome, fence, time.Since(began), err)
+		c.gatekeeper.checkOrdersNow()
 	}()
 }
 
 // publishCopies publishes which copies a runner has gained or lost since the last call.
-func (d *controller) publishCopies(c *runnerState) {
-	held := c.placer.Held()
+func (c *controller) publishCopies(state *runnerState) {
+	held := state.placer.Held()
 	now := time.Now()
 	for copied, at := range held {
-		before, ok := c.published[copied]
+		before, ok := state.published[copied]
 		if !ok || !before.Equal(at) && (at.After(now) || before.After(now)) { // a load that completes as expected is no change for members
-			d.changes.add(event{copyChange: &copyEvent{runner: c.runner.ID, copy: copied, at: at, present: true}})
+			c.changes.add(event{copyChange: &copyEvent{runner: state.runner.ID, copy: copied, at: at, present: true}})
 		}
 	}
-	for copied := range c.published {
+	for copied := range state.published {
 		if _, ok := held[copied]; !ok {
-			d.changes.add(event{copyChange: &copyEvent{runner: c.runner.ID, copy: copied}})
+			c.changes.add(event{copyChange: &copyEvent{runner: state.runner.ID, copy: copied}})
 		}
 	}
-	if c.placer.Known() || c.published != nil {
-		c.published = held
-		d.gatekeeper.Fleet.SetHeld(c.runner.ID, held)
+	if state.placer.Known() || state.published != nil {
+		state.published = held
+		c.gatekeeper.Fleet.SetHeld(state.runner.ID, held)
 	}
 }
--- a/internal/instance/gatekeeper/crash.go
+++ b/internal/instance/gatekeeper/crash.go
@@ -119,10 +119,10 @@
 // off there.
 func (g *Gatekeeper) checkRunner(runner tracker.Runner) {
 	began := time.Now()
-	life := g.probeLiveness(runner)
-	crashed := (life == tracker.Refuses || life == tracker.Replaced) && !g.isLeaving(runner)
+	result := g.probeLiveness(runner)
+	crashed := (result == tracker.Refuses || result == tracker.Replaced) && !g.isLeaving(runner)
 	requests := g.crashes.end(runner.ID, crashed)
-	g.Recorder.Log(recorder.Suspect, "msg", "runner checked", "runner", runner.ID, "life", life, "crashed", crashed,
+	g.Recorder.Log(recorder.Suspect, "msg", "runner checked", "runner", runner.ID, "life", result, "crashed", crashed,
 		"requests", len(requests), "took", time.Since(began))
 	if crashed {
 		g.suspect(runner.ID, requests)
@@ -146,13 +146,13 @@
 		if ctx.Err() != nil {
 			return tracker.Unknown
 		}
-		switch life := g.Engine.Probe(ctx, runner); life {
+		switch result := g.Engine.Probe(ctx, runner); result {
 		case tracker.Alive, tracker.Replaced:
-			return life
+			return result
 		case tracker.Refuses:
 			refused++
 			if refused >= crashRefusals {
-				return life
+				return result
 			}
 		default:
 			refused = 0
--- a/internal/instance/gatekeeper/demand.go
+++ b/internal/instance/gatekeeper/demand.go
@@ -16,16 +16,16 @@
 // HandleDemand implements relayer.DemandHandler: it handles a member's demand report as the
 // leader of the domain, or relays it to the leader.
 func (g *Gatekeeper) HandleDemand(from heartbeater.Instance, demand relayer.Demand) {
-	d, ok := g.controllers[demand.Domain]
+	c, ok := g.controllers[demand.Domain]
 	switch {
 	case !ok:
-	case d.leads():
-		d.applyDemand(from.ID, demand)
+	case c.leads():
+		c.applyDemand(from.ID, demand)
 		if demand.Urgent() {
 			g.checkOrdersNow()
 		}
-	case g.leadsAny() || d.relaysFor(from.ID):
-		d.applyDemand(from.ID, demand)
+	case g.leadsAny() || c.relaysFor(from.ID):
+		c.applyDemand(from.ID, demand)
 		g.links[demand.Domain].relayDemand(demand)
 	}
 }
@@ -33,37 +33,37 @@
 // relaysFor reports whether this instance relays a member's reports. An instance that has just
 // stepped down goes on until the member receives updates from another one; otherwise the
 // uses of a whole domain would not be counted in between.
-func (d *controller) relaysFor(member string) bool {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.aggregator.IsMember(member)
+func (c *controller) relaysFor(member string) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.aggregator.IsMember(member)
 }
 
 // applyDemand applies a member's demand report.
-func (d *controller) applyDemand(from string, demand relayer.Demand) {
+func (c *controller) applyDemand(from string, demand relayer.Demand) {
 	now := time.Now()
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if demand.Unsubscribed {
-		d.aggregator.Remove(from)
+		c.aggregator.Remove(from)
 		return
 	}
-	if d.firstReportAt.IsZero() {
-		d.firstReportAt = now
+	if c.firstReportAt.IsZero() {
+		c.firstReportAt = now
 	}
-	d.aggregator.Report(from, summedReport(demand), now)
-	if from != d.gatekeeper.Config.ID && reportsResponse(demand) {
-		d.partition.respondedElsewhere = now
+	c.aggregator.Report(from, summedReport(demand), now)
+	if from != c.gatekeeper.Config.ID && reportsResponse(demand) {
+		c.partition.respondedElsewhere = now
 	}
-	d.prefillShare.Record(demand.ShortGaps, demand.LongGaps)
-	for _, n := range demand.Hits {
-		d.withPlacer(n.Runner, func(p *placer.Placer) { d.observeLoad(p.ObserveHit(n.Copy, n.Requests, now.Add(-n.Age))) })
+	c.prefillShare.Record(demand.ShortGaps, demand.LongGaps)
+	for _, u := range demand.Hits {
+		c.withPlacer(u.Runner, func(p *placer.Placer) { c.observeLoad(p.ObserveHit(u.Copy, u.Requests, now.Add(-u.Age))) })
 	}
-	for _, n := range demand.Misses {
-		d.withPlacer(n.Runner, func(p *placer.Placer) { p.ObserveMiss(n.Copy, now) })
+	for _, u := range demand.Misses {
+		c.withPlacer(u.Runner, func(p *placer.Placer) { p.ObserveMiss(u.Copy, now) })
 	}
-	for _, n := range demand.Spare {
-		d.withPlacer(n.Runner, func(p *placer.Placer) { p.Request(n.Copy, placer.Spare, now) })
+	for _, u := range demand.Spare {
+		c.withPlacer(u.Runner, func(p *placer.Placer) { p.Request(u.Copy, placer.Spare, now) })
 	}
 }
 
@@ -89,8 +89,8 @@
 
 // applyWaits updates a runner's placer with the number of requests of all members that wait for a
 // copy.
-func (d *controller) applyWaits(k aggregator.Key, all placer.Waiting) {
-	d.withPlacer(k.Runner, func(p *placer.Placer) {
+func (c *controller) applyWaits(k aggregator.Key, all placer.Waiting) {
+	c.withPlacer(k.Runner, func(p *placer.Placer) {
 		if all.Requests == 0 {
 			p.ClearDemand(k.Copy)
 			return
@@ -101,16 +101,16 @@
 
 // loadsExcept returns the load of all members except one. This instance counts as a member: it
 // reports its demand to its own controller.
-func (d *controller) loadsExcept(but string, now time.Time) map[string]tracker.Load {
-	d.aggregator.Expire(now)
-	return d.aggregator.Loads(but)
+func (c *controller) loadsExcept(except string, now time.Time) map[string]tracker.Load {
+	c.aggregator.Expire(now)
+	return c.aggregator.Loads(except)
 }
 
 // recordUse counts a use that a member has begun.
-func (d *controller) recordUse(by string, k aggregator.Key) { d.aggregator.AddUse(by, k, time.Now()) }
+func (c *controller) recordUse(by string, k aggregator.Key) { c.aggregator.AddUse(by, k, time.Now()) }
 
-func (d *controller) withPlacer(runner string, do func(p *placer.Placer)) {
-	if c, ok := d.runners[runner]; ok && c.placer != nil {
-		do(c.placer)
+func (c *controller) withPlacer(runner string, do func(p *placer.Placer)) {
+	if state, ok := c.runners[runner]; ok && state.placer != nil {
+		do(state.placer)
 	}
 }
--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -162,20 +162,20 @@
 	g.reloadTime.set(initialReloadTime)
 	g.sourceDomains = g.orderSourceDomains()
 	for _, domain := range g.domains() {
-		late, lastUpdate := rand.N(takeoverJitter)+g.Config.Link.TakeoverDelay(), time.Time{}
+		takeoverDelay, lastUpdate := rand.N(takeoverJitter)+g.Config.Link.TakeoverDelay(), time.Time{}
 		if domain != g.Config.Domain {
 			// At a start no domain has a leader. Without this each instance tried to acquire
 			// the leases of all domains at once: 500 calls by 64 instances.
-			late, lastUpdate = foreignTakeoverDelay, time.Now()
+			takeoverDelay, lastUpdate = foreignTakeoverDelay, time.Now()
 		}
-		d := &controller{
+		c := &controller{
 			gatekeeper: g, domain: domain, runners: make(map[string]*runnerState),
 			elector: elector.Elector{
-				Self: g.Config.ID, Address: g.Config.AdvertisedAddress(), LeaseDuration: leaseDuration, QuietPeriod: g.Config.Bounds.Quiet + quietMargin, TakeoverDelay: late,
+				Self: g.Config.ID, Address: g.Config.AdvertisedAddress(), LeaseDuration: leaseDuration, QuietPeriod: g.Config.Bounds.Quiet + quietMargin, TakeoverDelay: takeoverDelay,
 			},
 		}
-		d.aggregator = aggregator.Aggregator{OnFreed: d.reportFreed, MemberTimeout: memberTimeout, OnWaiting: d.applyWaits}
-		g.controllers[domain] = d
+		c.aggregator = aggregator.Aggregator{OnFreed: c.reportFreed, MemberTimeout: memberTimeout, OnWaiting: c.applyWaits}
+		g.controllers[domain] = c
 		g.links[domain] = &link{gatekeeper: g, domain: domain, lastUpdate: lastUpdate, wake: make(chan struct{}, 1), relayTimeout: minRelayTimeout + rand.N(relayTimeoutJitter)}
 	}
 }
--- a/internal/instance/gatekeeper/headcount.go
+++ b/internal/instance/gatekeeper/headcount.go
@@ -59,9 +59,9 @@
 }
 
 // instances returns the number of instances, 0 until enough reports have arrived.
-func (d *controller) instances(now time.Time) int {
-	if d.firstReportAt.IsZero() || now.Sub(d.firstReportAt) < countSettleTime {
+func (c *controller) instances(now time.Time) int {
+	if c.firstReportAt.IsZero() || now.Sub(c.firstReportAt) < countSettleTime {
 		return 0
 	}
-	return max(1, d.aggregator.Instances())
+	return max(1, c.aggregator.Instances())
 }
--- a/internal/instance/gatekeeper/lease.go
+++ b/internal/instance/gatekeeper/lease.go
@@ -46,9 +46,9 @@
 // lead maintains the leases and sends orders until ctx ends.
 func (g *Gatekeeper) lead(ctx context.Context) {
 	repeater.EveryNow(ctx, leadInterval, g.orderWake, func() {
-		for _, d := range g.controllers {
-			d.maintainLease(ctx)
-			d.sendDue(ctx)
+		for _, c := range g.controllers {
+			c.maintainLease(ctx)
+			c.sendDue(ctx)
 		}
 		pause(ctx, minLeadPause)
 	})
@@ -59,8 +59,8 @@
 
 // leadsAny reports whether this instance leads any failure domain.
 func (g *Gatekeeper) leadsAny() bool {
-	for _, d := range g.controllers {
-		if d.leads() {
+	for _, c := range g.controllers {
+		if c.leads() {
 			return true
 		}
 	}
@@ -68,99 +68,99 @@
 }
 
 // maintainLease reads or writes the lease row if that is due.
-func (d *controller) maintainLease(ctx context.Context) {
-	if d.gatekeeper.Stopping() {
+func (c *controller) maintainLease(ctx context.Context) {
+	if c.gatekeeper.Stopping() {
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := uptime()
-	if d.callInFlight || now < d.retryAt {
+	if c.callInFlight || now < c.retryAt {
 		return
 	}
-	leads := d.elector.IsLeader(now)
-	if !leads && !d.leaderless() {
-		d.polling = false
+	leads := c.elector.IsLeader(now)
+	if !leads && !c.leaderless() {
+		c.polling = false
 		return
 	}
-	if d.elector.NeedsRead() {
-		d.startCall(func() { d.readLeaseRow(ctx) })
+	if c.elector.NeedsRead() {
+		c.startCall(func() { c.readLeaseRow(ctx) })
 		return
 	}
-	if w, ok := d.elector.Next(now); ok && (leads || !d.defersTakeover()) {
-		if w.Takeover && w.Row.Fence > 1 && d.elector.Row().Leader != d.gatekeeper.Config.ID {
-			runners := d.probeTargets(maxProbes)
-			d.startCall(func() { d.takeOver(ctx, w, runners) })
+	if w, ok := c.elector.Next(now); ok && (leads || !c.defersTakeover()) {
+		if w.Takeover && w.Row.Fence > 1 && c.elector.Row().Leader != c.gatekeeper.Config.ID {
+			runners := c.probeTargets(maxProbes)
+			c.startCall(func() { c.takeOver(ctx, w, runners) })
 		} else {
-			d.startCall(func() { d.writeLease(ctx, w) })
+			c.startCall(func() { c.writeLease(ctx, w) })
 		}
 		return
 	}
-	if !leads && d.pollDue(now) {
-		d.startCall(func() { d.readLeaseRow(ctx) })
+	if !leads && c.pollDue(now) {
+		c.startCall(func() { c.readLeaseRow(ctx) })
 	}
 }
 
 // pollDue reports whether this instance polls the lease row now, while the domain appears
 // to have no leader. The polls of the domain's instances are staggered.
-func (d *controller) pollDue(now time.Duration) bool {
-	period := d.pollPeriod()
-	if !d.polling {
-		d.polling = true
-		d.nextPoll = now + rand.N(period)
+func (c *controller) pollDue(now time.Duration) bool {
+	period := c.pollPeriod()
+	if !c.polling {
+		c.polling = true
+		c.nextPoll = now + rand.N(period)
 	}
-	if now < d.nextPoll {
+	if now < c.nextPoll {
 		return false
 	}
-	d.nextPoll = now + period
+	c.nextPoll = now + period
 	return true
 }
 
 // pollPeriod returns the interval at which this instance polls the lease row.
-func (d *controller) pollPeriod() time.Duration {
-	g := d.gatekeeper
+func (c *controller) pollPeriod() time.Duration {
+	g := c.gatekeeper
 	neighbours := g.headcount.reported() / len(g.domains())
 	return max(pollInterval, time.Duration(neighbours)*pollInterval/pollsPerInterval)
 }
 
 // leaderless reports whether the domain appears to have no leader.
-func (d *controller) leaderless() bool {
+func (c *controller) leaderless() bool {
 	limit := leaderTimeout
-	if d.domain != d.gatekeeper.Config.Domain {
+	if c.domain != c.gatekeeper.Config.Domain {
 		limit += foreignTakeoverDelay
 	}
-	return d.gatekeeper.links[d.domain].sinceUpdate() > limit
+	return c.gatekeeper.links[c.domain].sinceUpdate() > limit
 }
 
 // recordRenewal records a renewal of the lease that the leader published.
-func (d *controller) recordRenewal(row elector.Lease, version uint64, age time.Duration) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.elector.ObserveRemote(row, version, age, uptime())
+func (c *controller) recordRenewal(lease elector.Lease, version uint64, age time.Duration) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.elector.ObserveRemote(lease, version, age, uptime())
 }
 
 // recordRelease records that the leader with the given fencing token has stepped down.
-func (d *controller) recordRelease(fence uint64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.elector.ObserveStepDown(fence, uptime())
+func (c *controller) recordRelease(fence uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.elector.ObserveStepDown(fence, uptime())
 }
 
-func (d *controller) startCall(do func()) {
-	d.callInFlight = true
+func (c *controller) startCall(do func()) {
+	c.callInFlight = true
 	go func() {
 		do()
-		d.mu.Lock()
-		d.callInFlight = false
-		d.mu.Unlock()
+		c.mu.Lock()
+		c.callInFlight = false
+		c.mu.Unlock()
 	}()
 }
 
 // readLeaseRow reads the lease row from the store.
-func (d *controller) readLeaseRow(ctx context.Context) {
+func (c *controller) readLeaseRow(ctx context.Context) {
 	sent := time.Now()
-	row, err := d.gatekeeper.Store.Get(ctx, tableLeases+"/"+d.domain)
-	d.gatekeeper.recordStoreCall(sent, err)
+	row, err := c.gatekeeper.Store.Get(ctx, tableLeases+"/"+c.domain)
+	c.gatekeeper.recordStoreCall(sent, err)
 	var lease elector.Lease
 	if err == nil && row.Version > 0 {
 		err = encoder.Unmarshal(row.Value, &lease)
@@ -168,68 +168,68 @@
 	if err == nil {
 		// The watch on the leaders may be a call that is never answered, in which case this
 		// instance would not follow the new leader.
-		d.gatekeeper.links[d.domain].setLeader(lease)
+		c.gatekeeper.links[c.domain].setLeader(lease)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err != nil {
-		d.retryAt = uptime() + pollInterval
+		c.retryAt = uptime() + pollInterval
 		return
 	}
-	d.elector.ObserveRow(lease, row.Version, uptime())
+	c.elector.ObserveRow(lease, row.Version, uptime())
 }
 
-func (d *controller) writeLease(ctx context.Context, w elector.Write) {
+func (c *controller) writeLease(ctx context.Context, w elector.Write) {
 	sent := time.Now()
-	version, err := d.gatekeeper.Store.Write(ctx, d.leaseTxn(w))
+	version, err := c.gatekeeper.Store.Write(ctx, c.leaseTxn(w))
 	var conflict *tabler.ConflictError
 	if !errors.As(err, &conflict) {
-		d.gatekeeper.recordStoreCall(sent, err)
+		c.gatekeeper.recordStoreCall(sent, err)
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if err != nil {
-		d.elector.WriteFailed()
-		d.retryAt = uptime() + minRetryDelay
-		d.gatekeeper.Recorder.Log(recorder.View, "msg", "lease write failed", "domain", d.domain, "fence", w.Row.Fence,
+		c.elector.WriteFailed()
+		c.retryAt = uptime() + minRetryDelay
+		c.gatekeeper.Recorder.Log(recorder.View, "msg", "lease write failed", "domain", c.domain, "fence", w.Row.Fence,
 			"takeover", w.Takeover, "err", err)
 		return
 	}
-	d.elector.WriteSucceeded(w, version, uptime())
+	c.elector.WriteSucceeded(w, version, uptime())
 	if w.Takeover {
-		d.firstReportAt = time.Time{} // members whose reports were relayed are not all members
-		d.gatekeeper.Recorder.Log(recorder.View, "msg", "lease acquired", "domain", d.domain, "fence", w.Row.Fence, "version", version)
-		d.gatekeeper.links[d.domain].setLeader(w.Row)
+		c.firstReportAt = time.Time{} // members whose reports were relayed are not all members
+		c.gatekeeper.Recorder.Log(recorder.View, "msg", "lease acquired", "domain", c.domain, "fence", w.Row.Fence, "version", version)
+		c.gatekeeper.links[c.domain].setLeader(w.Row)
 	}
 }
 
 // releaseLeases releases all leases and clears their rows if the store can be reached. Otherwise
 // the next leader waits as long as after a crash.
 func (g *Gatekeeper) releaseLeases(ctx context.Context) {
-	for _, d := range g.controllers {
-		d.mu.Lock()
-		w, led := d.elector.Leave(uptime())
-		d.stopOrdering()
-		d.mu.Unlock()
+	for _, c := range g.controllers {
+		c.mu.Lock()
+		w, led := c.elector.Leave(uptime())
+		c.stopOrdering()
+		c.mu.Unlock()
 		if led {
-			go d.releaseRow(ctx, w)
+			go c.releaseRow(ctx, w)
 		}
 	}
 }
 
 // releaseRow clears the row. A renewal in flight may have changed the row meanwhile; if it were
 // not cleared then, no orders would be sent until the lease had expired.
-func (d *controller) releaseRow(ctx context.Context, w elector.Write) {
-	_, err := d.gatekeeper.Store.Write(ctx, d.leaseTxn(w))
+func (c *controller) releaseRow(ctx context.Context, w elector.Write) {
+	_, err := c.gatekeeper.Store.Write(ctx, c.leaseTxn(w))
 	var conflict *tabler.ConflictError
 	if errors.As(err, &conflict) {
-		err = d.retryReleaseRow(ctx, w)
+		err = c.retryReleaseRow(ctx, w)
 	}
-	d.gatekeeper.Recorder.Log(recorder.View, "msg", "lease released", "domain", d.domain, "fence", w.Row.Fence, "err", err)
+	c.gatekeeper.Recorder.Log(recorder.View, "msg", "lease released", "domain", c.domain, "fence", w.Row.Fence, "err", err)
 }
 
-func (d *controller) retryReleaseRow(ctx context.Context, w elector.Write) error {
-	row, err := d.gatekeeper.Store.Get(ctx, tableLeases+"/"+d.domain)
+func (c *controller) retryReleaseRow(ctx context.Context, w elector.Write) error {
+	row, err := c.gatekeeper.Store.Get(ctx, tableLeases+"/"+c.domain)
 	if err != nil {
 		return err
 	}
@@ -237,24 +237,24 @@
 	if err := encoder.Unmarshal(row.Value, &lease); err != nil {
 		return err
 	}
-	if lease.Leader != d.gatekeeper.Config.ID || lease.Fence != w.Row.Fence {
+	if lease.Leader != c.gatekeeper.Config.ID || lease.Fence != w.Row.Fence {
 		return nil // another instance leads already
 	}
 	w.Version = row.Version
-	_, err = d.gatekeeper.Store.Write(ctx, d.leaseTxn(w))
+	_, err = c.gatekeeper.Store.Write(ctx, c.leaseTxn(w))
 	return err
 }
 
 // leaseTxn returns the transaction that writes the lease row.
-func (d *controller) leaseTxn(w elector.Write) tabler.Txn {
+func (c *controller) leaseTxn(w elector.Write) tabler.Txn {
 	value, err := encoder.Marshal(w.Row)
 	if err != nil {
 		panic(err) // a lease row can always be encoded
 	}
-	key := tableLeases + "/" + d.domain
+	key := tableLeases + "/" + c.domain
 	txn := tabler.Txn{Checks: []tabler.Check{{Key: key, Version: w.Version}}, Puts: []tabler.Put{{Key: key, Value: value}}}
 	if w.Takeover {
-		txn.Puts = append(txn.Puts, tabler.Put{Key: tableLeaders + "/" + d.domain, Value: value})
+		txn.Puts = append(txn.Puts, tabler.Put{Key: tableLeaders + "/" + c.domain, Value: value})
 	}
 	return txn
 }
--- a/internal/instance/gatekeeper/load_time.go
+++ b/internal/instance/gatekeeper/load_time.go
@@ -63,12 +63,12 @@
 // with empty runners, growing by a fraction for each took the estimate to its bound of
 // seconds, and callers were refused for ten seconds because of loads that would have taken a
 // third of a second.
-func (e *estimate) observe(a placer.LoadObservation, now time.Time) {
+func (e *estimate) observe(o placer.LoadObservation, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if a.Min > 0 {
+	if o.Min > 0 {
 		e.lastLate = now
-		took := min(a.Max, time.Duration((1+lateMargin)*float64(a.Min)))
+		took := min(o.Max, time.Duration((1+lateMargin)*float64(o.Min)))
 		e.current = min(maxLoadTime, max(e.current, took))
 	} else {
 		e.current = max(minLoadTime, time.Duration((1-e.shrinkFraction(now))*float64(e.current)))
@@ -84,15 +84,15 @@
 }
 
 // observeLoad records what the first use of a copy shows of load times.
-func (d *controller) observeLoad(a placer.LoadObservation, ok bool) {
+func (c *controller) observeLoad(o placer.LoadObservation, ok bool) {
 	switch {
 	case !ok:
-	case a.Reload:
-		d.gatekeeper.reloadTime.observe(a, time.Now())
+	case o.Reload:
+		c.gatekeeper.reloadTime.observe(o, time.Now())
 	default:
 		now := time.Now()
-		d.gatekeeper.loadTime.observe(a, now)
-		d.loadWindow.ObserveLoadTime(d.gatekeeper.LoadTime(), now)
+		c.gatekeeper.loadTime.observe(o, now)
+		c.loadWindow.ObserveLoadTime(c.gatekeeper.LoadTime(), now)
 	}
 }
 
@@ -110,12 +110,12 @@
 			if service.Engine == nil {
 				continue
 			}
-			base, read := g.Fleet.Latency(name)
-			g.Recorder.Log(recorder.View, "msg", "paces", "service", name, "first", base, "token", read,
+			base, prefill := g.Fleet.Latency(name)
+			g.Recorder.Log(recorder.View, "msg", "paces", "service", name, "first", base, "token", prefill,
 				"load", g.LoadTime(), "return", g.ReloadTime(), "members", g.Members())
 		}
-		for _, d := range g.controllers {
-			d.logLoads()
+		for _, c := range g.controllers {
+			c.logLoads()
 		}
 	})
 }
--- a/internal/instance/gatekeeper/loads.go
+++ b/internal/instance/gatekeeper/loads.go
@@ -18,18 +18,18 @@
 }
 
 // loadStats sums up the loads of all runners of the domain.
-func (d *controller) loadStats(now time.Time) loadStats {
+func (c *controller) loadStats(now time.Time) loadStats {
 	var l loadStats
-	for _, c := range d.runners {
-		if c.placer != nil {
+	for _, state := range c.runners {
+		if state.placer != nil {
 			l.engines++
-			l.fetching += c.placer.Fetching(now)
-			if c.failures < unresponsive {
-				l.waiting += c.placer.Waiting()
+			l.fetching += state.placer.Fetching(now)
+			if state.failures < unresponsive {
+				l.waiting += state.placer.Waiting()
 			}
 		}
 	}
-	l.limit = d.loadWindow.Limit(l.engines)
+	l.limit = c.loadWindow.Limit(l.engines)
 	return l
 }
 
@@ -49,13 +49,13 @@
 
 // runnersByWaiting returns the IDs of the runners, sorted by the number of waiting adapters,
 // largest first.
-func (d *controller) runnersByWaiting() []string {
-	ids := make([]string, 0, len(d.runners))
-	waiting := make(map[string]int, len(d.runners))
-	for id, c := range d.runners {
+func (c *controller) runnersByWaiting() []string {
+	ids := make([]string, 0, len(c.runners))
+	waiting := make(map[string]int, len(c.runners))
+	for id, state := range c.runners {
 		ids = append(ids, id)
-		if c.placer != nil {
-			waiting[id] = c.placer.Waiting()
+		if state.placer != nil {
+			waiting[id] = state.placer.Waiting()
 		}
 	}
 	slices.SortFunc(ids, func(a, b string) int { return cmp.Or(cmp.Compare(waiting[b], waiting[a]), cmp.Compare(a, b)) })
@@ -63,22 +63,22 @@
 }
 
 // loadQueueWait returns how long a newly requested adapter waits until its load begins.
-func (d *controller) loadQueueWait(now time.Time) time.Duration {
-	if now.Sub(d.queueWaitAt) >= leadInterval {
-		l := d.loadStats(now)
-		d.queueWait, d.queueWaitAt = time.Duration(l.waiting)*d.gatekeeper.LoadTime()/time.Duration(l.limit), now
+func (c *controller) loadQueueWait(now time.Time) time.Duration {
+	if now.Sub(c.queueWaitAt) >= leadInterval {
+		l := c.loadStats(now)
+		c.queueWait, c.queueWaitAt = time.Duration(l.waiting)*c.gatekeeper.LoadTime()/time.Duration(l.limit), now
 	}
-	return d.queueWait
+	return c.queueWait
 }
 
 // maxLoadsPerRunner is the number of concurrent loads per runner that engines allow.
 const maxLoadsPerRunner = 4
 
 // copyCount returns how many runners of the domain hold or are loading a copy.
-func (d *controller) copyCount(copied placer.Copy) int {
+func (c *controller) copyCount(copied placer.Copy) int {
 	copies := 0
-	for _, c := range d.runners {
-		if c.placer != nil && c.placer.Holds(copied) {
+	for _, state := range c.runners {
+		if state.placer != nil && state.placer.Holds(copied) {
 			copies++
 		}
 	}
@@ -86,21 +86,21 @@
 }
 
 // logLoads logs the loads of the domain, if this instance sends its orders.
-func (d *controller) logLoads() {
+func (c *controller) logLoads() {
 	now := time.Now()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	if d.orderingFence == 0 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.orderingFence == 0 {
 		return
 	}
-	l := d.loadStats(now)
+	l := c.loadStats(now)
 	var use placer.Usage
-	for _, c := range d.runners {
-		if c.placer != nil {
-			use.Add(c.placer.Usage(now))
+	for _, state := range c.runners {
+		if state.placer != nil {
+			use.Add(state.placer.Usage(now))
 		}
 	}
-	d.gatekeeper.Recorder.Log(recorder.View, "msg", "loads", "domain", d.domain, "engines", l.engines, "room", l.limit,
+	c.gatekeeper.Recorder.Log(recorder.View, "msg", "loads", "domain", c.domain, "engines", l.engines, "room", l.limit,
 		"fetching", l.fetching, "waiting", l.waiting,
 		"places", use.Slots, "loading", use.Loading, "running", use.Running, "vacant", use.Vacant)
 }
--- a/internal/instance/gatekeeper/pending_demand.go
+++ b/internal/instance/gatekeeper/pending_demand.go
@@ -42,18 +42,18 @@
 
 // applyOwnDemand applies this instance's own demand if it leads the domain.
 func (g *Gatekeeper) applyOwnDemand(domain string, demand relayer.Demand) {
-	d := g.controllers[domain]
-	d.applyDemand(g.Config.ID, demand)
+	c := g.controllers[domain]
+	c.applyDemand(g.Config.ID, demand)
 	now := time.Now()
-	d.mu.Lock()
-	others, members := d.loadsExcept(g.Config.ID, now), d.instances(now)
-	queueWait := d.loadQueueWait(now)
-	slotWaits := d.slotWaits(now)
-	d.mu.Unlock()
+	c.mu.Lock()
+	others, members := c.loadsExcept(g.Config.ID, now), c.instances(now)
+	queueWait := c.loadQueueWait(now)
+	slotWaits := c.slotWaits(now)
+	c.mu.Unlock()
 	g.Fleet.SetLoadQueueWait(domain, queueWait)
 	g.Fleet.SetAdapterSlotWaits(slotWaits)
 	g.Fleet.SetOtherLoads(domain, others)
-	_, mayOrder := d.mayOrder()
+	_, mayOrder := c.mayOrder()
 	g.Fleet.SetLeaderPresent(domain, mayOrder)
 	l := g.links[domain]
 	l.mu.Lock()
@@ -146,16 +146,16 @@
 }
 
 // recordHits records requests that found a copy.
-func (n *pendingDemand) recordHits(k aggregator.Key, more hitCount) {
-	if n.hits == nil {
-		n.hits = make(map[aggregator.Key]hitCount)
+func (p *pendingDemand) recordHits(k aggregator.Key, more hitCount) {
+	if p.hits == nil {
+		p.hits = make(map[aggregator.Key]hitCount)
 	}
-	f := n.hits[k]
-	if f.requests == 0 || more.sent.Before(f.sent) {
-		f.sent = more.sent
+	hit := p.hits[k]
+	if hit.requests == 0 || more.sent.Before(hit.sent) {
+		hit.sent = more.sent
 	}
-	f.requests += more.requests
-	n.hits[k] = f
+	hit.requests += more.requests
+	p.hits[k] = hit
 }
 
 // AcquireCopy implements forwarder.Placement. The end of a use is reported at once if other copies
--- a/internal/instance/gatekeeper/publish.go
+++ b/internal/instance/gatekeeper/publish.go
@@ -35,18 +35,18 @@
 func (g *Gatekeeper) handle(ctx context.Context, from heartbeater.Instance, m relayer.Message, reply responder) error {
 	switch m := m.(type) {
 	case relayer.Reserve:
-		d, err := g.ledController(m.Domain)
+		c, err := g.ledController(m.Domain)
 		if err != nil {
 			return err
 		}
-		reserved, err := d.reserve(from.ID, m)
+		reserved, err := c.reserve(from.ID, m)
 		if err != nil {
 			return err
 		}
 		return reply.Finish(reserved)
 	case relayer.Subscribe:
-		d, ok := g.controllers[m.Domain]
-		if !ok || !d.publishes() {
+		c, ok := g.controllers[m.Domain]
+		if !ok || !c.publishes() {
 			return judge.Refuse(judge.ReasonOwner, "nothing of %s is told here", m.Domain)
 		}
 		if _, known := g.runners.ownAsOf(); !known {
@@ -56,13 +56,13 @@
 			// know.
 			return judge.Refuse(judge.ReasonStarting, "the runners are not known here yet")
 		}
-		return d.publish(ctx, from, m, reply)
+		return c.publish(ctx, from, m, reply)
 	case relayer.Place:
-		d, err := g.ledController(m.Domain)
+		c, err := g.ledController(m.Domain)
 		if err != nil {
 			return err
 		}
-		return d.holdSlot(ctx, m, reply)
+		return c.holdSlot(ctx, m, reply)
 	case relayer.Settle:
 		settled, err := g.settle(m)
 		if err != nil {
@@ -76,11 +76,11 @@
 
 // ledController returns the controller of a domain that this instance leads.
 func (g *Gatekeeper) ledController(domain string) (*controller, error) {
-	d, ok := g.controllers[domain]
-	if !ok || !d.leads() {
+	c, ok := g.controllers[domain]
+	if !ok || !c.leads() {
 		return nil, judge.Refuse(judge.ReasonOwner, "the tenure of %s is not held here", domain)
 	}
-	return d, nil
+	return c, nil
 }
 
 // HandleHeartbeat implements relayer.Handler. It ignores heartbeats: the demand reports of
@@ -89,8 +89,8 @@
 
 // publishes reports whether this instance publishes updates of the domain: as its leader, or as
 // the leader of another domain, which relays what it receives.
-func (d *controller) publishes() bool {
-	return !d.gatekeeper.Stopping() && (d.leads() || d.gatekeeper.leadsAny())
+func (c *controller) publishes() bool {
+	return !c.gatekeeper.Stopping() && (c.leads() || c.gatekeeper.leadsAny())
 }
 
 // publishIntervals are the intervals between updates of a domain.
@@ -100,11 +100,11 @@
 }
 
 // intervals returns how often a member is sent updates.
-func (d *controller) intervals(member heartbeater.Instance, s relayer.Subscribe) publishIntervals {
+func (c *controller) intervals(member heartbeater.Instance, s relayer.Subscribe) publishIntervals {
 	switch {
-	case s.Relays, member.Domain == d.domain:
+	case s.Relays, member.Domain == c.domain:
 		return publishIntervals{changeInterval, updateInterval}
-	case member.Domain == d.gatekeeper.Config.Domain:
+	case member.Domain == c.gatekeeper.Config.Domain:
 		return publishIntervals{relayedChangeInterval, updateInterval}
 	default:
 		return publishIntervals{farChangeInterval, farUpdateInterval}
@@ -113,23 +113,23 @@
 
 // publish sends updates to a member until either of the two stops or the domain is no longer
 // published here.
-func (d *controller) publish(ctx context.Context, member heartbeater.Instance, s relayer.Subscribe, reply responder) error {
-	defer d.addSubscriber()()
-	intervals := d.intervals(member, s)
+func (c *controller) publish(ctx context.Context, member heartbeater.Instance, s relayer.Subscribe, reply responder) error {
+	defer c.addSubscriber()()
+	intervals := c.intervals(member, s)
 	sequence, lastDue := -1, time.Time{}
 	crashes := 0 // sequence number of the last change of the ledger that was sent
-	fence := d.currentFence()
+	fence := c.currentFence()
 	ticker := time.NewTicker(intervals.changes)
 	defer ticker.Stop()
 	for {
-		if !d.publishes() {
-			return d.endStream(reply, fence)
+		if !c.publishes() {
+			return c.endStream(reply, fence)
 		}
 		due := time.Since(lastDue) >= intervals.loads
-		update, next, changed := d.updateFor(member.ID, sequence, due)
-		update.Tables = d.gatekeeper.tableUpdates(s.Tables, due)
+		update, next, changed := c.updateFor(member.ID, sequence, due)
+		update.Tables = c.gatekeeper.tableUpdates(s.Tables, due)
 		if s.Crashes {
-			update.Crashes, crashes = d.gatekeeper.quarantine.ledger.Since(crashes, time.Now())
+			update.Crashes, crashes = c.gatekeeper.quarantine.ledger.Since(crashes, time.Now())
 		}
 		if changed || due || len(update.Tables)+len(update.Crashes) > 0 {
 			if err := reply.Send(update); err != nil {
@@ -150,40 +150,40 @@
 
 // endStream ends a subscription. If this instance has stepped down since the subscription began,
 // it sends the fencing token of the released lease first.
-func (d *controller) endStream(reply responder, fence uint64) error {
-	d.mu.Lock()
-	released := d.releasedFence
-	d.mu.Unlock()
+func (c *controller) endStream(reply responder, fence uint64) error {
+	c.mu.Lock()
+	released := c.releasedFence
+	c.mu.Unlock()
 	if released > 0 && released == fence {
 		if err := reply.Send(relayer.News{ReleasedFence: released}); err != nil {
 			return fmt.Errorf("tell of the end: %w", err)
 		}
 	}
-	return judge.Refuse(judge.ReasonOwner, "nothing of %s is told here any more", d.domain)
+	return judge.Refuse(judge.ReasonOwner, "nothing of %s is told here any more", c.domain)
 }
 
-func (d *controller) currentFence() uint64 {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.elector.Row().Fence
+func (c *controller) currentFence() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.elector.Row().Fence
 }
 
 // updateFor returns the changes since a sequence number as an update for a member, and the next
 // sequence number. due says whether to include the loads.
-func (d *controller) updateFor(member string, sequence int, due bool) (update relayer.News, next int, changed bool) {
+func (c *controller) updateFor(member string, sequence int, due bool) (update relayer.News, next int, changed bool) {
 	now := time.Now()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	update.Fresh, update.Revision, update.Checksum = d.gatekeeper.runnersFresh(), d.gatekeeper.runners.upTo(), d.checksum
-	if d.elector.IsLeader(uptime()) {
-		d.addLeaderState(&update, member, due, now)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	update.Fresh, update.Revision, update.Checksum = c.gatekeeper.runnersFresh(), c.gatekeeper.runners.upTo(), c.checksum
+	if c.elector.IsLeader(uptime()) {
+		c.addLeaderState(&update, member, due, now)
 	} else {
-		d.addRelayedState(&update, member, due, now)
+		c.addRelayedState(&update, member, due, now)
 	}
-	events, ok := d.changes.since(sequence)
+	events, ok := c.changes.since(sequence)
 	if !ok {
-		d.addSnapshot(&update, now)
-		return update, d.changes.end(), true
+		c.addSnapshot(&update, now)
+		return update, c.changes.end(), true
 	}
 	for _, e := range events {
 		switch {
@@ -197,22 +197,22 @@
 			update.SlotWaits = append(update.SlotWaits, relayer.SlotWait{Runner: e.slotWait.runner, Wait: e.slotWait.wait})
 		}
 	}
-	return update, d.changes.end(), len(events) > 0
+	return update, c.changes.end(), len(events) > 0
 }
 
 // addLeaderState adds what this instance knows as the leader of the domain.
-func (d *controller) addLeaderState(update *relayer.News, member string, due bool, now time.Time) {
+func (c *controller) addLeaderState(update *relayer.News, member string, due bool, now time.Time) {
 	if due {
-		update.Loads, update.Members = d.loadsExcept(member, now), d.instances(now)
+		update.Loads, update.Members = c.loadsExcept(member, now), c.instances(now)
 		update.HasLoads = true
-		update.Operator = d.gatekeeper.operatorVersion(now)
-		update.StoreReached = d.gatekeeper.reachableSpan(now)
+		update.Operator = c.gatekeeper.operatorVersion(now)
+		update.StoreReached = c.gatekeeper.reachableSpan(now)
 	}
-	update.LoadQueueWait = d.loadQueueWait(now)
-	update.LoadTime, update.ReloadTime = d.gatekeeper.LoadTime(), d.gatekeeper.ReloadTime()
-	_, update.Acting = d.elector.MaySendOrders(uptime())
-	update.Renewal, update.Age = d.elector.Renewal(uptime())
-	update.Lease = d.elector.Row()
+	update.LoadQueueWait = c.loadQueueWait(now)
+	update.LoadTime, update.ReloadTime = c.gatekeeper.LoadTime(), c.gatekeeper.ReloadTime()
+	_, update.Acting = c.elector.MaySendOrders(uptime())
+	update.Renewal, update.Age = c.elector.Renewal(uptime())
+	update.Lease = c.elector.Row()
 }
 
 // reachableSpan returns the span during which the store was reachable.
@@ -235,11 +235,11 @@
 }
 
 // addSnapshot fills in a snapshot of the domain.
-func (d *controller) addSnapshot(update *relayer.News, now time.Time) {
+func (c *controller) addSnapshot(update *relayer.News, now time.Time) {
 	update.Snapshot = true
-	for _, c := range d.runners {
-		r := c.runner
-		held, wait := d.copyState(c)
+	for _, state := range c.runners {
+		r := state.runner
+		held, wait := c.copyState(state)
 		if len(held) > 0 {
 			r.Adapters = nil // the list from its own row is older
 		}
@@ -253,9 +253,9 @@
 
 // delay returns the time until the copy is usable; negative if the runner does not hold it. It is
 // a duration, not a point in time, as clocks differ between instances.
-func (h copyEvent) delay(now time.Time) time.Duration {
-	if !h.present {
+func (e copyEvent) delay(now time.Time) time.Duration {
+	if !e.present {
 		return -1
 	}
-	return max(0, h.at.Sub(now)).Round(time.Millisecond)
+	return max(0, e.at.Sub(now)).Round(time.Millisecond)
 }
--- a/internal/instance/gatekeeper/quarantine.go
+++ b/internal/instance/gatekeeper/quarantine.go
@@ -47,7 +47,7 @@
 func (g *Gatekeeper) Suspects() bool { return !g.quarantine.ledger.Empty() }
 
 // Quarantined implements forwarder.Quarantine.
-func (g *Gatekeeper) Quarantined(d quarantiner.Digest) (left time.Duration, held bool) {
+func (g *Gatekeeper) Quarantined(d quarantiner.Digest) (left time.Duration, quarantined bool) {
 	return g.quarantine.ledger.Quarantined(d, time.Now())
 }
 
--- a/internal/instance/gatekeeper/quarantine_log.go
+++ b/internal/instance/gatekeeper/quarantine_log.go
@@ -28,24 +28,24 @@
 	q := &g.quarantine
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	held := make(map[quarantiner.Digest]bool)
+	quarantined := make(map[quarantiner.Digest]bool)
 	for _, c := range cases {
 		if !now.Before(c.Until) {
 			continue
 		}
-		held[c.Digest] = true
+		quarantined[c.Digest] = true
 		if !q.logged[c.Digest] {
 			g.Metrics.GetOrCreateCounter("sardinetiller_quarantined_total").Inc()
 			g.Recorder.Log(recorder.Suspect, "msg", "request quarantined", "digest", c.Digest, "crashes", c.Crashes, "for", c.Until.Sub(now))
 		}
 	}
 	for d := range q.logged {
-		if !held[d] {
+		if !quarantined[d] {
 			g.Metrics.GetOrCreateCounter("sardinetiller_quarantine_ended_total").Inc()
 			g.Recorder.Log(recorder.Suspect, "msg", "quarantine ended", "digest", d)
 		}
 	}
-	q.logged = held
+	q.logged = quarantined
 }
 
 // maxListed bounds how many requests in quarantine are logged.
--- a/internal/instance/gatekeeper/relay.go
+++ b/internal/instance/gatekeeper/relay.go
@@ -29,84 +29,84 @@
 
 // recordUpdate records an update of the leader, for the instances to which this one relays the
 // domain.
-func (d *controller) recordUpdate(n relayer.News, now time.Time) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.relayed.mayOrder, d.relayed.queueWait = n.Acting, n.LoadQueueWait
-	d.relayed.loadTime, d.relayed.reloadTime = n.LoadTime, n.ReloadTime
-	if n.HasLoads {
-		d.relayed.loads, d.relayed.members = n.Loads, n.Members
-	}
-	if d.subscribers == 0 {
+func (c *controller) recordUpdate(update relayer.News, now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.relayed.mayOrder, c.relayed.queueWait = update.Acting, update.LoadQueueWait
+	c.relayed.loadTime, c.relayed.reloadTime = update.LoadTime, update.ReloadTime
+	if update.HasLoads {
+		c.relayed.loads, c.relayed.members = update.Loads, update.Members
+	}
+	if c.subscribers == 0 {
 		return
 	}
-	if n.Snapshot {
-		d.changes.reset()
+	if update.Snapshot {
+		c.changes.reset()
 		return
 	}
-	for _, h := range n.Held {
+	for _, h := range update.Held {
 		for _, s := range h.Copies {
-			d.changes.add(event{copyChange: &copyEvent{runner: h.Runner, copy: h.Copy(s), at: now.Add(s.ReadyIn), present: s.ReadyIn >= 0}})
+			c.changes.add(event{copyChange: &copyEvent{runner: h.Runner, copy: h.Copy(s), at: now.Add(s.ReadyIn), present: s.ReadyIn >= 0}})
 		}
 	}
-	for _, r := range n.SlotWaits {
-		d.changes.add(event{slotWait: &slotEvent{runner: r.Runner, wait: r.Wait}})
+	for _, r := range update.SlotWaits {
+		c.changes.add(event{slotWait: &slotEvent{runner: r.Runner, wait: r.Wait}})
 	}
 }
 
 // addSubscriber counts a member that subscribes to the domain here, until done is called.
-func (d *controller) addSubscriber() (done func()) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.subscribers++
+func (c *controller) addSubscriber() (done func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.subscribers++
 	return func() {
-		d.mu.Lock()
-		defer d.mu.Unlock()
-		d.subscribers--
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.subscribers--
 	}
 }
 
 // addRelayedState adds the state that the leader of the domain published last.
-func (d *controller) addRelayedState(update *relayer.News, member string, due bool, now time.Time) {
-	l := d.gatekeeper.links[d.domain]
-	update.Lease = d.elector.Row()
-	update.Renewal, update.Age = d.elector.Renewal(uptime())
+func (c *controller) addRelayedState(update *relayer.News, member string, due bool, now time.Time) {
+	l := c.gatekeeper.links[c.domain]
+	update.Lease = c.elector.Row()
+	update.Renewal, update.Age = c.elector.Renewal(uptime())
 	update.SinceLeaderUpdate = l.sinceUpdate()
 	if lacksLeaderState(*update) {
 		return
 	}
-	update.Acting, update.LoadQueueWait = d.relayed.mayOrder, d.relayed.queueWait
-	update.LoadTime, update.ReloadTime = d.relayed.loadTime, d.relayed.reloadTime
+	update.Acting, update.LoadQueueWait = c.relayed.mayOrder, c.relayed.queueWait
+	update.LoadTime, update.ReloadTime = c.relayed.loadTime, c.relayed.reloadTime
 	if !due {
 		return
 	}
 	update.HasLoads = true
-	update.Loads = d.loadsExcept(member, now)
-	addLoads(update.Loads, d.relayed.loads)
-	addLoads(update.Loads, d.gatekeeper.Fleet.LoadsIn(d.domain))
-	update.Members = d.relayed.members
+	update.Loads = c.loadsExcept(member, now)
+	addLoads(update.Loads, c.relayed.loads)
+	addLoads(update.Loads, c.gatekeeper.Fleet.LoadsIn(c.domain))
+	update.Members = c.relayed.members
 }
 
 // relayedDemand returns the sum of the demand that is relayed to the leader of the domain.
-func (d *controller) relayedDemand(now time.Time) aggregator.Report {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.aggregator.Remove(d.gatekeeper.Config.ID) // recorded while this instance was leader
-	d.aggregator.Expire(now)
-	return d.aggregator.Sum()
+func (c *controller) relayedDemand(now time.Time) aggregator.Report {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.aggregator.Remove(c.gatekeeper.Config.ID) // recorded while this instance was leader
+	c.aggregator.Expire(now)
+	return c.aggregator.Sum()
 }
 
 // relayedLoads returns the load that is relayed to the leader of the domain.
-func (d *controller) relayedLoads(now time.Time) map[string]tracker.Load {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.loadsExcept(d.gatekeeper.Config.ID, now)
+func (c *controller) relayedLoads(now time.Time) map[string]tracker.Load {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.loadsExcept(c.gatekeeper.Config.ID, now)
 }
 
 // lacksLeaderState reports whether an update carries no leader state, as its sender receives no
 // updates from the domain's leader. It only lists the runners, which the sender reads from the
 // store itself.
-func lacksLeaderState(n relayer.News) bool { return n.SinceLeaderUpdate > updateTimeout }
+func lacksLeaderState(update relayer.News) bool { return update.SinceLeaderUpdate > updateTimeout }
 
 func addLoads(sum, more map[string]tracker.Load) {
 	for runner, load := range more {
@@ -122,15 +122,15 @@
 	defer l.mu.Unlock()
 	l.pendingDemand.shortGaps += demand.ShortGaps
 	l.pendingDemand.longGaps += demand.LongGaps
-	for _, n := range demand.Hits {
-		l.pendingDemand.recordHits(keyOf(n.Runner, n.Copy), hitCount{requests: n.Requests, sent: now.Add(-n.Age)})
+	for _, u := range demand.Hits {
+		l.pendingDemand.recordHits(keyOf(u.Runner, u.Copy), hitCount{requests: u.Requests, sent: now.Add(-u.Age)})
 	}
-	for _, n := range demand.Spare {
-		l.pendingDemand.spare = mark(l.pendingDemand.spare, keyOf(n.Runner, n.Copy))
+	for _, u := range demand.Spare {
+		l.pendingDemand.spare = mark(l.pendingDemand.spare, keyOf(u.Runner, u.Copy))
 	}
 	urgent := len(demand.Misses) > 0
-	for _, n := range demand.Misses {
-		l.pendingDemand.misses = mark(l.pendingDemand.misses, keyOf(n.Runner, n.Copy))
+	for _, u := range demand.Misses {
+		l.pendingDemand.misses = mark(l.pendingDemand.misses, keyOf(u.Runner, u.Copy))
 	}
 	for _, w := range demand.Waits {
 		if l.newlyRequested(keyOf(w.Runner, w.Copy), now) {
@@ -144,17 +144,17 @@
 
 // reportFreed requests an urgent report when the last use of a relayed copy has ended and others
 // wait for its adapter slot.
-func (d *controller) reportFreed(k aggregator.Key) {
-	if d.orderingFence == 0 && d.gatekeeper.Fleet.AdapterSlotsFull(k.Runner) {
-		d.gatekeeper.links[d.domain].reportNow()
+func (c *controller) reportFreed(k aggregator.Key) {
+	if c.orderingFence == 0 && c.gatekeeper.Fleet.AdapterSlotsFull(k.Runner) {
+		c.gatekeeper.links[c.domain].reportNow()
 	}
 }
 
 // copyState returns which copies a runner holds and from when on, and how long a copy that it
 // does not hold waits for an adapter slot.
-func (d *controller) copyState(c *runnerState) (map[placer.Copy]time.Time, time.Duration) {
-	if d.elector.IsLeader(uptime()) {
-		return c.published, c.publishedWait
+func (c *controller) copyState(state *runnerState) (map[placer.Copy]time.Time, time.Duration) {
+	if c.elector.IsLeader(uptime()) {
+		return state.published, state.publishedWait
 	}
-	return d.gatekeeper.Fleet.HeldCopies(c.runner.ID)
+	return c.gatekeeper.Fleet.HeldCopies(state.runner.ID)
 }
--- a/internal/instance/gatekeeper/report.go
+++ b/internal/instance/gatekeeper/report.go
@@ -59,19 +59,19 @@
 // demand returns and clears what is to be reported: the current requests, and what was observed
 // since the last report, by this instance and by those whose reports it relays.
 func (l *link) demand() relayer.Demand {
-	d := demandOf(l.domain, l.totalDemand())
+	demand := demandOf(l.domain, l.totalDemand())
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := time.Now()
-	d.ShortGaps, d.LongGaps = l.pendingDemand.shortGaps, l.pendingDemand.longGaps
+	demand.ShortGaps, demand.LongGaps = l.pendingDemand.shortGaps, l.pendingDemand.longGaps
 	for k := range l.pendingDemand.misses {
-		d.Misses = append(d.Misses, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy})
+		demand.Misses = append(demand.Misses, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy})
 	}
-	for k, f := range l.pendingDemand.hits {
-		d.Hits = append(d.Hits, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy, Requests: f.requests, Age: now.Sub(f.sent)})
+	for k, hit := range l.pendingDemand.hits {
+		demand.Hits = append(demand.Hits, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy, Requests: hit.requests, Age: now.Sub(hit.sent)})
 	}
 	for k := range l.pendingDemand.spare {
-		d.Spare = append(d.Spare, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy})
+		demand.Spare = append(demand.Spare, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy})
 	}
 	l.pendingDemand.misses, l.pendingDemand.spare, l.pendingDemand.hits = nil, nil, nil
 	l.pendingDemand.shortGaps, l.pendingDemand.longGaps = 0, 0
@@ -80,19 +80,19 @@
 			delete(l.urgentAt, k)
 		}
 	}
-	return d
+	return demand
 }
 
 // demandOf returns the message that reports the sums.
 func demandOf(domain string, sums aggregator.Report) relayer.Demand {
-	d := relayer.Demand{Domain: domain, OtherInstances: sums.Instances - 1, Loads: sums.Loads}
+	demand := relayer.Demand{Domain: domain, OtherInstances: sums.Instances - 1, Loads: sums.Loads}
 	for k, n := range sums.Uses {
-		d.Uses = append(d.Uses, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy, Requests: n})
+		demand.Uses = append(demand.Uses, relayer.CopyUse{Runner: k.Runner, Copy: k.Copy, Requests: n})
 	}
 	for k, waiting := range sums.Waits {
-		d.Waits = append(d.Waits, relayer.Wait{Runner: k.Runner, Copy: k.Copy, Waiting: waiting})
+		demand.Waits = append(demand.Waits, relayer.Wait{Runner: k.Runner, Copy: k.Copy, Waiting: waiting})
 	}
-	return d
+	return demand
 }
 
 // totalDemand returns the sums of this instance's requests in the domain, and those of the
@@ -100,8 +100,8 @@
 func (l *link) totalDemand() aggregator.Report {
 	sums := l.ownDemand()
 	g := l.gatekeeper
-	if d := g.controllers[l.domain]; !d.leads() {
-		sums.Add(d.relayedDemand(time.Now()))
+	if c := g.controllers[l.domain]; !c.leads() {
+		sums.Add(c.relayedDemand(time.Now()))
 	}
 	return sums
 }
--- a/internal/instance/gatekeeper/request_slot.go
+++ b/internal/instance/gatekeeper/request_slot.go
@@ -13,13 +13,13 @@
 
 // AcquireSlot implements forwarder.Placement. The leader of the runner's domain counts the
 // requests at the runner: what another instance knows of them is already several run times old.
-func (g *Gatekeeper) AcquireSlot(ctx context.Context, runner string, within time.Duration) (p forwarder.RequestSlot, refused *judge.Error, ok bool) {
+func (g *Gatekeeper) AcquireSlot(ctx context.Context, runner string, within time.Duration) (slot forwarder.RequestSlot, refused *judge.Error, ok bool) {
 	l, found := g.linkOf(runner)
 	if !found {
 		return forwarder.RequestSlot{}, nil, false
 	}
-	if d := g.controllers[l.domain]; d.leads() {
-		wait, done, err := d.acquireSlot(runner, within)
+	if c := g.controllers[l.domain]; c.leads() {
+		wait, done, err := c.acquireSlot(runner, within)
 		if err != nil {
 			return noSlot(err)
 		}
@@ -43,7 +43,7 @@
 
 // noSlot returns the results of AcquireSlot after an error: a refusal, or ok false if there is no
 // answer.
-func noSlot(err error) (p forwarder.RequestSlot, refused *judge.Error, ok bool) {
+func noSlot(err error) (slot forwarder.RequestSlot, refused *judge.Error, ok bool) {
 	refused = capacityRefusal(err)
 	return forwarder.RequestSlot{}, refused, refused != nil
 }
@@ -57,32 +57,32 @@
 }
 
 // acquireSlot takes a request slot at a runner until done is called, or refuses the request.
-func (d *controller) acquireSlot(runner string, within time.Duration) (wait time.Duration, done func(), err error) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	c, ok := d.runners[runner]
+func (c *controller) acquireSlot(runner string, within time.Duration) (wait time.Duration, done func(), err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state, ok := c.runners[runner]
 	if !ok {
 		return 0, nil, judge.Refuse(judge.ReasonUpstream, "runner %s is not known here", runner)
 	}
 	now := time.Now()
-	wait = c.slots.Wait(c.runner.Slots)
+	wait = state.slots.Wait(state.runner.Slots)
 	if wait > within {
 		return 0, nil, judge.Refuse(judge.ReasonQueue, "requests wait for %s there", wait.Round(time.Millisecond)).WithRetryAfter(wait - within)
 	}
-	entry := c.slots.Enter(now)
-	return wait, sync.OnceFunc(func() { d.releaseSlot(c, entry) }), nil
+	entry := state.slots.Enter(now)
+	return wait, sync.OnceFunc(func() { c.releaseSlot(state, entry) }), nil
 }
 
 // releaseSlot releases a request slot at a runner.
-func (d *controller) releaseSlot(c *runnerState, e tracker.Entry) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	c.slots.Leave(e, c.runner.Slots, time.Now())
+func (c *controller) releaseSlot(state *runnerState, e tracker.Entry) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state.slots.Leave(e, state.runner.Slots, time.Now())
 }
 
 // holdSlot handles a relayer.Place: it holds the request slot until the sender cancels.
-func (d *controller) holdSlot(ctx context.Context, m relayer.Place, reply responder) error {
-	wait, done, err := d.acquireSlot(m.Runner, m.Timeout)
+func (c *controller) holdSlot(ctx context.Context, m relayer.Place, reply responder) error {
+	wait, done, err := c.acquireSlot(m.Runner, m.Timeout)
 	if err != nil {
 		return err
 	}
--- a/internal/instance/gatekeeper/reserve.go
+++ b/internal/instance/gatekeeper/reserve.go
@@ -16,15 +16,15 @@
 const askTimeout = 40 * time.Millisecond
 
 // Reserve implements forwarder.Placement.
-func (g *Gatekeeper) Reserve(ctx context.Context, a forwarder.ReserveRequest) (reservation forwarder.Reservation, refused *judge.Error, ok bool) {
-	l, found := g.linkOf(a.Runner)
+func (g *Gatekeeper) Reserve(ctx context.Context, request forwarder.ReserveRequest) (reservation forwarder.Reservation, refused *judge.Error, ok bool) {
+	l, found := g.linkOf(request.Runner)
 	if !found {
 		return forwarder.Reservation{}, nil, false
 	}
-	r := relayer.Reserve{Domain: l.domain, Runner: a.Runner, Copy: a.Copy, Tokens: a.Tokens, MaxGap: a.MaxGap, Timeout: a.Timeout}
-	if d := g.controllers[l.domain]; d.leads() {
-		reserved, err := d.reserve(g.Config.ID, r)
-		return g.reservation(a, reserved, err)
+	r := relayer.Reserve{Domain: l.domain, Runner: request.Runner, Copy: request.Copy, Tokens: request.Tokens, MaxGap: request.MaxGap, Timeout: request.Timeout}
+	if c := g.controllers[l.domain]; c.leads() {
+		reserved, err := c.reserve(g.Config.ID, r)
+		return g.reservation(request, reserved, err)
 	}
 	leader, via, ok := l.leaderAndSource()
 	if !ok {
@@ -36,55 +36,55 @@
 	}
 	conversation, message, err := g.askPeer(ctx, leader.address, r, askTimeout)
 	if err != nil {
-		return g.reservation(a, relayer.Reserved{}, err)
+		return g.reservation(request, relayer.Reserved{}, err)
 	}
 	defer conversation.Close()
 	reserved, is := message.(relayer.Reserved)
 	if !is {
 		return forwarder.Reservation{}, nil, false
 	}
-	return g.reservation(a, reserved, nil)
+	return g.reservation(request, reserved, nil)
 }
 
 // reservation converts the leader's answer. Only a refusal for lack of capacity refuses the
 // request; any other failure has no effect on it.
-func (g *Gatekeeper) reservation(a forwarder.ReserveRequest, reserved relayer.Reserved, err error) (forwarder.Reservation, *judge.Error, bool) {
+func (g *Gatekeeper) reservation(request forwarder.ReserveRequest, reserved relayer.Reserved, err error) (forwarder.Reservation, *judge.Error, bool) {
 	if err == nil {
 		if !reserved.Absent {
-			g.Fleet.SetPrefillBacklog(a.Runner, reserved.PrefillBacklog)
+			g.Fleet.SetPrefillBacklog(request.Runner, reserved.PrefillBacklog)
 		}
 		return forwarder.Reservation{Absent: reserved.Absent, Delay: reserved.Delay}, nil, true
 	}
 	if refused := capacityRefusal(err); refused != nil {
-		g.Fleet.SetPrefillBacklog(a.Runner, a.Timeout+refused.RetryAfter)
+		g.Fleet.SetPrefillBacklog(request.Runner, request.Timeout+refused.RetryAfter)
 		return forwarder.Reservation{}, refused, true
 	}
 	return forwarder.Reservation{}, nil, false
 }
 
 // reserve reserves capacity for a request at a runner, or refuses it.
-func (d *controller) reserve(from string, r relayer.Reserve) (relayer.Reserved, error) {
+func (c *controller) reserve(from string, r relayer.Reserve) (relayer.Reserved, error) {
 	now := time.Now()
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	c, ok := d.runners[r.Runner]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	state, ok := c.runners[r.Runner]
 	if !ok {
 		return relayer.Reserved{}, judge.Refuse(judge.ReasonUpstream, "runner %s is not known here", r.Runner)
 	}
-	if c.placer != nil && r.Copy.Adapter != "" {
-		if c.placer.Known() && !c.placer.Holds(r.Copy) {
+	if state.placer != nil && r.Copy.Adapter != "" {
+		if state.placer.Known() && !state.placer.Holds(r.Copy) {
 			return relayer.Reserved{Absent: true}, nil
 		}
-		c.placer.MarkAssigned(r.Copy, now)
-		d.recordUse(cmp.Or(r.Reporter, from), keyOf(r.Runner, r.Copy))
+		state.placer.MarkAssigned(r.Copy, now)
+		c.recordUse(cmp.Or(r.Reporter, from), keyOf(r.Runner, r.Copy))
 	}
-	fleet := d.gatekeeper.Fleet
-	wait, ok := c.prefillQueue.Reserve(admitter.Prompt{
-		MaxGap: r.MaxGap, SlotWait: fleet.RequestSlotWait(r.Runner), PrefillTime: fleet.PrefillTime(c.runner.Service, r.Tokens), Share: d.prefillShare.Value(), Timeout: r.Timeout,
+	fleet := c.gatekeeper.Fleet
+	wait, ok := state.prefillQueue.Reserve(admitter.Prompt{
+		MaxGap: r.MaxGap, SlotWait: fleet.RequestSlotWait(r.Runner), PrefillTime: fleet.PrefillTime(state.runner.Service, r.Tokens), Share: c.prefillShare.Value(), Timeout: r.Timeout,
 	}, now)
 	if !ok {
-		refused := judge.Refuse(judge.ReasonQueue, "%s of prompts are to be read there", c.prefillQueue.Backlog(now).Round(time.Millisecond))
+		refused := judge.Refuse(judge.ReasonQueue, "%s of prompts are to be read there", state.prefillQueue.Backlog(now).Round(time.Millisecond))
 		return relayer.Reserved{}, refused.WithRetryAfter(wait)
 	}
-	return relayer.Reserved{Delay: wait, PrefillBacklog: c.prefillQueue.Backlog(now)}, nil
+	return relayer.Reserved{Delay: wait, PrefillBacklog: state.prefillQueue.Backlog(now)}, nil
 }
--- a/internal/instance/gatekeeper/resync.go
+++ b/internal/instance/gatekeeper/resync.go
@@ -66,24 +66,24 @@
 }
 
 // toggleChecksum adds a runner to the checksum of the domain, or removes it.
-func (d *controller) toggleChecksum(r tracker.Runner) {
-	if r.Domain == d.domain {
-		d.checksum ^= checksum(r)
+func (c *controller) toggleChecksum(r tracker.Runner) {
+	if r.Domain == c.domain {
+		c.checksum ^= checksum(r)
 	}
 }
 
 // matches reports whether the sender has the same runners as this instance. Those whose removal
 // is pending here may be missing there.
-func (g *Gatekeeper) matches(domain string, n relayer.News) bool {
-	d := g.controllers[domain]
-	d.mu.Lock()
-	known := d.checksum
-	d.mu.Unlock()
-	if n.Checksum == known {
-		g.deferToSource(domain, n.Revision)
+func (g *Gatekeeper) matches(domain string, update relayer.News) bool {
+	c := g.controllers[domain]
+	c.mu.Lock()
+	known := c.checksum
+	c.mu.Unlock()
+	if update.Checksum == known {
+		g.deferToSource(domain, update.Revision)
 		return true
 	}
-	return n.Checksum == known^g.pendingChecksum(domain)
+	return update.Checksum == known^g.pendingChecksum(domain)
 }
 
 // deferToSource cancels the pending removals that the sender has read too without removing the
--- a/internal/instance/gatekeeper/runners.go
+++ b/internal/instance/gatekeeper/runners.go
@@ -47,8 +47,8 @@
 		g.dropRunnerState(runner, by, why)
 		return
 	}
-	for _, d := range g.controllers {
-		d.removeRunner(id, revision) // the fleet may already know another incarnation at its address instead
+	for _, c := range g.controllers {
+		c.removeRunner(id, revision) // the fleet may already know another incarnation at its address instead
 	}
 }
 
@@ -64,8 +64,8 @@
 // controller returns the controller of a failure domain, or that of this instance's own for a
 // domain that is not in the settings.
 func (g *Gatekeeper) controller(domain string) *controller {
-	if d, ok := g.controllers[domain]; ok {
-		return d
+	if c, ok := g.controllers[domain]; ok {
+		return c
 	}
 	return g.controllers[g.Config.Domain]
 }
--- a/internal/instance/gatekeeper/settle.go
+++ b/internal/instance/gatekeeper/settle.go
@@ -26,8 +26,8 @@
 
 // reporter returns the reporter for this instance's own spending.
 func (g *Gatekeeper) reporter(now time.Time) limiter.Reporter {
-	born := g.quotas.started
-	return limiter.Reporter{Instance: g.Config.ID, Incarnation: born.UnixNano(), Age: now.Sub(born)}
+	started := g.quotas.started
+	return limiter.Reporter{Instance: g.Config.ID, Incarnation: started.UnixNano(), Age: now.Sub(started)}
 }
 
 // exchange settles with another instance.
--- a/internal/instance/gatekeeper/source.go
+++ b/internal/instance/gatekeeper/source.go
@@ -50,81 +50,81 @@
 )
 
 // eligible reports whether an instance may be selected.
-func (c *sourceSelection) eligible(s source, now time.Time) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return !now.Before(c.excluded[s].until)
+func (sel *sourceSelection) eligible(s source, now time.Time) bool {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	return !now.Before(sel.excluded[s].until)
 }
 
 // refused records that a source had nothing to publish.
-func (c *sourceSelection) refused(s source, now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.lastRefuser != s || now.Sub(c.refusingSince) > excludeFor {
-		c.lastRefuser, c.refusingSince = s, now
+func (sel *sourceSelection) refused(s source, now time.Time) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	if sel.lastRefuser != s || now.Sub(sel.refusingSince) > excludeFor {
+		sel.lastRefuser, sel.refusingSince = s, now
 	}
-	if now.Sub(c.refusingSince) > refusalGrace {
-		c.exclude(s, now)
+	if now.Sub(sel.refusingSince) > refusalGrace {
+		sel.exclude(s, now)
 	}
 }
 
 // failed records that a source did not answer, or stopped sending.
-func (c *sourceSelection) failed(s source, now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.exclude(s, now)
+func (sel *sourceSelection) failed(s source, now time.Time) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	sel.exclude(s, now)
 }
 
-func (c *sourceSelection) exclude(s source, now time.Time) {
-	if c.excluded == nil {
-		c.excluded = make(map[source]exclusion)
+func (sel *sourceSelection) exclude(s source, now time.Time) {
+	if sel.excluded == nil {
+		sel.excluded = make(map[source]exclusion)
 	}
-	l := c.excluded[s]
-	l.until = now.Add(min(maxExclude, excludeFor<<min(l.times, 8)))
-	l.times++
-	c.excluded[s] = l
+	e := sel.excluded[s]
+	e.until = now.Add(min(maxExclude, excludeFor<<min(e.times, 8)))
+	e.times++
+	sel.excluded[s] = e
 }
 
 // set selects a source, and reports whether it is another one than before.
-func (c *sourceSelection) set(s source, now time.Time) (changed bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.last == s {
+func (sel *sourceSelection) set(s source, now time.Time) (changed bool) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	if sel.last == s {
 		return false
 	}
-	c.last, c.since, c.lastUpdate = s, now, time.Time{}
+	sel.last, sel.since, sel.lastUpdate = s, now, time.Time{}
 	return true
 }
 
 // selected returns the selected source.
-func (c *sourceSelection) selected() (source, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.last, c.last != (source{})
+func (sel *sourceSelection) selected() (source, bool) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	return sel.last, sel.last != (source{})
 }
 
 // selectedAt returns when the source was selected.
-func (c *sourceSelection) selectedAt() time.Time {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.since
+func (sel *sourceSelection) selectedAt() time.Time {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	return sel.since
 }
 
 // received records an update of a source.
-func (c *sourceSelection) received(s source, now time.Time) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.last == s {
-		c.lastUpdate = now
-		delete(c.excluded, s)
+func (sel *sourceSelection) received(s source, now time.Time) {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	if sel.last == s {
+		sel.lastUpdate = now
+		delete(sel.excluded, s)
 	}
 }
 
 // receiving reports whether a source is the selected one and sends updates.
-func (c *sourceSelection) receiving(s source) bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.last == s && time.Since(c.lastUpdate) <= updateTimeout
+func (sel *sourceSelection) receiving(s source) bool {
+	sel.mu.Lock()
+	defer sel.mu.Unlock()
+	return sel.last == s && time.Since(sel.lastUpdate) <= updateTimeout
 }
 
 // currentSource returns the source for this instance, and selects another one if necessary. Leaders
--- a/internal/instance/gatekeeper/stepdown.go
+++ b/internal/instance/gatekeeper/stepdown.go
@@ -51,29 +51,29 @@
 
 // partitioned reports whether this instance is to step down because it does not reach the
 // runners.
-func (d *controller) partitioned(now time.Time) bool {
+func (c *controller) partitioned(now time.Time) bool {
 	count, runners := 0, 0
-	for _, c := range d.runners {
-		if c.placer == nil || c.runner.Leaving {
+	for _, state := range c.runners {
+		if state.placer == nil || state.runner.Leaving {
 			continue
 		}
 		runners++
-		if c.failures >= unresponsive {
+		if state.failures >= unresponsive {
 			count++
 		}
 	}
-	return d.partition.observe(count, runners, now)
+	return c.partition.observe(count, runners, now)
 }
 
 // stepDown steps down in favour of an instance that reaches what this one does not.
-func (d *controller) stepDown(ctx context.Context, why string) {
-	fence := d.elector.Row().Fence
-	w, led := d.elector.StepDown(uptime(), stepDownBackoff)
-	d.stopOrdering()
-	d.releasedFence = fence
-	d.gatekeeper.Recorder.Log(recorder.View, "msg", "stepping down", "domain", d.domain, "fence", fence, "why", why)
+func (c *controller) stepDown(ctx context.Context, why string) {
+	fence := c.elector.Row().Fence
+	w, led := c.elector.StepDown(uptime(), stepDownBackoff)
+	c.stopOrdering()
+	c.releasedFence = fence
+	c.gatekeeper.Recorder.Log(recorder.View, "msg", "stepping down", "domain", c.domain, "fence", fence, "why", why)
 	if led {
-		go d.releaseRow(ctx, w)
+		go c.releaseRow(ctx, w)
 	}
 }
 
@@ -92,15 +92,15 @@
 
 // cutOffFromStore reports whether this leader does not reach the store while other leaders do, as
 // shown by the times of successful calls that they publish.
-func (d *controller) cutOffFromStore(now time.Time) bool {
-	_, age := d.elector.Renewal(uptime())
-	reached, ok := d.gatekeeper.othersReachedStoreAt.get()
+func (c *controller) cutOffFromStore(now time.Time) bool {
+	_, age := c.elector.Renewal(uptime())
+	reached, ok := c.gatekeeper.othersReachedStoreAt.get()
 	if age < maxRenewalAge || !ok || now.Sub(reached) > cutOffTimeout {
-		d.cutOffSince = time.Time{}
+		c.cutOffSince = time.Time{}
 		return false
 	}
-	if d.cutOffSince.IsZero() {
-		d.cutOffSince = now
+	if c.cutOffSince.IsZero() {
+		c.cutOffSince = now
 	}
-	return now.Sub(d.cutOffSince) >= cutOffTimeout
+	return now.Sub(c.cutOffSince) >= cutOffTimeout
 }
--- a/internal/instance/gatekeeper/stop.go
+++ b/internal/instance/gatekeeper/stop.go
@@ -11,7 +11,7 @@
 
 // A stopState is the progress of a graceful stop.
 type stopState struct {
-	stoppingSince      atomicTime   // when the stop began
+	stoppingSince      atomicTime // when the stop began
 	requestsInProgress atomic.Int64
 }
 
@@ -54,21 +54,21 @@
 
 // Stopping reports whether the instance is stopping.
 func (g *Gatekeeper) Stopping() bool {
-	_, leaving := g.stoppingSince.get()
-	return leaving
+	_, stopping := g.stoppingSince.get()
+	return stopping
 }
 
 // StoppingSoon reports whether the instance ends so soon that a request still waiting can no
 // longer be answered.
 func (g *Gatekeeper) StoppingSoon() bool {
-	since, leaving := g.stoppingSince.get()
-	return leaving && time.Since(since) >= g.Config.Bounds.Grace-exitMargin-refuseMargin
+	since, stopping := g.stoppingSince.get()
+	return stopping && time.Since(since) >= g.Config.Bounds.Grace-exitMargin-refuseMargin
 }
 
 // refuseLate refuses a request that a stopping instance could not finish.
 func (g *Gatekeeper) refuseLate() *judge.Error {
-	since, leaving := g.stoppingSince.get()
-	if !leaving || time.Since(since) < time.Duration(acceptFraction*float64(g.Config.Bounds.Grace)) {
+	since, stopping := g.stoppingSince.get()
+	if !stopping || time.Since(since) < time.Duration(acceptFraction*float64(g.Config.Bounds.Grace)) {
 		return nil
 	}
 	return judge.Refuse(judge.ReasonStopping, "the instance is stopping").WithRetryAfter(redirectDelay)
--- a/internal/instance/gatekeeper/subscribe.go
+++ b/internal/instance/gatekeeper/subscribe.go
@@ -145,21 +145,21 @@
 }
 
 // recordSource records which instance sent an update of the domain.
-func (l *link) recordSource(from source, n relayer.News) {
+func (l *link) recordSource(from source, update relayer.News) {
 	g := l.gatekeeper
-	g.quarantine.acknowledge(from, n.Crashes)
-	g.applyCrashReports(n.Crashes, from.id)
+	g.quarantine.acknowledge(from, update.Crashes)
+	g.applyCrashReports(update.Crashes, from.id)
 	if src, ok := g.currentSource(); ok && src == from {
 		g.source.received(from, time.Now())
 	}
-	if lacksLeaderState(n) {
+	if lacksLeaderState(update) {
 		return
 	}
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if src, ok := g.source.selected(); ok && src == from {
-		l.relayedAt = now.Add(-n.SinceLeaderUpdate)
+		l.relayedAt = now.Add(-update.SinceLeaderUpdate)
 	}
 	if l.source == from {
 		return
--- a/internal/instance/gatekeeper/table.go
+++ b/internal/instance/gatekeeper/table.go
@@ -110,14 +110,14 @@
 	if len(r.Value) < compressFrom {
 		return packed
 	}
-	var small bytes.Buffer
-	w, err := flate.NewWriter(&small, flate.DefaultCompression)
+	var compressed bytes.Buffer
+	w, err := flate.NewWriter(&compressed, flate.DefaultCompression)
 	if err != nil {
 		panic(err) // the level is a valid one
 	}
 	_, _ = w.Write(r.Value) // a buffer accepts any data
 	_ = w.Close()
-	packed.Value, packed.Packed = small.Bytes(), true
+	packed.Value, packed.Packed = compressed.Bytes(), true
 	return packed
 }
 
--- a/internal/instance/gatekeeper/takeover.go
+++ b/internal/instance/gatekeeper/takeover.go
@@ -12,15 +12,15 @@
 // takeOver acquires a lease if this instance reaches the runners of the domain. On a day on
 // which a third of the instances were cut off from them, one takeover in three ended with
 // the new leader stepping down again, at a cost of four seconds each.
-func (d *controller) takeOver(ctx context.Context, w elector.Write, runners []tracker.Runner) {
-	if d.reachesRunners(ctx, runners) {
-		d.writeLease(ctx, w)
+func (c *controller) takeOver(ctx context.Context, w elector.Write, runners []tracker.Runner) {
+	if c.reachesRunners(ctx, runners) {
+		c.writeLease(ctx, w)
 		return
 	}
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.retryAt = uptime() + pollInterval
-	d.gatekeeper.Recorder.Log(recorder.View, "msg", "lease left to others", "domain", d.domain, "why", "runners are not reached")
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.retryAt = uptime() + pollInterval
+	c.gatekeeper.Recorder.Log(recorder.View, "msg", "lease left to others", "domain", c.domain, "why", "runners are not reached")
 }
 
 const (
@@ -32,22 +32,22 @@
 )
 
 // probeTargets returns up to limit runners of the domain that take orders.
-func (d *controller) probeTargets(limit int) []tracker.Runner {
+func (c *controller) probeTargets(limit int) []tracker.Runner {
 	var runners []tracker.Runner
-	for _, c := range d.runners {
-		if len(runners) < limit && !c.runner.Leaving && c.runner.Slots > 0 && len(c.runner.Models) > 0 {
-			runners = append(runners, c.runner)
+	for _, state := range c.runners {
+		if len(runners) < limit && !state.runner.Leaving && state.runner.Slots > 0 && len(state.runner.Models) > 0 {
+			runners = append(runners, state.runner)
 		}
 	}
 	return runners
 }
 
 // reachesRunners reports whether at least half of the given runners answer; true for none.
-func (d *controller) reachesRunners(ctx context.Context, runners []tracker.Runner) bool {
+func (c *controller) reachesRunners(ctx context.Context, runners []tracker.Runner) bool {
 	answers := make(chan bool, len(runners))
 	for _, r := range runners {
 		go func() {
-			_, err := d.gatekeeper.Engine.Report(ctx, r)
+			_, err := c.gatekeeper.Engine.Report(ctx, r)
 			answers <- err == nil
 		}()
 	}
@@ -62,7 +62,7 @@
 
 // defersTakeover reports whether this instance leaves the lease to others for now, as it does not
 // reach the runners of the domain.
-func (d *controller) defersTakeover() bool {
-	g := d.gatekeeper
-	return g.Fleet.Partitioned(d.domain, time.Now()) && g.links[d.domain].sinceUpdate() < deferralTime
+func (c *controller) defersTakeover() bool {
+	g := c.gatekeeper
+	return g.Fleet.Partitioned(c.domain, time.Now()) && g.links[c.domain].sinceUpdate() < deferralTime
 }
--- a/internal/instance/gatekeeper/watch.go
+++ b/internal/instance/gatekeeper/watch.go
@@ -207,8 +207,8 @@
 		listed[runner.ID] = true
 		g.setRunner(runner, fromStore)
 	}
-	for _, d := range g.controllers {
-		for _, known := range d.runnerDescriptions() {
+	for _, c := range g.controllers {
+		for _, known := range c.runnerDescriptions() {
 			if !listed[known.ID] && known.Revision <= version {
 				g.removeRunner(known.ID, version, fromStore, whyUnlisted)
 			}
