--- a/internal/instance/gatekeeper/load_time.go
+++ b/internal/instance/gatekeeper/load_time.go
@@ -26,12 +26,12 @@
 	lateMargin = 0.05
 	// shrinkRate is the rate per second at which the estimate decreases right after a late load,
 	// and shrinkTime the time until that rate has doubled; it goes on growing with the square
-	// of the time, up to maxShrinkRate. The estimate then takes two seconds to come down to the
-	// point where loads are late, which all loads started within one load time find out: one
-	// in seven. After a time in which all loads took twice as long it is right again within
-	// five seconds. When each load in time decreased it by a fixed fraction instead, hundreds
-	// of loads did so before the first late one was observed: two in five were late, and each
-	// cost one of the retries that all instances share.
+	// of the time, up to maxShrinkRate. The estimate then takes two seconds to fall below the
+	// actual duration; all loads that start within one load time from then on are late: one in
+	// seven. After a period in which all loads took twice as long, the estimate is correct again
+	// within five seconds. When each load that was not late decreased it by a fixed fraction
+	// instead, hundreds of loads did so before the first late one was observed: two in five were
+	// late, and each cost one of the retries that all instances share.
 	shrinkRate    = 0.02
 	shrinkTime    = 1500 * time.Millisecond
 	maxShrinkRate = 0.25
@@ -63,12 +63,12 @@
 // with empty runners, growing by a fraction for each took the estimate to its bound of
 // seconds, and callers were refused for ten seconds because of loads that would have taken a
 // third of a second.
-func (e *estimate) observe(a placer.LoadObservation, now time.Time) {
+func (e *estimate) observe(o placer.LoadObservation, now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if a.Min > 0 {
+	if o.Min > 0 {
 		e.lastLate = now
-		took := min(a.Max, time.Duration((1+lateMargin)*float64(a.Min)))
+		took := min(o.Max, time.Duration((1+lateMargin)*float64(o.Min)))
 		e.current = min(maxLoadTime, max(e.current, took))
 	} else {
 		e.current = max(minLoadTime, time.Duration((1-e.shrinkFraction(now))*float64(e.current)))
@@ -76,7 +76,7 @@
 	e.lastObserved = now
 }
 
-// shrinkFraction returns the fraction by which a load in time decreases the estimate.
+// shrinkFraction returns the fraction by which a load that is not late decreases the estimate.
 func (e *estimate) shrinkFraction(now time.Time) float64 {
 	since := float64(now.Sub(e.lastLate)) / float64(shrinkTime)
 	rate := min(maxShrinkRate, shrinkRate*(1+since*since))
@@ -84,15 +84,15 @@
 }
 
 // observeLoad records what the first use of a copy shows of load times.
-func (d *controller) observeLoad(a placer.LoadObservation, ok bool) {
+func (c *controller) observeLoad(o placer.LoadObservation, ok bool) {
 	switch {
 	case !ok:
-	case a.Reload:
-		d.gatekeeper.reloadTime.observe(a, time.Now())
+	case o.Reload:
+		c.gatekeeper.reloadTime.observe(o, time.Now())
 	default:
 		now := time.Now()
-		d.gatekeeper.loadTime.observe(a, now)
-		d.loadWindow.ObserveLoadTime(d.gatekeeper.LoadTime(), now)
+		c.gatekeeper.loadTime.observe(o, now)
+		c.loadWindow.ObserveLoadTime(c.gatekeeper.LoadTime(), now)
 	}
 }
 
@@ -110,12 +110,12 @@
 			if service.Engine == nil {
 				continue
 			}
-			base, read := g.Fleet.Latency(name)
-			g.Recorder.Log(recorder.View, "msg", "paces", "service", name, "first", base, "token", read,
+			base, prefill := g.Fleet.Latency(name)
+			g.Recorder.Log(recorder.View, "msg", "paces", "service", name, "first", base, "token", prefill,
 				"load", g.LoadTime(), "return", g.ReloadTime(), "members", g.Members())
 		}
-		for _, d := range g.controllers {
-			d.logLoads()
+		for _, c := range g.controllers {
+			c.logLoads()
 		}
 	})
 }
--- a/internal/instance/gatekeeper/subscribe.go
+++ b/internal/instance/gatekeeper/subscribe.go
@@ -145,21 +145,21 @@
 }
 
 // recordSource records which instance sent an update of the domain.
-func (l *link) recordSource(from source, n relayer.News) {
+func (l *link) recordSource(from source, update relayer.News) {
 	g := l.gatekeeper
-	g.quarantine.acknowledge(from, n.Crashes)
-	g.applyCrashReports(n.Crashes, from.id)
+	g.quarantine.acknowledge(from, update.Crashes)
+	g.applyCrashReports(update.Crashes, from.id)
 	if src, ok := g.currentSource(); ok && src == from {
 		g.source.received(from, time.Now())
 	}
-	if lacksLeaderState(n) {
+	if lacksLeaderState(update) {
 		return
 	}
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if src, ok := g.source.selected(); ok && src == from {
-		l.relayedAt = now.Add(-n.SinceLeaderUpdate)
+		l.relayedAt = now.Add(-update.SinceLeaderUpdate)
 	}
 	if l.source == from {
 		return
@@ -184,8 +184,8 @@
 }
 
 // reportToPrevious reports the demand to the previous source for a while, and then unsubscribes
-// from it. Without that the leader would count each use twice, for as long as it counts a
-// failed instance.
+// from it. Without that the leader would count each use twice until the previous source drops
+// this instance's last report, as it does for a failed instance.
 func (l *link) reportToPrevious(ctx context.Context) {
 	previous, until, ok := l.previousTarget()
 	if !ok {
@@ -199,7 +199,7 @@
 	if time.Now().Before(until) {
 		demand = demandOf(l.domain, l.totalDemand())
 	}
-	_ = peers.Send(ctx, previous.address, demand) // it drops this instance's report after a while without one
+	_ = peers.Send(ctx, previous.address, demand) // if this fails, the previous source drops this instance's last report after memberTimeout
 }
 
 // previousTarget returns the previous source, and until when this instance reports to it; ok is
