--- a/internal/adapter/keeper/keeper.go
+++ b/internal/adapter/keeper/keeper.go
@@ -227,8 +227,8 @@
 }
 
 func (k *Keeper) victim() *Slot {
-	var worst *Slot
-	var least float64
+	var cheapest *Slot
+	var lowestCost float64
 	for _, name := range slices.Sorted(maps.Keys(k.slots)) {
 		s := k.slots[name]
 		if !k.evictable(s) {
@@ -237,13 +237,13 @@
 		if s.Machine.State == stateDoomed {
 			return s
 		}
-		v := k.evictionCost(s)
-		if worst == nil || v < least {
-			worst = s
-			least = v
+		cost := k.evictionCost(s)
+		if cheapest == nil || cost < lowestCost {
+			cheapest = s
+			lowestCost = cost
 		}
 	}
-	return worst
+	return cheapest
 }
 
 func outcomeEvent(outcome Outcome, done string) string {
--- a/internal/adapter/keeper/keeper_test.go
+++ b/internal/adapter/keeper/keeper_test.go
@@ -49,7 +49,7 @@
 	// keeper.Evict
 }
 
-func TestWantSharesOneLoad(t *testing.T) {
+func TestNextOrderSharesOneLoad(t *testing.T) {
 	k := newKeeper()
 	k.NextOrder("x@1", start)
 	if second := k.NextOrder("x@1", start); second != nil {
--- a/internal/adapter/keeper/ownership.go
+++ b/internal/adapter/keeper/ownership.go
@@ -33,14 +33,14 @@
 
 // Clear records that a previous owner has released the runner. It may be called
 // again as the requests of that owner end.
-func (k *Keeper) Clear(owner string, s Handover) {
+func (k *Keeper) Clear(owner string, handover Handover) {
 	k.init()
 	delete(k.uncleared, owner)
 	delete(k.previousPins, owner)
-	if len(s.Pins) > 0 {
-		k.previousPins[owner] = maps.Clone(s.Pins)
+	if len(handover.Pins) > 0 {
+		k.previousPins[owner] = maps.Clone(handover.Pins)
 	}
-	for _, name := range s.Evicting {
+	for _, name := range handover.Evicting {
 		k.doom(name)
 	}
 }
@@ -68,20 +68,20 @@
 // instance still owns the runner or one of its eviction orders is in flight: the
 // later owner asks again.
 func (k *Keeper) Handover() (Handover, bool) {
-	s := Handover{Pins: make(map[string]int)}
+	handover := Handover{Pins: make(map[string]int)}
 	for name, slot := range k.slots {
 		switch slot.Machine.State {
 		case stateEvicting, stateFinishing:
 			return Handover{}, false
 		case stateDoomed:
-			s.Evicting = append(s.Evicting, name)
+			handover.Evicting = append(handover.Evicting, name)
 		}
 		if slot.Pins > 0 {
-			s.Pins[name] = slot.Pins
+			handover.Pins[name] = slot.Pins
 		}
 	}
-	slices.Sort(s.Evicting)
-	return s, !k.owned
+	slices.Sort(handover.Evicting)
+	return handover, !k.owned
 }
 
 // Acquire records that this instance has acquired the lease on the runner. The
--- a/internal/adapter/keeper/reconcile.go
+++ b/internal/adapter/keeper/reconcile.go
@@ -41,14 +41,14 @@
 // loaded the copy. Otherwise it may belong to a later owner, who uses and evicts
 // it without notice: an owner that was paused until after its lease had expired
 // evicted such copies while its successor's requests ran on them.
-func (k *Keeper) discover(name string, held bool) {
+func (k *Keeper) discover(name string, leaseValid bool) {
 	if s, ok := k.slots[name]; ok {
-		s.Foreign = s.Foreign && !held
+		s.Foreign = s.Foreign && !leaseValid
 		return
 	}
 	handle := ParseHandle(name)
 	k.slots[name] = &Slot{
-		Foreign:   handle.Loader != k.Self && !held,
+		Foreign:   handle.Loader != k.Self && !leaseValid,
 		Handle:    handle,
 		Inherited: handle.Loader != k.Self || !k.Cleared(),
 		Machine:   &interpreter.Machine{Chart: Chart, State: stateResident},
--- a/internal/adapter/loader/share.go
+++ b/internal/adapter/loader/share.go
@@ -49,9 +49,9 @@
 // valid reports.
 func (s *Sharer) QueueLength(own int, now time.Time) int {
 	total := own
-	for _, t := range s.peers {
-		if now.Sub(t.at) <= s.Fresh {
-			total += t.length
+	for _, report := range s.peers {
+		if now.Sub(report.at) <= s.Fresh {
+			total += report.length
 		}
 	}
 	return total
@@ -63,12 +63,12 @@
 	queued := float64(s.QueueLength(own.QueueLength, now))
 	pool := 1.0
 	for domain, fixed := range others {
-		t, ok := s.domains[domain]
-		if !ok || now.Sub(t.at) > s.Fresh {
+		report, ok := s.domains[domain]
+		if !ok || now.Sub(report.at) > s.Fresh {
 			pool -= fixed
 			continue
 		}
-		queued += float64(t.length)
+		queued += float64(report.length)
 	}
 	if queued == 0 {
 		return own.Fixed
--- a/internal/adapter/loader/share_test.go
+++ b/internal/adapter/loader/share_test.go
@@ -8,11 +8,11 @@
 	"github.com/sardinetiller/sardinetiller/internal/adapter/loader"
 )
 
-func TestPart(t *testing.T) {
+func TestShare(t *testing.T) {
 	others := map[string]float64{"b": 0.5}
 	for _, tc := range []struct {
 		name  string
-		line  int
+		own   int
 		peer  int
 		other int // -1: no report
 		want  float64
@@ -30,7 +30,7 @@
 			if tc.other >= 0 {
 				s.Domain("b", tc.other, start)
 			}
-			got := s.Share(loader.Allotment{Fixed: 0.25, QueueLength: tc.line}, others, start)
+			got := s.Share(loader.Allotment{Fixed: 0.25, QueueLength: tc.own}, others, start)
 			if math.Abs(got-tc.want) > 1e-9 {
 				t.Errorf("part = %v, want %v", got, tc.want)
 			}
--- a/internal/adapter/placer/load_observation.go
+++ b/internal/adapter/placer/load_observation.go
@@ -14,7 +14,7 @@
 
 // ObserveHit records that the runner accepted requests for a copy, the first of which
 // was sent at the given time. ok is false if that gives no load time.
-func (p *Placer) ObserveHit(c Copy, requests int, sent time.Time) (a LoadObservation, ok bool) {
+func (p *Placer) ObserveHit(c Copy, requests int, sent time.Time) (observation LoadObservation, ok bool) {
 	p.init()
 	s, known := p.copies[c]
 	if !known {
@@ -25,12 +25,12 @@
 		return LoadObservation{}, false
 	}
 	s.state = resident
-	a = LoadObservation{Max: sent.Sub(s.acceptedAt), Reload: p.heldBefore.Has(c)}
+	observation = LoadObservation{Max: sent.Sub(s.acceptedAt), Reload: p.heldBefore.Has(c)}
 	if !s.lastMiss.IsZero() {
-		a.Min = s.lastMiss.Sub(s.acceptedAt)
+		observation.Min = s.lastMiss.Sub(s.acceptedAt)
 	}
 	p.heldBefore.Add(c)
-	return a, true
+	return observation, true
 }
 
 // loadTime returns how long a load of the copy takes.
--- a/internal/adapter/placer/placer.go
+++ b/internal/adapter/placer/placer.go
@@ -134,12 +134,12 @@
 // SetDemand replaces the demand for a copy. The caller repeats it while requests wait.
 func (p *Placer) SetDemand(c Copy, waiting Waiting, now time.Time) {
 	p.init()
-	w, ok := p.demands[c]
+	d, ok := p.demands[c]
 	if !ok {
-		w.firstSeen = now
+		d.firstSeen = now
 	}
-	w.Waiting, w.lastSeen = waiting, now
-	p.demands[c] = w
+	d.Waiting, d.lastSeen = waiting, now
+	p.demands[c] = d
 }
 
 // ClearDemand removes the demand for a copy.
@@ -246,8 +246,8 @@
 // nor being loaded.
 func (p *Placer) Waiting() int {
 	n := 0
-	for c, w := range p.demands {
-		if _, ok := p.copies[c]; !ok && w.Priority < Spare {
+	for c, d := range p.demands {
+		if _, ok := p.copies[c]; !ok && d.Priority < Spare {
 			n++
 		}
 	}
@@ -259,12 +259,12 @@
 	var best Copy
 	var bestDemand demand
 	found := false
-	for c, w := range p.demands {
-		if now.Sub(w.lastSeen) > demandTTL {
+	for c, d := range p.demands {
+		if now.Sub(d.lastSeen) > demandTTL {
 			delete(p.demands, c)
 			continue
 		}
-		if w.Priority >= Spare && limit < FetchAny || limit == NoFetch && !p.heldBefore.Has(c) {
+		if d.Priority >= Spare && limit < FetchAny || limit == NoFetch && !p.heldBefore.Has(c) {
 			continue
 		}
 		if s, taken := p.copies[c]; taken && (!s.unconfirmed || s.state == unloading) {
@@ -273,8 +273,8 @@
 		if old, ok := p.otherVersion(c); ok && !p.evictable(old, p.copies[old], now) {
 			continue
 		}
-		if !found || loadsBefore(c, w, best, bestDemand) {
-			best, bestDemand, found = c, w, true
+		if !found || loadsBefore(c, d, best, bestDemand) {
+			best, bestDemand, found = c, d, true
 		}
 	}
 	return best, found
--- a/internal/adapter/placer/placer_test.go
+++ b/internal/adapter/placer/placer_test.go
@@ -222,12 +222,12 @@
 
 func (f *fakeRunner) tick(now time.Time) {
 	kept := f.delayed[:0]
-	for _, l := range f.delayed {
-		if now.Before(l.at) {
-			kept = append(kept, l)
+	for _, d := range f.delayed {
+		if now.Before(d.at) {
+			kept = append(kept, d)
 			continue
 		}
-		f.order(l.order, now)
+		f.order(d.order, now)
 	}
 	f.delayed = kept
 	r := placer.Report{Sequence: f.seq}
@@ -283,10 +283,10 @@
 // copy first.
 func TestSpareCopyDoesNotDelayWaitingRequests(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		wants map[placer.Copy]int
-		limit placer.FetchLimit
-		want  placer.Copy
+		name       string
+		priorities map[placer.Copy]int
+		limit      placer.FetchLimit
+		want       placer.Copy
 	}{
 		{"hot and cold requested", map[placer.Copy]int{adapter("hot"): placer.Spare, adapter("cold"): 1}, placer.FetchForWaiting, adapter("cold")},
 		{"any load allowed", map[placer.Copy]int{adapter("hot"): placer.Spare, adapter("cold"): 1}, placer.FetchAny, adapter("cold")},
@@ -296,7 +296,7 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			p := newPlacer(2)
-			for c, priority := range tc.wants {
+			for c, priority := range tc.priorities {
 				p.Request(c, priority, start)
 			}
 			order, _ := p.Next(start, tc.limit)
@@ -334,10 +334,10 @@
 // already late. An adapter that no request waits for any more is not loaded.
 func TestLoadOrder(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		waits []placer.Waiting // of a0, a1, ...; each a millisecond after the one before
-		gone  string
-		want  string
+		name    string
+		waits   []placer.Waiting // of a0, a1, ...; each a millisecond after the one before
+		cleared string
+		want    string
 	}{
 		{"first of equals", []placer.Waiting{{Requests: 1, InTime: 1}, {Requests: 1, InTime: 1}}, "", "a0"},
 		{"serves more requests", []placer.Waiting{{Requests: 1, InTime: 1}, {Requests: 3, InTime: 3}}, "", "a1"},
@@ -352,7 +352,7 @@
 				now = now.Add(time.Millisecond)
 				p.SetDemand(adapter(fmt.Sprint("a", n)), w, now)
 			}
-			p.ClearDemand(adapter(tc.gone))
+			p.ClearDemand(adapter(tc.cleared))
 			order, _ := p.Next(now, placer.FetchAny)
 			if diff := cmp.Diff(adapter(tc.want), order.Copy); diff != "" {
 				t.Error(diff)
--- a/internal/adapter/placer/victim.go
+++ b/internal/adapter/placer/victim.go
@@ -66,7 +66,7 @@
 // it, and none was just assigned to it. A copy that is being loaded is kept until
 // one load time after it was expected to be complete.
 func (p *Placer) evictable(c Copy, s *slot, now time.Time) bool {
-	if w, ok := p.demands[c]; ok && w.Requests > 0 && now.Sub(w.lastSeen) <= demandTTL {
+	if d, ok := p.demands[c]; ok && d.Requests > 0 && now.Sub(d.lastSeen) <= demandTTL {
 		return false
 	}
 	if p.InUse != nil && p.InUse(c) {
--- a/internal/adapter/warmer/recent_test.go
+++ b/internal/adapter/warmer/recent_test.go
@@ -27,13 +27,13 @@
 			recent.Drop(n)
 		}
 	}
-	there := 0
+	count := 0
 	for n := range 10_000 {
 		if recent.Has(n) {
-			there++
+			count++
 		}
 	}
-	if there > 10 || !recent.Has(1) || !recent.Has(9998) {
-		t.Errorf("contains %d values with a limit of 10, or lacks a recent one", there)
+	if count > 10 || !recent.Has(1) || !recent.Has(9998) {
+		t.Errorf("contains %d values with a limit of 10, or lacks a recent one", count)
 	}
 }
--- a/internal/request/admitter/schedule.go
+++ b/internal/request/admitter/schedule.go
@@ -32,28 +32,28 @@
 
 // Reserve returns how long to delay the request. If its prefill would be late, ok is false,
 // nothing is reserved, and wait is by how much it would be late.
-func (t *PrefillSchedule) Reserve(p Prompt, now time.Time) (wait time.Duration, ok bool) {
+func (s *PrefillSchedule) Reserve(p Prompt, now time.Time) (wait time.Duration, ok bool) {
 	share := p.Share
 	if share == 0 {
 		share = initialShare
 	}
 	wait = p.SlotWait
 	if p.MaxGap > 0 {
-		ahead := max(0, t.pacedUntil.Sub(now)) // limited first: the zero time is long ago
+		ahead := max(0, s.pacedUntil.Sub(now)) // limited first: the zero time is long ago
 		wait = max(wait, ahead-time.Duration(burstFraction*share*float64(p.MaxGap)))
 	}
-	before := max(wait, t.busyUntil.Sub(now))
+	before := max(wait, s.busyUntil.Sub(now))
 	if late := before + p.PrefillTime - p.Timeout; late > 0 {
 		return late, false
 	}
 	sent := now.Add(wait)
-	t.busyUntil = now.Add(before + p.PrefillTime)
-	if t.pacedUntil.Before(sent) {
-		t.pacedUntil = sent
+	s.busyUntil = now.Add(before + p.PrefillTime)
+	if s.pacedUntil.Before(sent) {
+		s.pacedUntil = sent
 	}
-	t.pacedUntil = t.pacedUntil.Add(time.Duration(float64(p.PrefillTime) / share))
+	s.pacedUntil = s.pacedUntil.Add(time.Duration(float64(p.PrefillTime) / share))
 	return wait, true
 }
 
 // Backlog returns how long the prefill of the reserved prompts still takes.
-func (t *PrefillSchedule) Backlog(now time.Time) time.Duration { return max(0, t.busyUntil.Sub(now)) }
+func (s *PrefillSchedule) Backlog(now time.Time) time.Duration { return max(0, s.busyUntil.Sub(now)) }
--- a/internal/request/admitter/schedule_test.go
+++ b/internal/request/admitter/schedule_test.go
@@ -9,11 +9,11 @@
 )
 
 func ExamplePrefillSchedule_Reserve() {
-	var t admitter.PrefillSchedule
+	var schedule admitter.PrefillSchedule
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	prompt := admitter.Prompt{MaxGap: 200 * time.Millisecond, PrefillTime: 60 * time.Millisecond, Timeout: 350 * time.Millisecond}
 	for range 5 {
-		fmt.Println(t.Reserve(prompt, now))
+		fmt.Println(schedule.Reserve(prompt, now))
 	}
 	// Output:
 	// 0s true
@@ -29,18 +29,18 @@
 // on time, and the others must be refused.
 func TestReserveBoundsPrefillPerGap(t *testing.T) {
 	start := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	const read, pause, within = 20 * time.Millisecond, 250 * time.Millisecond, 900 * time.Millisecond
+	const prefillTime, maxGap, timeout = 20 * time.Millisecond, 250 * time.Millisecond, 900 * time.Millisecond
 	var schedule admitter.PrefillSchedule
 	var sent []time.Duration
 	refused := 0
 	for range 60 {
-		wait, ok := schedule.Reserve(admitter.Prompt{MaxGap: pause, PrefillTime: read, Timeout: within}, start)
+		wait, ok := schedule.Reserve(admitter.Prompt{MaxGap: maxGap, PrefillTime: prefillTime, Timeout: timeout}, start)
 		if !ok {
 			refused++
 			continue
 		}
-		if wait+read > within {
-			t.Errorf("sent after %s, too late for prefill within %s", wait, within)
+		if wait+prefillTime > timeout {
+			t.Errorf("sent after %s, too late for prefill within %s", wait, timeout)
 		}
 		sent = append(sent, wait)
 	}
@@ -48,14 +48,14 @@
 		t.Errorf("sent %d and refused %d", len(sent), refused)
 	}
 	for _, from := range sent {
-		reading := time.Duration(0)
+		prefill := time.Duration(0)
 		for _, other := range sent {
-			if other >= from && other < from+pause {
-				reading += read
+			if other >= from && other < from+maxGap {
+				prefill += prefillTime
 			}
 		}
-		if reading > pause*85/100 {
-			t.Errorf("%s of prefill start within %s from %s on", reading, pause, from)
+		if prefill > maxGap*85/100 {
+			t.Errorf("%s of prefill start within %s from %s on", prefill, maxGap, from)
 		}
 	}
 }
--- a/internal/request/admitter/share_test.go
+++ b/internal/request/admitter/share_test.go
@@ -16,7 +16,7 @@
 	const limit = 300 * time.Millisecond
 	for _, tc := range []struct {
 		name               string
-		pause              func(rng *rand.Rand, share float64) time.Duration
+		gap                func(rng *rand.Rand, share float64) time.Duration
 		minShare, maxShare float64
 		long               float64 // fraction of the responses that may have a gap above the maximum
 	}{
@@ -34,27 +34,27 @@
 			rng := rand.New(rand.NewPCG(1, 1))
 			var s admitter.PrefillShare
 			sum, late := 0.0, 0
-			const answers = 2000
-			for n := range 2 * answers {
-				pause := tc.pause(rng, s.Value())
+			const responses = 2000
+			for n := range 2 * responses {
+				gap := tc.gap(rng, s.Value())
 				switch {
-				case admitter.IsShortGap(pause, limit):
+				case admitter.IsShortGap(gap, limit):
 					s.Record(1, 0)
-				case admitter.IsLongGap(pause, limit):
+				case admitter.IsLongGap(gap, limit):
 					s.Record(0, 1)
 				}
-				if n >= answers {
+				if n >= responses {
 					sum += s.Value()
-					if pause > limit {
+					if gap > limit {
 						late++
 					}
 				}
 			}
-			if mean := sum / answers; mean < tc.minShare || mean > tc.maxShare {
+			if mean := sum / responses; mean < tc.minShare || mean > tc.maxShare {
 				t.Errorf("share %.2f, want %.2f to %.2f", mean, tc.minShare, tc.maxShare)
 			}
-			if part := float64(late) / answers; part > tc.long {
-				t.Errorf("%.3f of the responses had a gap above the maximum", part)
+			if fraction := float64(late) / responses; fraction > tc.long {
+				t.Errorf("%.3f of the responses had a gap above the maximum", fraction)
 			}
 		})
 	}
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -142,7 +142,7 @@
 
 // Guards against a simulation that cannot detect requests that run twice: with a
 // table that ignores checks, it must find some.
-func TestAtMostOnceCheckDetectsIgnoredConditions(t *testing.T) {
+func TestSimulationDetectsIgnoredChecks(t *testing.T) {
 	found := 0
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -244,11 +244,11 @@
 	lost.Ended = true
 	old.Until = now.Add(-time.Second)
 	for _, tc := range []struct {
-		name  string
-		claim claimer.Claim
-		asked string
-		gone  bool
-		want  claimer.Decision
+		name    string
+		claim   claimer.Claim
+		request string
+		gone    bool
+		want    claimer.Decision
 	}{
 		{"runs", claim, "r", false, claimer.InProgress{}},
 		{"claimant gone", claim, "r", true, claimer.Indeterminate{}},
@@ -258,7 +258,7 @@
 		{"expired", old, "r", false, claimer.Expired{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			got := claimer.Decide(tc.claim, tc.asked, now, func(string) bool { return tc.gone })
+			got := claimer.Decide(tc.claim, tc.request, now, func(string) bool { return tc.gone })
 			if got != tc.want {
 				t.Errorf("Decide = %#v, want %#v", got, tc.want)
 			}
--- a/internal/request/dispatcher/dispatcher.go
+++ b/internal/request/dispatcher/dispatcher.go
@@ -128,7 +128,7 @@
 		}
 		a.dispatcher.count("sardinetiller_attempt_failures_total", judged)
 		if !a.redirected(judged) {
-			if retries >= a.values.Retries || !retrier.Retryable(judged, a.call.NonIdempotent, a.sink.answered) || !a.dispatcher.budget.Withdraw() {
+			if retries >= a.values.Retries || !retrier.Retryable(judged, a.call.NonIdempotent, a.sink.started) || !a.dispatcher.budget.Withdraw() {
 				return a.finalError(judged)
 			}
 			retries++
@@ -309,8 +309,8 @@
 
 // A watchedSink records whether a response to the caller has started.
 type watchedSink struct {
-	sink     streamer.Sink
-	answered bool
+	sink    streamer.Sink
+	started bool
 }
 
 // Data implements streamer.Sink.
@@ -318,6 +318,6 @@
 
 // Head implements streamer.Sink.
 func (w *watchedSink) Head(head streamer.Head) error {
-	w.answered = true
+	w.started = true
 	return w.sink.Head(head)
 }
--- a/internal/request/forwarder/attempt.go
+++ b/internal/request/forwarder/attempt.go
@@ -23,38 +23,38 @@
 )
 
 // try sends the request to one runner and forwards the response to the caller.
-func (p *exchange) try(ctx context.Context, runner tracker.Runner) *judge.Error {
+func (x *exchange) try(ctx context.Context, runner tracker.Runner) *judge.Error {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	now := time.Now()
 	deadline, _ := ctx.Deadline()
-	run := p.Fleet.Begin(runner.ID, p.request.Tokens, now)
-	p.lastRunner, p.sentAt = runner.ID, now
-	p.acquireCopy(runner.ID)
-	defer p.releaseCopy()
-	defer p.releaseSlot()
-	wd := p.newWatchdog(runner.ID, cancel)
+	run := x.Fleet.Begin(runner.ID, x.request.Tokens, now)
+	x.lastRunner, x.sentAt = runner.ID, now
+	x.acquireCopy(runner.ID)
+	defer x.releaseCopy()
+	defer x.releaseSlot()
+	wd := x.newWatchdog(runner.ID, cancel)
 	defer wd.stop()
-	reply, observation := p.Upstream.Send(ctx, Attempt{Request: p.request, Runner: runner, LastEventID: p.lastEventID, Timeout: deadline.Sub(now)})
+	reply, observation := x.Upstream.Send(ctx, Attempt{Request: x.request, Runner: runner, LastEventID: x.lastEventID, Timeout: deadline.Sub(now)})
 	if observation != nil {
-		return p.handleNoResponse(ctx, run, runner, observation)
+		return x.handleNoResponse(ctx, run, runner, observation)
 	}
-	p.delivered++
+	x.delivered++
 	if reply.NotRun {
-		return p.handleRefusal(run, runner, reply)
+		return x.handleRefusal(run, runner, reply)
 	}
-	p.executions++
+	x.executions++
 	run.First(time.Now())
-	p.reportHit(runner.ID, now)
+	x.reportHit(runner.ID, now)
 	var err *judge.Error
-	if p.request.Route.Kind == matcher.Streaming && reply.Status < 300 {
-		err = p.relayStream(ctx, runner, reply, wd)
-		if gap := p.request.Route.MaxGap; err == nil && p.executions == 1 && p.longestGap > 0 && gap > 0 {
-			p.Placement.ReportGap(runner.ID, p.longestGap, gap)
+	if x.request.Route.Kind == matcher.Streaming && reply.Status < 300 {
+		err = x.relayStream(ctx, runner, reply, wd)
+		if gap := x.request.Route.MaxGap; err == nil && x.executions == 1 && x.longestGap > 0 && gap > 0 {
+			x.Placement.ReportGap(runner.ID, x.longestGap, gap)
 		}
 	} else {
 		wd.stop()
-		err = p.relayComplete(ctx, runner, reply)
+		err = x.relayComplete(ctx, runner, reply)
 	}
 	run.End(runEnd(ctx, err), time.Now())
 	return err
@@ -72,14 +72,14 @@
 }
 
 // handleNoResponse derives the error of an attempt that got no response head.
-func (p *exchange) handleNoResponse(ctx context.Context, run *tracker.Run, runner tracker.Runner, observation judge.Observation) *judge.Error {
+func (x *exchange) handleNoResponse(ctx context.Context, run *tracker.Run, runner tracker.Runner, observation judge.Observation) *judge.Error {
 	err := judge.Judge(observation)
 	_, unreachable := observation.(judge.DialFailed)
 	if !unreachable {
-		p.delivered++
+		x.delivered++
 	}
 	if err.Verdict != judge.NotRun {
-		p.executions++
+		x.executions++
 	}
 	end := tracker.Failed
 	switch {
@@ -92,65 +92,65 @@
 		end = tracker.ConnectFailed
 	}
 	run.End(end, time.Now())
-	p.tried[runner.ID] = true
+	x.tried[runner.ID] = true
 	if _, broken := observation.(judge.Broken); broken {
-		p.reportBroken(ctx, runner, err)
+		x.reportBroken(ctx, runner, err)
 	}
 	return err
 }
 
 // handleRefusal handles a response that says the runner did not run the request.
-func (p *exchange) handleRefusal(run *tracker.Run, runner tracker.Runner, reply *Reply) *judge.Error {
+func (x *exchange) handleRefusal(run *tracker.Run, runner tracker.Runner, reply *Reply) *judge.Error {
 	_, err := io.Copy(io.Discard, io.LimitReader(reply.Body, maxBodySize))
 	reply.Close(err == nil) // a refusal whose body is cut off is still a refusal
 	run.End(tracker.Refused, time.Now())
 	switch {
 	case reply.Instance != "" && reply.Instance != runner.Name():
-		p.Fleet.Remove(runner.ID, 0) // its address now belongs to another runner
+		x.Fleet.Remove(runner.ID, 0) // its address now belongs to another runner
 	case reply.Misdirected:
-		p.Fleet.MarkMissing(runner.ID, p.request.Copy)
-		p.Placement.ReportMiss(runner.ID, p.request.Copy)
+		x.Fleet.MarkMissing(runner.ID, x.request.Copy)
+		x.Placement.ReportMiss(runner.ID, x.request.Copy)
 	default:
-		p.tried[runner.ID] = true
+		x.tried[runner.ID] = true
 	}
 	return judge.Judge(judge.Refused{Status: reply.Status})
 }
 
 // relayComplete reads the whole response before it passes it on.
-func (p *exchange) relayComplete(ctx context.Context, runner tracker.Runner, reply *Reply) *judge.Error {
+func (x *exchange) relayComplete(ctx context.Context, runner tracker.Runner, reply *Reply) *judge.Error {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBodySize))
 	reply.Close(err == nil)
 	if err != nil {
-		p.tried[runner.ID] = true
-		return p.brokenError(ctx, runner, reply, err)
+		x.tried[runner.ID] = true
+		return x.brokenError(ctx, runner, reply, err)
 	}
-	p.reportCompleted()
-	if p.headSent {
+	x.reportCompleted()
+	if x.headSent {
 		return judge.Judge(judge.Failed{Status: reply.Status})
 	}
-	if reply.Status >= 500 && p.request.Route.Repeatable() && p.executions < p.request.Route.MaxExecutions && p.budget.Withdraw() {
-		p.tried[runner.ID] = true
-		p.OnRetry(judge.Judge(judge.Failed{Status: reply.Status}))
-		return p.retryFailed(ctx, reply, body)
+	if reply.Status >= 500 && x.request.Route.Repeatable() && x.executions < x.request.Route.MaxExecutions && x.budget.Withdraw() {
+		x.tried[runner.ID] = true
+		x.OnRetry(judge.Judge(judge.Failed{Status: reply.Status}))
+		return x.retryFailed(ctx, reply, body)
 	}
-	return p.deliver(reply, body)
+	return x.deliver(reply, body)
 }
 
 // deliver passes a complete response to the caller.
-func (p *exchange) deliver(reply *Reply, body []byte) *judge.Error {
-	if p.sink.Complete(reply, body) != nil {
+func (x *exchange) deliver(reply *Reply, body []byte) *judge.Error {
+	if x.sink.Complete(reply, body) != nil {
 		return errCallerGone
 	}
-	p.status = reply.Status
+	x.status = reply.Status
 	return nil
 }
 
 // retryFailed sends a request that failed on its runner to another runner. If that yields
 // no response, the caller gets the failed response at hand.
-func (p *exchange) retryFailed(ctx context.Context, reply *Reply, body []byte) *judge.Error {
-	p.useNewestVersion()
-	if runner, err := p.choose(ctx); err == nil {
-		failed := p.try(ctx, runner)
+func (x *exchange) retryFailed(ctx context.Context, reply *Reply, body []byte) *judge.Error {
+	x.useNewestVersion()
+	if runner, err := x.choose(ctx); err == nil {
+		failed := x.try(ctx, runner)
 		if failed == nil || errors.Is(failed, errCallerGone) {
 			// A caller that disconnected during this response gets no second one: writing a
 			// second response to one request crashed the process and failed the requests of
@@ -158,14 +158,14 @@
 			return failed
 		}
 	}
-	if p.headSent {
+	if x.headSent {
 		return errCallerGone
 	}
-	return p.deliver(reply, body)
+	return x.deliver(reply, body)
 }
 
 // brokenError derives the error of a response that broke off.
-func (p *exchange) brokenError(ctx context.Context, runner tracker.Runner, reply *Reply, err error) *judge.Error {
+func (x *exchange) brokenError(ctx context.Context, runner tracker.Runner, reply *Reply, err error) *judge.Error {
 	switch cause := context.Cause(ctx); {
 	case errors.Is(cause, context.DeadlineExceeded):
 		return &judge.Error{Verdict: judge.MayHaveRun, Reason: judge.ReasonDeadline, Message: "the deadline passed while the runner worked"}
@@ -173,7 +173,7 @@
 		return errCallerGone
 	default:
 		broken := judge.Judge(reply.BodyError(err))
-		p.reportBroken(ctx, runner, broken)
+		x.reportBroken(ctx, runner, broken)
 		return broken
 	}
 }
--- a/internal/request/forwarder/copyref.go
+++ b/internal/request/forwarder/copyref.go
@@ -11,18 +11,18 @@
 
 // acquireCopy acquires a reference to the request's copy at the runner; for plain services
 // it does nothing. A reference at another runner is released first.
-func (p *exchange) acquireCopy(runner string) {
-	c := p.request.Copy
-	if c == (placer.Copy{}) || p.ref.release != nil && p.ref.runner == runner && p.ref.copy == c {
+func (x *exchange) acquireCopy(runner string) {
+	c := x.request.Copy
+	if c == (placer.Copy{}) || x.ref.release != nil && x.ref.runner == runner && x.ref.copy == c {
 		return
 	}
-	p.releaseCopy()
-	p.ref = copyRef{runner, c, p.Placement.AcquireCopy(runner, c)}
+	x.releaseCopy()
+	x.ref = copyRef{runner, c, x.Placement.AcquireCopy(runner, c)}
 }
 
-func (p *exchange) releaseCopy() {
-	if p.ref.release != nil {
-		p.ref.release()
+func (x *exchange) releaseCopy() {
+	if x.ref.release != nil {
+		x.ref.release()
 	}
-	p.ref = copyRef{}
+	x.ref = copyRef{}
 }
--- a/internal/request/forwarder/disconnect_test.go
+++ b/internal/request/forwarder/disconnect_test.go
@@ -18,14 +18,14 @@
 
 var errDisconnected = errors.New("caller disconnected")
 
-func (l *disconnectingSink) respond() error {
-	l.responses++
+func (s *disconnectingSink) respond() error {
+	s.responses++
 	return errDisconnected
 }
 
-func (l *disconnectingSink) Head(*forwarder.Reply) error             { return l.respond() }
-func (l *disconnectingSink) Event([]byte) error                      { return errDisconnected }
-func (l *disconnectingSink) Complete(*forwarder.Reply, []byte) error { return l.respond() }
+func (s *disconnectingSink) Head(*forwarder.Reply) error             { return s.respond() }
+func (s *disconnectingSink) Event([]byte) error                      { return errDisconnected }
+func (s *disconnectingSink) Complete(*forwarder.Reply, []byte) error { return s.respond() }
 
 // A runner fails a request, which is retried on another runner, and the caller disconnects
 // while it receives the second response. It must not be given the failed response as well:
--- a/internal/request/forwarder/forwarder.go
+++ b/internal/request/forwarder/forwarder.go
@@ -81,12 +81,12 @@
 	}
 	ctx, cancel := context.WithDeadline(ctx, end)
 	defer cancel()
-	p := &exchange{Forwarder: f, request: r, sink: sink, budget: f.budget(r.Service), lastEventID: r.LastEventID, fullRunners: make(map[string]bool), tried: make(map[string]bool)}
-	p.budget.Deposit()
-	err := p.run(ctx)
-	p.releaseCopy()
-	p.releaseSlot()
-	p.log(err)
+	x := &exchange{Forwarder: f, request: r, sink: sink, budget: f.budget(r.Service), lastEventID: r.LastEventID, fullRunners: make(map[string]bool), tried: make(map[string]bool)}
+	x.budget.Deposit()
+	err := x.run(ctx)
+	x.releaseCopy()
+	x.releaseSlot()
+	x.log(err)
 	return err
 }
 
@@ -105,55 +105,55 @@
 	return b
 }
 
-func (p *exchange) run(ctx context.Context) *judge.Error {
+func (x *exchange) run(ctx context.Context) *judge.Error {
 	for {
-		runner, refused := p.choose(ctx)
+		runner, refused := x.choose(ctx)
 		if refused != nil {
-			return p.finalError(refused)
+			return x.finalError(refused)
 		}
-		failed := p.try(ctx, runner)
+		failed := x.try(ctx, runner)
 		if failed == nil {
 			return nil
 		}
-		if !p.mayRetry(ctx, failed) {
-			return p.finalError(failed)
+		if !x.mayRetry(ctx, failed) {
+			return x.finalError(failed)
 		}
-		p.useNewestVersion()
-		p.OnRetry(failed)
-		p.Recorder.Log(recorder.Retry, "request", p.request.ID, "digest", p.digest(), "copy", p.request.Copy, "runner", runner.ID, "reason", failed.Reason,
-			"verdict", failed.Verdict, "after", p.lastEventID, "arrivals", p.delivered)
+		x.useNewestVersion()
+		x.OnRetry(failed)
+		x.Recorder.Log(recorder.Retry, "request", x.request.ID, "digest", x.digest(), "copy", x.request.Copy, "runner", runner.ID, "reason", failed.Reason,
+			"verdict", failed.Verdict, "after", x.lastEventID, "arrivals", x.delivered)
 	}
 }
 
 // useNewestVersion makes the next execution use the newest version of the adapter. A stream
 // may break off seconds after it started, when its version must no longer be used; the
 // runner reports the version change in the stream.
-func (p *exchange) useNewestVersion() {
-	c := &p.request.Copy
+func (x *exchange) useNewestVersion() {
+	c := &x.request.Copy
 	if c.Adapter != "" {
-		c.Version = p.NewestVersion(c.Model, c.Adapter)
+		c.Version = x.NewestVersion(c.Model, c.Adapter)
 	}
 }
 
 // mayRetry reports whether the request may be retried.
-func (p *exchange) mayRetry(ctx context.Context, failed *judge.Error) bool {
+func (x *exchange) mayRetry(ctx context.Context, failed *judge.Error) bool {
 	switch {
 	case ctx.Err() != nil, errors.Is(failed, errCallerGone):
 		return false
 	case failed.Verdict == judge.NotRun:
-	case !p.request.Route.Repeatable(), p.executions >= p.request.Route.MaxExecutions:
+	case !x.request.Route.Repeatable(), x.executions >= x.request.Route.MaxExecutions:
 		return false
 	}
-	return p.delivered == 0 || p.retryPaid.Swap(false) || p.budget.Withdraw()
+	return x.delivered == 0 || x.retryPaid.Swap(false) || x.budget.Withdraw()
 }
 
 // finalError returns the error with a verdict that covers all attempts: a refusal of the
 // last attempt says nothing about the earlier ones.
-func (p *exchange) finalError(err *judge.Error) *judge.Error {
+func (x *exchange) finalError(err *judge.Error) *judge.Error {
 	if err.Verdict != judge.NotRun {
 		return err
 	}
-	if p.executions == 0 {
+	if x.executions == 0 {
 		if err.RetryAfter == 0 && err.Reason != judge.ReasonCancelled {
 			return err.WithRetryAfter(retryAfter(0))
 		}
@@ -165,22 +165,22 @@
 }
 
 // reportHit reports that the runner held the copy as expected.
-func (p *exchange) reportHit(runner string, sent time.Time) {
-	if p.request.Copy != (placer.Copy{}) {
-		p.Placement.ReportHit(runner, p.request.Copy, sent)
+func (x *exchange) reportHit(runner string, sent time.Time) {
+	if x.request.Copy != (placer.Copy{}) {
+		x.Placement.ReportHit(runner, x.request.Copy, sent)
 	}
 }
 
-func (p *exchange) log(err *judge.Error) {
-	r := p.request
+func (x *exchange) log(err *judge.Error) {
+	r := x.request
 	fields := []any{
-		"request", r.ID, "account", r.Account, "route", r.Route.Name, "service", r.Service, "copy", r.Copy, "runner", p.lastRunner, "tokens", r.Tokens,
-		"queue", p.queueWait, "arrivals", p.delivered, "runs", p.executions, "after", p.lastEventID, "waited", p.adapterWait, "first", p.timeToFirst, "pause", p.longestGap, "took", time.Since(r.Arrived),
+		"request", r.ID, "account", r.Account, "route", r.Route.Name, "service", r.Service, "copy", r.Copy, "runner", x.lastRunner, "tokens", r.Tokens,
+		"queue", x.queueWait, "arrivals", x.delivered, "runs", x.executions, "after", x.lastEventID, "waited", x.adapterWait, "first", x.timeToFirst, "pause", x.longestGap, "took", time.Since(r.Arrived),
 	}
 	if err == nil {
-		p.Recorder.Log(recorder.Completed, append(fields, "status", p.status)...)
+		x.Recorder.Log(recorder.Completed, append(fields, "status", x.status)...)
 		return
 	}
-	fields = append(fields, "digest", p.digest(), "verdict", err.Verdict, "reason", err.Reason, "retry", err.RetryAfter, "err", err.Message)
-	p.Recorder.Log(recorder.Failed, fields...)
+	fields = append(fields, "digest", x.digest(), "verdict", err.Verdict, "reason", err.Reason, "retry", err.RetryAfter, "err", err.Message)
+	x.Recorder.Log(recorder.Failed, fields...)
 }
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -41,7 +41,7 @@
 // A placement is a scripted forwarder.Placement. Unset functions grant nothing.
 type placement struct {
 	acquireSlot      func(runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool)
-	reserve          func(a forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool)
+	reserve          func(request forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool)
 	requestSpareCopy func(runner string)
 }
 
@@ -62,11 +62,11 @@
 func (placement) ReportHit(string, placer.Copy, time.Time)       {}
 func (placement) ReportGap(string, time.Duration, time.Duration) {}
 func (placement) ReportMiss(string, placer.Copy)                 {}
-func (p placement) Reserve(_ context.Context, a forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool) {
+func (p placement) Reserve(_ context.Context, request forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool) {
 	if p.reserve == nil {
 		return forwarder.Reservation{}, nil, false
 	}
-	return p.reserve(a)
+	return p.reserve(request)
 }
 
 // A quarantine is a scripted forwarder.Quarantine that records the reports it receives.
--- a/internal/request/forwarder/limits.go
+++ b/internal/request/forwarder/limits.go
@@ -43,18 +43,18 @@
 	admitPriorityStep = 0.1
 )
 
-func (p *exchange) adapterWaitLimit() time.Duration {
-	route := p.request.Route
-	limit := p.request.Deadline.Sub(p.request.Arrived) / adapterWaitDivisor
+func (x *exchange) adapterWaitLimit() time.Duration {
+	route := x.request.Route
+	limit := x.request.Deadline.Sub(x.request.Arrived) / adapterWaitDivisor
 	if route.Kind != matcher.Streaming {
 		return limit
 	}
-	return min(limit, time.Duration(streamWaitFraction*float64(p.callerTimeout())))
+	return min(limit, time.Duration(streamWaitFraction*float64(x.callerTimeout())))
 }
 
 // callerTimeout returns how long callers of a stream are expected to wait without receiving
 // anything.
-func (p *exchange) callerTimeout() time.Duration {
-	route := p.request.Route
+func (x *exchange) callerTimeout() time.Duration {
+	route := x.request.Route
 	return max(minCallerTimeout, callerTimeoutTargets*route.LatencyTarget, callerTimeoutGaps*route.MaxGap)
 }
--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -25,11 +25,11 @@
 // quarantined refuses a request that crashes runners. It is called at every poll and right
 // before each attempt: a copy of the request that arrived before the verdict may have
 // waited for its adapter for more than a second.
-func (p *exchange) quarantined() *judge.Error {
-	if !p.Quarantine.Suspects() {
+func (x *exchange) quarantined() *judge.Error {
+	if !x.Quarantine.Suspects() {
 		return nil
 	}
-	left, held := p.Quarantine.Quarantined(p.digest())
+	left, held := x.Quarantine.Quarantined(x.digest())
 	if !held {
 		return nil
 	}
@@ -37,25 +37,25 @@
 }
 
 // digest returns the digest of the request. It is computed once.
-func (p *exchange) digest() quarantiner.Digest {
-	if p.cachedDigest == "" {
-		r := p.request
-		p.cachedDigest = quarantiner.DigestOf(r.quarantineScope(), r.Message.Method, r.Message.Target, r.Message.Body)
+func (x *exchange) digest() quarantiner.Digest {
+	if x.cachedDigest == "" {
+		r := x.request
+		x.cachedDigest = quarantiner.DigestOf(r.quarantineScope(), r.Message.Method, r.Message.Target, r.Message.Body)
 	}
-	return p.cachedDigest
+	return x.cachedDigest
 }
 
 // reportBroken reports that the connection to a runner broke while the runner may have been
 // running the request, unless this instance ended the connection.
-func (p *exchange) reportBroken(ctx context.Context, runner tracker.Runner, err *judge.Error) {
+func (x *exchange) reportBroken(ctx context.Context, runner tracker.Runner, err *judge.Error) {
 	if ctx.Err() == nil && err.Verdict != judge.NotRun {
-		p.Quarantine.ReportBroken(p.digest(), runner, p.sentAt)
+		x.Quarantine.ReportBroken(x.digest(), runner, x.sentAt)
 	}
 }
 
 // reportCompleted reports that a runner completed the request.
-func (p *exchange) reportCompleted() {
-	if p.Quarantine.Suspects() {
-		p.Quarantine.ReportCompleted(p.digest())
+func (x *exchange) reportCompleted() {
+	if x.Quarantine.Suspects() {
+		x.Quarantine.ReportCompleted(x.digest())
 	}
 }
--- a/internal/request/forwarder/quarantine_test.go
+++ b/internal/request/forwarder/quarantine_test.go
@@ -33,7 +33,7 @@
 	for _, tc := range []struct {
 		name     string
 		verdict  time.Duration // when the request is quarantined
-		hold     time.Duration // delay of the prompt
+		delay    time.Duration // delay of the prompt
 		crash    time.Duration // when the first runner crashes; 0 for never
 		attempts int
 		want     judge.Verdict
@@ -54,7 +54,7 @@
 					return complete(), nil
 				}}
 				p := placement{reserve: func(forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool) {
-					return forwarder.Reservation{Delay: tc.hold}, nil, true
+					return forwarder.Reservation{Delay: tc.delay}, nil, true
 				}}
 				err := newQuarantineForwarder(u, p, q).Forward(t.Context(), newRequest(&matcher.Route{Kind: matcher.Idempotent, MaxExecutions: 3, LatencyTarget: time.Second, Timeout: 12 * time.Second}), &sink{})
 				if len(u.attempts) != tc.attempts {
--- a/internal/request/forwarder/request.go
+++ b/internal/request/forwarder/request.go
@@ -99,11 +99,11 @@
 	// Reserve reserves prefill capacity at a runner that holds what the request needs. It
 	// returns how long to delay the request, or a refusal. ok is false if nobody can grant
 	// a reservation.
-	Reserve(ctx context.Context, a ReserveRequest) (r Reservation, refused *judge.Error, ok bool)
+	Reserve(ctx context.Context, request ReserveRequest) (reservation Reservation, refused *judge.Error, ok bool)
 	// AcquireSlot acquires a request slot at a runner of a plain service. It returns how long the
 	// request waits there, or a refusal with the time by which that wait is too long. ok is
 	// false if nobody can grant a slot.
-	AcquireSlot(ctx context.Context, runner string, within time.Duration) (p RequestSlot, refused *judge.Error, ok bool)
+	AcquireSlot(ctx context.Context, runner string, within time.Duration) (slot RequestSlot, refused *judge.Error, ok bool)
 	// ReportHit reports that a runner accepted a request for a copy, and when the request was
 	// sent.
 	ReportHit(runner string, c placer.Copy, sent time.Time)
--- a/internal/request/forwarder/slot.go
+++ b/internal/request/forwarder/slot.go
@@ -31,20 +31,20 @@
 // chooseWithSlot returns a runner of a plain service that granted the request a slot.
 // decided is false for a service with an engine, and if no runner granted or refused a
 // slot; the runner is then chosen without one.
-func (p *exchange) chooseWithSlot(ctx context.Context) (runner tracker.Runner, refused *judge.Error, decided bool) {
-	if p.request.Engine != nil {
+func (x *exchange) chooseWithSlot(ctx context.Context) (runner tracker.Runner, refused *judge.Error, decided bool) {
+	if x.request.Engine != nil {
 		return tracker.Runner{}, nil, false
 	}
 	now := time.Now()
 	choice := router.Router{Policy: router.Spread{CrossDomain: crossDomainCost, Draw: rand.Float64}}
-	terms := choice.Choose(router.Request{}, p.Fleet.Candidates(p.demand(p.tried), now))
+	terms := choice.Choose(router.Request{}, x.Fleet.Candidates(x.demand(x.tried), now))
 	var best runnerSlot
 	unanswered := 0
 	for n, t := range terms[:min(len(terms), maxSlotProbes)] {
 		if n >= slotProbes && best.Release != nil || unanswered >= slotProbes {
 			break
 		}
-		slot, full, ok := p.Placement.AcquireSlot(ctx, t.Runner, p.slotWaitLimit(now))
+		slot, full, ok := x.Placement.AcquireSlot(ctx, t.Runner, x.slotWaitLimit(now))
 		switch {
 		case !ok:
 			unanswered++ // each may have taken the full timeout
@@ -54,19 +54,19 @@
 			continue
 		}
 		best = best.better(runnerSlot{slot, t.Runner})
-		if best.Wait <= time.Duration(shortWaitFraction*float64(p.request.Route.LatencyTarget)) {
+		if best.Wait <= time.Duration(shortWaitFraction*float64(x.request.Route.LatencyTarget)) {
 			break
 		}
 	}
 	if best.Release == nil {
 		return tracker.Runner{}, refused, refused != nil
 	}
-	runner, known := p.Fleet.Get(best.runner)
+	runner, known := x.Fleet.Get(best.runner)
 	if !known || runner.Leaving {
 		best.Release()
 		return tracker.Runner{}, nil, false
 	}
-	p.slot, p.queueWait = best.RequestSlot, best.Wait
+	x.slot, x.queueWait = best.RequestSlot, best.Wait
 	return runner, nil, true
 }
 
@@ -78,16 +78,16 @@
 }
 
 // better returns the slot with the shorter wait and releases the other one.
-func (p runnerSlot) better(other runnerSlot) runnerSlot {
+func (s runnerSlot) better(other runnerSlot) runnerSlot {
 	switch {
-	case p.Release == nil:
+	case s.Release == nil:
 		return other
-	case other.Wait < p.Wait:
-		p.Release()
+	case other.Wait < s.Wait:
+		s.Release()
 		return other
 	default:
 		other.Release()
-		return p
+		return s
 	}
 }
 
@@ -100,17 +100,17 @@
 }
 
 // slotWaitLimit returns how long the request may wait for a slot at a runner.
-func (p *exchange) slotWaitLimit(now time.Time) time.Duration {
-	if p.delivered > 0 {
-		return time.Duration(retrySlotWaitFraction * float64(p.request.Deadline.Sub(now)))
+func (x *exchange) slotWaitLimit(now time.Time) time.Duration {
+	if x.delivered > 0 {
+		return time.Duration(retrySlotWaitFraction * float64(x.request.Deadline.Sub(now)))
 	}
-	return time.Duration(slotWaitFraction*float64(p.request.Route.LatencyTarget)) - now.Sub(p.request.Arrived)
+	return time.Duration(slotWaitFraction*float64(x.request.Route.LatencyTarget)) - now.Sub(x.request.Arrived)
 }
 
 // releaseSlot releases the slot that the request holds, if any.
-func (p *exchange) releaseSlot() {
-	if p.slot.Release != nil {
-		p.slot.Release()
+func (x *exchange) releaseSlot() {
+	if x.slot.Release != nil {
+		x.slot.Release()
 	}
-	p.slot = RequestSlot{}
+	x.slot = RequestSlot{}
 }
--- a/internal/request/forwarder/slot_test.go
+++ b/internal/request/forwarder/slot_test.go
@@ -25,27 +25,27 @@
 	held  map[string]int
 }
 
-func (w *slotAllocator) acquireSlot(runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool) {
-	w.asked = append(w.asked, runner)
-	wait, ok := w.waits[runner]
+func (s *slotAllocator) acquireSlot(runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool) {
+	s.asked = append(s.asked, runner)
+	wait, ok := s.waits[runner]
 	switch {
 	case !ok:
 		return forwarder.RequestSlot{}, nil, false
 	case wait > within:
 		return forwarder.RequestSlot{}, judge.Refuse(judge.ReasonQueue, "full").WithRetryAfter(wait - within), true
 	}
-	if w.held == nil {
-		w.held = make(map[string]int)
+	if s.held == nil {
+		s.held = make(map[string]int)
 	}
-	w.held[runner]++
-	return forwarder.RequestSlot{Wait: wait, Release: func() { w.held[runner]-- }}, nil, true
+	s.held[runner]++
+	return forwarder.RequestSlot{Wait: wait, Release: func() { s.held[runner]-- }}, nil, true
 }
 
 // Requests of a plain service go to the runner of their own failure domain, or to a second
 // one if the wait at the first is long, and are refused immediately if they would be late
 // everywhere.
 func TestRequestSlots(t *testing.T) {
-	const goal = 300 * time.Millisecond
+	const target = 300 * time.Millisecond
 	for _, tc := range []struct {
 		name   string
 		waits  map[string]time.Duration
@@ -65,16 +65,16 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := &slotAllocator{waits: tc.waits}
+				allocator := &slotAllocator{waits: tc.waits}
 				sent := ""
 				u := &upstream{answer: func(_ context.Context, _ int, a forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 					sent = a.Runner.ID
-					if w.waits != nil && w.held[sent] != 1 {
-						t.Errorf("sent to %s without a slot there: %v", sent, w.held)
+					if allocator.waits != nil && allocator.held[sent] != 1 {
+						t.Errorf("sent to %s without a slot there: %v", sent, allocator.held)
 					}
 					return &forwarder.Reply{Status: 200, Body: strings.NewReader("body"), Close: func(bool) {}}, nil
 				}}
-				f := newForwarder(u, placement{acquireSlot: w.acquireSlot}, 0)
+				f := newForwarder(u, placement{acquireSlot: allocator.acquireSlot}, 0)
 				f.Fleet.Set(tracker.Runner{ID: "own", Service: "plain", Domain: "a", Slots: 6, Revision: 1})
 				f.Fleet.Set(tracker.Runner{ID: "far", Service: "plain", Domain: "b", Slots: 6, Revision: 1})
 				if _, third := tc.waits["farther"]; third {
@@ -83,7 +83,7 @@
 				now := time.Now()
 				r := &forwarder.Request{
 					ID: "q", Arrived: now, Deadline: now.Add(3 * time.Second), Service: "plain",
-					Route: &matcher.Route{Name: "r", MaxExecutions: 1, LatencyTarget: goal},
+					Route: &matcher.Route{Name: "r", MaxExecutions: 1, LatencyTarget: target},
 				}
 				reason := judge.Reason("")
 				if err := f.Forward(t.Context(), r, &sink{}); err != nil {
@@ -92,14 +92,14 @@
 						t.Errorf("refused with %+v", err)
 					}
 				}
-				asked := len(w.asked)
+				asked := len(allocator.asked)
 				if tc.asked == 0 {
 					asked = 0 // two or three, depending on the random order
 				}
 				if diff := cmp.Diff([]any{tc.sent, tc.asked, tc.reason}, []any{sent, asked, reason}); diff != "" {
 					t.Error(diff)
 				}
-				for runner, n := range w.held {
+				for runner, n := range allocator.held {
 					if n != 0 {
 						t.Errorf("%d slots still held at %s", n, runner)
 					}
@@ -112,14 +112,14 @@
 // A slot that was held by a failed attempt must be released when the request is retried.
 func TestSlotIsReleasedBeforeRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := &slotAllocator{waits: map[string]time.Duration{"i-0": 0, "i-1": 0}}
+		allocator := &slotAllocator{waits: map[string]time.Duration{"i-0": 0, "i-1": 0}}
 		u := &upstream{answer: func(_ context.Context, n int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 			if n == 1 {
 				return nil, judge.Broken{Written: 1, Err: io.EOF}
 			}
 			return &forwarder.Reply{Status: 200, Body: strings.NewReader("body"), Close: func(bool) {}}, nil
 		}}
-		f := newForwarder(u, placement{acquireSlot: w.acquireSlot}, 0)
+		f := newForwarder(u, placement{acquireSlot: allocator.acquireSlot}, 0)
 		for n := range 2 {
 			f.Fleet.Set(tracker.Runner{ID: fmt.Sprint("i-", n), Service: "plain", Domain: "a", Slots: 6, Revision: 1})
 		}
@@ -131,7 +131,7 @@
 		if err := f.Forward(t.Context(), r, &sink{}); err != nil {
 			t.Error(err)
 		}
-		if diff := cmp.Diff(map[string]int{"i-0": 0, "i-1": 0}, w.held); diff != "" {
+		if diff := cmp.Diff(map[string]int{"i-0": 0, "i-1": 0}, allocator.held); diff != "" {
 			t.Error(diff)
 		}
 	})
--- a/internal/request/forwarder/sparecopy.go
+++ b/internal/request/forwarder/sparecopy.go
@@ -17,11 +17,11 @@
 // there is shorter than a load, no request chooses a runner without a copy, so all of them
 // wait almost that long and many are late. The copy requested here serves later requests.
 // While a copy is being loaded, no other is requested.
-func (p *exchange) requestSpareCopy(terms []router.Terms, wait time.Duration) {
-	if p.request.Copy.Adapter == "" || wait < time.Duration(spareCopyFraction*float64(p.request.Route.LatencyTarget)) {
+func (x *exchange) requestSpareCopy(terms []router.Terms, wait time.Duration) {
+	if x.request.Copy.Adapter == "" || wait < time.Duration(spareCopyFraction*float64(x.request.Route.LatencyTarget)) {
 		return
 	}
 	if runner, ok := router.SpareRunner(terms); ok {
-		p.Placement.RequestSpareCopy(runner, p.request.Copy)
+		x.Placement.RequestSpareCopy(runner, x.request.Copy)
 	}
 }
--- a/internal/request/forwarder/watchdog.go
+++ b/internal/request/forwarder/watchdog.go
@@ -31,9 +31,9 @@
 // response that the caller still waits for. A runner that has preempted a request for more
 // urgent ones may send nothing for seconds and then continue.
 type watchdog struct {
-	p      *exchange
-	cancel context.CancelCauseFunc
-	demand tracker.Demand
+	exchange *exchange
+	cancel   context.CancelCauseFunc
+	demand   tracker.Demand
 
 	mu      sync.Mutex
 	timeout time.Duration
@@ -41,11 +41,11 @@
 }
 
 // newWatchdog starts the watchdog of an attempt at a runner.
-func (p *exchange) newWatchdog(runner string, cancel context.CancelCauseFunc) *watchdog {
-	tried := maps.Clone(p.tried)
+func (x *exchange) newWatchdog(runner string, cancel context.CancelCauseFunc) *watchdog {
+	tried := maps.Clone(x.tried)
 	tried[runner] = true
-	w := &watchdog{p: p, cancel: cancel, demand: p.demand(tried), timeout: p.firstByteTimeout()}
-	if !p.request.Route.Repeatable() || p.executions+1 >= p.request.Route.MaxExecutions {
+	w := &watchdog{exchange: x, cancel: cancel, demand: x.demand(tried), timeout: x.firstByteTimeout()}
+	if !x.request.Route.Repeatable() || x.executions+1 >= x.request.Route.MaxExecutions {
 		return w
 	}
 	w.mu.Lock()
@@ -60,7 +60,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.timer != nil {
-		w.timeout = w.p.idleTimeout()
+		w.timeout = w.exchange.idleTimeout()
 		w.timer.Reset(w.timeout)
 	}
 }
@@ -81,18 +81,18 @@
 	if w.timer == nil {
 		return
 	}
-	if !w.p.hasFreeRunner(w.demand) || !w.p.budget.Withdraw() {
+	if !w.exchange.hasFreeRunner(w.demand) || !w.exchange.budget.Withdraw() {
 		w.timer.Reset(w.timeout)
 		return
 	}
 	w.timer = nil
-	w.p.retryPaid.Store(true)
+	w.exchange.retryPaid.Store(true)
 	w.cancel(errUnresponsive)
 }
 
 // hasFreeRunner reports whether another runner could take the request immediately.
-func (p *exchange) hasFreeRunner(d tracker.Demand) bool {
-	for _, c := range p.Fleet.Candidates(d, time.Now()) {
+func (x *exchange) hasFreeRunner(d tracker.Demand) bool {
+	for _, c := range x.Fleet.Candidates(d, time.Now()) {
 		if c.Resident && !c.Congested {
 			return true
 		}
@@ -100,10 +100,10 @@
 	return false
 }
 
-func (p *exchange) firstByteTimeout() time.Duration {
-	return max(minFirstByteTimeout, firstByteTargets*p.request.Route.LatencyTarget, firstByteTargets*p.request.Route.MaxGap)
+func (x *exchange) firstByteTimeout() time.Duration {
+	return max(minFirstByteTimeout, firstByteTargets*x.request.Route.LatencyTarget, firstByteTargets*x.request.Route.MaxGap)
 }
 
-func (p *exchange) idleTimeout() time.Duration {
-	return time.Duration(idleFraction * float64(p.callerTimeout()))
+func (x *exchange) idleTimeout() time.Duration {
+	return time.Duration(idleFraction * float64(x.callerTimeout()))
 }
--- a/internal/request/quarantiner/evaluate.go
+++ b/internal/request/quarantiner/evaluate.go
@@ -57,11 +57,11 @@
 
 // quarantineTime returns how long a request is quarantined after the last of its crashes.
 func quarantineTime(crashes int) time.Duration {
-	tried := crashes - crashThreshold
-	if tried >= maxTrials {
+	trials := crashes - crashThreshold
+	if trials >= maxTrials {
 		return Retention
 	}
-	return firstQuarantine << tried
+	return firstQuarantine << trials
 }
 
 // enforceLimit evicts requests until the ledger is within its limit: first those that are
--- a/internal/request/quarantiner/ledger_test.go
+++ b/internal/request/quarantiner/ledger_test.go
@@ -92,7 +92,7 @@
 func quarantinedBy(l *quarantiner.Ledger, now time.Time) []quarantiner.Digest {
 	var quarantined []quarantiner.Digest
 	for _, c := range l.Cases() {
-		if _, is := l.Quarantined(c.Digest, now); is {
+		if _, ok := l.Quarantined(c.Digest, now); ok {
 			quarantined = append(quarantined, c.Digest)
 		}
 	}
--- a/internal/request/retrier/budget_test.go
+++ b/internal/request/retrier/budget_test.go
@@ -9,7 +9,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/retrier"
 )
 
-func TestMay(t *testing.T) {
+func TestRetryable(t *testing.T) {
 	for _, tc := range []struct {
 		name                           string
 		verdict                        judge.Verdict
@@ -56,17 +56,17 @@
 // must keep the limit even if everything fails at once.
 func TestManyInstancesShareABudget(t *testing.T) {
 	const (
-		instances = 64
-		slack     = 168.0
-		part      = 0.2
-		window    = 10 * time.Second
-		seconds   = 40
-		perSecond = 8 // requests of one instance
+		instances  = 64
+		burst      = 168.0
+		perRequest = 0.2
+		window     = 10 * time.Second
+		seconds    = 40
+		perSecond  = 8 // requests of one instance
 	)
 	synctest.Test(t, func(t *testing.T) {
 		budgets := make([]retrier.Budget, instances)
 		for n := range budgets {
-			budgets[n] = retrier.Budget{Burst: 0.7 * slack / instances, PerRequest: part, Window: window}
+			budgets[n] = retrier.Budget{Burst: 0.7 * burst / instances, PerRequest: perRequest, Window: window}
 		}
 		var taken [seconds]int
 		for second := range seconds {
@@ -83,7 +83,7 @@
 			}
 			time.Sleep(time.Second)
 		}
-		bound := int(part*instances*perSecond*window.Seconds() + slack)
+		bound := int(perRequest*instances*perSecond*window.Seconds() + burst)
 		for from := 0; from+10 <= seconds; from++ {
 			sum := 0
 			for _, n := range taken[from : from+10] {
