--- a/internal/adapter/keeper/keeper.go
+++ b/internal/adapter/keeper/keeper.go
@@ -99,8 +99,8 @@
 func (k *Keeper) Owned() bool { return k.owned }
 
 // Pin protects a servable copy of the adapter from eviction for one request. The
-// caller must Unpin the handle after the last byte of the answer has been sent. It
-// returns false when no servable copy is resident.
+// caller must Unpin the handle after the last byte of the response has been sent. It
+// returns false if no servable copy is resident.
 func (k *Keeper) Pin(adapter string) (Handle, bool) {
 	s := k.servableCopy(adapter)
 	if s == nil {
--- a/internal/adapter/keeper/keeper_test.go
+++ b/internal/adapter/keeper/keeper_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	action, ok := k.NextOrder(adapter, now).(keeper.Load)
 	if !ok {
-		t.Fatalf("Want(%s) is no load", adapter)
+		t.Fatalf("NextOrder(%s) is no load", adapter)
 	}
 	if err := k.Finish(action, keeper.Done, now); err != nil {
 		t.Fatal(err)
@@ -117,7 +117,7 @@
 	}
 	again, ok := k.NextOrder("z@1", start.Add(5*time.Second)).(keeper.Evict)
 	if !ok || again.Handle.Adapter != "x@1" {
-		t.Errorf("Want = %v, want the eviction of x@1 again", again)
+		t.Errorf("NextOrder = %v, want the eviction of x@1 again", again)
 	}
 }
 
@@ -215,7 +215,7 @@
 	evict := k.NextOrder("z@1", start)
 	k.Release()
 	if _, ok := k.Handover(); ok {
-		t.Fatal("surrendered while an eviction was under way")
+		t.Fatal("handed over while an eviction was in flight")
 	}
 	if err := k.Finish(evict, keeper.Lost, start); err != nil {
 		t.Fatal(err)
--- a/internal/adapter/keeper/ownership_test.go
+++ b/internal/adapter/keeper/ownership_test.go
@@ -63,7 +63,7 @@
 	o.assumesLease = true
 }
 
-// clear has the lease holder ask another owner to release the runner, which tells
+// clear has the lease holder ask another owner to release the runner, which shows
 // that owner that it has been replaced.
 func (m *ownershipModel) clear(other int) {
 	o := m.owners[other]
@@ -208,7 +208,7 @@
 
 // Checks that the model above detects the failure that it tests for: a report that
 // arrives after the lease has expired shows a copy of a later owner, which the
-// previous owner takes for its own and evicts while a request runs on it.
+// previous owner treats as its own and evicts while a request runs on it.
 func TestOwnershipModelDetectsMissingSafeguard(t *testing.T) {
 	m := newOwnershipModel(false, true)
 	m.transfer(0)
--- a/internal/adapter/loader/allocator.go
+++ b/internal/adapter/loader/allocator.go
@@ -10,7 +10,7 @@
 // One live instance runs it for the deployment, the first in an order that all
 // agree on. It needs no lease, because two allocators at once cost only speed. The
 // bid with the most stall to remove is granted first. A permit expires unless it is
-// returned, so that a paused holder does not block the weight store.
+// returned, so that a paused instance does not block the weight store.
 type Allocator struct {
 	PermitTTL     time.Duration // lifetime of a permit
 	MaxConcurrent int           // concurrent permits
--- a/internal/adapter/loader/allocator_test.go
+++ b/internal/adapter/loader/allocator_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// Guards against a permit of a paused holder that blocks the weight store.
+// Guards against a permit of a paused instance that blocks the weight store.
 func TestUnreturnedPermitExpires(t *testing.T) {
 	a := &loader.Allocator{PermitTTL: time.Second, MaxConcurrent: 1}
 	a.Bid(1, 1, start)
--- a/internal/adapter/loader/share.go
+++ b/internal/adapter/loader/share.go
@@ -8,7 +8,7 @@
 // so the rate is divided by the queue lengths that the instances of the domain and
 // the other domains have reported. A fraction of each fixed share stays reserved,
 // so that a new queue is served at once. A domain without a recent report may be
-// partitioned from this one and use its whole fixed share, which is therefore left
+// partitioned from this one and use all of its fixed share, which is therefore left
 // to it: the shares add up to more than the rate for no longer than a report is
 // valid.
 type Sharer struct {
@@ -18,8 +18,8 @@
 	peers   map[string]queueReport
 }
 
-// An Allotment is the fixed share of the rate of an instance or a domain, by the engines
-// that it owns, and its queue length.
+// An Allotment is the fixed share of the rate of an instance or a domain, in proportion to
+// the engines that it owns, and its queue length.
 type Allotment struct {
 	Fixed       float64 // 0 to 1
 	QueueLength int
--- a/internal/adapter/loader/share_test.go
+++ b/internal/adapter/loader/share_test.go
@@ -32,7 +32,7 @@
 			}
 			got := s.Share(loader.Allotment{Fixed: 0.25, QueueLength: tc.own}, others, start)
 			if math.Abs(got-tc.want) > 1e-9 {
-				t.Errorf("part = %v, want %v", got, tc.want)
+				t.Errorf("Share = %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/adapter/placer/load_observation.go
+++ b/internal/adapter/placer/load_observation.go
@@ -42,7 +42,7 @@
 }
 
 // ObserveMiss records that a request did not find a copy on the runner. If the copy was
-// taken to be resident, no order is sent until the next report.
+// recorded as resident, no order is sent until the next report.
 func (p *Placer) ObserveMiss(c Copy, now time.Time) {
 	s, ok := p.copies[c]
 	switch {
--- a/internal/adapter/placer/order.go
+++ b/internal/adapter/placer/order.go
@@ -20,7 +20,7 @@
 	Lost                     // no answer: the order may still be carried out at any later time
 	Mismatch                 // refused: the sequence differs, or another order is in progress
 	Refused                  // refused for another reason
-	Unreached                // not sent: the runner took no connection
+	Unreached                // not sent: the runner accepted no connection
 )
 
 // String returns the name of the outcome in logs and metrics.
--- a/internal/adapter/placer/placer.go
+++ b/internal/adapter/placer/placer.go
@@ -22,7 +22,7 @@
 	Model        string          // base model that the runner has to hold
 	AdapterSlots int             // adapter slots of the runner
 	LoadTime     time.Duration   // time to load an adapter from the weight store
-	MaxLoads     int             // maximum of concurrent loads to the runner
+	MaxLoads     int             // maximum number of concurrent loads on the runner
 	ReloadTime   time.Duration   // time to load an adapter that the runner held before
 
 	clock        warmer.Clock
@@ -81,7 +81,7 @@
 	InTime   int // requests that are still served in time if this copy is loaded next
 }
 
-// Plus returns the sum of both.
+// Plus returns the sum of w and other, with the more urgent priority.
 func (w Waiting) Plus(other Waiting) Waiting {
 	return Waiting{Priority: min(w.Priority, other.Priority), Requests: w.Requests + other.Requests, InTime: w.InTime + other.InTime}
 }
--- a/internal/adapter/placer/window_test.go
+++ b/internal/adapter/placer/window_test.go
@@ -10,7 +10,7 @@
 // A weight store serves a number of concurrent loads at full speed and slows all of
 // them down beyond it. The window must converge to about that number: below it,
 // requests wait although the store has capacity; above it, every load takes longer,
-// and all requests miss their latency goal instead of some.
+// and all requests miss their latency target instead of some.
 func TestWindowConvergesToStoreCapacity(t *testing.T) {
 	const engines = 10
 	for _, tc := range []struct {
--- a/internal/request/admitter/schedule.go
+++ b/internal/request/admitter/schedule.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// A PrefillSchedule is the schedule of the prompts that one runner has been sent for prefill. It
-// is kept by the instance that sees all requests of the runner, so that the instances that
-// send them need no coordination. Its zero value is ready.
+// A PrefillSchedule is the schedule of the prompts that one runner has been sent for
+// prefill. It is kept by the instance that sees all requests of the runner, so that the
+// instances that send them need no coordination. Its zero value is ready.
 //
 // A runner interleaves prefill with the tokens of its running requests. While it prefills,
 // each event of each running request is delayed by the prefill between its tokens, so a
--- a/internal/request/claimer/batcher.go
+++ b/internal/request/claimer/batcher.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// run commits batches until ctx ends. After a pause, a transaction is committed
+// run commits batches until ctx ends. After an idle interval, a transaction is committed
 // at once; under load, those that arrive between two batches are committed
 // together.
 func (b *batcher) run(ctx context.Context) {
--- a/internal/request/forwarder/attempt.go
+++ b/internal/request/forwarder/attempt.go
@@ -116,7 +116,7 @@
 	return judge.Judge(judge.Refused{Status: reply.Status})
 }
 
-// relayComplete reads the whole response before it passes it on.
+// relayComplete reads the complete response before it passes it on.
 func (x *exchange) relayComplete(ctx context.Context, runner tracker.Runner, reply *Reply) *judge.Error {
 	body, err := io.ReadAll(io.LimitReader(reply.Body, maxBodySize))
 	reply.Close(err == nil)
--- a/internal/request/forwarder/choose.go
+++ b/internal/request/forwarder/choose.go
@@ -86,7 +86,8 @@
 }
 
 // reserve reserves prefill capacity at the runner and delays the request as long as the
-// reservation requires. If nobody can grant a reservation, the request is sent immediately.
+// reservation requires. If no instance can grant a reservation, the request is sent
+// immediately.
 func (x *exchange) reserve(ctx context.Context, runner tracker.Runner, terms []router.Terms) (resident bool, refused *judge.Error) {
 	r := x.request
 	if r.Engine == nil || x.headSent {
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -330,8 +330,8 @@
 }
 
 // A runner breaks the connection after the request was sent, and another one refuses the
-// retry. The refusal says nothing about the first attempt, so the caller must not be told
-// that nothing ran.
+// retry. The refusal says nothing about the first attempt, so the caller must not get the
+// verdict that nothing ran.
 func TestRefusalAfterExecutionIsMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(ctx context.Context, n int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
@@ -351,7 +351,7 @@
 	})
 }
 
-// A runner's own failure response counts as answered. The log line must include the status,
+// A failure response from a runner counts as a complete response. The log line must include the status,
 // so that the failure can be traced to the runner.
 func TestLogIncludesResponseStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -374,7 +374,7 @@
 	})
 }
 
-// An instance is told to stop while a request waits for an adapter that does not arrive.
+// An instance is shutting down while a request waits for an adapter that does not arrive.
 // The request must be refused before the grace period ends, with a Retry-After and the
 // verdict that it did not run: cut off with the process, its caller could not know that.
 func TestWaitingRequestIsRefusedBeforeShutdown(t *testing.T) {
--- a/internal/request/forwarder/limits.go
+++ b/internal/request/forwarder/limits.go
@@ -19,14 +19,14 @@
 	// adapterWaitDivisor divides the time from a request's arrival to its deadline: it may
 	// wait for an adapter for one third of that time, which leaves time for one retry. A
 	// request whose adapter is expected later is refused immediately: letting it wait in
-	// case others leave the load queue kept adapter slots busy for late responses, and cost
-	// 2 responses in time out of 100 on runners with five slots.
+	// case others leave the load queue kept adapter slots busy for late responses, and made
+	// 2 more responses in 100 late on runners with five slots.
 	adapterWaitDivisor = 3
 	// maxFullRunners is how many further runners are asked after one without capacity: a
 	// popular adapter has several copies and may get one more.
 	maxFullRunners = 2
 	// minCallerTimeout, callerTimeoutTargets and callerTimeoutGaps estimate when callers of
-	// streams that have received nothing give up: after the longest of the minimum, that
+	// streams that have received nothing disconnect: after the longest of the minimum, that
 	// many latency targets, and that many maximum gaps. streamWaitFraction is the fraction
 	// of this time after which a request that still waits is refused with a Retry-After
 	// instead.
--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -15,8 +15,8 @@
 	Suspects() bool
 	// Quarantined reports whether a request is quarantined, and for how much longer.
 	Quarantined(d quarantiner.Digest) (left time.Duration, held bool)
-	// ReportBroken reports that a connection broke on which a request had been sent to a runner,
-	// and when it was sent. The Quarantine determines whether the runner crashed.
+	// ReportBroken reports that a connection broke on which a request had been sent to a
+	// runner, and when it was sent. The Quarantine determines whether the runner crashed.
 	ReportBroken(d quarantiner.Digest, runner tracker.Runner, sent time.Time)
 	// ReportCompleted reports that a runner completed a request.
 	ReportCompleted(d quarantiner.Digest)
--- a/internal/request/forwarder/request.go
+++ b/internal/request/forwarder/request.go
@@ -91,24 +91,24 @@
 
 // Placement reports demand for adapters and reserves capacity at runners.
 type Placement interface {
-	// ReportWaiting reports that a request waits for a copy at a runner. It is called repeatedly
-	// while the request waits.
+	// ReportWaiting reports that a request waits for a copy at a runner. It is called
+	// repeatedly while the request waits.
 	ReportWaiting(w Waiter)
 	// RequestSpareCopy requests one more copy at a runner, for later requests.
 	RequestSpareCopy(runner string, c placer.Copy)
 	// Reserve reserves prefill capacity at a runner that holds what the request needs. It
-	// returns how long to delay the request, or a refusal. ok is false if nobody can grant
-	// a reservation.
+	// returns how long to delay the request, or a refusal. ok is false if no instance can
+	// grant a reservation.
 	Reserve(ctx context.Context, request ReserveRequest) (reservation Reservation, refused *judge.Error, ok bool)
-	// AcquireSlot acquires a request slot at a runner of a plain service. It returns how long the
-	// request waits there, or a refusal with the time by which that wait is too long. ok is
-	// false if nobody can grant a slot.
+	// AcquireSlot acquires a request slot at a runner of a plain service. It returns how
+	// long the request waits there, or a refusal with the time by which that wait is too
+	// long. ok is false if no instance can grant a slot.
 	AcquireSlot(ctx context.Context, runner string, within time.Duration) (slot RequestSlot, refused *judge.Error, ok bool)
 	// ReportHit reports that a runner accepted a request for a copy, and when the request was
 	// sent.
 	ReportHit(runner string, c placer.Copy, sent time.Time)
-	// AcquireCopy acquires a reference to a copy at a runner, which keeps the copy there until done
-	// is called.
+	// AcquireCopy acquires a reference to a copy at a runner, which keeps the copy there
+	// until done is called.
 	AcquireCopy(runner string, c placer.Copy) (done func())
 	// ReportGap reports the longest gap between the events of a response, and the route's
 	// limit.
--- a/internal/request/forwarder/slot_test.go
+++ b/internal/request/forwarder/slot_test.go
@@ -20,7 +20,7 @@
 // A slotAllocator grants request slots at runners of a plain service and counts the slots
 // held.
 type slotAllocator struct {
-	waits map[string]time.Duration // by runner; for other runners nobody can grant a slot
+	waits map[string]time.Duration // by runner; for other runners no instance can grant a slot
 	asked []string
 	held  map[string]int
 }
--- a/internal/request/forwarder/watchdog.go
+++ b/internal/request/forwarder/watchdog.go
@@ -22,7 +22,7 @@
 	// delay into a failure.
 	minFirstByteTimeout = 500 * time.Millisecond
 	// idleFraction is how long a runner may send nothing within a stream, as a fraction of
-	// the time after which callers give up.
+	// the time after which callers disconnect.
 	idleFraction = 0.75
 )
 
--- a/internal/request/matcher/matcher.go
+++ b/internal/request/matcher/matcher.go
@@ -62,7 +62,7 @@
 type Engine struct {
 	Memory       int // MB for models and adapters together
 	Models       []Model
-	AdapterSlots int // adapter slots
+	AdapterSlots int
 }
 
 // A Model is a base model that runners of a service may hold.
--- a/internal/request/quarantiner/evaluate.go
+++ b/internal/request/quarantiner/evaluate.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// candidates returns the requests with enough crashes, in the order in which they are evaluated.
+// candidates returns the requests with enough crashes, in the order in which they are
+// evaluated.
 func (l *Ledger) candidates() []candidate {
 	var candidates []candidate
 	for d, s := range l.suspects {
--- a/internal/request/quarantiner/row.go
+++ b/internal/request/quarantiner/row.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// MinPersistedCrashes is the number of crashes of a request from which on they are persisted, for
-// instances that start later. One crash makes suspects of dozens of requests that ran on the
-// runner, and hardly any of them is suspected again.
+// MinPersistedCrashes is the minimum number of crashes of a request at which they are
+// persisted, for instances that start later. One crash makes suspects of dozens of requests
+// that ran on the runner, and hardly any of them is suspected again.
 const MinPersistedCrashes = 2
 
 // A Row is the persisted form of a crash. It has wall-clock time in place of an age: crashes
--- a/internal/request/retrier/budget.go
+++ b/internal/request/retrier/budget.go
@@ -109,9 +109,9 @@
 	b.lastRefill = now
 }
 
-// Retryable reports whether a failed attempt may be retried: always if it did not run; if it may
-// have run, only if the request is idempotent. It never may once a part of the response has
-// reached the caller.
+// Retryable reports whether a failed attempt may be retried. It may not if the reason lies
+// with the request or its caller, or once a part of the response has reached the caller.
+// Otherwise it may if it did not run, or if the request is idempotent.
 func Retryable(err *judge.Error, nonIdempotent, responseStarted bool) bool {
 	if responseStarted || nonRetryable(err.Reason) {
 		return false
--- a/internal/request/retrier/budget_test.go
+++ b/internal/request/retrier/budget_test.go
@@ -27,7 +27,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			err := &judge.Error{Verdict: tc.verdict, Reason: tc.reason}
 			if got := retrier.Retryable(err, tc.nonIdempotent, tc.responseStarted); got != tc.want {
-				t.Errorf("May = %v, want %v", got, tc.want)
+				t.Errorf("Retryable = %v, want %v", got, tc.want)
 			}
 		})
 	}
--- a/internal/request/router/router.go
+++ b/internal/request/router/router.go
@@ -54,7 +54,7 @@
 
 // A fleetState summarizes all candidates, for comparison with a single one.
 type fleetState struct {
-	available   bool    // some runner holds the adapter, is loading it, or kept it
+	available   bool    // some runner holds the adapter, is loading it, or held it before
 	meanRunning float64 // requests per runner
 }
 
@@ -138,12 +138,12 @@
 const extraCopyCost = 0.03
 
 // duplicateFetchCost is the same for a copy that has to be fetched from the weight store
-// although some runner holds, is loading, or kept the adapter. A fetch occupies an adapter
+// although some runner holds the adapter, is loading it, or held it before. A fetch occupies an adapter
 // slot for a quarter of a second, delays first loads of other adapters, and is billed,
 // while a request that waits a third of its latency target at the runner with the adapter
 // is still on time. With 0.03, two of five fetches of a calm day on runners with five slots
-// were of adapters that another runner had; 0.3 answered 1 to 2 requests in 100 more in
-// time there, and none fewer on runners with thirty slots. Values from 0.2 to 0.4 made no
+// were of adapters that another runner had; with 0.3, 1 to 2 more requests in 100 were
+// answered in time there, and no fewer on runners with thirty slots. Values from 0.2 to 0.4 made no
 // visible difference.
 const duplicateFetchCost = 0.3
 
@@ -220,8 +220,8 @@
 	}
 }
 
-// urgency is 1 far from the deadline and grows as the time left shrinks towards the time
-// that a load and an execution take.
+// urgency returns the weight of waiting: it is 1 far from the deadline and grows as the
+// time left shrinks towards the time that a load and an execution take.
 func (r *Router) urgency(left time.Duration) float64 {
 	if left <= 0 {
 		return 1
--- a/internal/request/router/router_test.go
+++ b/internal/request/router/router_test.go
@@ -120,7 +120,7 @@
 		{"other domain if the own runner has a backlog", []router.Candidate{{Runner: "away", Resident: true, OtherDomain: true}, {Runner: "near", Resident: true, Backlog: 50 * time.Millisecond}}, "away"},
 		{"resident first", []router.Candidate{{Runner: "there", Resident: true, Backlog: 100 * time.Millisecond}, {Runner: "absent", ReadyIn: 270 * time.Millisecond}}, "there"},
 		{"not the runner far above the mean", []router.Candidate{busy("hot", 60), busy("b", 1), busy("c", 1), {Runner: "absent", ReadyIn: 270 * time.Millisecond}}, "b"},
-		{"runner that kept the adapter, though no slot is free yet", []router.Candidate{{Runner: "kept", HeldBefore: true, ReadyIn: 300 * time.Millisecond}, {Runner: "absent", ReadyIn: 270 * time.Millisecond}}, "kept"},
+		{"runner that held the adapter before, though no slot is free yet", []router.Candidate{{Runner: "kept", HeldBefore: true, ReadyIn: 300 * time.Millisecond}, {Runner: "absent", ReadyIn: 270 * time.Millisecond}}, "kept"},
 		{"another runner if that would take too long", []router.Candidate{{Runner: "kept", HeldBefore: true, ReadyIn: 1800 * time.Millisecond}, {Runner: "absent", ReadyIn: 270 * time.Millisecond}}, "absent"},
 		{"failing runner last", []router.Candidate{{Runner: "failing", Resident: true, Failing: 0.5}, {Runner: "sound", Resident: true, Backlog: 300 * time.Millisecond}}, "sound"},
 		{"not the congested runner", []router.Candidate{{Runner: "crowded", Resident: true, Congested: true}, {Runner: "free", Resident: true, Backlog: 40 * time.Millisecond}}, "free"},
--- a/internal/request/streamer/call.go
+++ b/internal/request/streamer/call.go
@@ -21,7 +21,7 @@
 	Header        map[string]string `cbor:"9,keyasint"`
 	Body          []byte            `cbor:"10,keyasint"`
 	Stream        bool              `cbor:"11,keyasint"`
-	NonIdempotent bool              `cbor:"12,keyasint"` // not idempotent
+	NonIdempotent bool              `cbor:"12,keyasint"`
 	Key           string            `cbor:"13,keyasint"` // idempotency key; empty if none
 	Priority      int               `cbor:"14,keyasint"`
 	TimeLeft      time.Duration     `cbor:"15,keyasint"` // until the deadline at the time of sending, as clocks of instances are not compared
@@ -38,7 +38,7 @@
 // A Head is the start of a response.
 type Head struct {
 	Status      int           `cbor:"1,keyasint"`
-	ContentType string        `cbor:"2,keyasint"` // content type
+	ContentType string        `cbor:"2,keyasint"`
 	Adapter     string        `cbor:"3,keyasint"` // that generated the response
 	Runner      string        `cbor:"4,keyasint"`
 	Stall       time.Duration `cbor:"5,keyasint"` // wait because the adapter was not resident
