--- a/internal/adapter/keeper/evictor_test.go
+++ b/internal/adapter/keeper/evictor_test.go
@@ -77,10 +77,10 @@
 }
 
 func furthest(resident map[int]int) int {
-	victim, until := -1, -1
-	for adapter, wanted := range resident {
-		if wanted > until || (wanted == until && adapter < victim) {
-			victim, until = adapter, wanted
+	victim, latest := -1, -1
+	for adapter, nextUse := range resident {
+		if nextUse > latest || (nextUse == latest && adapter < victim) {
+			victim, latest = adapter, nextUse
 		}
 	}
 	return victim
--- a/internal/request/claimer/claimer_test.go
+++ b/internal/request/claimer/claimer_test.go
@@ -239,10 +239,10 @@
 func TestDecide(t *testing.T) {
 	now := time.Unix(1000, 0)
 	claim := claimer.Claim{Claimant: "i", Request: "r", Until: now.Add(time.Minute)}
-	ended, lost, old := claim, claim, claim
+	ended, noOutcome, expired := claim, claim, claim
 	ended.Ended, ended.Object = true, "o"
-	lost.Ended = true
-	old.Until = now.Add(-time.Second)
+	noOutcome.Ended = true
+	expired.Until = now.Add(-time.Second)
 	for _, tc := range []struct {
 		name    string
 		claim   claimer.Claim
@@ -253,9 +253,9 @@
 		{"runs", claim, "r", false, claimer.InProgress{}},
 		{"claimant gone", claim, "r", true, claimer.Indeterminate{}},
 		{"ended", ended, "r", true, claimer.Replay{Claim: ended}},
-		{"ended without outcome", lost, "r", false, claimer.Indeterminate{}},
+		{"ended without outcome", noOutcome, "r", false, claimer.Indeterminate{}},
 		{"other request", ended, "x", false, claimer.Mismatch{}},
-		{"expired", old, "r", false, claimer.Expired{}},
+		{"expired", expired, "r", false, claimer.Expired{}},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			got := claimer.Decide(tc.claim, tc.request, now, func(string) bool { return tc.gone })
--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -71,14 +71,14 @@
 
 // A quarantine is a scripted forwarder.Quarantine that records the reports it receives.
 type quarantine struct {
-	held      func() bool
-	broken    []string // runners
-	completed int
+	quarantined func() bool
+	broken      []string // runners
+	completed   int
 }
 
 func (*quarantine) Suspects() bool { return true }
 func (q *quarantine) Quarantined(quarantiner.Digest) (time.Duration, bool) {
-	return time.Minute, q.held != nil && q.held()
+	return time.Minute, q.quarantined != nil && q.quarantined()
 }
 
 func (q *quarantine) ReportBroken(_ quarantiner.Digest, r tracker.Runner, _ time.Time) {
--- a/internal/request/forwarder/quarantine.go
+++ b/internal/request/forwarder/quarantine.go
@@ -14,7 +14,7 @@
 	// Suspects reports whether any request is suspected. If none is, no digests are needed.
 	Suspects() bool
 	// Quarantined reports whether a request is quarantined, and for how much longer.
-	Quarantined(d quarantiner.Digest) (left time.Duration, held bool)
+	Quarantined(d quarantiner.Digest) (left time.Duration, quarantined bool)
 	// ReportBroken reports that a connection broke on which a request had been sent to a
 	// runner, and when it was sent. The Quarantine determines whether the runner crashed.
 	ReportBroken(d quarantiner.Digest, runner tracker.Runner, sent time.Time)
@@ -29,8 +29,8 @@
 	if !x.Quarantine.Suspects() {
 		return nil
 	}
-	left, held := x.Quarantine.Quarantined(x.digest())
-	if !held {
+	left, quarantined := x.Quarantine.Quarantined(x.digest())
+	if !quarantined {
 		return nil
 	}
 	return judge.Refuse(judge.ReasonQuarantine, "the runners that ran this request crashed").WithRetryAfter(left)
--- a/internal/request/forwarder/quarantine_test.go
+++ b/internal/request/forwarder/quarantine_test.go
@@ -45,7 +45,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				started := time.Now()
-				q := &quarantine{held: func() bool { return time.Since(started) >= tc.verdict }}
+				q := &quarantine{quarantined: func() bool { return time.Since(started) >= tc.verdict }}
 				u := &upstream{answer: func(context.Context, int, forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 					if tc.crash > 0 {
 						time.Sleep(tc.crash)
