--- a/internal/adapter/placer/window_test.go
+++ b/internal/adapter/placer/window_test.go
@@ -16,7 +16,7 @@
 	for _, tc := range []struct {
 		name     string
 		capacity int // loads at full speed
-		min, max int
+		least, max int
 	}{
 		{"less than one load per engine", 6, 4, 11},
 		{"one load per engine", 10, 8, 16},
@@ -39,8 +39,8 @@
 				w.ObserveLoadTime(load, now)
 				sum += limit
 			}
-			if mean := sum / steps; mean < tc.min || mean > tc.max {
-				t.Errorf("mean window %d, want %d to %d", mean, tc.min, tc.max)
+			if mean := sum / steps; mean < tc.least || mean > tc.max {
+				t.Errorf("mean window %d, want %d to %d", mean, tc.least, tc.max)
 			}
 		})
 	}
