--- a/internal/adapter/placer/window_test.go
+++ b/internal/adapter/placer/window_test.go
@@ -14,8 +14,8 @@
 func TestWindowConvergesToStoreCapacity(t *testing.T) {
 	const engines = 10
 	for _, tc := range []struct {
-		name     string
-		capacity int // loads at full speed
+		name       string
+		capacity   int // loads at full speed
 		least, max int
 	}{
 		{"less than one load per engine", 6, 4, 11},
