--- a/internal/request/forwarder/limits.go
+++ b/internal/request/forwarder/limits.go
@@ -19,8 +19,8 @@
 	// adapterWaitDivisor divides the time from a request's arrival to its deadline: it may
 	// wait for an adapter for one third of that time, which leaves time for one retry. A
 	// request whose adapter is expected later is refused immediately: letting it wait in
-	// case others leave the load queue kept adapter slots busy for late responses, and made
-	// 2 more responses in 100 late on runners with five slots.
+	// case others leave the load queue kept adapter slots busy for late responses; with it,
+	// 2 fewer responses in 100 were in time on runners with five slots.
 	adapterWaitDivisor = 3
 	// maxFullRunners is how many further runners are asked after one without capacity: a
 	// popular adapter has several copies and may get one more.
