--- a/internal/request/forwarder/forwarder_test.go
+++ b/internal/request/forwarder/forwarder_test.go
@@ -41,7 +41,7 @@
 // A placement is a scripted forwarder.Placement. Unset functions grant nothing.
 type placement struct {
 	acquireSlot      func(runner string, within time.Duration) (forwarder.RequestSlot, *judge.Error, bool)
-	reserve          func(a forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool)
+	reserve          func(request forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool)
 	requestSpareCopy func(runner string)
 }
 
@@ -62,23 +62,23 @@
 func (placement) ReportHit(string, placer.Copy, time.Time)       {}
 func (placement) ReportGap(string, time.Duration, time.Duration) {}
 func (placement) ReportMiss(string, placer.Copy)                 {}
-func (p placement) Reserve(_ context.Context, a forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool) {
+func (p placement) Reserve(_ context.Context, request forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool) {
 	if p.reserve == nil {
 		return forwarder.Reservation{}, nil, false
 	}
-	return p.reserve(a)
+	return p.reserve(request)
 }
 
 // A quarantine is a scripted forwarder.Quarantine that records the reports it receives.
 type quarantine struct {
-	held      func() bool
-	broken    []string // runners
-	completed int
+	quarantined func() bool
+	broken      []string // runners
+	completed   int
 }
 
 func (*quarantine) Suspects() bool { return true }
 func (q *quarantine) Quarantined(quarantiner.Digest) (time.Duration, bool) {
-	return time.Minute, q.held != nil && q.held()
+	return time.Minute, q.quarantined != nil && q.quarantined()
 }
 
 func (q *quarantine) ReportBroken(_ quarantiner.Digest, r tracker.Runner, _ time.Time) {
@@ -330,8 +330,8 @@
 }
 
 // A runner breaks the connection after the request was sent, and another one refuses the
-// retry. The refusal says nothing about the first attempt, so the caller must not be told
-// that nothing ran.
+// retry. The refusal says nothing about the first attempt, so the caller must not get the
+// verdict that nothing ran.
 func TestRefusalAfterExecutionIsMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		u := &upstream{answer: func(ctx context.Context, n int, _ forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
@@ -351,7 +351,7 @@
 	})
 }
 
-// A runner's own failure response counts as answered. The log line must include the status,
+// A failure response from a runner counts as a complete response. The log line must include the status,
 // so that the failure can be traced to the runner.
 func TestLogIncludesResponseStatus(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -374,7 +374,7 @@
 	})
 }
 
-// An instance is told to stop while a request waits for an adapter that does not arrive.
+// An instance is shutting down while a request waits for an adapter that does not arrive.
 // The request must be refused before the grace period ends, with a Retry-After and the
 // verdict that it did not run: cut off with the process, its caller could not know that.
 func TestWaitingRequestIsRefusedBeforeShutdown(t *testing.T) {
