--- a/internal/clock/repeater/repeater_test.go
+++ b/internal/clock/repeater/repeater_test.go
@@ -14,7 +14,7 @@
 func TestEveryAndEveryNowCallPeriodicallyAndOnTrigger(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
-		repeat func(ctx context.Context, period time.Duration, now <-chan struct{}, do func())
+		repeat func(ctx context.Context, period time.Duration, trigger <-chan struct{}, do func())
 		want   []time.Duration
 	}{
 		{"every", repeater.Every, []time.Duration{time.Second, 1500 * time.Millisecond, 2 * time.Second}},
--- a/internal/instance/composer/composer.go
+++ b/internal/instance/composer/composer.go
@@ -61,10 +61,10 @@
 type incarnation string
 
 // Compose returns an instance that is ready to run.
-func Compose(parts Options) (*server.Server, error) {
+func Compose(options Options) (*server.Server, error) {
 	return assembler.Assemble[*server.Server](
 		setDependencies,
-		func() Options { return parts },
+		func() Options { return options },
 		func() *server.Server { return &server.Server{} },
 		newIncarnation, newTable, newStore, newLister, newMetrics, newMonitor, newHolder,
 		newMesh, newSharer, newWatcher, newFleet, newDriver, newDispatcher, newClaimer, newAnswerer,
@@ -86,7 +86,7 @@
 	Mesh        *relayer.Mesh
 	Metrics     *metrics.Set
 	Monitor     *heartbeater.Monitor
-	Parts       Options
+	Options       Options
 	Server      *server.Server
 	Sharer      *loader.Sharer
 	Table       tabler.Table
@@ -94,27 +94,27 @@
 }
 
 // setDependencies sets the fields of the server, to which several of its dependencies refer back.
-func setDependencies(a dependencies) {
-	s := a.Server
-	s.Answerer = a.Answerer
-	s.Claimer = a.Claimer
-	s.Config = a.Parts.Config
-	s.Dispatcher = a.Dispatcher
-	s.Driver = a.Driver
-	s.Fleet = a.Fleet
-	s.Holder = a.Holder
-	s.Incarnation = string(a.Incarnation)
-	s.Lister = a.Lister
-	s.Listeners = a.Parts.Listeners
-	s.Logger = a.Parts.Logger
-	s.Mesh = a.Mesh
-	s.Metrics = a.Metrics
-	s.Monitor = a.Monitor
-	s.Sharer = a.Sharer
-	s.Table = a.Table
-	s.TLS = a.Parts.Keys.PeerServerTLS
-	s.Token = a.Parts.Keys.OperatorToken
-	s.Watcher = a.Watcher
+func setDependencies(d dependencies) {
+	s := d.Server
+	s.Answerer = d.Answerer
+	s.Claimer = d.Claimer
+	s.Config = d.Options.Config
+	s.Dispatcher = d.Dispatcher
+	s.Driver = d.Driver
+	s.Fleet = d.Fleet
+	s.Holder = d.Holder
+	s.Incarnation = string(d.Incarnation)
+	s.Lister = d.Lister
+	s.Listeners = d.Options.Listeners
+	s.Logger = d.Options.Logger
+	s.Mesh = d.Mesh
+	s.Metrics = d.Metrics
+	s.Monitor = d.Monitor
+	s.Sharer = d.Sharer
+	s.Table = d.Table
+	s.TLS = d.Options.Keys.PeerServerTLS
+	s.Token = d.Options.Keys.OperatorToken
+	s.Watcher = d.Watcher
 }
 
 func newAnswerer(p Options, s *server.Server, c *claimer.Claimer, d *dispatcher.Dispatcher, m *metrics.Set) *answerer.Answerer {
--- a/internal/instance/server/crashrow.go
+++ b/internal/instance/server/crashrow.go
@@ -38,12 +38,12 @@
 			s.warnUndecodable("crash row", err)
 			continue
 		}
-		w := storedRow.Report(quarantiner.Crash{Digest: quarantiner.Digest(digest), Runner: engine}, now)
-		s.quarantine.recordStored(w.Crash(), true)
-		if w.Age >= quarantiner.Retention {
-			s.quarantine.queueRow(w.Crash(), true)
+		report := storedRow.Report(quarantiner.Crash{Digest: quarantiner.Digest(digest), Runner: engine}, now)
+		s.quarantine.recordStored(report.Crash(), true)
+		if report.Age >= quarantiner.Retention {
+			s.quarantine.queueRow(report.Crash(), true)
 		}
-		reports = append(reports, w)
+		reports = append(reports, report)
 	}
 	s.applyCrashReports(reports, sourceTable)
 }
@@ -63,8 +63,8 @@
 		if len(crashes) < quarantiner.MinPersistedCrashes {
 			continue
 		}
-		for _, o := range crashes {
-			s.quarantine.queueRow(o.Crash(), false)
+		for _, crash := range crashes {
+			s.quarantine.queueRow(crash.Crash(), false)
 		}
 		s.pollSoon()
 	}
@@ -104,12 +104,12 @@
 	rows := make(map[quarantiner.Crash]bool)
 	for c, drop := range q.queuedRows {
 		rows[c] = drop
-		w, ok := q.ledger.Report(c, now)
+		report, ok := q.ledger.Report(c, now)
 		if drop || !ok {
 			txn.Deletes = append(txn.Deletes, s.crashKey(c))
 			continue
 		}
-		value, err := encoder.Marshal(w.Row(now))
+		value, err := encoder.Marshal(report.Row(now))
 		if err != nil {
 			panic(err) // crash rows always encode
 		}
--- a/internal/instance/server/heartbeat.go
+++ b/internal/instance/server/heartbeat.go
@@ -162,8 +162,8 @@
 }
 
 // announce registers this instance in the platform's instance list, or its end.
-func (s *Server) announce(ctx context.Context, ended bool) error {
-	return s.Lister.Announce(ctx, lister.Announcement{Instance: s.Self(), Process: os.Getpid(), Stopped: ended})
+func (s *Server) announce(ctx context.Context, stopped bool) error {
+	return s.Lister.Announce(ctx, lister.Announcement{Instance: s.Self(), Process: os.Getpid(), Stopped: stopped})
 }
 
 // listLoop announces this instance and reads the platform's instance list.
--- a/internal/instance/server/operator.go
+++ b/internal/instance/server/operator.go
@@ -108,9 +108,9 @@
 		Outage: s.tableFailedAt.Load() != 0, Blocked: blocked, Sent: s.Mesh.Bytes(), Memory: memory.HeapInuse,
 		Runners: s.Fleet.Statuses(), Peers: []PeerStatus{}, Quarantine: s.quarantine.quarantined(now),
 	}
-	if f := s.Watcher.Active(); f != nil {
-		status.Revision = f.Head.Revision
-		status.Since = f.Since
+	if active := s.Watcher.Active(); active != nil {
+		status.Revision = active.Head.Revision
+		status.Since = active.Since
 	}
 	for _, i := range s.Monitor.Instances(now) {
 		if i.Incarnation == s.Incarnation {
@@ -156,10 +156,10 @@
 }
 
 func (s *Server) ready(c *fasthttp.RequestCtx) {
-	ready, why := s.Ready()
+	ready, reason := s.Ready()
 	if !ready {
-		c.Error(why, fasthttp.StatusServiceUnavailable)
+		c.Error(reason, fasthttp.StatusServiceUnavailable)
 		return
 	}
-	c.SetBodyString(why + "\n")
+	c.SetBodyString(reason + "\n")
 }
--- a/internal/instance/server/peer.go
+++ b/internal/instance/server/peer.go
@@ -30,11 +30,11 @@
 		}
 		return reply.Send(relayer.Data{Data: data})
 	case relayer.Inquire:
-		force := s.Watcher.Active()
-		if force == nil {
+		active := s.Watcher.Active()
+		if active == nil {
 			return errors.New("no settings are in force here")
 		}
-		return reply.Send(relayer.Told{Head: force.Head})
+		return reply.Send(relayer.Told{Head: active.Head})
 	case relayer.Permit:
 		return s.answerPermit(ctx, m, reply)
 	case relayer.Preload:
--- a/internal/instance/server/permit.go
+++ b/internal/instance/server/permit.go
@@ -49,11 +49,11 @@
 // permitRequest returns a permit request with the limits of the settings in force, or
 // false if there are none.
 func (s *Server) permitRequest(value float64) (relayer.Permit, bool) {
-	force := s.Watcher.Active()
-	if force == nil {
+	active := s.Watcher.Active()
+	if active == nil {
 		return relayer.Permit{}, false
 	}
-	w := force.Resolver.Weights()
+	w := active.Resolver.Weights()
 	if w.Rate <= 0 {
 		return relayer.Permit{}, false
 	}
--- a/internal/instance/server/poll.go
+++ b/internal/instance/server/poll.go
@@ -54,7 +54,7 @@
 	}
 	s.mu.Lock()
 	now := time.Now()
-	actions := s.Holder.Tick(now, func(inc string) bool { return s.Monitor.Terminated(inc, now) })
+	actions := s.Holder.Tick(now, func(incarnation string) bool { return s.Monitor.Terminated(incarnation, now) })
 	s.mu.Unlock()
 	for _, action := range actions {
 		switch a := action.(type) {
--- a/internal/instance/server/preload.go
+++ b/internal/instance/server/preload.go
@@ -19,12 +19,12 @@
 // which a request for it would be routed.
 func (s *Server) preload(c *fasthttp.RequestCtx) {
 	adapter, _ := c.UserValue("adapter").(string)
-	force := s.Settings()
-	if force == nil {
+	settings := s.Settings()
+	if settings == nil {
 		c.Error("no settings are in force here yet", fasthttp.StatusServiceUnavailable)
 		return
 	}
-	declared, ok := force.Adapter(adapter)
+	declared, ok := settings.Adapter(adapter)
 	if !ok {
 		c.Error("no such adapter; write name@version as adapter list shows it", fasthttp.StatusNotFound)
 		return
--- a/internal/instance/server/quarantine.go
+++ b/internal/instance/server/quarantine.go
@@ -121,12 +121,12 @@
 	defer q.mu.Unlock()
 	var reports []quarantiner.CrashReport
 	for c, since := range q.repeatedSince {
-		w, ok := q.ledger.Report(c, now)
+		report, ok := q.ledger.Report(c, now)
 		if !ok || now.Sub(since) > crashReportRepeat {
 			delete(q.repeatedSince, c)
 			continue
 		}
-		reports = append(reports, w)
+		reports = append(reports, report)
 	}
 	return reports
 }
--- a/internal/instance/server/server.go
+++ b/internal/instance/server/server.go
@@ -156,8 +156,8 @@
 
 // Settings returns the settings in force, or nil.
 func (s *Server) Settings() *resolver.Resolver {
-	if f := s.Watcher.Active(); f != nil {
-		return f.Resolver
+	if active := s.Watcher.Active(); active != nil {
+		return active.Resolver
 	}
 	return nil
 }
--- a/internal/instance/server/settings.go
+++ b/internal/instance/server/settings.go
@@ -31,13 +31,13 @@
 }
 
 func (s *Server) offerSettings(ctx context.Context, head publisher.Head) {
-	taken, err := s.Watcher.Offer(ctx, head)
+	applied, err := s.Watcher.Offer(ctx, head)
 	if err != nil {
 		s.countReason("sardinetiller_settings_failures_total", "offer")
 		_ = level.Warn(s.Logger).Log("msg", "settings not applied", "revision", head.Revision, "err", err)
 		return
 	}
-	if taken {
+	if applied {
 		_ = level.Info(s.Logger).Log("msg", "settings in force", "revision", head.Revision)
 	}
 }
@@ -46,14 +46,14 @@
 // fleet, and the runners that can be owned to the holder. The driver calls this
 // server while it holds its own lock, so it must not be called under the server's.
 func (s *Server) declareUpstreams() {
-	force := s.Watcher.Active()
-	if force == nil {
+	active := s.Watcher.Active()
+	if active == nil {
 		return
 	}
-	r := force.Resolver
+	r := active.Resolver
 	values := r.Values("", "", "", "")
 	s.Driver.Declare(r.Services(), values.Queue, values.Share)
-	if s.declaredRevision.Swap(force.Head.Revision) == force.Head.Revision {
+	if s.declaredRevision.Swap(active.Head.Revision) == active.Head.Revision {
 		return
 	}
 	s.Fleet.Declare(r.Services())
@@ -65,14 +65,14 @@
 
 // updateShare sets the driver's share of the weight store's rate.
 func (s *Server) updateShare(now time.Time) {
-	force := s.Watcher.Active()
-	if force == nil {
+	active := s.Watcher.Active()
+	if active == nil {
 		return
 	}
 	queued := s.Driver.LoadQueueLen()
 	shares := make(map[string]float64)
 	total := 0.0
-	for _, service := range force.Resolver.Services() {
+	for _, service := range active.Resolver.Services() {
 		for _, u := range service.Upstreams {
 			if service.Type == parser.TypeEngine {
 				shares[u.Domain]++
@@ -88,7 +88,7 @@
 	own := loader.Allotment{Fixed: float64(len(s.Holder.Owned())) / max(1, total), QueueLength: queued}
 	share := s.Sharer.Share(own, shares, now)
 	s.mu.Unlock()
-	s.Driver.SetShare(force.Resolver.Weights(), share)
+	s.Driver.SetShare(active.Resolver.Weights(), share)
 }
 
 // fetchSettings fetches the head of the settings from a peer. A failure domain that is
--- a/internal/setting/parser/check.go
+++ b/internal/setting/parser/check.go
@@ -120,13 +120,13 @@
 	}
 }
 
-func (p *parseState) checkUpstream(file, path, kind string, u Upstream) {
+func (p *parseState) checkUpstream(file, path, serviceType string, u Upstream) {
 	p.checkName(file, path+".name", u.Name)
 	p.checkName(file, path+".domain", u.Domain)
 	if _, _, err := net.SplitHostPort(u.Address); err != nil {
 		p.addFault(file, path+".address", "%q is not a valid address; write host:port", u.Address)
 	}
-	if kind == TypeEngine && u.Slots < 1 {
+	if serviceType == TypeEngine && u.Slots < 1 {
 		p.addFault(file, path+".slots", "slots is %d; write how many adapters the engine holds, at least 1", u.Slots)
 	}
 	if u.Batch < 1 {
--- a/internal/setting/watcher/watcher.go
+++ b/internal/setting/watcher/watcher.go
@@ -79,8 +79,8 @@
 
 // Revision returns the number of the active revision, or 0 if there is none.
 func (w *Watcher) Revision() uint64 {
-	if f := w.Active(); f != nil {
-		return f.Head.Revision
+	if active := w.Active(); active != nil {
+		return active.Head.Revision
 	}
 	return 0
 }
--- a/internal/setting/watcher/watcher_test.go
+++ b/internal/setting/watcher/watcher_test.go
@@ -195,9 +195,9 @@
 	if w.Revision() < before || w.Revision() < head.Revision {
 		t.Fatalf("went from revision %d to %d when offered head %d", before, w.Revision(), head.Revision)
 	}
-	if f := w.Active(); f != nil {
-		want, _ := w.Object("setting/manifest/" + f.Head.Manifest)
-		if diff := cmp.Diff(f.Head.Manifest, publisher.Digest(want)); diff != "" {
+	if active := w.Active(); active != nil {
+		manifest, _ := w.Object("setting/manifest/" + active.Head.Manifest)
+		if diff := cmp.Diff(active.Head.Manifest, publisher.Digest(manifest)); diff != "" {
 			t.Fatal(diff)
 		}
 	}
--- a/internal/upstream/caller/run.go
+++ b/internal/upstream/caller/run.go
@@ -75,19 +75,19 @@
 	head.Status = response.Status
 	head.ContentType = string(response.Header.ContentType())
 	head.Adapter = call.Adapter
-	p := &responseCopier{response: response, call: call, handle: handle, head: head, sink: sink}
+	copier := &responseCopier{response: response, call: call, handle: handle, head: head, sink: sink}
 	if call.Stream {
-		return p.copyStream()
+		return copier.copyStream()
 	}
-	return p.copyComplete()
+	return copier.copyComplete()
 }
 
 // RunPlain sends a call to a plain service and forwards the response unchanged.
 func RunPlain(ctx context.Context, address string, call *streamer.Call, sink streamer.Sink) error {
-	return withContextReason(ctx, plain(ctx, address, call, sink))
+	return withContextReason(ctx, runPlain(ctx, address, call, sink))
 }
 
-func plain(ctx context.Context, address string, call *streamer.Call, sink streamer.Sink) error {
+func runPlain(ctx context.Context, address string, call *streamer.Call, sink streamer.Sink) error {
 	request := &fasthttp.Request{}
 	for name, value := range call.Header {
 		request.Header.Set(name, value)
@@ -154,26 +154,26 @@
 }
 
 // checkModel verifies that the model named in a response or an event of it is the handle.
-func (p *responseCopier) checkModel(data []byte) error {
+func (c *responseCopier) checkModel(data []byte) error {
 	var part struct {
 		Model string `json:"model"`
 	}
 	if err := json.Unmarshal(data, &part); err != nil {
-		return judge.Judge(p.response.BodyError(err))
+		return judge.Judge(c.response.BodyError(err))
 	}
-	if part.Model != p.handle {
-		return judge.Judge(judge.Mismatched{Want: p.handle, Got: part.Model})
+	if part.Model != c.handle {
+		return judge.Judge(judge.Mismatched{Want: c.handle, Got: part.Model})
 	}
 	return nil
 }
 
 // restoreModel replaces the handle in the response by the adapter name that the caller requested.
-func (p *responseCopier) restoreModel(data []byte) []byte {
-	return bytes.Replace(data, []byte(strconv.Quote(p.handle)), []byte(strconv.Quote(p.call.Adapter)), 1)
+func (c *responseCopier) restoreModel(data []byte) []byte {
+	return bytes.Replace(data, []byte(strconv.Quote(c.handle)), []byte(strconv.Quote(c.call.Adapter)), 1)
 }
 
-func (p *responseCopier) copyStream() error {
-	scanner := bufio.NewScanner(p.response.Body)
+func (c *responseCopier) copyStream() error {
+	scanner := bufio.NewScanner(c.response.Body)
 	scanner.Buffer(nil, maxResponseSize)
 	first := true
 	for scanner.Scan() {
@@ -185,15 +185,15 @@
 			return nil
 		}
 		if first {
-			if err := p.checkModel([]byte(data)); err != nil {
+			if err := c.checkModel([]byte(data)); err != nil {
 				return err
 			}
-			if err := p.sink.Head(p.head); err != nil {
+			if err := c.sink.Head(c.head); err != nil {
 				return cancelled(err)
 			}
 			first = false
 		}
-		if err := p.sink.Data(p.restoreModel([]byte(data))); err != nil {
+		if err := c.sink.Data(c.restoreModel([]byte(data))); err != nil {
 			return cancelled(err)
 		}
 	}
@@ -201,16 +201,16 @@
 	if err == nil {
 		err = io.ErrUnexpectedEOF
 	}
-	return judge.Judge(p.response.BodyError(err))
+	return judge.Judge(c.response.BodyError(err))
 }
 
-func (p *responseCopier) copyComplete() error {
-	body, err := io.ReadAll(io.LimitReader(p.response.Body, maxResponseSize))
+func (c *responseCopier) copyComplete() error {
+	body, err := io.ReadAll(io.LimitReader(c.response.Body, maxResponseSize))
 	if err != nil {
-		return judge.Judge(p.response.BodyError(err))
+		return judge.Judge(c.response.BodyError(err))
 	}
-	if err := p.checkModel(body); err != nil {
+	if err := c.checkModel(body); err != nil {
 		return err
 	}
-	return deliver(p.sink, p.head, p.restoreModel(body))
+	return deliver(c.sink, c.head, c.restoreModel(body))
 }
--- a/internal/upstream/monitor/fleet.go
+++ b/internal/upstream/monitor/fleet.go
@@ -64,7 +64,7 @@
 	candidates, owners := f.ownedCandidates(service, adapter, tried)
 	ownerAlive := make(map[string]bool)
 	for _, owner := range owners {
-		if _, asked := ownerAlive[owner]; !asked {
+		if _, checked := ownerAlive[owner]; !checked {
 			ownerAlive[owner] = alive(owner)
 		}
 	}
@@ -234,20 +234,20 @@
 func (f *Fleet) Statuses() []RunnerStatus {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	views := make([]RunnerStatus, 0, len(f.runners))
+	statuses := make([]RunnerStatus, 0, len(f.runners))
 	for name, r := range f.runners {
-		v := RunnerStatus{
+		status := RunnerStatus{
 			Runner: name, Service: r.service, Owner: r.owner, Resident: []string{},
 			Running: r.running, Waiting: r.waiting, Leaving: r.leaving, Drained: r.drained,
 		}
 		for adapter := range r.resident {
-			v.Resident = append(v.Resident, adapter)
+			status.Resident = append(status.Resident, adapter)
 		}
-		slices.Sort(v.Resident)
-		views = append(views, v)
+		slices.Sort(status.Resident)
+		statuses = append(statuses, status)
 	}
-	slices.SortFunc(views, func(a, b RunnerStatus) int { return strings.Compare(a.Runner, b.Runner) })
-	return views
+	slices.SortFunc(statuses, func(a, b RunnerStatus) int { return strings.Compare(a.Runner, b.Runner) })
+	return statuses
 }
 
 func (f *Fleet) applyState(owner string, s relayer.State) {
--- a/internal/upstream/orderer/runner_test.go
+++ b/internal/upstream/orderer/runner_test.go
@@ -138,7 +138,7 @@
 	m.runner.Finish(handle)
 }
 
-func (m *model) want() {
+func (m *model) sendOrders() {
 	for _, need := range m.runner.Needs() {
 		if action := m.runner.Keeper.NextOrder(need.Adapter, m.now); action != nil {
 			m.orders = append(m.orders, action)
@@ -185,7 +185,7 @@
 	case "arrive":
 		m.arrive(t)
 	case "want":
-		m.want()
+		m.sendOrders()
 	case "answer":
 		return m.answer(t)
 	case "report":
@@ -208,10 +208,10 @@
 	return nil
 }
 
-func newModel(unsafe bool) *model {
+func newModel(unpinned bool) *model {
 	return &model{
 		engine: engine{resident: make(map[string]bool), running: make(map[string]int)},
-		now:    start, runner: newRunner(2), unpinned: unsafe,
+		now:    start, runner: newRunner(2), unpinned: unpinned,
 	}
 }
 
@@ -236,13 +236,13 @@
 	for _, adapter := range []string{"x@1", "y@1", "z@1"} {
 		_, _ = m.runner.Queue.Offer(admitter.Item{ID: adapter, Adapter: adapter, Arrived: m.now})
 	}
-	var broken error
+	var violation error
 	for range 20 {
 		m.now = m.now.Add(time.Millisecond)
-		m.want()
+		m.sendOrders()
 		for _, order := range m.orders {
 			if err := m.carryOut(order); err != nil {
-				broken = err
+				violation = err
 			}
 			_ = m.runner.Keeper.Finish(order, keeper.Done, m.now)
 		}
@@ -251,7 +251,7 @@
 			m.start(s)
 		}
 	}
-	if broken == nil {
+	if violation == nil {
 		t.Error("an eviction under a running request was not reported")
 	}
 }
--- a/internal/upstream/tracker/fleet_test.go
+++ b/internal/upstream/tracker/fleet_test.go
@@ -25,7 +25,7 @@
 	adapter := placer.Copy{Model: "m", Adapter: "a1", Version: 1}
 	for _, tc := range []struct {
 		name   string
-		happen func(f *tracker.Fleet)
+		setUp func(f *tracker.Fleet)
 		demand tracker.Demand
 		want   []string
 	}{
@@ -55,7 +55,7 @@
 				f.Set(tracker.Runner{ID: "i-1", Service: "llm", Domain: "a", Revision: 1})
 				f.Set(tracker.Runner{ID: "i-2", Service: "llm", Domain: "b", Revision: 1})
 				f.Set(tracker.Runner{ID: "i-3", Service: "plain", Domain: "a", Revision: 1})
-				tc.happen(f)
+				tc.setUp(f)
 				if diff := cmp.Diff(tc.want, candidates(f, tc.demand)); diff != "" {
 					t.Error(diff)
 				}
@@ -71,7 +71,7 @@
 	adapter := placer.Copy{Model: "m", Adapter: "a1", Version: 1}
 	for _, tc := range []struct {
 		name   string
-		happen func(f *tracker.Fleet)
+		setUp func(f *tracker.Fleet)
 		want   time.Duration
 	}{
 		{"never held", func(*tracker.Fleet) {}, time.Second},
@@ -91,7 +91,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			f := &tracker.Fleet{Domain: "a"}
 			f.Set(tracker.Runner{ID: "i-1", Service: "llm", Domain: "a", Revision: 1})
-			tc.happen(f)
+			tc.setUp(f)
 			demand := tracker.Demand{Service: "llm", Copy: adapter, LoadTime: time.Second, ReloadTime: 100 * time.Millisecond}
 			if diff := cmp.Diff(tc.want, f.Candidates(demand, time.Now())[0].ReadyIn); diff != "" {
 				t.Error(diff)
--- a/internal/upstream/tracker/plain_simulation_test.go
+++ b/internal/upstream/tracker/plain_simulation_test.go
@@ -19,7 +19,7 @@
 	runners  []plainRunner
 	own      [][]int // requests in progress, by instance and runner
 	reported [][]int // requests of the other instances, as last reported
-	choose   func(l *plainSimulation, instance int) (runner int, wait time.Duration)
+	choose   func(s *plainSimulation, instance int) (runner int, wait time.Duration)
 
 	now              time.Duration
 	requests, inTime int
@@ -27,7 +27,7 @@
 }
 
 type plainRunner struct {
-	places tracker.RequestSlots
+	requestSlots tracker.RequestSlots
 	active int
 	queue  []plainRequest
 }
@@ -68,107 +68,107 @@
 	plainShortWait   = plainGoal / 6
 )
 
-func newPlainSimulation(instances, runners int, perSecond float64, choose func(l *plainSimulation, instance int) (int, time.Duration)) *plainSimulation {
-	l := &plainSimulation{rng: rand.New(rand.NewPCG(1, 1)), runners: make([]plainRunner, runners), choose: choose}
+func newPlainSimulation(instances, runners int, perSecond float64, choose func(s *plainSimulation, instance int) (int, time.Duration)) *plainSimulation {
+	s := &plainSimulation{rng: rand.New(rand.NewPCG(1, 1)), runners: make([]plainRunner, runners), choose: choose}
 	for range instances {
-		l.own = append(l.own, make([]int, runners))
-		l.reported = append(l.reported, make([]int, runners))
+		s.own = append(s.own, make([]int, runners))
+		s.reported = append(s.reported, make([]int, runners))
 	}
-	for at := time.Duration(0); at < plainDuration; at += time.Duration(l.rng.ExpFloat64() / perSecond * float64(time.Second)) {
-		r := plainRequest{arrived: at, instance: l.rng.IntN(instances)}
-		l.schedule(at, func() { l.requests++; l.arrive(r) })
+	for at := time.Duration(0); at < plainDuration; at += time.Duration(s.rng.ExpFloat64() / perSecond * float64(time.Second)) {
+		r := plainRequest{arrived: at, instance: s.rng.IntN(instances)}
+		s.schedule(at, func() { s.requests++; s.arrive(r) })
 	}
 	for n := range instances {
-		l.schedule(time.Duration(l.rng.Int64N(int64(plainReportEvery))), func() { l.report(n) })
+		s.schedule(time.Duration(s.rng.Int64N(int64(plainReportEvery))), func() { s.report(n) })
 	}
-	return l
+	return s
 }
 
-func (l *plainSimulation) schedule(at time.Duration, do func()) {
-	heap.Push(&l.events, plainEvent{at, do})
+func (s *plainSimulation) schedule(at time.Duration, do func()) {
+	heap.Push(&s.events, plainEvent{at, do})
 }
 
-func (l *plainSimulation) run() {
-	for len(l.events) > 0 {
-		e := heap.Pop(&l.events).(plainEvent)
-		l.now = e.at
+func (s *plainSimulation) run() {
+	for len(s.events) > 0 {
+		e := heap.Pop(&s.events).(plainEvent)
+		s.now = e.at
 		e.do()
 	}
 }
 
 // report reports the load of the other instances to an instance with a delay, and
 // schedules the next report.
-func (l *plainSimulation) report(instance int) {
-	others := make([]int, len(l.runners))
-	for n := range l.own {
-		for r, running := range l.own[n] {
+func (s *plainSimulation) report(instance int) {
+	others := make([]int, len(s.runners))
+	for n := range s.own {
+		for r, running := range s.own[n] {
 			if n != instance {
 				others[r] += running
 			}
 		}
 	}
-	if l.now < plainDuration {
-		l.schedule(l.now+plainReportEvery/2, func() { l.reported[instance] = others })
-		l.schedule(l.now+plainReportEvery, func() { l.report(instance) })
+	if s.now < plainDuration {
+		s.schedule(s.now+plainReportEvery/2, func() { s.reported[instance] = others })
+		s.schedule(s.now+plainReportEvery, func() { s.report(instance) })
 	}
 }
 
-func (l *plainSimulation) clock() time.Time { return time.Unix(0, int64(l.now)) }
+func (s *plainSimulation) clock() time.Time { return time.Unix(0, int64(s.now)) }
 
-func (l *plainSimulation) arrive(r plainRequest) {
-	runner, wait := l.choose(l, r.instance)
-	to := &l.runners[runner]
+func (s *plainSimulation) arrive(r plainRequest) {
+	runner, wait := s.choose(s, r.instance)
+	to := &s.runners[runner]
 	if wait > plainMaxWait || to.active >= plainSlots+plainQueueLimit {
-		l.reject(r)
+		s.reject(r)
 		return
 	}
-	r.runner, r.entry = runner, to.places.Enter(l.clock())
-	l.own[r.instance][runner]++
+	r.runner, r.entry = runner, to.requestSlots.Enter(s.clock())
+	s.own[r.instance][runner]++
 	to.active++
 	if to.active > plainSlots {
 		to.queue = append(to.queue, r)
 		return
 	}
-	l.begin(r)
+	s.begin(r)
 }
 
 // reject refuses a request; the caller retries once.
-func (l *plainSimulation) reject(r plainRequest) {
+func (s *plainSimulation) reject(r plainRequest) {
 	if r.retried {
-		l.rejected++
+		s.rejected++
 		return
 	}
-	r.retried, r.instance = true, l.rng.IntN(len(l.own))
-	l.schedule(l.now+200*time.Millisecond+time.Duration(l.rng.Int64N(int64(200*time.Millisecond))), func() { l.arrive(r) })
+	r.retried, r.instance = true, s.rng.IntN(len(s.own))
+	s.schedule(s.now+200*time.Millisecond+time.Duration(s.rng.Int64N(int64(200*time.Millisecond))), func() { s.arrive(r) })
 }
 
-func (l *plainSimulation) begin(r plainRequest) {
-	run := time.Duration(float64(plainRun) * math.Exp(0.5*l.rng.NormFloat64()-0.125))
-	l.schedule(l.now+run, func() { l.end(r) })
+func (s *plainSimulation) begin(r plainRequest) {
+	run := time.Duration(float64(plainRun) * math.Exp(0.5*s.rng.NormFloat64()-0.125))
+	s.schedule(s.now+run, func() { s.end(r) })
 }
 
-func (l *plainSimulation) end(r plainRequest) {
-	at := &l.runners[r.runner]
-	at.places.Leave(r.entry, plainSlots, l.clock())
+func (s *plainSimulation) end(r plainRequest) {
+	at := &s.runners[r.runner]
+	at.requestSlots.Leave(r.entry, plainSlots, s.clock())
 	at.active--
-	l.own[r.instance][r.runner]--
-	if l.now-r.arrived <= plainGoal {
-		l.inTime++
+	s.own[r.instance][r.runner]--
+	if s.now-r.arrived <= plainGoal {
+		s.inTime++
 	} else {
-		l.late++
+		s.late++
 	}
 	if len(at.queue) > 0 {
 		next := at.queue[0]
 		at.queue = at.queue[1:]
-		l.begin(next)
+		s.begin(next)
 	}
 }
 
 // leastLoaded chooses the runner with the least load known to the instance.
-func leastLoaded(l *plainSimulation, instance int) (runner int, wait time.Duration) {
+func leastLoaded(s *plainSimulation, instance int) (runner int, wait time.Duration) {
 	best := math.MaxInt
-	for r := range l.runners {
-		if load := l.own[instance][r] + l.reported[instance][r]; load < best {
+	for r := range s.runners {
+		if load := s.own[instance][r] + s.reported[instance][r]; load < best {
 			best, runner = load, r
 		}
 	}
@@ -176,19 +176,19 @@
 }
 
 // randomRunner chooses a runner at random.
-func randomRunner(l *plainSimulation, _ int) (runner int, wait time.Duration) {
-	return l.rng.IntN(len(l.runners)), 0
+func randomRunner(s *plainSimulation, _ int) (runner int, wait time.Duration) {
+	return s.rng.IntN(len(s.runners)), 0
 }
 
 // twoChoices queries the wait for a request slot at one random runner, and at a second
 // one if the first is not nearly free.
-func twoChoices(l *plainSimulation, _ int) (runner int, wait time.Duration) {
-	order := l.rng.Perm(len(l.runners))[:2]
-	first := l.runners[order[0]].places.Wait(plainSlots)
+func twoChoices(s *plainSimulation, _ int) (runner int, wait time.Duration) {
+	order := s.rng.Perm(len(s.runners))[:2]
+	first := s.runners[order[0]].requestSlots.Wait(plainSlots)
 	if first <= plainShortWait {
 		return order[0], first
 	}
-	if second := l.runners[order[1]].places.Wait(plainSlots); second < first {
+	if second := s.runners[order[1]].requestSlots.Wait(plainSlots); second < first {
 		return order[1], second
 	}
 	return order[0], first
@@ -198,22 +198,22 @@
 // runner that seemed idle a moment ago, which fills up and refuses requests while others
 // are idle.
 func TestPlainServiceWithTooFewRunners(t *testing.T) {
-	served := func(name string, runners int, perSecond float64, choose func(l *plainSimulation, instance int) (int, time.Duration)) float64 {
-		l := newPlainSimulation(69, runners, perSecond, choose)
-		l.run()
+	served := func(name string, runners int, perSecond float64, choose func(s *plainSimulation, instance int) (int, time.Duration)) float64 {
+		s := newPlainSimulation(69, runners, perSecond, choose)
+		s.run()
 		t.Logf("%-10s %d runners, %.0f a second: in time %.3f, late %.3f, rejected %.3f", name, runners, perSecond,
-			float64(l.inTime)/float64(l.requests), float64(l.late)/float64(l.requests), float64(l.rejected)/float64(l.requests))
-		return float64(l.inTime) / float64(l.requests)
+			float64(s.inTime)/float64(s.requests), float64(s.late)/float64(s.requests), float64(s.rejected)/float64(s.requests))
+		return float64(s.inTime) / float64(s.requests)
 	}
 	for _, load := range []struct {
 		runners   int
 		perSecond float64
-		least     float64 // required fraction served in time with twoChoices
+		minServed     float64 // required fraction served in time with twoChoices
 	}{{4, 220, 0.98}, {4, 300, 0.98}, {3, 260, 0.95}, {3, 290, 0.75}, {4, 450, 0.5}} {
 		without := served("least load", load.runners, load.perSecond, leastLoaded)
 		served("random", load.runners, load.perSecond, randomRunner)
 		withQueries := served("two", load.runners, load.perSecond, twoChoices)
-		if withQueries < load.least || withQueries < without {
+		if withQueries < load.minServed || withQueries < without {
 			t.Errorf("%d runners, %.0f a second: %.3f in time with slot queries, %.3f without", load.runners, load.perSecond, withQueries, without)
 		}
 	}
--- a/internal/upstream/tracker/probe.go
+++ b/internal/upstream/tracker/probe.go
@@ -13,6 +13,6 @@
 )
 
 // String returns the name of the result in logs.
-func (l ProbeResult) String() string {
-	return [...]string{Unknown: "unknown", Alive: "lives", Refuses: "refuses", Replaced: "replaced"}[l]
+func (r ProbeResult) String() string {
+	return [...]string{Unknown: "unknown", Alive: "lives", Refuses: "refuses", Replaced: "replaced"}[r]
 }
--- a/internal/upstream/tracker/request_slots.go
+++ b/internal/upstream/tracker/request_slots.go
@@ -17,33 +17,33 @@
 }
 
 // Wait estimates how long a further request waits for a slot.
-func (p *RequestSlots) Wait(slots int) time.Duration {
-	if slots <= 0 || p.active < slots {
+func (s *RequestSlots) Wait(slots int) time.Duration {
+	if slots <= 0 || s.active < slots {
 		return 0
 	}
-	return time.Duration(float64(p.active-slots+1) / float64(slots) * p.meanRunTime() * float64(time.Second))
+	return time.Duration(float64(s.active-slots+1) / float64(slots) * s.meanRunTime() * float64(time.Second))
 }
 
 // Enter adds a request.
-func (p *RequestSlots) Enter(now time.Time) Entry {
-	e := Entry{startedAt: now, ahead: p.active}
-	p.active++
+func (s *RequestSlots) Enter(now time.Time) Entry {
+	e := Entry{startedAt: now, ahead: s.active}
+	s.active++
 	return e
 }
 
 // Leave removes a request. Its duration counts as run time only if it had a slot at once:
 // waiting time would make the runner look slower, and more requests would be refused.
-func (p *RequestSlots) Leave(e Entry, slots int, now time.Time) {
-	p.active--
+func (s *RequestSlots) Leave(e Entry, slots int, now time.Time) {
+	s.active--
 	if e.ahead >= slots {
 		return
 	}
-	p.meanRun = p.meanRunTime() + runWeight*(now.Sub(e.startedAt).Seconds()-p.meanRunTime())
+	s.meanRun = s.meanRunTime() + runWeight*(now.Sub(e.startedAt).Seconds()-s.meanRunTime())
 }
 
-func (p *RequestSlots) meanRunTime() float64 {
-	if p.meanRun == 0 {
+func (s *RequestSlots) meanRunTime() float64 {
+	if s.meanRun == 0 {
 		return initialRun
 	}
-	return p.meanRun
+	return s.meanRun
 }
--- a/internal/upstream/tracker/request_slots_test.go
+++ b/internal/upstream/tracker/request_slots_test.go
@@ -11,21 +11,21 @@
 
 func TestRequestSlots(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var p tracker.RequestSlots
+	var slots tracker.RequestSlots
 	var waits []time.Duration
 	var entries []tracker.Entry
 	for range 4 {
-		waits = append(waits, p.Wait(2))
-		entries = append(entries, p.Enter(now))
+		waits = append(waits, slots.Wait(2))
+		entries = append(entries, slots.Enter(now))
 	}
 	want := []time.Duration{0, 0, 50 * time.Millisecond, 100 * time.Millisecond}
 	if diff := cmp.Diff(want, waits); diff != "" {
 		t.Error(diff)
 	}
 	for _, e := range entries {
-		p.Leave(e, 2, now.Add(100*time.Millisecond))
+		slots.Leave(e, 2, now.Add(100*time.Millisecond))
 	}
-	if got := p.Wait(2); got != 0 {
+	if got := slots.Wait(2); got != 0 {
 		t.Errorf("a request waits for %s at an empty runner", got)
 	}
 }
@@ -34,13 +34,13 @@
 // longer requests wait, and more of them would be refused.
 func TestQueueTimeIsNotRunTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	var p tracker.RequestSlots
-	first := p.Enter(now)
+	var slots tracker.RequestSlots
+	first := slots.Enter(now)
 	for range 100 {
-		p.Leave(p.Enter(now), 1, now.Add(time.Minute))
+		slots.Leave(slots.Enter(now), 1, now.Add(time.Minute))
 	}
-	if got := p.Wait(1); got != 100*time.Millisecond {
+	if got := slots.Wait(1); got != 100*time.Millisecond {
 		t.Errorf("a request waits for %s", got)
 	}
-	p.Leave(first, 1, now.Add(100*time.Millisecond))
+	slots.Leave(first, 1, now.Add(100*time.Millisecond))
 }
--- a/internal/wire/pooler/exchange.go
+++ b/internal/wire/pooler/exchange.go
@@ -57,14 +57,14 @@
 		}
 	}
 	detach := context.AfterFunc(ctx, func() { _ = c.Close() })
-	answer, err := c.exchange(call)
+	response, err := c.exchange(call)
 	if err != nil {
 		detach()
 		_ = c.Close()
 		return nil, judge.Broken{Written: c.bytesWritten(), Err: err}
 	}
-	answer.pool, answer.conn, answer.key, answer.detach = p, c, call.PeerKey, detach
-	return answer, nil
+	response.pool, response.conn, response.key, response.detach = p, c, call.PeerKey, detach
+	return response, nil
 }
 
 // exchange writes a request and reads responses until one names it.
@@ -96,27 +96,27 @@
 }
 
 // BodyError returns the observation for a body that could not be read completely.
-func (a *Response) BodyError(err error) judge.Observation {
-	return judge.Broken{Written: a.conn.bytesWritten(), Head: true, Err: err}
+func (r *Response) BodyError(err error) judge.Observation {
+	return judge.Broken{Written: r.conn.bytesWritten(), Head: true, Err: err}
 }
 
 // Close returns the connection to the pool if the body was read completely.
 // Otherwise it closes the connection, which cancels the work of the peer.
-func (a *Response) Close(complete bool) {
-	if a.closed {
+func (r *Response) Close(complete bool) {
+	if r.closed {
 		return
 	}
-	a.closed = true
-	detached := a.detach()
-	framed := a.Header.ContentLength() != lengthUntilClose
-	if !complete || !detached || !framed || a.Header.ConnectionClose() || a.conn.reader.Buffered() > 0 {
-		_ = a.conn.Close()
+	r.closed = true
+	detached := r.detach()
+	framed := r.Header.ContentLength() != lengthUntilClose
+	if !complete || !detached || !framed || r.Header.ConnectionClose() || r.conn.reader.Buffered() > 0 {
+		_ = r.conn.Close()
 		return
 	}
-	if limit, ok := keepAliveTimeout(a.Header); ok {
-		a.conn.idleTimeout = min(a.pool.IdleTimeout, limit)
+	if limit, ok := keepAliveTimeout(r.Header); ok {
+		r.conn.idleTimeout = min(r.pool.IdleTimeout, limit)
 	}
-	a.pool.put(a.key, a.conn)
+	r.pool.put(r.key, r.conn)
 }
 
 // lengthUntilClose is the content length that fasthttp reports for a body that
--- a/internal/wire/pooler/pool_test.go
+++ b/internal/wire/pooler/pool_test.go
@@ -63,14 +63,14 @@
 
 func send(t *testing.T, p *pooler.Pool, c pooler.Call) (string, judge.Observation) {
 	t.Helper()
-	a, observation := p.Do(t.Context(), c)
+	response, observation := p.Do(t.Context(), c)
 	if observation != nil {
 		return "", observation
 	}
-	data, err := io.ReadAll(a.Body)
-	a.Close(err == nil)
+	data, err := io.ReadAll(response.Body)
+	response.Close(err == nil)
 	if err != nil {
-		return "", a.BodyError(err)
+		return "", response.BodyError(err)
 	}
 	return string(data), nil
 }
--- a/internal/wire/requester/requester.go
+++ b/internal/wire/requester/requester.go
@@ -47,12 +47,12 @@
 }
 
 // BodyError returns the observation for a body that could not be read completely.
-func (a *Response) BodyError(err error) judge.Observation {
-	return judge.Broken{Written: a.bytesWritten(), Head: true, Err: err}
+func (r *Response) BodyError(err error) judge.Observation {
+	return judge.Broken{Written: r.bytesWritten(), Head: true, Err: err}
 }
 
 // Close closes the connection. It may be called more than once.
-func (a *Response) Close() { a.close() }
+func (r *Response) Close() { r.close() }
 
 // Do sends a request to a host:port. The connection is closed when ctx ends. If
 // there is no response, the observation says how far the request got.
@@ -68,14 +68,14 @@
 		stop()
 		_ = conn.Close()
 	}
-	answer, err := exchange(counting, request)
+	response, err := exchange(counting, request)
 	if err != nil {
 		closeAll()
 		return nil, judge.Broken{Written: counting.bytesWritten(), Err: err}
 	}
-	answer.close = closeAll
-	answer.bytesWritten = counting.bytesWritten
-	return answer, nil
+	response.close = closeAll
+	response.bytesWritten = counting.bytesWritten
+	return response, nil
 }
 
 // Post sends a value as CBOR to a path and reads the complete response, all
@@ -97,16 +97,16 @@
 
 // ReadAll sends a request and reads the complete body, up to MaxBodySize.
 func (r *Requester) ReadAll(ctx context.Context, address string, request *fasthttp.Request) (int, []byte, judge.Observation) {
-	answer, observation := r.Do(ctx, address, request)
+	response, observation := r.Do(ctx, address, request)
 	if observation != nil {
 		return 0, nil, observation
 	}
-	defer answer.Close()
-	body, err := io.ReadAll(io.LimitReader(answer.Body, int64(r.bodyLimit())))
+	defer response.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, int64(r.bodyLimit())))
 	if err != nil {
-		return 0, nil, answer.BodyError(err)
+		return 0, nil, response.BodyError(err)
 	}
-	return answer.Status, body, nil
+	return response.Status, body, nil
 }
 
 func (r *Requester) bodyLimit() int {
