--- a/internal/instance/composer/composer.go
+++ b/internal/instance/composer/composer.go
@@ -50,7 +50,7 @@
 	PeerServerTLS *tls.Config   // for incoming links from peers; nil for none
 }
 
-// Time limits that are not settings of a daemon.
+// Limits that are not settings of a daemon.
 const (
 	platformTimeout  = 2 * time.Second
 	orderTimeout     = 30 * time.Second
@@ -86,7 +86,7 @@
 	Mesh        *relayer.Mesh
 	Metrics     *metrics.Set
 	Monitor     *heartbeater.Monitor
-	Options       Options
+	Options     Options
 	Server      *server.Server
 	Sharer      *loader.Sharer
 	Table       tabler.Table
--- a/internal/instance/server/doc.go
+++ b/internal/instance/server/doc.go
@@ -1,5 +1,5 @@
-// Package server runs one instance: it connects the packages that decide to the
-// platform, peers, callers and operators.
+// Package server runs one instance: it connects the packages that implement
+// its decisions to the platform, peers, callers and operators.
 //
 // Four loops run in the background. The poll loop reads the rows of the failure
 // domain in one scan, renews the lease and polls the head of the settings. The
--- a/internal/instance/server/heartbeat.go
+++ b/internal/instance/server/heartbeat.go
@@ -140,7 +140,7 @@
 
 // closeUnresponsive closes the links to unresponsive peers, so that no request waits on
 // them. An instance that was stalled itself has not yet read the heartbeats that
-// arrived meanwhile and would take its peers for unresponsive, so it skips the
+// arrived meanwhile and would consider its peers unresponsive, so it skips the
 // check until the next heartbeat.
 func (s *Server) closeUnresponsive(now time.Time) {
 	stalled := now.Sub(s.unresponsiveChecked) > maxCheckDelay*s.Config.Beat
@@ -161,7 +161,8 @@
 	}
 }
 
-// announce registers this instance in the platform's instance list, or its end.
+// announce reports to the platform that this instance runs or, if stopped is true, that
+// it has stopped.
 func (s *Server) announce(ctx context.Context, stopped bool) error {
 	return s.Lister.Announce(ctx, lister.Announcement{Instance: s.Self(), Process: os.Getpid(), Stopped: stopped})
 }
--- a/internal/instance/server/server.go
+++ b/internal/instance/server/server.go
@@ -109,7 +109,8 @@
 }
 
 // announceStopTimeout bounds the announcement to the platform that the instance has
-// stopped. If it fails, the list learns of the stop from the end of the process.
+// stopped. If it fails, the platform removes the instance once it notices that the
+// process has ended.
 const announceStopTimeout = time.Second
 
 func (s *Server) announceStop() {
--- a/internal/instance/server/settings.go
+++ b/internal/instance/server/settings.go
@@ -43,8 +43,9 @@
 }
 
 // declareUpstreams passes the upstreams of the settings in force to the driver and the
-// fleet, and the runners that can be owned to the holder. The driver calls this
-// server while it holds its own lock, so it must not be called under the server's.
+// fleet, and the names of the runners to Holder, which proposes the roster. The driver
+// calls this server while it holds its own lock, so it must not be called under the
+// server's.
 func (s *Server) declareUpstreams() {
 	active := s.Watcher.Active()
 	if active == nil {
--- a/internal/instance/server/stop.go
+++ b/internal/instance/server/stop.go
@@ -25,7 +25,7 @@
 const idlePoll = 20 * time.Millisecond
 
 // Drain starts the first phase of a graceful stop: the instance is not ready and
-// tells its peers that it is draining. The process keeps running, and unlike after
+// reports to its peers that it is draining. The process keeps running, and unlike after
 // SIGTERM the later phases do not follow.
 func (s *Server) Drain() { s.stop.phase.CompareAndSwap(phaseServing, phaseNotice) }
 
--- a/internal/platform/lister/lister.go
+++ b/internal/platform/lister/lister.go
@@ -15,7 +15,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/requester"
 )
 
-// A Lister is the platform's list.
+// A Lister accesses the platform's instance list.
 type Lister interface {
 	// Announce reports to the platform that this instance runs, drains or has
 	// stopped. It is repeated while the instance runs.
--- a/internal/platform/tabler/table.go
+++ b/internal/platform/tabler/table.go
@@ -36,7 +36,7 @@
 
 // ErrCompacted is returned by Feed.Watch if the requested changes have been
 // compacted.
-var ErrCompacted = errors.New("the table service has forgotten these changes")
+var ErrCompacted = errors.New("the table service has compacted these changes")
 
 // A Check is a precondition of a transaction: the row has this version, or does
 // not exist if the version is 0.
--- a/internal/setting/publisher/publisher.go
+++ b/internal/setting/publisher/publisher.go
@@ -233,7 +233,7 @@
 }
 
 // confirm reads back whether a commit whose response was lost took effect. If a
-// later revision is already active, it looks at the history.
+// later revision is already active, it checks the history.
 func (p *Publisher) confirm(ctx context.Context, edit Edit, next Head, cause error) (uint64, error) {
 	for range confirmAttempts {
 		head, _, err := p.Head(ctx)
--- a/internal/upstream/driver/check.go
+++ b/internal/upstream/driver/check.go
@@ -15,9 +15,9 @@
 func (d *Driver) check(ctx context.Context, name string, now time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	// Read under the lock: ownership that starts from an older value could follow
-	// this instance's own handover. It would then serve copies that the next owner,
-	// which has this instance's confirmation of the release, evicts.
+	// Read under the lock: with values read earlier, this instance could acquire the
+	// runner again after its own handover. It would then serve copies that the next
+	// owner, which has this instance's confirmation of the release, evicts.
 	fence, mayAct := d.Ownership.FencingToken(name)
 	owns := d.Ownership.Owns(name)
 	e := d.runners[name]
--- a/internal/upstream/driver/crash.go
+++ b/internal/upstream/driver/crash.go
@@ -40,7 +40,7 @@
 	e.reportRequested = time.Time{} // request a report at once
 }
 
-// suspects removes and returns the requests that broke off before a report was
+// suspects removes and returns the requests whose responses broke off before a report was
 // requested. The caller holds the lock.
 func (e *engine) suspects(requested time.Time) map[quarantiner.Digest]time.Duration {
 	suspects := make(map[quarantiner.Digest]time.Duration)
--- a/internal/upstream/driver/driver.go
+++ b/internal/upstream/driver/driver.go
@@ -189,8 +189,8 @@
 
 // Idle reports whether no request is queued or running here. Requests whose
 // response has ended here, but not confirmed by the engine, do not count: nobody
-// waits for them, and an engine that is down would keep the instance from stopping
-// for ever. The next owner learns from the instance list that this process has
+// waits for them, and an engine that is down would keep the instance from ever
+// stopping. The next owner learns from the instance list that this process has
 // terminated.
 func (d *Driver) Idle() bool {
 	d.mu.Lock()
--- a/internal/upstream/driver/serve.go
+++ b/internal/upstream/driver/serve.go
@@ -191,8 +191,8 @@
 }
 
 // checkDeadline refuses a request at once if it would not start before its deadline. The
-// owner can tell because it has the queue and knows that an account with few queued
-// requests does not wait behind one with many.
+// owner can decide this because it has the queue and knows that an account with few
+// queued requests does not wait behind one with many.
 func (d *Driver) checkDeadline(e *engine, call *streamer.Call, now time.Time) error {
 	if call.Deadline.IsZero() {
 		return nil
--- a/internal/upstream/monitor/fleet.go
+++ b/internal/upstream/monitor/fleet.go
@@ -132,8 +132,8 @@
 	f.runners = next
 }
 
-// ClearOwner clears the owner of a runner after it refused a request because it no
-// longer owns the runner. The next owner's heartbeat sets it again.
+// ClearOwner clears the owner of a runner after that instance refused a request because
+// it no longer owns the runner. The next owner's heartbeat sets it again.
 func (f *Fleet) ClearOwner(name, owner string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/upstream/orderer/runner.go
+++ b/internal/upstream/orderer/runner.go
@@ -133,7 +133,7 @@
 	return starts
 }
 
-// Warm marks the engine as warmed up, such as one that was already running when
+// Warm marks the engine as warmed up, for example one that was already running when
 // it was discovered.
 func (r *Runner) Warm() { r.finishedSinceStart = r.Batch }
 
--- a/internal/upstream/orderer/runner_test.go
+++ b/internal/upstream/orderer/runner_test.go
@@ -83,8 +83,8 @@
 type model struct {
 	engine   engine
 	now      time.Time
-	orders   []keeper.Action // sent, not answered yet
-	delayed  []keeper.Action // unanswered, may still be carried out
+	orders   []keeper.Action // sent, no response yet
+	delayed  []keeper.Action // timed out, may still be carried out
 	runner   *orderer.Runner
 	arrived  int
 	started  []orderer.Start
--- a/internal/upstream/tracker/candidate.go
+++ b/internal/upstream/tracker/candidate.go
@@ -12,7 +12,7 @@
 type Demand struct {
 	LoadingRunner string          // runner that has been asked to load the copy; empty for none
 	Copy          placer.Copy     // zero for a plain service
-	MaxPrefill    time.Duration   // prefill time at once above which a runner is congested, as it stalls the running requests; 0 for no bound
+	MaxPrefill    time.Duration   // limit of backlog plus prefill time, above which a runner is congested: prefill stalls its running requests; 0 for no limit
 	Refused       map[string]bool // runners that have refused it for lack of capacity
 	LoadTime      time.Duration   // time to load an adapter from the weight store
 	ReloadTime    time.Duration   // time to load an adapter that the runner held before
--- a/internal/upstream/tracker/fleet.go
+++ b/internal/upstream/tracker/fleet.go
@@ -40,7 +40,7 @@
 	held            map[placer.Copy]time.Time     // when each copy can be used; zero: now
 	evicted         warmer.RecentSet[placer.Copy] // evicted copies; the runner loads them again in a tenth of the time
 	otherLoad       Load                          // from other instances, as last reported
-	lastAnswer      time.Time                     // when it last answered this instance
+	lastResponse    time.Time                     // when it last responded to this instance
 	ownLoad         Load                          // from this instance
 	suspendedUntil  time.Time                     // until when it gets no new requests
 	connectFailures int                           // consecutive connection failures
@@ -62,9 +62,10 @@
 )
 
 // Set records the description of a runner. It ignores an older revision than the known
-// one, and an unknown runner with a revision up to which all runners are known: that
-// runner has been removed. An incarnation replaces the previous one of the same name,
-// which is returned; ok is false if there was none.
+// one. It also ignores an unknown runner whose revision is not newer than its removal or
+// the version passed to CompleteTo: that runner has been removed. An incarnation
+// replaces the previous one of the same name, which is returned; ok is false if there was
+// none.
 func (f *Fleet) Set(r Runner) (replaced Runner, ok bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -149,7 +150,7 @@
 
 // Partitioned reports whether most of the runners of a failure domain with recent
 // connections are unreachable from this instance: the last connection failed to more
-// runners than have answered recently.
+// runners than have responded recently.
 func (f *Fleet) Partitioned(domain string, now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -159,14 +160,14 @@
 		case s.Domain != domain:
 		case s.connectFailures > 0:
 			unreachable++
-		case now.Sub(s.lastAnswer) < reachableFor:
+		case now.Sub(s.lastResponse) < reachableFor:
 			reachable++
 		}
 	}
 	return unreachable > reachable
 }
 
-// reachableFor is how long a runner counts as reachable after an answer.
+// reachableFor is how long a runner counts as reachable after a response.
 const reachableFor = 3 * time.Second
 
 // RemovedRevision returns the revision up to which a runner is known to be removed.
--- a/internal/upstream/tracker/fleet_test.go
+++ b/internal/upstream/tracker/fleet_test.go
@@ -25,7 +25,7 @@
 	adapter := placer.Copy{Model: "m", Adapter: "a1", Version: 1}
 	for _, tc := range []struct {
 		name   string
-		setUp func(f *tracker.Fleet)
+		setUp  func(f *tracker.Fleet)
 		demand tracker.Demand
 		want   []string
 	}{
@@ -70,9 +70,9 @@
 func TestRunnerThatHeldTheAdapterIsReadySooner(t *testing.T) {
 	adapter := placer.Copy{Model: "m", Adapter: "a1", Version: 1}
 	for _, tc := range []struct {
-		name   string
+		name  string
 		setUp func(f *tracker.Fleet)
-		want   time.Duration
+		want  time.Duration
 	}{
 		{"never held", func(*tracker.Fleet) {}, time.Second},
 		{"evicted", func(f *tracker.Fleet) {
--- a/internal/upstream/tracker/latency.go
+++ b/internal/upstream/tracker/latency.go
@@ -12,7 +12,7 @@
 type latencyModel struct {
 	base    float64 // seconds to the first token of a short prompt on an idle runner
 	prefill float64 // seconds of prefill per prompt token
-	run     float64 // seconds of a whole request
+	run     float64 // seconds of a complete request
 }
 
 const (
@@ -31,7 +31,7 @@
 	// prefillStep is the relative change of the prefill time per observation.
 	prefillStep = 0.02
 	// baseIncrease and baseDecrease are the relative changes of the base per observation.
-	// With a ratio of 1 to 9 it converges so that nine in ten answers take longer.
+	// With a ratio of 1 to 9 it converges so that nine in ten responses take longer.
 	baseIncrease = 0.001
 	baseDecrease = 0.009
 	// initialBase is the initial base, in seconds.
--- a/internal/upstream/tracker/latency_test.go
+++ b/internal/upstream/tracker/latency_test.go
@@ -23,7 +23,7 @@
 			m.observeFirstToken(int(known), time.Duration((base+prefill*(known+other))*float64(time.Second)))
 		}
 		if m.prefill < 0.85*prefill || m.prefill > 1.4*prefill {
-			t.Errorf("with %v tokens unseen: read %.1f us a token, want about %.1f", unseen, m.prefill*1e6, prefill*1e6)
+			t.Errorf("with %v tokens unseen: prefill %.1f us a token, want about %.1f", unseen, m.prefill*1e6, prefill*1e6)
 		}
 	}
 }
--- a/internal/upstream/tracker/plain_simulation_test.go
+++ b/internal/upstream/tracker/plain_simulation_test.go
@@ -28,8 +28,8 @@
 
 type plainRunner struct {
 	requestSlots tracker.RequestSlots
-	active int
-	queue  []plainRequest
+	active       int
+	queue        []plainRequest
 }
 
 type plainRequest struct {
@@ -208,7 +208,7 @@
 	for _, load := range []struct {
 		runners   int
 		perSecond float64
-		minServed     float64 // required fraction served in time with twoChoices
+		minServed float64 // required fraction served in time with twoChoices
 	}{{4, 220, 0.98}, {4, 300, 0.98}, {3, 260, 0.95}, {3, 290, 0.75}, {4, 450, 0.5}} {
 		without := served("least load", load.runners, load.perSecond, leastLoaded)
 		served("random", load.runners, load.perSecond, randomRunner)
--- a/internal/upstream/tracker/probe.go
+++ b/internal/upstream/tracker/probe.go
@@ -4,12 +4,12 @@
 type ProbeResult int
 
 // The values of ProbeResult. A time-out proves nothing, as a runner that is paused or
-// partitioned does not answer either.
+// partitioned does not respond either.
 const (
-	Unknown  ProbeResult = iota // no answer in time
-	Alive                       // it answered
-	Refuses                     // it accepts no connection, or closes it without an answer
-	Replaced                    // another incarnation answered at its address
+	Unknown  ProbeResult = iota // no response in time
+	Alive                       // it responded
+	Refuses                     // it accepts no connection, or closes it without a response
+	Replaced                    // another incarnation responded at its address
 )
 
 // String returns the name of the result in logs.
--- a/internal/upstream/tracker/run.go
+++ b/internal/upstream/tracker/run.go
@@ -17,9 +17,9 @@
 
 // The values of End.
 const (
-	Done          End = iota // with an answer
+	Done          End = iota // with a response
 	Refused                  // the runner refused the request without running it
-	Failed                   // interrupted, invalid, or without an answer
+	Failed                   // interrupted, invalid, or without a response
 	ConnectFailed            // the runner accepted no connection
 	CallerLeft               // the caller disconnected; no information on the runner
 )
@@ -37,7 +37,7 @@
 	return r
 }
 
-// First records the arrival of the answer or of its first event. Later calls have no
+// First records the arrival of the response or of its first event. Later calls have no
 // effect.
 func (r *Run) First(now time.Time) {
 	if !r.firstTokenAt.IsZero() {
@@ -79,7 +79,7 @@
 func (s *runnerState) recordOutcome(end End, now time.Time) {
 	rate := s.currentFailureRate(now)
 	if end == Done || end == Refused {
-		s.lastAnswer = now
+		s.lastResponse = now
 	}
 	switch end {
 	case CallerLeft:
--- a/internal/wire/listener/listener.go
+++ b/internal/wire/listener/listener.go
@@ -69,7 +69,7 @@
 	return true
 }
 
-// WriteJSON responds with a value encoded as WriteJSON.
+// WriteJSON responds with a value encoded as JSON.
 func WriteJSON(ctx *fasthttp.RequestCtx, status int, value any) {
 	ctx.SetStatusCode(status)
 	ctx.SetContentType("application/json")
--- a/internal/wire/pooler/pool.go
+++ b/internal/wire/pooler/pool.go
@@ -21,7 +21,7 @@
 // its address, as another process may start to listen on that address. Its
 // fields are set before use; it is safe for concurrent use.
 type Pool struct {
-	DialTimeout time.Duration // dial timeout
+	DialTimeout time.Duration
 	IdleTimeout time.Duration // idle timeout, unless the peer announces a shorter one
 
 	mu     sync.Mutex
@@ -159,7 +159,7 @@
 }
 
 // reusable reports whether the connection is open and no data has arrived since
-// its last response. Such data belongs to none of our requests.
+// its last response. Such data belongs to no request of this pool.
 func (c *conn) reusable() bool {
 	if c.reader.Buffered() > 0 {
 		return false
--- a/internal/wire/requester/requester.go
+++ b/internal/wire/requester/requester.go
@@ -26,7 +26,7 @@
 // A Requester sends requests. Its fields are set before use; the zero value
 // works.
 type Requester struct {
-	DialTimeout time.Duration // dial timeout; 0 means dialTimeout
+	DialTimeout time.Duration // 0 means dialTimeout
 	MaxBodySize int           // maximum body that ReadAll and Post read, in bytes; 0 means bodyLimit
 }
 
