--- a/internal/instance/server/peer.go
+++ b/internal/instance/server/peer.go
@@ -20,7 +20,7 @@
 func (s *Server) HandleRequest(ctx context.Context, from heartbeater.Instance, m relayer.Message, reply *relayer.Reply) error {
 	switch m := m.(type) {
 	case relayer.Ask:
-		return s.answerAsk(ctx, &m.Call, reply)
+		return s.serveForwarded(ctx, &m.Call, reply)
 	case relayer.Commit:
 		return reply.Send(commitResult(s.Claimer.CommitBatched(ctx, m.Txn)))
 	case relayer.Fetch:
@@ -36,7 +36,7 @@
 		}
 		return reply.Send(relayer.Told{Head: active.Head})
 	case relayer.Permit:
-		return s.answerPermit(ctx, m, reply)
+		return s.servePermit(ctx, m, reply)
 	case relayer.Preload:
 		return s.Driver.Preload(context.WithoutCancel(ctx), m.Runner, m.Adapter)
 	case relayer.Yield:
@@ -82,9 +82,9 @@
 	s.fetchSettings(ctx, address)
 }
 
-// answerAsk serves a call that a peer forwarded, on the named runner or, if none
+// serveForwarded serves a call that a peer forwarded, on the named runner or, if none
 // is named, on any runner of this failure domain.
-func (s *Server) answerAsk(ctx context.Context, call *streamer.Call, reply *relayer.Reply) error {
+func (s *Server) serveForwarded(ctx context.Context, call *streamer.Call, reply *relayer.Reply) error {
 	call.Deadline = time.Now().Add(call.TimeLeft)
 	ctx, cancel := context.WithDeadline(ctx, call.Deadline)
 	defer cancel()
--- a/internal/instance/server/permit.go
+++ b/internal/instance/server/permit.go
@@ -92,8 +92,8 @@
 	}
 }
 
-// answerPermit grants a permit to a peer for as long as its conversation is open.
-func (s *Server) answerPermit(ctx context.Context, request relayer.Permit, reply *relayer.Reply) error {
+// servePermit grants a permit to a peer for as long as its conversation is open.
+func (s *Server) servePermit(ctx context.Context, request relayer.Permit, reply *relayer.Reply) error {
 	release := s.acquireLocal(ctx, request)
 	if release == nil {
 		return ctx.Err()
--- a/internal/instance/server/quarantine.go
+++ b/internal/instance/server/quarantine.go
@@ -44,8 +44,8 @@
 	if s.quarantine.ledger.Empty() {
 		return nil
 	}
-	left, held := s.quarantine.ledger.Quarantined(call.Digest(), time.Now())
-	if !held {
+	left, quarantined := s.quarantine.ledger.Quarantined(call.Digest(), time.Now())
+	if !quarantined {
 		return nil
 	}
 	return judge.Refuse(judge.ReasonQuarantine, "the engines that ran this request crashed").WithRetryAfter(left)
@@ -82,9 +82,9 @@
 func (s *Server) applyCrashReports(reports []quarantiner.CrashReport, from string) []quarantiner.CrashReport {
 	newReports := s.quarantine.ledger.Apply(reports, time.Now())
 	for _, r := range newReports {
-		left, held := s.quarantine.ledger.Quarantined(r.Digest, time.Now())
+		left, quarantined := s.quarantine.ledger.Quarantined(r.Digest, time.Now())
 		_ = level.Info(s.Logger).Log("msg", "request suspected", "digest", r.Digest, "engine", r.Runner, "cleared", r.Cleared,
-			"from", from, "held", held, "for", left)
+			"from", from, "held", quarantined, "for", left)
 	}
 	s.Metrics.GetOrCreateCounter("sardinetiller_suspected_total").Add(len(newReports))
 	return newReports
