--- a/internal/instance/server/permit.go
+++ b/internal/instance/server/permit.go
@@ -49,11 +49,11 @@
 // permitRequest returns a permit request with the limits of the settings in force, or
 // false if there are none.
 func (s *Server) permitRequest(value float64) (relayer.Permit, bool) {
-	force := s.Watcher.Active()
-	if force == nil {
+	active := s.Watcher.Active()
+	if active == nil {
 		return relayer.Permit{}, false
 	}
-	w := force.Resolver.Weights()
+	w := active.Resolver.Weights()
 	if w.Rate <= 0 {
 		return relayer.Permit{}, false
 	}
@@ -92,8 +92,8 @@
 	}
 }
 
-// answerPermit grants a permit to a peer for as long as its conversation is open.
-func (s *Server) answerPermit(ctx context.Context, request relayer.Permit, reply *relayer.Reply) error {
+// servePermit grants a permit to a peer for as long as its conversation is open.
+func (s *Server) servePermit(ctx context.Context, request relayer.Permit, reply *relayer.Reply) error {
 	release := s.acquireLocal(ctx, request)
 	if release == nil {
 		return ctx.Err()
