--- a/internal/instance/server/batch.go
+++ b/internal/instance/server/batch.go
@@ -32,7 +32,7 @@
 	}
 	result, ok := m.(relayer.Committed)
 	if !ok {
-		return &tabler.UnknownError{Err: errors.New("unexpected response from the peer to a commit")}
+		return &tabler.UnknownError{Err: errors.New("the peer gave no answer to a commit")}
 	}
 	return result.Err()
 }
