--- a/internal/experiment/sampler/sampler.go
+++ b/internal/experiment/sampler/sampler.go
@@ -16,7 +16,7 @@
 	Adapter  string        // name@version; empty for a plain call
 	Deadline time.Duration
 	// HomeDomain is the index of the caller's failure domain, modulo their number. It
-	// is the same for all calls of an adapter, except those from away.
+	// is the same for all calls of an adapter, except for the fraction Workload.Away.
 	HomeDomain     int
 	IdempotencyKey string // empty if none
 	Marker         string // content of the prompt or record, unique to the call
@@ -34,7 +34,7 @@
 	Cutoff Shape = "cutoff" // rate increases towards a cut-off time, with deadlines shortly after it
 	Shift  Shape = "shift"  // a shift change: most calls arrive in one short burst
 	Hot    Shape = "hot"    // the set of popular adapters changes repeatedly
-	Wave   Shape = "wave"   // periodic bursts, as of callers that all call on the hour
+	Wave   Shape = "wave"   // periodic bursts, as when all callers call on the hour
 	Zipf   Shape = "zipf"   // constant rate, Zipf-distributed popularity
 )
 
@@ -66,7 +66,7 @@
 	waveCount     = 4    // number of bursts of Wave
 	waveSpan      = 0.15 // duration of a burst of Wave, as a fraction of its period
 	hotSetShifts  = 5    // number of hot sets of Hot
-	maxAwayOffset = 3    // largest offset from the usual domain of a call from away
+	maxAwayOffset = 3    // largest offset of a call's domain from the usual one of its adapter
 )
 
 // Draw returns the calls in the order of their arrival.
--- a/internal/experiment/stager/herd_test.go
+++ b/internal/experiment/stager/herd_test.go
@@ -20,8 +20,8 @@
 	quietKey   = "quiet-key"
 )
 
-// BenchmarkHerd sends a thundering herd: within one second, five times what the
-// engines can serve per second, nine tenths of it from one account. It reports the
+// BenchmarkHerd sends a thundering herd: within one second, five times as many
+// requests as the engines can serve per second, nine tenths of them from one account. It reports the
 // goodput (complete responses per second until the last one) as a fraction of the
 // capacity, and the fraction of each account's calls that were completed.
 func BenchmarkHerd(b *testing.B) {
--- a/internal/experiment/surveyor/surveyor.go
+++ b/internal/experiment/surveyor/surveyor.go
@@ -26,7 +26,7 @@
 	Progress func(name string, x float64)
 }
 
-// metrics returns each metric of a point, by name.
+// metrics maps the name of each metric to a function that returns its value at a point.
 var metrics = map[string]func(p *Point) float64{
 	"cpu":     func(p *Point) float64 { return p.CPU },
 	"memory":  func(p *Point) float64 { return p.Memory },
--- a/internal/standin/generator/sequence.go
+++ b/internal/standin/generator/sequence.go
@@ -41,7 +41,7 @@
 }
 
 // marker returns the content of the last message. Every token repeats it, so that a
-// caller can tell its own response from another's.
+// caller can distinguish its own response from another's.
 func (p *completionRequest) marker() string {
 	if len(p.Messages) > 0 {
 		return p.Messages[len(p.Messages)-1].Content
@@ -85,7 +85,7 @@
 	return s.done
 }
 
-// handleCompletion answers a completion request, as a stream of server-sent events or
+// handleCompletion responds to a completion request, as a stream of server-sent events or
 // in one body.
 func (e *Engine) handleCompletion(c *fasthttp.RequestCtx) {
 	var p completionRequest
--- a/internal/standin/registrar/platform.go
+++ b/internal/standin/registrar/platform.go
@@ -186,7 +186,7 @@
 }
 
 // terminated reports whether the instance's process has terminated. The agent of the
-// real platform runs on the same machine and can tell; a paused process still
+// real platform runs on the same machine and can detect it; a paused process still
 // exists.
 func (a *announcement) terminated() bool {
 	return a.Stopped || errors.Is(syscall.Kill(a.Process, 0), syscall.ESRCH)
