--- a/internal/command/commander/adaptercmd.go
+++ b/internal/command/commander/adaptercmd.go
@@ -93,11 +93,11 @@
 		Example: "  sardinetiller adapter preload mill-7@1 --operator 127.0.0.1:8082",
 		Args:    cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			var p server.PreloadResult
-			if err := flags.call(cmd.Context(), fasthttp.MethodPost, server.PathPreload+args[0], &p); err != nil {
+			var result server.PreloadResult
+			if err := flags.call(cmd.Context(), fasthttp.MethodPost, server.PathPreload+args[0], &result); err != nil {
 				return err
 			}
-			return c.print(output, p, [][]string{{"ADAPTER", "RUNNER"}, {p.Adapter, p.Runner}})
+			return c.print(output, result, [][]string{{"ADAPTER", "RUNNER"}, {result.Adapter, result.Runner}})
 		},
 	}
 	flags.add(cmd)
--- a/internal/command/commander/cluster_test.go
+++ b/internal/command/commander/cluster_test.go
@@ -228,9 +228,9 @@
 	request.SetRequestURI("http://" + address + "/v1/completions")
 	request.SetBodyString(`{"model":"desk-1@1","max_tokens":2,"prompt":"hello"}`)
 	var r requester.Requester
-	_, body, seen := r.ReadAll(context.Background(), address, request)
-	if seen != nil {
-		c.t.Fatalf("%s: %+v", id, seen)
+	_, body, observation := r.ReadAll(context.Background(), address, request)
+	if observation != nil {
+		c.t.Fatalf("%s: %+v", id, observation)
 	}
 	return string(body)
 }
@@ -247,8 +247,8 @@
 	request.SetRequestURI("http://" + address + registrar.PathControl)
 	request.SetBody(data)
 	var r requester.Requester
-	if _, _, seen := r.ReadAll(context.Background(), address, request); seen != nil {
-		c.t.Fatalf("control of %s: %+v", address, seen)
+	if _, _, observation := r.ReadAll(context.Background(), address, request); observation != nil {
+		c.t.Fatalf("control of %s: %+v", address, observation)
 	}
 }
 
@@ -295,6 +295,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	var r requester.Requester
-	status, body, seen := r.ReadAll(ctx, address, request)
-	return seen == nil && status == fasthttp.StatusOK && json.Unmarshal(body, into) == nil
+	status, body, observation := r.ReadAll(ctx, address, request)
+	return observation == nil && status == fasthttp.StatusOK && json.Unmarshal(body, into) == nil
 }
--- a/internal/command/commander/democmd.go
+++ b/internal/command/commander/democmd.go
@@ -64,12 +64,12 @@
 		r.Logger = log.NewLogfmtLogger(log.NewSyncWriter(c.err))
 	}
 	r.Progress = c.progress()
-	r.OnReport = func(ctx context.Context, s *stager.Deployment, report reporter.Report) error {
+	r.OnReport = func(ctx context.Context, d *stager.Deployment, report reporter.Report) error {
 		if err := c.printReport(flags.output, &report); err != nil {
 			return err
 		}
 		if flags.keep {
-			c.keepRunning(ctx, s)
+			c.keepRunning(ctx, d)
 		}
 		return nil
 	}
@@ -87,9 +87,9 @@
 }
 
 // keepRunning keeps the deployment running until ctx is cancelled.
-func (c *Commander) keepRunning(ctx context.Context, s *stager.Deployment) {
-	address := s.Address(1)
-	fmt.Fprintf(c.err, "\nThe deployment stays up until Ctrl-C. Callers: %s, operators: %s\n\n", address, s.Instances[1].Server.Listeners.Operator.Addr())
+func (c *Commander) keepRunning(ctx context.Context, d *stager.Deployment) {
+	address := d.Address(1)
+	fmt.Fprintf(c.err, "\nThe deployment stays up until Ctrl-C. Callers: %s, operators: %s\n\n", address, d.Instances[1].Server.Listeners.Operator.Addr())
 	fmt.Fprintf(c.err, "curl -sS http://%s/v1/chat/completions -H 'Authorization: Bearer %s' -H 'Content-Type: application/json' "+
 		"-d '{\"model\":\"desk-7@2\",\"messages\":[{\"role\":\"user\",\"content\":\"hello\"}]}'\n", address, stager.Key)
 	<-ctx.Done()
--- a/internal/command/commander/gatewaycmd.go
+++ b/internal/command/commander/gatewaycmd.go
@@ -97,11 +97,11 @@
 	if config.Metrics == "" {
 		return l, nil
 	}
-	counters, err := net.Listen("tcp", config.Metrics)
+	metricsListener, err := net.Listen("tcp", config.Metrics)
 	if err != nil {
 		record.Log(recorder.Lifecycle, "msg", "cannot listen on the metrics address; serving without metrics", "err", err)
 		return l, nil
 	}
-	l.Metrics = counters
+	l.Metrics = metricsListener
 	return l, nil
 }
--- a/internal/command/commander/platform.go
+++ b/internal/command/commander/platform.go
@@ -82,9 +82,9 @@
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	var r requester.Requester
-	status, body, seen := r.ReadAll(ctx, o.address, request)
-	if seen != nil {
-		return unreachable(judge.Judge(seen))
+	status, body, observation := r.ReadAll(ctx, o.address, request)
+	if observation != nil {
+		return unreachable(judge.Judge(observation))
 	}
 	if status != fasthttp.StatusOK {
 		return refused(fmt.Errorf("instance at %s: status %d: %s", o.address, status, body))
--- a/internal/command/commander/scripts_test.go
+++ b/internal/command/commander/scripts_test.go
@@ -92,10 +92,10 @@
 
 // cmdStop stops a process gracefully and checks that it exits with code 0.
 func cmdStop(ts *testscript.TestScript, _ bool, args []string) {
-	r := scriptProcesses(ts)[args[0]]
-	ts.Check(r.cmd.Process.Signal(syscall.SIGTERM))
-	if err := r.cmd.Wait(); err != nil {
-		ts.Fatalf("%s: %v\n%s", args[0], err, r.stderr.String())
+	p := scriptProcesses(ts)[args[0]]
+	ts.Check(p.cmd.Process.Signal(syscall.SIGTERM))
+	if err := p.cmd.Wait(); err != nil {
+		ts.Fatalf("%s: %v\n%s", args[0], err, p.stderr.String())
 	}
 }
 
@@ -158,9 +158,9 @@
 	request.SetRequestURI("http://" + ts.Getenv("CALLER") + "/v1/completions")
 	request.SetBodyString(body)
 	var r requester.Requester
-	status, response, seen := r.ReadAll(context.Background(), ts.Getenv("CALLER"), request)
-	if seen != nil {
-		ts.Fatalf("%+v", seen)
+	status, response, observation := r.ReadAll(context.Background(), ts.Getenv("CALLER"), request)
+	if observation != nil {
+		ts.Fatalf("%+v", observation)
 	}
 	return status, string(response)
 }
--- a/internal/experiment/auditor/auditor.go
+++ b/internal/experiment/auditor/auditor.go
@@ -70,8 +70,8 @@
 
 func (a *Audit) checkEngine(record *generator.Record, v *Violations) {
 	v.Pinned += len(record.EvictedInUse)
-	for _, u := range record.EvictedInUse {
-		a.addDetail("%s was evicted with fencing token %#x while it served %s, accepted %s before", u.Handle, u.Fence, u.Marker, u.RequestAge)
+	for _, eviction := range record.EvictedInUse {
+		a.addDetail("%s was evicted with fencing token %#x while it served %s, accepted %s before", eviction.Handle, eviction.Fence, eviction.Marker, eviction.RequestAge)
 	}
 	if record.LeavingSince.IsZero() {
 		return
--- a/internal/experiment/reporter/report.go
+++ b/internal/experiment/reporter/report.go
@@ -113,11 +113,11 @@
 
 func (r *Report) addEngineRecords(records []generator.Record) {
 	steps, filled := 0, 0
-	for _, b := range records {
-		r.Loads += b.Loads
-		r.Evictions += b.Evictions
-		steps += b.Steps * b.Batch
-		filled += b.FilledSlots
+	for _, record := range records {
+		r.Loads += record.Loads
+		r.Evictions += record.Evictions
+		steps += record.Steps * record.Batch
+		filled += record.FilledSlots
 	}
 	if steps > 0 {
 		r.BatchEfficiency = float64(filled) / float64(steps)
--- a/internal/experiment/runner/runner.go
+++ b/internal/experiment/runner/runner.go
@@ -27,7 +27,7 @@
 // A Runner runs one experiment. Its fields are set before Run.
 type Runner struct {
 	Events   []Event
-	OnReport func(ctx context.Context, s *stager.Deployment, report reporter.Report) error // called with the report before the deployment is stopped; may be nil
+	OnReport func(ctx context.Context, d *stager.Deployment, report reporter.Report) error // called with the report before the deployment is stopped; may be nil
 	Logger   log.Logger
 	Plan     stager.Plan
 	Progress func(done, total int, note string) // may be nil
--- a/internal/experiment/sender/sender.go
+++ b/internal/experiment/sender/sender.go
@@ -80,12 +80,12 @@
 	defer cancel()
 	for _, address := range s.order(call, index) {
 		var r requester.Requester
-		response, seen := r.Do(ctx, address, s.request(call, address))
-		if _, notDialed := seen.(judge.DialFailed); notDialed {
+		response, observation := r.Do(ctx, address, s.request(call, address))
+		if _, notDialed := observation.(judge.DialFailed); notDialed {
 			continue
 		}
-		if seen != nil {
-			result.setError(judge.Judge(seen))
+		if observation != nil {
+			result.setError(judge.Judge(observation))
 			break
 		}
 		result.readResponse(response)
@@ -168,9 +168,9 @@
 	r.Verdict = judge.Ran
 	r.Complete = true
 	r.Text = string(body)
-	var p completion
-	if json.Unmarshal(body, &p) == nil && len(p.Choices) > 0 {
-		r.Text = p.Choices[0].Message.Content
+	var decoded completion
+	if json.Unmarshal(body, &decoded) == nil && len(decoded.Choices) > 0 {
+		r.Text = decoded.Choices[0].Message.Content
 	}
 }
 
@@ -196,16 +196,16 @@
 			r.Complete = true
 			return
 		}
-		var p completion
-		if err := json.Unmarshal([]byte(data), &p); err != nil {
+		var chunk completion
+		if err := json.Unmarshal([]byte(data), &chunk); err != nil {
 			r.Err = err.Error()
 			return
 		}
-		if p.Error != nil {
-			r.setError(&judge.Error{Verdict: p.Error.Verdict, Reason: p.Error.Reason, Message: p.Error.Message})
+		if chunk.Error != nil {
+			r.setError(&judge.Error{Verdict: chunk.Error.Verdict, Reason: chunk.Error.Reason, Message: chunk.Error.Message})
 			return
 		}
-		for _, c := range p.Choices {
+		for _, c := range chunk.Choices {
 			r.Text += c.Delta.Content
 		}
 	}
--- a/internal/experiment/stager/deployment.go
+++ b/internal/experiment/stager/deployment.go
@@ -54,33 +54,33 @@
 // Start starts a deployment and waits until every instance is ready to serve.
 func Start(ctx context.Context, plan Plan, logger log.Logger) (*Deployment, error) {
 	standinCtx, cancel := context.WithCancel(context.WithoutCancel(ctx)) // the stand-ins outlive ctx; Stop stops them last
-	s := &Deployment{Plan: plan, cancel: cancel, ctx: standinCtx, logger: logger}
-	if err := s.start(ctx); err != nil {
-		s.Stop()
+	d := &Deployment{Plan: plan, cancel: cancel, ctx: standinCtx, logger: logger}
+	if err := d.start(ctx); err != nil {
+		d.Stop()
 		return nil, err
 	}
-	return s, nil
+	return d, nil
 }
 
 // Address returns the caller address of instance i.
-func (s *Deployment) Address(i int) string {
-	return s.Instances[i].Server.Listeners.Caller.Addr().String()
+func (d *Deployment) Address(i int) string {
+	return d.Instances[i].Server.Listeners.Caller.Addr().String()
 }
 
 // Apply changes one file of the settings and returns the new revision.
-func (s *Deployment) Apply(ctx context.Context, file string, content []byte) (uint64, error) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.files[file] = content
-	revision, err := s.publisher().Apply(ctx, publisher.Edit{Files: s.files, Base: s.revision, Author: "stage", Note: file})
+func (d *Deployment) Apply(ctx context.Context, file string, content []byte) (uint64, error) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.files[file] = content
+	revision, err := d.publisher().Apply(ctx, publisher.Edit{Files: d.files, Base: d.revision, Author: "stage", Note: file})
 	if err == nil {
-		s.revision = revision
+		d.revision = revision
 	}
 	return revision, err
 }
 
 // Launch starts an entry instance in a failure domain.
-func (s *Deployment) Launch(id, domain string) (*Instance, error) {
+func (d *Deployment) Launch(id, domain string) (*Instance, error) {
 	listeners, err := listeners()
 	if err != nil {
 		return nil, err
@@ -88,25 +88,25 @@
 	config := configurer.Defaults
 	config.ID = id
 	config.Domain = domain
-	config.Platform = s.Platform.Listener.Addr().String()
-	config.Lease = s.Plan.Lease
-	config.Beat = s.Plan.Beat
-	config.Poll = s.Plan.Poll
+	config.Platform = d.Platform.Listener.Addr().String()
+	config.Lease = d.Plan.Lease
+	config.Beat = d.Plan.Beat
+	config.Poll = d.Plan.Poll
 	config.Notice = 500 * time.Millisecond
 	composed, err := composer.Compose(composer.Options{
-		Config: config, Listeners: listeners, LRU: s.Plan.LRU,
+		Config: config, Listeners: listeners, LRU: d.Plan.LRU,
 		Keys:   composer.Keys{Secret: func() string { return "stage" }, OperatorToken: func() string { return "" }},
-		Logger: log.With(s.logger, "instance", id),
+		Logger: log.With(d.logger, "instance", id),
 	})
 	if err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithCancel(s.ctx)
+	ctx, stop := context.WithCancel(d.ctx)
 	i := &Instance{Server: composed, done: make(chan struct{}), stop: stop}
-	s.mu.Lock()
-	s.allInstances = append(s.allInstances, i)
-	s.mu.Unlock()
-	s.running.Go(func() {
+	d.mu.Lock()
+	d.allInstances = append(d.allInstances, i)
+	d.mu.Unlock()
+	d.running.Go(func() {
 		defer close(i.done)
 		_ = composed.Run(ctx) // if a listener fails, the instance never becomes ready
 	})
@@ -121,113 +121,113 @@
 
 // Stop stops the instances gracefully and then the stand-ins, which the instances
 // need until they have stopped.
-func (s *Deployment) Stop() {
-	s.mu.Lock()
-	launched := s.allInstances
-	s.mu.Unlock()
+func (d *Deployment) Stop() {
+	d.mu.Lock()
+	launched := d.allInstances
+	d.mu.Unlock()
 	for _, i := range launched {
 		i.stop()
 	}
 	for _, i := range launched {
 		<-i.done
 	}
-	s.cancel()
-	s.running.Wait()
+	d.cancel()
+	d.running.Wait()
 }
 
-func (s *Deployment) publisher() *publisher.Publisher {
-	address := s.Platform.Listener.Addr().String()
+func (d *Deployment) publisher() *publisher.Publisher {
+	address := d.Platform.Listener.Addr().String()
 	token := 0
 	return &publisher.Publisher{
 		Store: &storer.Client{Address: address, Timeout: time.Second},
 		Table: &tabler.Client{Address: address, Timeout: time.Second},
-		Token: func() string { token++; return fmt.Sprintf("stage-%d-%d", s.revision, token) },
+		Token: func() string { token++; return fmt.Sprintf("stage-%d-%d", d.revision, token) },
 	}
 }
 
-func (s *Deployment) start(ctx context.Context) error {
-	if err := s.startPlatform(); err != nil {
+func (d *Deployment) start(ctx context.Context) error {
+	if err := d.startPlatform(); err != nil {
 		return err
 	}
-	engines, err := s.startEngines()
+	engines, err := d.startEngines()
 	if err != nil {
 		return err
 	}
-	services, err := s.startServices()
+	services, err := d.startServices()
 	if err != nil {
 		return err
 	}
-	s.files = s.Plan.tree(engines, services)
-	if _, err := s.Apply(s.ctx, "root.yaml", s.files["root.yaml"]); err != nil {
+	d.files = d.Plan.tree(engines, services)
+	if _, err := d.Apply(d.ctx, "root.yaml", d.files["root.yaml"]); err != nil {
 		return err
 	}
-	for i := range s.Plan.Instances {
-		instance, err := s.Launch(fmt.Sprintf("%s-%d", s.Plan.domain(i), 1+i/len(s.Plan.Domains)), s.Plan.domain(i))
+	for i := range d.Plan.Instances {
+		instance, err := d.Launch(fmt.Sprintf("%s-%d", d.Plan.domain(i), 1+i/len(d.Plan.Domains)), d.Plan.domain(i))
 		if err != nil {
 			return err
 		}
-		s.Instances = append(s.Instances, instance)
+		d.Instances = append(d.Instances, instance)
 	}
-	return s.waitReady(ctx)
+	return d.waitReady(ctx)
 }
 
-func (s *Deployment) startPlatform() error {
+func (d *Deployment) startPlatform() error {
 	l, err := listener.ListenLoopback()
 	if err != nil {
 		return err
 	}
-	s.Platform = &registrar.Platform{
-		Listener: l, Lag: platformLag, Rate: s.Plan.Rate * s.Plan.Speed, Together: s.Plan.Together,
+	d.Platform = &registrar.Platform{
+		Listener: l, Lag: platformLag, Rate: d.Plan.Rate * d.Plan.Speed, Together: d.Plan.Together,
 	}
-	s.runStandin(s.Platform.Run)
+	d.runStandin(d.Platform.Run)
 	return nil
 }
 
-func (s *Deployment) startEngines() ([]string, error) {
+func (d *Deployment) startEngines() ([]string, error) {
 	var addresses []string
-	for i := range s.Plan.Engines {
+	for i := range d.Plan.Engines {
 		l, err := listener.ListenLoopback()
 		if err != nil {
 			return nil, err
 		}
 		e := &generator.Engine{
-			Batch: s.Plan.Batch, Fencing: s.Plan.Fencing, Listener: l, Name: s.Plan.engineName(i), Slots: s.Plan.Slots,
-			Step: time.Duration(float64(tokenTime) / s.Plan.Speed), Weights: s.Platform.Listener.Addr().String(),
+			Batch: d.Plan.Batch, Fencing: d.Plan.Fencing, Listener: l, Name: d.Plan.engineName(i), Slots: d.Plan.Slots,
+			Step: time.Duration(float64(tokenTime) / d.Plan.Speed), Weights: d.Platform.Listener.Addr().String(),
 		}
-		s.Engines = append(s.Engines, e)
+		d.Engines = append(d.Engines, e)
 		addresses = append(addresses, l.Addr().String())
-		s.runStandin(e.Run)
+		d.runStandin(e.Run)
 	}
 	return addresses, nil
 }
 
-func (s *Deployment) startServices() ([]string, error) {
+func (d *Deployment) startServices() ([]string, error) {
 	var addresses []string
-	for range s.Plan.Services {
+	for range d.Plan.Services {
 		l, err := listener.ListenLoopback()
 		if err != nil {
 			return nil, err
 		}
 		service := &responder.Service{Listener: l}
-		s.Services = append(s.Services, service)
+		d.Services = append(d.Services, service)
 		addresses = append(addresses, l.Addr().String())
-		s.runStandin(service.Run)
+		d.runStandin(service.Run)
 	}
 	return addresses, nil
 }
 
-func (s *Deployment) runStandin(f func(context.Context) error) {
-	s.running.Go(func() { _ = f(s.ctx) }) // if a stand-in fails, requests to it fail
+func (d *Deployment) runStandin(f func(context.Context) error) {
+	d.running.Go(func() { _ = f(d.ctx) }) // if a stand-in fails, requests to it fail
 }
 
 // readyTimeout limits how long a deployment may take to become ready.
 const readyTimeout = 30 * time.Second
 
 // waitReady waits until every instance is ready and sees a live owner of every runner.
-func (s *Deployment) waitReady(ctx context.Context) error {
+func (d *Deployment) waitReady(ctx context.Context) error {
 	deadline := time.Now().Add(readyTimeout)
 	for time.Now().Before(deadline) {
-		if s.ready() {
+		if d.ready() {
 			return nil
 		}
 		select {
@@ -239,17 +239,17 @@
 	return fmt.Errorf("the deployment was not ready within %s", readyTimeout)
 }
 
-func (s *Deployment) ready() bool {
-	for _, i := range s.Instances {
+func (d *Deployment) ready() bool {
+	for _, i := range d.Instances {
 		if ready, _ := i.Server.Ready(); !ready {
 			return false
 		}
-		views := i.Server.Fleet.Statuses()
-		if len(views) == 0 && s.Plan.Engines >= len(s.Plan.Domains) {
+		statuses := i.Server.Fleet.Statuses()
+		if len(statuses) == 0 && d.Plan.Engines >= len(d.Plan.Domains) {
 			return false
 		}
-		for _, v := range views {
-			if v.Owner == "" || !i.Server.Alive(v.Owner) {
+		for _, status := range statuses {
+			if status.Owner == "" || !i.Server.Alive(status.Owner) {
 				return false
 			}
 		}
@@ -276,8 +276,8 @@
 }
 
 // Revision returns the last revision that Apply made.
-func (s *Deployment) Revision() uint64 {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.revision
+func (d *Deployment) Revision() uint64 {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.revision
 }
--- a/internal/experiment/stager/deployment_test.go
+++ b/internal/experiment/stager/deployment_test.go
@@ -21,12 +21,12 @@
 	plan.Domains = plan.Domains[:2]
 	plan.Engines, plan.Instances, plan.Services = 4, 4, 2
 	plan.Lease = 2 * time.Second
-	s, err := stager.Start(t.Context(), plan, log.NewNopLogger())
+	d, err := stager.Start(t.Context(), plan, log.NewNopLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(s.Stop)
-	return s
+	t.Cleanup(d.Stop)
+	return d
 }
 
 func post(t *testing.T, address, path, body string) (int, string) {
@@ -37,23 +37,23 @@
 	request.SetRequestURI("http://" + address + path)
 	request.SetBodyString(body)
 	var r requester.Requester
-	status, answer, seen := r.ReadAll(t.Context(), address, request)
-	if seen != nil {
-		t.Fatalf("%+v", seen)
+	status, response, observation := r.ReadAll(t.Context(), address, request)
+	if observation != nil {
+		t.Fatalf("%+v", observation)
 	}
-	return status, string(answer)
+	return status, string(response)
 }
 
 func TestCompletionsThroughEveryInstance(t *testing.T) {
-	s := smallDeployment(t)
-	for i := range s.Instances {
-		status, body := post(t, s.Address(i), "/v1/chat/completions",
+	d := smallDeployment(t)
+	for i := range d.Instances {
+		status, body := post(t, d.Address(i), "/v1/chat/completions",
 			`{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"hello"}]}`)
 		t.Log(status, body)
 		if status != fasthttp.StatusOK {
 			t.Errorf("instance %d: status %d: %s", i, status, body)
 		}
-		status, body = post(t, s.Address(i), "/v1/completions", `{"model":"desk-8@1","stream":true,"max_tokens":3,"prompt":"hello"}`)
+		status, body = post(t, d.Address(i), "/v1/completions", `{"model":"desk-8@1","stream":true,"max_tokens":3,"prompt":"hello"}`)
 		t.Log(status, body)
 		if status != fasthttp.StatusOK {
 			t.Errorf("instance %d: status %d: %s", i, status, body)
--- a/internal/experiment/stager/herd_test.go
+++ b/internal/experiment/stager/herd_test.go
@@ -31,42 +31,42 @@
 	}
 	plan.Domains = plan.Domains[:1]
 	plan.Engines, plan.Instances, plan.Services = 2, 2, 1
-	s, err := stager.Start(b.Context(), plan, log.NewNopLogger())
+	d, err := stager.Start(b.Context(), plan, log.NewNopLogger())
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer s.Stop()
+	defer d.Stop()
 	quiet := fmt.Appendf(nil, "kind: account\nname: quiet\nkeys:\n  - {hash: %x}\nadapters:\n  - {name: quiet, count: 2, versions: [1], service: %s, base: b}\n",
 		sha256.Sum256([]byte(quietKey)), plan.Engine)
-	if _, err := s.Apply(b.Context(), "quiet.yaml", quiet); err != nil {
+	if _, err := d.Apply(b.Context(), "quiet.yaml", quiet); err != nil {
 		b.Fatal(err)
 	}
 	time.Sleep(3 * time.Second)
 	step := 25 * time.Millisecond / time.Duration(plan.Speed)
 	capacity := float64(plan.Engines*plan.Batch) / (herdTokens * step.Seconds())
-	loadAdapters(b, s)
+	loadAdapters(b, d)
 	for b.Loop() {
-		thunderingHerd(b, s, capacity)
+		thunderingHerd(b, d, capacity)
 	}
 }
 
 // loadAdapters loads the adapters of both accounts.
-func loadAdapters(b *testing.B, s *stager.Deployment) {
-	for _, r := range append(burst(b.Context(), s, stager.Key, "desk", 16), burst(b.Context(), s, quietKey, "quiet", 4)...) {
+func loadAdapters(b *testing.B, d *stager.Deployment) {
+	for _, r := range append(burst(b.Context(), d, stager.Key, "desk", 16), burst(b.Context(), d, quietKey, "quiet", 4)...) {
 		if !r.Complete {
 			b.Fatalf("%s: %s", r.Reason, r.Err)
 		}
 	}
 }
 
-func thunderingHerd(b *testing.B, s *stager.Deployment, capacity float64) {
-	const times = 5
-	n := int(times * capacity)
+func thunderingHerd(b *testing.B, d *stager.Deployment, capacity float64) {
+	const overload = 5
+	n := int(overload * capacity)
 	start := time.Now()
 	var loud, quiet []sender.Result
 	var both sync.WaitGroup
-	both.Go(func() { loud = burst(b.Context(), s, stager.Key, "desk", n*9/10) })
-	both.Go(func() { quiet = burst(b.Context(), s, quietKey, "quiet", n/10) })
+	both.Go(func() { loud = burst(b.Context(), d, stager.Key, "desk", n*9/10) })
+	both.Go(func() { quiet = burst(b.Context(), d, quietKey, "quiet", n/10) })
 	both.Wait()
 	last := start
 	for _, r := range append(append([]sender.Result{}, loud...), quiet...) {
@@ -74,14 +74,14 @@
 			last = end
 		}
 	}
-	answered := countComplete(loud) + countComplete(quiet)
-	b.ReportMetric(float64(answered)/last.Sub(start).Seconds()/capacity, "goodput")
+	completed := countComplete(loud) + countComplete(quiet)
+	b.ReportMetric(float64(completed)/last.Sub(start).Seconds()/capacity, "goodput")
 	b.ReportMetric(float64(countComplete(loud))/float64(len(loud)), "loud")
 	b.ReportMetric(float64(countComplete(quiet))/float64(len(quiet)), "quiet")
 }
 
 // burst sends n calls of one account within a second.
-func burst(ctx context.Context, s *stager.Deployment, key, group string, n int) []sender.Result {
+func burst(ctx context.Context, d *stager.Deployment, key, group string, n int) []sender.Result {
 	calls := make([]sampler.Call, n)
 	for i := range calls {
 		calls[i] = sampler.Call{
@@ -89,7 +89,7 @@
 			Deadline: 5 * time.Second, Marker: fmt.Sprintf("%s-%d", group, i), Tokens: herdTokens,
 		}
 	}
-	send := sender.Sender{Addresses: func() [][]string { return [][]string{{s.Address(0), s.Address(1)}} }, Key: key}
+	send := sender.Sender{Addresses: func() [][]string { return [][]string{{d.Address(0), d.Address(1)}} }, Key: key}
 	return send.Run(ctx, calls)
 }
 
--- a/internal/experiment/stager/hop_test.go
+++ b/internal/experiment/stager/hop_test.go
@@ -24,21 +24,21 @@
 	}
 	plan.Domains = plan.Domains[:1]
 	plan.Engines, plan.Instances, plan.Services, plan.Batch, plan.Speed = 1, 2, 1, 64, 25
-	s, err := stager.Start(b.Context(), plan, log.NewNopLogger())
+	d, err := stager.Start(b.Context(), plan, log.NewNopLogger())
 	if err != nil {
 		b.Fatal(err)
 	}
-	defer s.Stop()
+	defer d.Stop()
 	owner, other := 0, 1
-	if s.Instances[1].Server.Owns(plan.Engine + "-1") {
+	if d.Instances[1].Server.Owns(plan.Engine + "-1") {
 		owner, other = 1, 0
 	}
-	ask(b, s.Address(owner), "desk-1@1") // loads the adapter
-	resident := s.Engines[0].Resident()
+	ask(b, d.Address(owner), "desk-1@1") // loads the adapter
+	resident := d.Engines[0].Resident()
 	for _, target := range []struct{ name, address, model string }{
-		{"engine", s.Engines[0].Listener.Addr().String(), resident[0]},
-		{"owner", s.Address(owner), "desk-1@1"},
-		{"passed on", s.Address(other), "desk-1@1"},
+		{"engine", d.Engines[0].Listener.Addr().String(), resident[0]},
+		{"owner", d.Address(owner), "desk-1@1"},
+		{"passed on", d.Address(other), "desk-1@1"},
 	} {
 		b.Run(target.name, func(b *testing.B) {
 			b.ReportAllocs()
@@ -78,8 +78,8 @@
 	request.SetRequestURI("http://" + address + "/v1/completions")
 	request.SetBodyString(fmt.Sprintf(`{"model":%q,"max_tokens":1,"prompt":"x"}`, model))
 	var r requester.Requester
-	status, body, seen := r.ReadAll(b.Context(), address, request)
-	if seen != nil || status != fasthttp.StatusOK {
-		b.Errorf("status %d %s %+v", status, body, seen)
+	status, body, observation := r.ReadAll(b.Context(), address, request)
+	if observation != nil || status != fasthttp.StatusOK {
+		b.Errorf("status %d %s %+v", status, body, observation)
 	}
 }
--- a/internal/experiment/stager/quarantine_test.go
+++ b/internal/experiment/stager/quarantine_test.go
@@ -12,9 +12,9 @@
 )
 
 // crashTimes returns when engines started to execute the request that crashes them.
-func crashTimes(s *stager.Deployment) []time.Time {
+func crashTimes(d *stager.Deployment) []time.Time {
 	var at []time.Time
-	for _, e := range s.Engines {
+	for _, e := range d.Engines {
 		for _, r := range e.Record().Runs {
 			if r.Marker == generator.CrashMarker {
 				at = append(at, r.AcceptedAt)
@@ -30,14 +30,14 @@
 // knowledge of earlier crashes this went on for as long as the caller retried. Later
 // than three seconds after the third crash at most three more executions may start.
 func TestRequestThatCrashesEnginesIsRejected(t *testing.T) {
-	s := smallDeployment(t)
+	d := smallDeployment(t)
 	body := `{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"` + generator.CrashMarker + `"}]}`
 	status := 0
 	for n, end := 0, time.Now().Add(9*time.Second); time.Now().Before(end); n++ {
-		status, _ = post(t, s.Address(n%len(s.Instances)), "/v1/chat/completions", body)
+		status, _ = post(t, d.Address(n%len(d.Instances)), "/v1/chat/completions", body)
 		time.Sleep(50 * time.Millisecond)
 	}
-	crashes := crashTimes(s)
+	crashes := crashTimes(d)
 	if len(crashes) < 3 {
 		t.Fatalf("%d engines crashed, too few for the test", len(crashes))
 	}
@@ -50,7 +50,7 @@
 	if late > 3 {
 		t.Errorf("%d executions started more than 3 s after the third crash, %d in all", late, len(crashes))
 	}
-	for i, instance := range s.Instances {
+	for i, instance := range d.Instances {
 		if quarantined := instance.Server.Status().Quarantine; len(quarantined) != 1 || quarantined[0].Crashes < 3 {
 			t.Errorf("instance %d shows %+v in quarantine", i, quarantined)
 		}
@@ -58,7 +58,7 @@
 	if status != fasthttp.StatusServiceUnavailable {
 		t.Errorf("status %d, want a rejection with not_run", status)
 	}
-	status, response := post(t, s.Address(0), "/v1/chat/completions", `{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"hello"}]}`)
+	status, response := post(t, d.Address(0), "/v1/chat/completions", `{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"hello"}]}`)
 	if status != fasthttp.StatusOK {
 		t.Errorf("another request: status %d: %s", status, response)
 	}
@@ -67,22 +67,22 @@
 // The request is quarantined, and then all instances are replaced. The new instances know
 // only what is stored in the table: without it the request would crash three more engines.
 func TestQuarantineSurvivesReplacingAllInstances(t *testing.T) {
-	s := smallDeployment(t)
+	d := smallDeployment(t)
 	body := `{"model":"desk-7@2","max_tokens":3,"messages":[{"role":"user","content":"` + generator.CrashMarker + `"}]}`
 	quarantined := func(i *stager.Instance) bool { return len(i.Server.Status().Quarantine) > 0 }
-	for end := time.Now().Add(20 * time.Second); !quarantined(s.Instances[0]) || !quarantined(s.Instances[1]); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(20 * time.Second); !quarantined(d.Instances[0]) || !quarantined(d.Instances[1]); time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("not quarantined within 20 s")
 		}
-		post(t, s.Address(0), "/v1/chat/completions", body)
+		post(t, d.Address(0), "/v1/chat/completions", body)
 	}
-	time.Sleep(2 * s.Plan.Poll) // until the crash reports are stored
-	for _, i := range s.Instances {
+	time.Sleep(2 * d.Plan.Poll) // until the crash reports are stored
+	for _, i := range d.Instances {
 		i.Stop()
 	}
-	before := len(crashTimes(s))
-	for _, domain := range []string{s.Instances[0].Server.Config.Domain, s.Instances[1].Server.Config.Domain} {
-		i, err := s.Launch(domain+"-new", domain)
+	before := len(crashTimes(d))
+	for _, domain := range []string{d.Instances[0].Server.Config.Domain, d.Instances[1].Server.Config.Domain} {
+		i, err := d.Launch(domain+"-new", domain)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -95,7 +95,7 @@
 			t.Errorf("status %d at a new instance of %s", status, domain)
 		}
 	}
-	if after := len(crashTimes(s)); after != before {
+	if after := len(crashTimes(d)); after != before {
 		t.Errorf("%d engines crashed after the restart", after-before)
 	}
 }
--- a/internal/experiment/surveyor/sample.go
+++ b/internal/experiment/surveyor/sample.go
@@ -26,22 +26,22 @@
 	var memory runtime.MemStats
 	runtime.ReadMemStats(&memory)
 	counters := deployment.Platform.Counters()
-	r := sample{
+	s := sample{
 		at: time.Now(), bytes: counters.Bytes, commits: counters.Commits, reads: counters.Reads, memory: float64(memory.HeapAlloc),
 		cpu: time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds(),
 	}
 	for _, i := range deployment.Instances {
-		r.peers += i.Server.Mesh.Bytes()
+		s.peers += i.Server.Mesh.Bytes()
 	}
-	return r
+	return s
 }
 
-func (r sample) pointTo(after sample, baselineCPU, x, instances float64) Point {
-	span := after.at.Sub(r.at).Seconds()
+func (s sample) pointTo(after sample, baselineCPU, x, instances float64) Point {
+	span := after.at.Sub(s.at).Seconds()
 	instanceSeconds := span * instances
 	return Point{
-		X: x, CPU: max(0, (after.cpu-r.cpu)/span-baselineCPU) / instances, Memory: after.memory / instances,
-		Peers: float64(after.peers-r.peers) / instanceSeconds, Reads: float64(after.reads-r.reads) / instanceSeconds,
-		Commits: float64(after.commits-r.commits) / instanceSeconds, Bytes: float64(after.bytes-r.bytes) / instanceSeconds,
+		X: x, CPU: max(0, (after.cpu-s.cpu)/span-baselineCPU) / instances, Memory: after.memory / instances,
+		Peers: float64(after.peers-s.peers) / instanceSeconds, Reads: float64(after.reads-s.reads) / instanceSeconds,
+		Commits: float64(after.commits-s.commits) / instanceSeconds, Bytes: float64(after.bytes-s.bytes) / instanceSeconds,
 	}
 }
--- a/internal/experiment/surveyor/slope.go
+++ b/internal/experiment/surveyor/slope.go
@@ -45,8 +45,8 @@
 		for i := range s.Points {
 			ys[i] = metric(&s.Points[i])
 		}
-		at0, each := stat.LinearRegression(xs, ys, nil, false)
-		s.Fits[name] = Fit{Intercept: at0, PerUnit: each, R2: stat.RSquared(xs, ys, nil, at0, each)}
+		intercept, perUnit := stat.LinearRegression(xs, ys, nil, false)
+		s.Fits[name] = Fit{Intercept: intercept, PerUnit: perUnit, R2: stat.RSquared(xs, ys, nil, intercept, perUnit)}
 	}
 }
 
--- a/internal/standin/generator/engine.go
+++ b/internal/standin/generator/engine.go
@@ -171,9 +171,9 @@
 	defer fasthttp.ReleaseRequest(request)
 	request.SetRequestURI("http://" + e.Weights + "/weights/" + adapter)
 	var r requester.Requester
-	status, _, seen := r.ReadAll(context.Background(), e.Weights, request)
-	if seen != nil || status != fasthttp.StatusOK {
-		return fmt.Errorf("weight store: status %d, %v", status, seen)
+	status, _, observation := r.ReadAll(context.Background(), e.Weights, request)
+	if observation != nil || status != fasthttp.StatusOK {
+		return fmt.Errorf("weight store: status %d, %v", status, observation)
 	}
 	return nil
 }
@@ -235,9 +235,9 @@
 	}
 	until := time.Now().Add(-e.faults.Lag)
 	report := e.history[0].report
-	for _, d := range e.history {
-		if d.at.Before(until) {
-			report = d.report
+	for _, entry := range e.history {
+		if entry.at.Before(until) {
+			report = entry.report
 		}
 	}
 	return report
--- a/internal/standin/generator/sequence.go
+++ b/internal/standin/generator/sequence.go
@@ -42,11 +42,11 @@
 
 // marker returns the content of the last message. Every token repeats it, so that a
 // caller can distinguish its own response from another's.
-func (p *completionRequest) marker() string {
-	if len(p.Messages) > 0 {
-		return p.Messages[len(p.Messages)-1].Content
+func (request *completionRequest) marker() string {
+	if len(request.Messages) > 0 {
+		return request.Messages[len(request.Messages)-1].Content
 	}
-	return p.Prompt
+	return request.Prompt
 }
 
 // defaultTokens is the length of a response if the request does not set one.
@@ -88,51 +88,51 @@
 // handleCompletion responds to a completion request, as a stream of server-sent events or
 // in one body.
 func (e *Engine) handleCompletion(c *fasthttp.RequestCtx) {
-	var p completionRequest
-	if !listener.DecodeJSON(c, &p) {
+	var request completionRequest
+	if !listener.DecodeJSON(c, &request) {
 		return
 	}
-	s, cutAt, ok := e.enqueue(&p, c)
+	s, cutAt, ok := e.enqueue(&request, c)
 	if !ok {
 		c.Error("not resident, full or leaving", fasthttp.StatusConflict)
 		return
 	}
-	c.Response.Header.Set(HeaderAdapter, adapterOf(p.Model))
+	c.Response.Header.Set(HeaderAdapter, adapterOf(request.Model))
 	c.Response.Header.Set(HeaderEngine, s.engine)
 	chat := string(c.Path()) == PathChat
-	if !p.Stream {
-		writeComplete(c, s, p.Model, chat)
+	if !request.Stream {
+		writeComplete(c, s, request.Model, chat)
 		return
 	}
 	c.SetContentType("text/event-stream")
 	conn := c.Conn() // the writer may run after the request's context has been released
-	c.SetBodyStreamWriter(func(w *bufio.Writer) { writeStream(w, conn, s, p.Model, chat, cutAt) })
+	c.SetBodyStreamWriter(func(w *bufio.Writer) { writeStream(w, conn, s, request.Model, chat, cutAt) })
 }
 
 // enqueue queues a request, unless its adapter is not resident or a fault rejects
 // it. The int is the token at which to truncate the stream, or 0.
-func (e *Engine) enqueue(p *completionRequest, c *fasthttp.RequestCtx) (*sequence, int, bool) {
+func (e *Engine) enqueue(request *completionRequest, c *fasthttp.RequestCtx) (*sequence, int, bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if !e.resident[p.Model] {
+	if !e.resident[request.Model] {
 		return nil, 0, false
 	}
 	if e.faults.Refuse > 0 {
 		e.faults.Refuse--
 		return nil, 0, false
 	}
-	s := newSequence(p)
+	s := newSequence(request)
 	s.engine = e.incarnation()
 	s.priority, _ = strconv.Atoi(string(c.Request.Header.Peek(HeaderPriority))) // 0 if absent
 	s.recordIndex = len(e.record.Runs)
 	e.record.Runs = append(e.record.Runs, Run{
 		Request:    string(c.Request.Header.Peek(HeaderRequest)),
-		Marker:     p.marker(),
-		Adapter:    adapterOf(p.Model),
+		Marker:     request.marker(),
+		Adapter:    adapterOf(request.Model),
 		AcceptedAt: time.Now(),
 	})
 	e.waiting = append(e.waiting, s)
-	if p.marker() == CrashMarker {
+	if request.marker() == CrashMarker {
 		time.AfterFunc(e.Step, e.crash)
 	}
 	cutAt := 0
@@ -143,8 +143,8 @@
 	return s, cutAt, true
 }
 
-func newSequence(p *completionRequest) *sequence {
-	s := &sequence{handle: p.Model, total: p.Max, marker: adapterOf(p.Model) + "|" + p.marker()}
+func newSequence(request *completionRequest) *sequence {
+	s := &sequence{handle: request.Model, total: request.Max, marker: adapterOf(request.Model) + "|" + request.marker()}
 	if s.total <= 0 {
 		s.total = defaultTokens
 	}
@@ -156,10 +156,10 @@
 // the sequence was aborted. If a write fails, the caller has disconnected.
 func writeStream(w *bufio.Writer, conn net.Conn, s *sequence, model string, chat bool, cutAt int) {
 	defer s.abort()
-	given := 0
+	written := 0
 	for token := range s.tokens {
-		given++
-		if given == cutAt {
+		written++
+		if written == cutAt {
 			_ = conn.Close()
 			return
 		}
@@ -169,7 +169,7 @@
 			return
 		}
 	}
-	if given == s.total {
+	if written == s.total {
 		fmt.Fprint(w, "data: [DONE]\n\n")
 		_ = w.Flush()
 	}
@@ -177,12 +177,12 @@
 
 func writeComplete(c *fasthttp.RequestCtx, s *sequence, model string, chat bool) {
 	var text string
-	given := 0
+	received := 0
 	for token := range s.tokens {
 		text += token
-		given++
+		received++
 	}
-	if given < s.total {
+	if received < s.total {
 		c.Error("cut", fasthttp.StatusInternalServerError)
 		return
 	}
--- a/internal/standin/registrar/platform.go
+++ b/internal/standin/registrar/platform.go
@@ -255,12 +255,12 @@
 	if p.Rate <= 0 {
 		return 0
 	}
-	full := float64(p.Together) / p.Rate
-	over := float64(p.activeLoads) / float64(p.Together)
-	if over > 1 {
-		full *= over * contentionFactor
+	seconds := float64(p.Together) / p.Rate
+	loadRatio := float64(p.activeLoads) / float64(p.Together)
+	if loadRatio > 1 {
+		seconds *= loadRatio * contentionFactor
 	}
-	return time.Duration(full * float64(time.Second))
+	return time.Duration(seconds * float64(time.Second))
 }
 
 func decode(c *fasthttp.RequestCtx, into any) bool {
