--- a/internal/account/limiter/ledger.go
+++ b/internal/account/limiter/ledger.go
@@ -280,15 +280,15 @@
 // left to the others. Without it both sides of a partition would spend the full quota.
 func (l *Ledger) reserve(t *tally, limit Limit, now time.Time) (burst float64) {
 	rest := 1.0
-	for _, p := range l.unresponsive {
-		e, ok := t.entries[p.Instance]
+	for _, r := range l.unresponsive {
+		e, ok := t.entries[r.Instance]
 		if !ok {
 			continue
 		}
 		tokens := e.share * (e.remaining + limit.Rate*now.Sub(e.asOf).Seconds())
 		e.remaining, e.asOf = 0, now
 		e.reserved += tokens
-		t.deduct(p.Reporter, tokens, now)
+		t.deduct(r.Reporter, tokens, now)
 		rest -= e.share
 	}
 	burst = max(0, rest) * limit.Burst
@@ -298,20 +298,20 @@
 
 // observe records that a reporter is alive.
 func (l *Ledger) observe(from Reporter, now time.Time) {
-	before, ok := l.reporters[from.Instance]
-	if ok && (before.Incarnation != from.Incarnation || before.isLedger() != from.isLedger()) {
+	known, ok := l.reporters[from.Instance]
+	if ok && (known.Incarnation != from.Incarnation || known.isLedger() != from.isLedger()) {
 		l.drop(from.Instance)
 		ok = false
 	}
 	if !ok {
 		l.replaceLedger(from)
-		before = &reporter{}
-		l.reporters[from.Instance] = before
+		known = &reporter{}
+		l.reporters[from.Instance] = known
 		if from.isLedger() {
 			l.leaders = append(l.leaders, from.Instance)
 		}
 	}
-	before.Reporter, before.lastSeen = from, now
+	known.Reporter, known.lastSeen = from, now
 }
 
 // replaceLedger removes the previous Ledger of a failure domain. The reporters of that Ledger
@@ -320,9 +320,9 @@
 	if !successor.isLedger() {
 		return
 	}
-	for instance, p := range l.reporters {
-		if p.Domain == successor.Domain {
-			l.refund(p, successor.Age)
+	for instance, r := range l.reporters {
+		if r.Domain == successor.Domain {
+			l.refund(r, successor.Age)
 			l.drop(instance)
 		}
 	}
@@ -330,11 +330,11 @@
 
 // refund schedules a refund of the tokens that were reserved for an unresponsive Ledger during
 // the time that its successor reports on. Otherwise these tokens would count as spent twice.
-func (l *Ledger) refund(p *reporter, reported time.Duration) {
+func (l *Ledger) refund(r *reporter, reported time.Duration) {
 	for name, t := range l.accounts {
-		e, ok := t.entries[p.Instance]
-		limit, bounds := l.Limits(name)
-		if !ok || !bounds {
+		e, ok := t.entries[r.Instance]
+		limit, limited := l.Limits(name)
+		if !ok || !limited {
 			continue
 		}
 		t.refundDue += min(e.reserved, e.share*limit.Rate*reported.Seconds())
@@ -347,7 +347,7 @@
 		delete(t.entries, instance)
 	}
 	l.leaders = slices.DeleteFunc(l.leaders, func(other string) bool { return other == instance })
-	l.unresponsive = slices.DeleteFunc(l.unresponsive, func(p *reporter) bool { return p.Instance == instance })
+	l.unresponsive = slices.DeleteFunc(l.unresponsive, func(r *reporter) bool { return r.Instance == instance })
 }
 
 // sweep lists the unresponsive reporters and removes those that sent no update for longer
@@ -358,12 +358,12 @@
 	}
 	l.lastSweep = now
 	l.unresponsive = l.unresponsive[:0]
-	for instance, p := range l.reporters {
-		switch sinceUpdate := now.Sub(p.lastSeen); {
+	for instance, r := range l.reporters {
+		switch sinceUpdate := now.Sub(r.lastSeen); {
 		case sinceUpdate > maxDisconnected:
 			l.drop(instance)
 		case sinceUpdate > unresponsiveAfter:
-			l.unresponsive = append(l.unresponsive, p)
+			l.unresponsive = append(l.unresponsive, r)
 		}
 	}
 }
--- a/internal/account/limiter/ledger_test.go
+++ b/internal/account/limiter/ledger_test.go
@@ -179,7 +179,7 @@
 
 // Guards against concurrent asks that are all granted the same tokens: the counter of a later
 // ask did not yet include the tokens granted to an earlier one.
-func TestConcurrentAsksAreCounted(t *testing.T) {
+func TestConcurrentRequestsAreCounted(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		order []int // in which the ledger receives the asks
--- a/internal/account/limiter/property_test.go
+++ b/internal/account/limiter/property_test.go
@@ -34,8 +34,8 @@
 // runWithFaults runs random workloads while instances restart and are partitioned.
 func (sim *simulation) runWithFaults(span time.Duration) {
 	for end := sim.now.Add(span); sim.now.Before(end); {
-		d := calmWorkload(sim)
-		d.rate = calmLoad * []float64{0.2, 1, 1, 3, 8}[sim.rng.IntN(5)]
+		w := calmWorkload(sim)
+		w.rate = calmLoad * []float64{0.2, 1, 1, 3, 8}[sim.rng.IntN(5)]
 		switch sim.rng.IntN(5) {
 		case 0:
 			sim.strategy.restart(sim.instances[sim.rng.IntN(len(sim.instances))])
@@ -47,7 +47,7 @@
 				sim.strategy.restart(i)
 			}
 		}
-		sim.run(time.Duration(500+sim.rng.IntN(5000))*time.Millisecond, d)
+		sim.run(time.Duration(500+sim.rng.IntN(5000))*time.Millisecond, w)
 	}
 }
 
--- a/internal/account/limiter/simulation_test.go
+++ b/internal/account/limiter/simulation_test.go
@@ -84,21 +84,21 @@
 }
 
 // run sends the requests of a workload for a time span.
-func (sim *simulation) run(span time.Duration, d workload) {
+func (sim *simulation) run(span time.Duration, w workload) {
 	for end := sim.now.Add(span); sim.now.Before(end); sim.now = sim.now.Add(simulationStep) {
 		sim.strategy.tick()
-		expected := d.rate * sim.limit.Rate * simulationStep.Seconds() / d.mean
+		expected := w.rate * sim.limit.Rate * simulationStep.Seconds() / w.mean
 		for n := sim.poisson(expected); n > 0; n-- {
-			sim.send(sim.instances[d.targets[sim.rng.IntN(len(d.targets))]], sim.size(d))
+			sim.send(sim.instances[w.targets[sim.rng.IntN(len(w.targets))]], sim.size(w))
 		}
 	}
 }
 
-func (sim *simulation) size(d workload) int64 {
-	if d.fixedSize {
-		return int64(d.mean)
+func (sim *simulation) size(w workload) int64 {
+	if w.fixedSize {
+		return int64(w.mean)
 	}
-	return max(1, int64(d.mean*sim.rng.ExpFloat64()))
+	return max(1, int64(w.mean*sim.rng.ExpFloat64()))
 }
 
 func (sim *simulation) poisson(mean float64) int {
@@ -178,53 +178,53 @@
 }
 
 func newLedgerStrategy(sim *simulation) strategy {
-	w := &ledgerStrategy{sim: sim, connected: sim.reaches}
+	st := &ledgerStrategy{sim: sim, connected: sim.reaches}
 	for _, i := range sim.instances {
-		w.spenders = append(w.spenders, &limiter.Spender{})
-		w.reporters = append(w.reporters, limiter.Reporter{Instance: i.id})
-		w.startedAt = append(w.startedAt, sim.now)
+		st.spenders = append(st.spenders, &limiter.Spender{})
+		st.reporters = append(st.reporters, limiter.Reporter{Instance: i.id})
+		st.startedAt = append(st.startedAt, sim.now)
 	}
 	for d := range domains {
-		w.leaders = append(w.leaders, sim.instances[d])
+		st.leaders = append(st.leaders, sim.instances[d])
 		ledger := &limiter.Ledger{Limits: func(string) (limiter.Limit, bool) { return sim.limit, true }, Window: window, InitialTokens: func(l limiter.Limit) float64 {
 			return (excessFraction*(l.Rate*window.Seconds()+l.Burst) + excessTokens) * 0.7 / domains
 		}}
 		ledger.Begin(sim.now)
-		w.ledgers = append(w.ledgers, ledger)
+		st.ledgers = append(st.ledgers, ledger)
 	}
 	for _, i := range sim.instances {
-		w.restart(i)
+		st.restart(i)
 	}
-	return w
+	return st
 }
 
-func (w *ledgerStrategy) restart(i *instance) {
-	w.spenders[i.number] = &limiter.Spender{Instances: func() int { return len(w.sim.instances) }}
-	w.reporters[i.number].Incarnation = w.sim.now.UnixNano()
-	w.startedAt[i.number] = w.sim.now
-	for d, leader := range w.leaders {
+func (st *ledgerStrategy) restart(i *instance) {
+	st.spenders[i.number] = &limiter.Spender{Instances: func() int { return len(st.sim.instances) }}
+	st.reporters[i.number].Incarnation = st.sim.now.UnixNano()
+	st.startedAt[i.number] = st.sim.now
+	for d, leader := range st.leaders {
 		if leader == i {
-			w.ledgers[d].Begin(w.sim.now)
+			st.ledgers[d].Begin(st.sim.now)
 		}
 	}
 }
 
-func (w *ledgerStrategy) admit(i *instance, tokens int64) bool {
-	s, now := w.spenders[i.number], w.sim.now
-	r := limiter.Request{Account: "a", Limit: w.sim.limit, Tokens: tokens}
+func (st *ledgerStrategy) admit(i *instance, tokens int64) bool {
+	s, now := st.spenders[i.number], st.sim.now
+	r := limiter.Request{Account: "a", Limit: st.sim.limit, Tokens: tokens}
 	decision := s.Spend(r, now)
 	if _, asks := decision.(limiter.AskLedger); asks {
-		decision = w.ask(i, r)
+		decision = st.ask(i, r)
 	}
 	_, admitted := decision.(limiter.Admitted)
 	return admitted
 }
 
-func (w *ledgerStrategy) ask(i *instance, r limiter.Request) limiter.Decision {
-	s, now := w.spenders[i.number], w.sim.now
-	if w.connected(i, w.leaders[i.failureDomain]) {
-		w.sim.messages++
-		balances, ok := w.ledgers[i.failureDomain].Settle(w.reporters[i.number], []limiter.Spent{s.Want(r)}, now)
+func (st *ledgerStrategy) ask(i *instance, r limiter.Request) limiter.Decision {
+	s, now := st.spenders[i.number], st.sim.now
+	if st.connected(i, st.leaders[i.failureDomain]) {
+		st.sim.messages++
+		balances, ok := st.ledgers[i.failureDomain].Settle(st.reporters[i.number], []limiter.Spent{s.Want(r)}, now)
 		if ok && len(balances) == 1 {
 			return s.Answered(r, balances[0], now, now)
 		}
@@ -232,44 +232,44 @@
 	return s.SpendDisconnected(r, now)
 }
 
-func (w *ledgerStrategy) tick() {
-	now := w.sim.now
-	step := int(now.Sub(w.sim.startedAt) / simulationStep)
-	for _, i := range w.sim.instances {
-		if (step+i.number)%15 != 0 || !w.connected(i, w.leaders[i.failureDomain]) {
+func (st *ledgerStrategy) tick() {
+	now := st.sim.now
+	step := int(now.Sub(st.sim.startedAt) / simulationStep)
+	for _, i := range st.sim.instances {
+		if (step+i.number)%15 != 0 || !st.connected(i, st.leaders[i.failureDomain]) {
 			continue
 		}
-		s := w.spenders[i.number]
+		s := st.spenders[i.number]
 		report := s.Report(now)
 		if len(report) == 0 {
 			continue
 		}
-		w.sim.messages++
-		balances, ok := w.ledgers[i.failureDomain].Settle(w.reporters[i.number], report, now)
+		st.sim.messages++
+		balances, ok := st.ledgers[i.failureDomain].Settle(st.reporters[i.number], report, now)
 		for _, b := range balances {
 			if ok {
-				s.ApplyBalance(b, w.sim.limit, now, now)
+				s.ApplyBalance(b, st.sim.limit, now, now)
 			}
 		}
 	}
 	if step%25 == 0 {
-		w.exchangeReports()
+		st.exchangeReports()
 	}
 }
 
 // exchangeReports settles the reports of all leaders with each other.
-func (w *ledgerStrategy) exchangeReports() {
-	now := w.sim.now
-	for d, from := range w.leaders {
-		report := w.ledgers[d].Report(now)
-		since, _ := w.ledgers[d].StartedAt()
-		p := limiter.Reporter{Instance: from.id, Incarnation: since.UnixNano(), Domain: fmt.Sprint("d", d), Age: now.Sub(since)}
-		for e, to := range w.leaders {
-			if e != d && w.connected(from, to) {
-				w.sim.messages++
-				balances, _ := w.ledgers[e].Settle(p, report, now)
-				startedAt, _ := w.ledgers[e].StartedAt()
-				w.ledgers[d].Adopt(balances, now.Sub(startedAt), now)
+func (st *ledgerStrategy) exchangeReports() {
+	now := st.sim.now
+	for d, from := range st.leaders {
+		report := st.ledgers[d].Report(now)
+		since, _ := st.ledgers[d].StartedAt()
+		reporter := limiter.Reporter{Instance: from.id, Incarnation: since.UnixNano(), Domain: fmt.Sprint("d", d), Age: now.Sub(since)}
+		for e, to := range st.leaders {
+			if e != d && st.connected(from, to) {
+				st.sim.messages++
+				balances, _ := st.ledgers[e].Settle(reporter, report, now)
+				startedAt, _ := st.ledgers[e].StartedAt()
+				st.ledgers[d].Adopt(balances, now.Sub(startedAt), now)
 			}
 		}
 	}
@@ -282,24 +282,24 @@
 }
 
 func newEvenSplit(sim *simulation) strategy {
-	w := &evenSplit{sim: sim, level: make([]float64, len(sim.instances))}
-	for n := range w.level {
-		w.level[n] = sim.limit.Burst / float64(len(w.level))
+	s := &evenSplit{sim: sim, level: make([]float64, len(sim.instances))}
+	for n := range s.level {
+		s.level[n] = sim.limit.Burst / float64(len(s.level))
 	}
-	return w
+	return s
 }
 
-func (w *evenSplit) restart(i *instance) { w.level[i.number] = 0 }
+func (s *evenSplit) restart(i *instance) { s.level[i.number] = 0 }
 
-func (w *evenSplit) tick() {
-	n := float64(len(w.level))
-	for i := range w.level {
-		w.level[i] = min(w.sim.limit.Burst/n, w.level[i]+w.sim.limit.Rate/n*simulationStep.Seconds())
+func (s *evenSplit) tick() {
+	n := float64(len(s.level))
+	for i := range s.level {
+		s.level[i] = min(s.sim.limit.Burst/n, s.level[i]+s.sim.limit.Rate/n*simulationStep.Seconds())
 	}
 }
 
-func (w *evenSplit) admit(i *instance, tokens int64) bool {
-	return withdraw(&w.level[i.number], tokens)
+func (s *evenSplit) admit(i *instance, tokens int64) bool {
+	return withdraw(&s.level[i.number], tokens)
 }
 
 func withdraw(level *float64, tokens int64) bool {
@@ -320,52 +320,52 @@
 
 func newDemandSplit(sim *simulation) strategy {
 	n := len(sim.instances)
-	w := &demandSplit{evenSplit: *newEvenSplit(sim).(*evenSplit), demand: make([]float64, n), share: make([]float64, n)}
-	for i := range w.share {
-		w.share[i] = 1 / float64(n)
+	s := &demandSplit{evenSplit: *newEvenSplit(sim).(*evenSplit), demand: make([]float64, n), share: make([]float64, n)}
+	for i := range s.share {
+		s.share[i] = 1 / float64(n)
 	}
-	return w
+	return s
 }
 
-func (w *demandSplit) admit(i *instance, tokens int64) bool {
-	w.demand[i.number] += float64(tokens)
-	return withdraw(&w.level[i.number], tokens)
+func (s *demandSplit) admit(i *instance, tokens int64) bool {
+	s.demand[i.number] += float64(tokens)
+	return withdraw(&s.level[i.number], tokens)
 }
 
-func (w *demandSplit) tick() {
+func (s *demandSplit) tick() {
 	decay := math.Exp(-simulationStep.Seconds() / 2)
-	for i := range w.demand {
-		w.demand[i] *= decay
+	for i := range s.demand {
+		s.demand[i] *= decay
 	}
-	if step := int(w.sim.now.Sub(w.sim.startedAt) / simulationStep); step%30 == 0 {
-		w.redistribute()
+	if step := int(s.sim.now.Sub(s.sim.startedAt) / simulationStep); step%30 == 0 {
+		s.redistribute()
 	}
-	for i := range w.level {
-		w.level[i] = min(w.share[i]*w.sim.limit.Burst, w.level[i]+w.share[i]*w.sim.limit.Rate*simulationStep.Seconds())
+	for i := range s.level {
+		s.level[i] = min(s.share[i]*s.sim.limit.Burst, s.level[i]+s.share[i]*s.sim.limit.Rate*simulationStep.Seconds())
 	}
 }
 
 // redistribute computes new shares. A partitioned instance keeps its share, and the others
 // divide the rest.
-func (w *demandSplit) redistribute() {
+func (s *demandSplit) redistribute() {
 	all, free, n := 0.0, 1.0, 0.0
-	for _, i := range w.sim.instances {
-		if w.sim.now.Before(i.partitionedUntil) {
-			free -= w.share[i.number]
+	for _, i := range s.sim.instances {
+		if s.sim.now.Before(i.partitionedUntil) {
+			free -= s.share[i.number]
 			continue
 		}
-		all += w.demand[i.number]
+		all += s.demand[i.number]
 		n++
 	}
-	for _, i := range w.sim.instances {
-		if w.sim.now.Before(i.partitionedUntil) {
+	for _, i := range s.sim.instances {
+		if s.sim.now.Before(i.partitionedUntil) {
 			continue
 		}
 		share := 1 / n
 		if all > 0 {
-			share = 0.95*w.demand[i.number]/all + 0.05/n
+			share = 0.95*s.demand[i.number]/all + 0.05/n
 		}
-		w.share[i.number] = free * share
-		w.sim.messages += 2
+		s.share[i.number] = free * share
+		s.sim.messages += 2
 	}
 }
--- a/internal/account/limiter/spender_test.go
+++ b/internal/account/limiter/spender_test.go
@@ -117,7 +117,7 @@
 	s := newSpender(1000)
 	s.ApplyBalance(limiter.Balance{Account: "a", Left: 0}, request(0).Limit, at(20*time.Millisecond), at(30*time.Millisecond))
 	s.ApplyBalance(limiter.Balance{Account: "a", Left: 1000}, request(0).Limit, at(10*time.Millisecond), at(40*time.Millisecond))
-	if _, over := s.Spend(request(500), at(40*time.Millisecond)).(limiter.QuotaExceeded); !over {
+	if _, exceeded := s.Spend(request(500), at(40*time.Millisecond)).(limiter.QuotaExceeded); !exceeded {
 		t.Error("the outdated balance is applied")
 	}
 }
@@ -130,9 +130,9 @@
 		waits = append(waits, s.Spend(request(1000), start).(limiter.QuotaExceeded).RetryAfter)
 	}
 	urgent := request(1000)
-	less := request(1000)
-	less.Urgency = 3
-	waits = append(waits, s.Spend(less, start).(limiter.QuotaExceeded).RetryAfter, s.Spend(urgent, start).(limiter.QuotaExceeded).RetryAfter)
+	lessUrgent := request(1000)
+	lessUrgent.Urgency = 3
+	waits = append(waits, s.Spend(lessUrgent, start).(limiter.QuotaExceeded).RetryAfter, s.Spend(urgent, start).(limiter.QuotaExceeded).RetryAfter)
 	for n := 1; n < 4; n++ {
 		if waits[n] < waits[n-1] {
 			t.Errorf("wait of %s after a wait of %s", waits[n], waits[n-1])
--- a/internal/account/limiter/strategies_test.go
+++ b/internal/account/limiter/strategies_test.go
@@ -33,18 +33,18 @@
 }
 
 // peak returns the workload at eight times its rate.
-func (d workload) peak() workload {
-	d.rate *= 8
-	return d
+func (w workload) peak() workload {
+	w.rate *= 8
+	return w
 }
 
 var scenarios = []scenario{
 	{"usual load", func(sim *simulation) { sim.run(30*time.Second, calmWorkload(sim)) }},
 	{"eight times the usual load", func(sim *simulation) {
-		d := calmWorkload(sim)
-		sim.run(10*time.Second, d)
-		sim.run(10*time.Second, d.peak())
-		sim.run(10*time.Second, d)
+		w := calmWorkload(sim)
+		sim.run(10*time.Second, w)
+		sim.run(10*time.Second, w.peak())
+		sim.run(10*time.Second, w)
 	}},
 	{"callers move", func(sim *simulation) {
 		for range 10 {
@@ -56,32 +56,32 @@
 		sim.run(10*time.Second, workload{rate: calmLoad, targets: sample(sim, 1), mean: meanRequest})
 	}},
 	{"all restart at eight times the usual load", func(sim *simulation) {
-		d := calmWorkload(sim)
-		sim.run(10*time.Second, d)
-		sim.run(4*time.Second, d.peak())
+		w := calmWorkload(sim)
+		sim.run(10*time.Second, w)
+		sim.run(4*time.Second, w.peak())
 		for _, i := range sim.instances {
 			sim.strategy.restart(i)
 		}
-		sim.run(10*time.Second, d.peak())
+		sim.run(10*time.Second, w.peak())
 	}},
 	{"a third partitioned at eight times the load", func(sim *simulation) {
-		d := calmWorkload(sim)
-		sim.run(10*time.Second, d)
+		w := calmWorkload(sim)
+		sim.run(10*time.Second, w)
 		sim.partition(8*time.Second, func(i *instance) bool { return i.number%3 == 1 })
-		sim.run(10*time.Second, d.peak())
-		sim.run(5*time.Second, d)
+		sim.run(10*time.Second, w.peak())
+		sim.run(5*time.Second, w)
 	}},
 	{"a third partitioned at the usual load", func(sim *simulation) {
-		d := calmWorkload(sim)
-		sim.run(10*time.Second, d)
+		w := calmWorkload(sim)
+		sim.run(10*time.Second, w)
 		sim.partition(8*time.Second, func(i *instance) bool { return i.number%3 == 1 })
-		sim.run(15*time.Second, d)
+		sim.run(15*time.Second, w)
 	}},
 	{"a leader partitioned", func(sim *simulation) {
-		d := calmWorkload(sim)
-		sim.run(10*time.Second, d)
+		w := calmWorkload(sim)
+		sim.run(10*time.Second, w)
 		sim.partition(3*time.Second, func(i *instance) bool { return i.number == 1 })
-		sim.run(15*time.Second, d)
+		sim.run(15*time.Second, w)
 	}},
 }
 
@@ -90,14 +90,14 @@
 	for _, limit := range []limiter.Limit{smallLimit, largeLimit} {
 		for _, n := range []int{3, 9, 69, 300} {
 			for _, s := range scenarios {
-				for _, w := range []struct {
+				for _, candidate := range []struct {
 					name        string
 					newStrategy func(sim *simulation) strategy
 				}{{"evenly", newEvenSplit}, {"by demand", newDemandSplit}, {"ledger", newLedgerStrategy}} {
-					sim := newSimulation(1, max(n, domains), limit, w.newStrategy)
+					sim := newSimulation(1, max(n, domains), limit, candidate.newStrategy)
 					s.run(sim)
 					t.Logf("%6.0f tokens/s, %3d instances, %-42s %-10s exceeded by %6.0f tokens, served %.3f, %5.2f %% wrongly refused, %6d messages",
-						limit.Rate, n, s.name, w.name, sim.excess(), sim.served(), 100*float64(sim.wronglyRefused)/float64(sim.requested), sim.messages)
+						limit.Rate, n, s.name, candidate.name, sim.excess(), sim.served(), 100*float64(sim.wronglyRefused)/float64(sim.requested), sim.messages)
 				}
 			}
 		}
--- a/internal/account/limiter/wait.go
+++ b/internal/account/limiter/wait.go
@@ -47,10 +47,10 @@
 	a.queue.drain(rate, now)
 	ahead := a.queue.add(float64(r.Tokens), r.Urgency)
 	missing := max(0, min(float64(r.Tokens), r.Limit.Burst)-left)
-	soon := time.Duration((missing/r.Limit.Rate + ahead/rate) * float64(time.Second))
-	over := QuotaExceeded{Left: int64(left), AvailableIn: soon, RetryAfter: min(maxWait, max(minWait, soon))}
+	availableIn := time.Duration((missing/r.Limit.Rate + ahead/rate) * float64(time.Second))
+	exceeded := QuotaExceeded{Left: int64(left), AvailableIn: availableIn, RetryAfter: min(maxWait, max(minWait, availableIn))}
 	if !a.balanceAt.IsZero() {
-		over.Age = now.Sub(a.balanceAt)
+		exceeded.Age = now.Sub(a.balanceAt)
 	}
-	return over
+	return exceeded
 }
--- a/internal/instance/gatekeeper/crash_test.go
+++ b/internal/instance/gatekeeper/crash_test.go
@@ -15,13 +15,13 @@
 // A scriptedEngine answers liveness probes from a script.
 type scriptedEngine struct {
 	Engine
-	lives  []tracker.ProbeResult // the last one is repeated
-	probes int
+	results []tracker.ProbeResult // the last one is repeated
+	probes  int
 }
 
 func (e *scriptedEngine) Probe(context.Context, tracker.Runner) tracker.ProbeResult {
 	e.probes++
-	return e.lives[min(e.probes, len(e.lives))-1]
+	return e.results[min(e.probes, len(e.results))-1]
 }
 
 // Guards against false suspicions: responses break off for many reasons, and a request that is
@@ -30,22 +30,22 @@
 // no crash.
 func TestCrashDetection(t *testing.T) {
 	const (
-		unknown, lives, refuses, replaced = tracker.Unknown, tracker.Alive, tracker.Refuses, tracker.Replaced
+		unknown, alive, refuses, replaced = tracker.Unknown, tracker.Alive, tracker.Refuses, tracker.Replaced
 	)
 	for _, tc := range []struct {
-		name  string
-		lives []tracker.ProbeResult
-		set   func(g *Gatekeeper, r tracker.Runner) // before the response breaks off
-		later func(g *Gatekeeper, r tracker.Runner) // right after
-		want  bool
+		name    string
+		results []tracker.ProbeResult
+		before  func(g *Gatekeeper, r tracker.Runner) // before the response breaks off
+		after   func(g *Gatekeeper, r tracker.Runner) // right after
+		want    bool
 	}{
 		{"the runner refuses connections", []tracker.ProbeResult{refuses}, nil, nil, true},
 		{"no result while it dies, then refused", []tracker.ProbeResult{unknown, refuses}, nil, nil, true},
 		{"another incarnation answers", []tracker.ProbeResult{replaced}, nil, nil, true},
-		{"one connection reset, or response lost or corrupted", []tracker.ProbeResult{lives}, nil, nil, false},
-		{"out of connections for a moment", []tracker.ProbeResult{refuses, lives}, nil, nil, false},
+		{"one connection reset, or response lost or corrupted", []tracker.ProbeResult{alive}, nil, nil, false},
+		{"out of connections for a moment", []tracker.ProbeResult{refuses, alive}, nil, nil, false},
 		{"network partition, or paused process", []tracker.ProbeResult{unknown}, nil, nil, false},
-		{"occasional refusals on a bad network", []tracker.ProbeResult{refuses, unknown, refuses, unknown, lives}, nil, nil, false},
+		{"occasional refusals on a bad network", []tracker.ProbeResult{refuses, unknown, refuses, unknown, alive}, nil, nil, false},
 		{"shutdown announced before", []tracker.ProbeResult{refuses}, func(g *Gatekeeper, r tracker.Runner) {
 			r.Leaving, r.Revision = true, 2
 			g.setRunner(r, fromStore)
@@ -59,15 +59,15 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := newDomainGatekeeper("a-1", "a")
-				g.Engine = &scriptedEngine{lives: tc.lives}
+				g.Engine = &scriptedEngine{results: tc.results}
 				r := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}
 				g.setRunner(r, fromStore)
-				if tc.set != nil {
-					tc.set(g, r)
+				if tc.before != nil {
+					tc.before(g, r)
 				}
 				g.ReportBroken("d", r, time.Now())
-				if tc.later != nil {
-					tc.later(g, r)
+				if tc.after != nil {
+					tc.after(g, r)
 				}
 				time.Sleep(probeTimeout + time.Second)
 				synctest.Wait()
@@ -86,7 +86,7 @@
 func TestRunnerIsProbedOncePerCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newDomainGatekeeper("a-1", "a")
-		engine := &scriptedEngine{lives: []tracker.ProbeResult{tracker.Refuses}}
+		engine := &scriptedEngine{results: []tracker.ProbeResult{tracker.Refuses}}
 		g.Engine = engine
 		r := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 1}
 		g.setRunner(r, fromStore)
--- a/internal/instance/gatekeeper/lease_test.go
+++ b/internal/instance/gatekeeper/lease_test.go
@@ -156,8 +156,8 @@
 				d.elector.ObserveRow(released, store.version, uptime())
 				d.maintainLease(t.Context())
 				time.Sleep(100 * time.Millisecond)
-				if took := readLease(t, store).Leader == g.Config.ID; took != answers {
-					t.Errorf("acquired the lease: %v", took)
+				if acquired := readLease(t, store).Leader == g.Config.ID; acquired != answers {
+					t.Errorf("acquired the lease: %v", acquired)
 				}
 			})
 		})
--- a/internal/instance/gatekeeper/link_test.go
+++ b/internal/instance/gatekeeper/link_test.go
@@ -155,10 +155,10 @@
 // The store rejects an instance for a while. Each call is billed, so the pause between them
 // grows; the first success resets it.
 func TestRetryDelayGrows(t *testing.T) {
-	failed := newBackOff()
+	backOff := newBackOff()
 	var got []time.Duration
 	for _, err := range []error{nil, io.EOF, io.EOF, io.EOF, io.EOF, io.EOF, nil, io.EOF} {
-		got = append(got, retryDelay(err, failed))
+		got = append(got, retryDelay(err, backOff))
 	}
 	want := []time.Duration{0, minRetryDelay, 2 * minRetryDelay, 4 * minRetryDelay, maxRetryDelay, maxRetryDelay, 0, minRetryDelay}
 	if diff := cmp.Diff(want, got); diff != "" {
@@ -169,7 +169,7 @@
 // All instances start together. Each tries to acquire the lease of its own domain at once; the
 // other domains have instances of their own, and trying for theirs too only costs calls, unless
 // they stay without a leader for a while.
-func TestAtAStartOnlyTheOwnLeaseCountsAsVacant(t *testing.T) {
+func TestOnlyOwnDomainCountsAsLeaderlessAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
 		g.Config.Domains = []string{"a", "b"}
@@ -190,7 +190,7 @@
 // A leader fails. The next one must not send orders before the configured quiet time is over,
 // counted from the end of the old lease: the old leader may have sent orders until then, and a
 // runner that does not check fencing tokens would execute the orders of both in turn.
-func TestNewLeaderKeepsTheConfiguredQuietTime(t *testing.T) {
+func TestNewLeaderKeepsTheConfiguredQuietPeriod(t *testing.T) {
 	g := newTestGatekeeper()
 	g.Config.Bounds.Quiet = 3 * time.Second
 	g.init()
--- a/internal/instance/gatekeeper/load_time_test.go
+++ b/internal/instance/gatekeeper/load_time_test.go
@@ -34,11 +34,11 @@
 	e.set(time.Second)
 	const actual = 250 * time.Millisecond
 	for n := range 80 {
-		a := placer.LoadObservation{Max: e.get()}
+		load := placer.LoadObservation{Max: e.get()}
 		if e.get() < actual {
-			a = placer.LoadObservation{Min: e.get(), Max: actual}
+			load = placer.LoadObservation{Min: e.get(), Max: actual}
 		}
-		e.observe(a, startTime.Add(time.Duration(n)*100*time.Millisecond))
+		e.observe(load, startTime.Add(time.Duration(n)*100*time.Millisecond))
 	}
 	if got := e.get(); got < actual*9/10 || got > actual*5/4 {
 		t.Errorf("estimate %s, want about %s", got, actual)
@@ -52,37 +52,37 @@
 // before their adapter and be refused.
 func TestFewLoadsAreLateAmongConcurrentLoads(t *testing.T) {
 	const (
-		actual = 288 * time.Millisecond
-		pause  = 25 * time.Millisecond
-		loads  = 40 * 60
+		actual   = 288 * time.Millisecond
+		interval = 25 * time.Millisecond
+		loads    = 40 * 60
 	)
 	var e estimate
 	e.set(initialLoadTime)
 	type observation struct {
-		at time.Time
-		a  placer.LoadObservation
+		at   time.Time
+		load placer.LoadObservation
 	}
 	var pending []observation
 	late, high := 0, 0
 	for n := range loads {
-		now := startTime.Add(time.Duration(n) * pause)
+		now := startTime.Add(time.Duration(n) * interval)
 		for len(pending) > 0 && !pending[0].at.After(now) {
-			e.observe(pending[0].a, pending[0].at)
+			e.observe(pending[0].load, pending[0].at)
 			pending = pending[1:]
 		}
 		expected := e.get()
 		if expected > actual*5/4 {
 			high++
 		}
-		a := placer.LoadObservation{Max: expected}
-		for a.Max < actual {
-			a.Min = a.Max
-			a.Max += expected / 4
+		load := placer.LoadObservation{Max: expected}
+		for load.Max < actual {
+			load.Min = load.Max
+			load.Max += expected / 4
 		}
-		if a.Min > 0 {
+		if load.Min > 0 {
 			late++
 		}
-		pending = append(pending, observation{now.Add(a.Max), a})
+		pending = append(pending, observation{now.Add(load.Max), load})
 	}
 	if late > loads/6 || high > loads/20 {
 		t.Errorf("of %d loads %d were late, and %d had an estimate more than a quarter too high", loads, late, high)
--- a/internal/instance/gatekeeper/quarantine_random_test.go
+++ b/internal/instance/gatekeeper/quarantine_random_test.go
@@ -75,8 +75,8 @@
 	return false
 }
 
-// countsForRule reports whether requests sent by an instance count for the rule.
-func (s *crashSimulation) countsForRule(m *simMember, now time.Time) bool {
+// countsTowardLimit reports whether requests sent by an instance count for the rule.
+func (s *crashSimulation) countsTowardLimit(m *simMember, now time.Time) bool {
 	const stable = 3 * time.Second
 	return m.running(now) && now.Sub(m.lastFault) >= stable && now.Sub(s.lastStoreOutage) >= stable
 }
@@ -90,29 +90,29 @@
 	if _, held := m.g.Quarantined(c.digest); held {
 		return
 	}
-	if len(c.crashes) >= 3 && now.Sub(c.crashes[2]) > 3*time.Second && s.countsForRule(m, now) {
+	if len(c.crashes) >= 3 && now.Sub(c.crashes[2]) > 3*time.Second && s.countsTowardLimit(m, now) {
 		c.lateRequests++
 	}
-	f := simRequest{ends: now.Add(simRunTime + simCheckTime), member: m, runner: fmt.Sprint("i-", len(s.inFlight), "-", now.UnixNano()), culprit: c, digest: c.digest, ran: simRunTime}
+	r := simRequest{ends: now.Add(simRunTime + simCheckTime), member: m, runner: fmt.Sprint("i-", len(s.inFlight), "-", now.UnixNano()), culprit: c, digest: c.digest, ran: simRunTime}
 	for range s.rng.IntN(6) {
-		f.concurrent = append(f.concurrent, simRequest{member: s.members[s.rng.IntN(len(s.members))], runner: f.runner, digest: quarantiner.Digest(fmt.Sprint("beside-", s.rng.IntN(40))), ran: time.Duration(s.rng.Int64N(int64(2 * time.Second)))})
+		r.concurrent = append(r.concurrent, simRequest{member: s.members[s.rng.IntN(len(s.members))], runner: r.runner, digest: quarantiner.Digest(fmt.Sprint("beside-", s.rng.IntN(40))), ran: time.Duration(s.rng.Int64N(int64(2 * time.Second)))})
 	}
-	s.inFlight = append(s.inFlight, f)
+	s.inFlight = append(s.inFlight, r)
 }
 
 // reportCrashes reports the crashes that are due to the instances.
 func (s *crashSimulation) reportCrashes(now time.Time) {
 	requests := s.inFlight
 	s.inFlight = nil
-	for _, f := range requests {
-		if now.Before(f.ends) {
-			s.inFlight = append(s.inFlight, f)
+	for _, r := range requests {
+		if now.Before(r.ends) {
+			s.inFlight = append(s.inFlight, r)
 			continue
 		}
-		f.culprit.crashes = append(f.culprit.crashes, f.ends.Add(-simCheckTime))
-		for _, r := range append(f.concurrent, f) {
-			if !now.Before(r.member.downUntil) {
-				r.member.pending = append(r.member.pending, r)
+		r.culprit.crashes = append(r.culprit.crashes, r.ends.Add(-simCheckTime))
+		for _, affected := range append(r.concurrent, r) {
+			if !now.Before(affected.member.downUntil) {
+				affected.member.pending = append(affected.member.pending, affected)
 			}
 		}
 	}
@@ -179,7 +179,7 @@
 
 // The test above must fail without any one of the safeguards, or it does not test them.
 func TestEachSafeguardOfTheQuarantineIsNeeded(t *testing.T) {
-	for disabled, seed := range map[safeguard]uint64{noStore: 116, noReports: 2, noEarlyStorage: 106, noForwarding: 2} {
+	for disabled, seed := range map[safeguard]uint64{noStore: 116, noReports: 2, noEarlyStorage: 106, noRelaying: 2} {
 		t.Run(string(disabled), func(t *testing.T) {
 			if late, _ := runCrashSimulation(t, seed, disabled); late <= 3 {
 				t.Errorf("seed %d passes without it", seed)
--- a/internal/instance/gatekeeper/quarantine_simulation_test.go
+++ b/internal/instance/gatekeeper/quarantine_simulation_test.go
@@ -74,7 +74,7 @@
 	noStore        safeguard = "crash rows in the store"
 	noReports      safeguard = "reports between instances"
 	noEarlyStorage safeguard = "first crash stored without updates from a leader"
-	noForwarding   safeguard = "leaders relay reports to members"
+	noRelaying     safeguard = "leaders relay reports to members"
 )
 
 const (
@@ -237,7 +237,7 @@
 
 // deliver sends an instance the changes in another one's ledger.
 func (s *crashSimulation) deliver(from, to *simMember) {
-	if s.disabled == noReports || s.disabled == noForwarding && !s.leads(to) {
+	if s.disabled == noReports || s.disabled == noRelaying && !s.leads(to) {
 		return
 	}
 	reports, next := from.g.quarantine.ledger.Since(to.nextSequence[from.id], time.Now())
--- a/internal/instance/gatekeeper/quarantine_test.go
+++ b/internal/instance/gatekeeper/quarantine_test.go
@@ -125,9 +125,9 @@
 func TestCrashRowsAreApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newDomainGatekeeper("a-2", "a")
-		held := func() bool {
-			_, is := g.Quarantined("d")
-			return is
+		quarantined := func() bool {
+			_, ok := g.Quarantined("d")
+			return ok
 		}
 		row := func(runner string, removed bool) tabler.Row {
 			r := tabler.Row{Key: "holder/crash/d/" + runner, Deleted: removed}
@@ -139,10 +139,10 @@
 		got := []bool{}
 		for _, r := range []tabler.Row{row("i-1", false), row("i-2", false), row("i-2", false), row("i-3", false), row("i-2", true)} {
 			g.applyLeaderRow(r)
-			got = append(got, held())
+			got = append(got, quarantined())
 		}
 		g.applyLeaderRow(tabler.Row{Key: "holder/crash/d/i-9", Value: []byte("no row")})
-		got = append(got, held())
+		got = append(got, quarantined())
 		if diff := cmp.Diff([]bool{false, false, false, true, false, false}, got); diff != "" {
 			t.Error(diff)
 		}
--- a/internal/instance/gatekeeper/quota_test.go
+++ b/internal/instance/gatekeeper/quota_test.go
@@ -37,18 +37,18 @@
 	go g.settleQuotas(ctx)
 }
 
-func (m *member) admits(tokens int64) *judge.Error {
+func (m *member) admit(tokens int64) *judge.Error {
 	g, ctx := m.running()
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	return g.Admit(ctx, limiter.Request{Account: "mill", Limit: testLimit, Tokens: tokens})
 }
 
-// admitted sends requests of 50 tokens to the instances in turn, and returns how many tokens were
+// sendRequests sends requests of 50 tokens to the instances in turn, and returns how many tokens were
 // admitted.
-func (s *simulation) admitted(span, every time.Duration) (tokens int64) {
+func (s *simulation) sendRequests(span, every time.Duration) (tokens int64) {
 	for end, n := time.Now().Add(span), 0; time.Now().Before(end); n++ {
-		if m := s.instances[n%len(s.instances)]; m.admits(50) == nil {
+		if m := s.instances[n%len(s.instances)]; m.admit(50) == nil {
 			tokens += 50
 		}
 		time.Sleep(every)
@@ -66,7 +66,7 @@
 func TestQuotaAppliesAcrossInstances(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newQuotaSimulation(t)
-		if got := s.admitted(5*time.Second, floodPause); got < 5000 || got > 6600 {
+		if got := s.sendRequests(5*time.Second, floodPause); got < 5000 || got > 6600 {
 			t.Errorf("%d tokens admitted in 5 s, with rate 1000 and burst 1000", got)
 		}
 		s.end()
@@ -77,7 +77,7 @@
 func TestQuotaSurvivesLeaderChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newQuotaSimulation(t)
-		spent := s.admitted(3*time.Second, floodPause)
+		spent := s.sendRequests(3*time.Second, floodPause)
 		leader := s.leader("a")
 		leader.kill()
 		leader.start()
@@ -88,7 +88,7 @@
 				break
 			}
 		}
-		spent += s.admitted(5*time.Second, floodPause)
+		spent += s.sendRequests(5*time.Second, floodPause)
 		if spent < 5000 || spent > 10000 {
 			t.Errorf("%d tokens admitted in 8 s, with rate 1000 and burst 1000", spent)
 		}
@@ -100,12 +100,12 @@
 func TestPartitionedInstanceKeepsItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newQuotaSimulation(t)
-		s.admitted(10*time.Second, calmPause) // its share becomes a sixth
+		s.sendRequests(10*time.Second, calmPause) // its share becomes a sixth
 		alone := s.instances[5]
 		alone.recordFault(&alone.partitionedUntil, time.Now().Add(20*time.Second))
 		tokens := int64(0)
 		for end := time.Now().Add(10 * time.Second); time.Now().Before(end); {
-			if alone.admits(10) == nil {
+			if alone.admit(10) == nil {
 				tokens += 10
 			}
 			time.Sleep(20 * time.Millisecond)
@@ -127,7 +127,7 @@
 		m.start()
 		s.settleQuotas(t, m)
 		began := time.Now()
-		err := m.admits(10)
+		err := m.admit(10)
 		if err == nil || err.Reason != judge.ReasonStarting || err.Verdict != judge.NotRun || err.RetryAfter <= 0 {
 			t.Errorf("refused with %+v", err)
 		}
--- a/internal/instance/gatekeeper/request_slot_test.go
+++ b/internal/instance/gatekeeper/request_slot_test.go
@@ -19,26 +19,26 @@
 		var done []func()
 		for n := range 3 {
 			g, ctx := s.instances[n].running()
-			p, refused, ok := g.AcquireSlot(ctx, runner, time.Hour)
+			slot, refused, ok := g.AcquireSlot(ctx, runner, time.Hour)
 			if !ok || refused != nil {
 				t.Fatalf("instance %d: refused %v, ok %t", n, refused, ok)
 			}
-			waits = append(waits, p.Wait > 0)
-			done = append(done, p.Release)
+			waits = append(waits, slot.Wait > 0)
+			done = append(done, slot.Release)
 		}
 		if diff := cmp.Diff([]bool{false, false, true}, waits); diff != "" {
 			t.Errorf("instances that wait at a runner with two slots: %s", diff)
 		}
-		for _, leave := range done {
-			leave()
-			leave() // the second call has no effect
+		for _, release := range done {
+			release()
+			release() // the second call has no effect
 		}
 		time.Sleep(time.Second)
 		g, ctx := s.instances[3].running()
-		p, refused, ok := g.AcquireSlot(ctx, runner, 0)
-		if !ok || refused != nil || p.Wait != 0 {
-			t.Fatalf("after all slots were released: wait %v, refused %v, ok %t", p.Wait, refused, ok)
+		slot, refused, ok := g.AcquireSlot(ctx, runner, 0)
+		if !ok || refused != nil || slot.Wait != 0 {
+			t.Fatalf("after all slots were released: wait %v, refused %v, ok %t", slot.Wait, refused, ok)
 		}
-		p.Release()
+		slot.Release()
 	})
 }
--- a/internal/instance/gatekeeper/runners_test.go
+++ b/internal/instance/gatekeeper/runners_test.go
@@ -64,7 +64,7 @@
 }
 
 // Guards against an outage of the store that removes all living runners.
-func TestFirstAnswerAfterAnOutageRemovesNoRunner(t *testing.T) {
+func TestFirstResponseAfterAnOutageRemovesNoRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newSettledSimulation(t, 3)
 		s.store.set(rejects)
--- a/internal/instance/gatekeeper/simulation_peers_test.go
+++ b/internal/instance/gatekeeper/simulation_peers_test.go
@@ -47,7 +47,7 @@
 		return nil, errConnection
 	}
 	ctx, cancel := context.WithCancel(context.WithoutCancel(ctx))
-	c := &simConversation{from: p.from, to: to, lives: running, ctx: ctx, cancel: cancel, messages: make(chan simMessage, 64)}
+	c := &simConversation{from: p.from, to: to, process: running, ctx: ctx, cancel: cancel, messages: make(chan simMessage, 64)}
 	go func() {
 		pause(ctx, linkLatency)
 		to.awaitResumed(ctx)
@@ -60,7 +60,7 @@
 // A simConversation is a conversation between two instances of a simulated deployment.
 type simConversation struct {
 	from, to *member
-	lives    context.Context // of the answering process
+	process  context.Context // of the answering process
 	ctx      context.Context
 	cancel   context.CancelFunc
 	messages chan simMessage
@@ -90,7 +90,7 @@
 // Send implements responder.
 func (c *simConversation) Send(m relayer.Message) error {
 	c.to.awaitResumed(c.ctx)
-	if c.lives.Err() != nil || c.ctx.Err() != nil {
+	if c.process.Err() != nil || c.ctx.Err() != nil {
 		return errConnection
 	}
 	c.put(simMessage{at: time.Now().Add(linkLatency), message: m})
@@ -117,7 +117,7 @@
 				m.err = errConnection
 			}
 			return m.message, m.err
-		case <-c.lives.Done():
+		case <-c.process.Done():
 			return nil, errConnection
 		case <-ctx.Done():
 		}
--- a/internal/instance/gatekeeper/simulation_store_test.go
+++ b/internal/instance/gatekeeper/simulation_store_test.go
@@ -22,23 +22,23 @@
 // A storeClient is the connection of one instance to the store.
 type storeClient struct {
 	*feedStore
-	owner *member
+	member *member
 
 	mu   sync.Mutex
 	mode storeMode
 }
 
-func (p *storeClient) set(mode storeMode) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.mode = mode
+func (c *storeClient) set(mode storeMode) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.mode = mode
 }
 
-func (p *storeClient) admit(ctx context.Context, wait time.Duration) error {
-	p.owner.awaitResumed(ctx)
-	p.mu.Lock()
-	mode := p.mode
-	p.mu.Unlock()
+func (c *storeClient) admit(ctx context.Context, wait time.Duration) error {
+	c.member.awaitResumed(ctx)
+	c.mu.Lock()
+	mode := c.mode
+	c.mu.Unlock()
 	switch mode {
 	case rejects:
 		pause(ctx, time.Millisecond)
@@ -52,31 +52,31 @@
 }
 
 // Scan implements tabler.Feed.
-func (p *storeClient) Scan(ctx context.Context, table string) ([]tabler.Row, uint64, error) {
-	if err := p.admit(ctx, 0); err != nil {
+func (c *storeClient) Scan(ctx context.Context, table string) ([]tabler.Row, uint64, error) {
+	if err := c.admit(ctx, 0); err != nil {
 		return nil, 0, err
 	}
-	rows, version, err := p.feedStore.Scan(ctx, table)
-	p.owner.awaitResumed(ctx)
+	rows, version, err := c.feedStore.Scan(ctx, table)
+	c.member.awaitResumed(ctx)
 	rows = slices.DeleteFunc(rows, func(r tabler.Row) bool { return r.Deleted })
 	return rows, version, err
 }
 
 // Get implements tabler.Feed.
-func (p *storeClient) Get(ctx context.Context, key string) (tabler.Row, error) {
-	if err := p.admit(ctx, 0); err != nil {
+func (c *storeClient) Get(ctx context.Context, key string) (tabler.Row, error) {
+	if err := c.admit(ctx, 0); err != nil {
 		return tabler.Row{}, err
 	}
-	return p.feedStore.Get(ctx, key)
+	return c.feedStore.Get(ctx, key)
 }
 
 // Watch implements tabler.Feed.
-func (p *storeClient) Watch(ctx context.Context, table string, after uint64, wait time.Duration) ([]tabler.Row, uint64, error) {
-	if err := p.admit(ctx, wait); err != nil {
+func (c *storeClient) Watch(ctx context.Context, table string, after uint64, wait time.Duration) ([]tabler.Row, uint64, error) {
+	if err := c.admit(ctx, wait); err != nil {
 		return nil, 0, err
 	}
-	rows, version, err := p.feedStore.Watch(ctx, table, after, wait)
-	p.owner.awaitResumed(ctx)
+	rows, version, err := c.feedStore.Watch(ctx, table, after, wait)
+	c.member.awaitResumed(ctx)
 	slices.SortFunc(rows, func(a, b tabler.Row) int { return int(a.Version) - int(b.Version) })
 	return rows, version, err
 }
--- a/internal/instance/gatekeeper/simulation_test.go
+++ b/internal/instance/gatekeeper/simulation_test.go
@@ -82,7 +82,7 @@
 	}
 	for n := range instances {
 		m := &member{sim: s, id: fmt.Sprint("front-", n), domain: s.domains[n%domains]}
-		m.store = &storeClient{feedStore: s.store, owner: m}
+		m.store = &storeClient{feedStore: s.store, member: m}
 		s.instances = append(s.instances, m)
 		m.start()
 		if n < domains {
@@ -267,9 +267,9 @@
 func (m *member) reaches(other *member) bool {
 	now := time.Now()
 	m.mu.Lock()
-	cut := m.partitionedUntil
+	partitionedUntil := m.partitionedUntil
 	m.mu.Unlock()
 	other.mu.Lock()
 	defer other.mu.Unlock()
-	return !now.Before(cut) && !now.Before(other.partitionedUntil)
+	return !now.Before(partitionedUntil) && !now.Before(other.partitionedUntil)
 }
--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -157,10 +157,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, c := newSettledSimulation(t, 2)
 		member := s.instances[1].gatekeeper()
-		ghost := tracker.Runner{ID: "i-9", Domain: "a", Service: "llm", Revision: s.store.version + 1}
-		member.setRunner(ghost, "test")
+		unknown := tracker.Runner{ID: "i-9", Domain: "a", Service: "llm", Revision: s.store.version + 1}
+		member.setRunner(unknown, "test")
 		s.advance(drainDeadline, c)
-		if _, known := member.Fleet.Get(ghost.ID); known {
+		if _, known := member.Fleet.Get(unknown.ID); known {
 			t.Errorf("a runner that nobody else knows is known for %s", drainDeadline)
 		}
 	})
--- a/internal/instance/gatekeeper/source_test.go
+++ b/internal/instance/gatekeeper/source_test.go
@@ -23,9 +23,9 @@
 		otherLease := elector.Lease{Leader: "b-1", Address: "b-1", Fence: 1}
 		g.links["a"].setLeader(ownLease)
 		g.links["b"].setLeader(otherLease)
-		receive := func(from source, a relayer.News) {
+		receive := func(from source, update relayer.News) {
 			g.source.received(from, time.Now())
-			g.links["a"].apply(a)
+			g.links["a"].apply(update)
 			g.links["b"].apply(relayer.News{Lease: otherLease})
 		}
 		selected := func() source {
--- a/internal/instance/gatekeeper/staleness_test.go
+++ b/internal/instance/gatekeeper/staleness_test.go
@@ -153,9 +153,9 @@
 			t.Fatal("an old view needs no check; the test proves nothing")
 		}
 		g.operator.invalidate()
-		end := start(t, func(ctx context.Context) { g.pollWhenStale(ctx, &g.operator) })
+		stop := start(t, func(ctx context.Context) { g.pollWhenStale(ctx, &g.operator) })
 		time.Sleep(10 * time.Second)
-		end()
+		stop()
 		if n := store.callCount(); n != 0 {
 			t.Errorf("%d calls to the store, want none", n)
 		}
@@ -209,9 +209,9 @@
 // receives updates.
 func TestStalenessChecksAreFewWithoutFaults(t *testing.T) {
 	for _, tc := range []struct {
-		name  string
-		leads bool
-		most  int // calls in a minute
+		name     string
+		leads    bool
+		maxCalls int // calls in a minute
 	}{
 		{"publishes to others", true, 64},
 		{"receives updates", false, 4},
@@ -227,8 +227,8 @@
 					defer start(t, publishFrom(g, store))()
 				}
 				time.Sleep(time.Minute)
-				if n := store.callCount(); n > tc.most {
-					t.Errorf("%d calls in a minute, want %d at most", n, tc.most)
+				if n := store.callCount(); n > tc.maxCalls {
+					t.Errorf("%d calls in a minute, want %d at most", n, tc.maxCalls)
 				}
 			})
 		})
@@ -241,17 +241,17 @@
 	g := newTestGatekeeper()
 	g.Config.Domains = []string{"a", "b", "c", "d", "e", "f"}
 	for _, tc := range []struct {
-		holds string
+		leads string
 		want  time.Duration
 	}{
 		{"", maxAge}, {"f", maxAge}, {"c", maxAgeLeader + 2*maxAgeStagger}, {"a", maxAgeLeader},
 	} {
 		g.init()
-		if tc.holds != "" {
-			makeLeader(g, tc.holds)
+		if tc.leads != "" {
+			makeLeader(g, tc.leads)
 		}
 		if got := g.operatorMaxAge(); got != tc.want {
-			t.Errorf("leader of %q polls after %s, want %s", tc.holds, got, tc.want)
+			t.Errorf("leader of %q polls after %s, want %s", tc.leads, got, tc.want)
 		}
 	}
 }
--- a/internal/instance/gatekeeper/table_test.go
+++ b/internal/instance/gatekeeper/table_test.go
@@ -188,9 +188,9 @@
 }
 
 func runSources(t *testing.T, rng *rand.Rand) {
-	first, member, ownStore, memberStore := newPair()
-	second, _, otherStore, _ := newPair()
-	stores := []*feedStore{ownStore, otherStore, memberStore}
+	first, member, firstStore, memberStore := newPair()
+	second, _, secondStore, _ := newPair()
+	stores := []*feedStore{firstStore, secondStore, memberStore}
 	schedules := []*schedule{{}, {}}
 	defer start(t, first.watchOperator, first.watchRunners, second.watchOperator, second.watchRunners, member.watchOperator, member.watchRunners)()
 	defer start(t, publishRows(first, member, schedules[0]), publishRows(second, member, schedules[1]))()
--- a/internal/member/aggregator/aggregator.go
+++ b/internal/member/aggregator/aggregator.go
@@ -122,14 +122,14 @@
 
 // Sum returns the sum of the reports of all members.
 func (a *Aggregator) Sum() Report {
-	w := Report{Instances: a.instances, Loads: a.Loads(""), Uses: make(map[Key]int, len(a.uses)), Waits: make(map[Key]placer.Waiting, len(a.waiting))}
+	sum := Report{Instances: a.instances, Loads: a.Loads(""), Uses: make(map[Key]int, len(a.uses)), Waits: make(map[Key]placer.Waiting, len(a.waiting))}
 	for k, n := range a.uses {
-		w.Uses[k] = n
+		sum.Uses[k] = n
 	}
 	for k := range a.waiting {
-		w.Waits[k] = a.totalWaiting(k)
+		sum.Waits[k] = a.totalWaiting(k)
 	}
-	return w
+	return sum
 }
 
 func (a *Aggregator) member(id string, now time.Time) *member {
--- a/internal/member/aggregator/aggregator_test.go
+++ b/internal/member/aggregator/aggregator_test.go
@@ -24,14 +24,14 @@
 )
 
 func ExampleAggregator_Report() {
-	g := aggregator.Aggregator{MemberTimeout: memberTimeout}
-	g.Report("front-1", aggregator.Report{Instances: 1, Uses: map[aggregator.Key]int{hot: 2}}, start)
-	g.Report("front-2", aggregator.Report{Instances: 1, Uses: map[aggregator.Key]int{hot: 1}}, start)
-	fmt.Println(g.Uses(hot))
-	g.Report("front-1", aggregator.Report{Instances: 1}, start) // complete: its uses have ended
-	fmt.Println(g.Uses(hot))
-	g.Expire(start.Add(memberTimeout + time.Second)) // no reports since
-	fmt.Println(g.Uses(hot), g.Instances())
+	a := aggregator.Aggregator{MemberTimeout: memberTimeout}
+	a.Report("front-1", aggregator.Report{Instances: 1, Uses: map[aggregator.Key]int{hot: 2}}, start)
+	a.Report("front-2", aggregator.Report{Instances: 1, Uses: map[aggregator.Key]int{hot: 1}}, start)
+	fmt.Println(a.Uses(hot))
+	a.Report("front-1", aggregator.Report{Instances: 1}, start) // complete: its uses have ended
+	fmt.Println(a.Uses(hot))
+	a.Expire(start.Add(memberTimeout + time.Second)) // no reports since
+	fmt.Println(a.Uses(hot), a.Instances())
 	// Output:
 	// 3
 	// 1
@@ -43,20 +43,20 @@
 // slot to a copy for which fewer requests waited.
 func TestWaitingRequestsOfAllMembersAreSummed(t *testing.T) {
 	notified := make(map[aggregator.Key]placer.Waiting)
-	g := aggregator.Aggregator{MemberTimeout: memberTimeout, OnWaiting: func(k aggregator.Key, all placer.Waiting) { notified[k] = all }}
+	a := aggregator.Aggregator{MemberTimeout: memberTimeout, OnWaiting: func(k aggregator.Key, all placer.Waiting) { notified[k] = all }}
 	waits := func(priority, requests, inTime int) aggregator.Report {
 		return aggregator.Report{Waits: map[aggregator.Key]placer.Waiting{hot: {Priority: priority, Requests: requests, InTime: inTime}}}
 	}
-	g.Report("front-1", waits(1, 2, 1), start)
-	g.Report("front-2", waits(0, 3, 2), start)
+	a.Report("front-1", waits(1, 2, 1), start)
+	a.Report("front-2", waits(0, 3, 2), start)
 	if diff := cmp.Diff(placer.Waiting{Priority: 0, Requests: 5, InTime: 3}, notified[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
 		t.Error("requests of both wait:", diff)
 	}
-	g.Report("front-2", aggregator.Report{}, start)
+	a.Report("front-2", aggregator.Report{}, start)
 	if diff := cmp.Diff(placer.Waiting{Priority: 1, Requests: 2, InTime: 1}, notified[hot], cmp.AllowUnexported(placer.Waiting{})); diff != "" {
 		t.Error("after the urgent requests ended:", diff)
 	}
-	g.Remove("front-1")
+	a.Remove("front-1")
 	if notified[hot].Requests != 0 {
 		t.Errorf("%d requests wait after all have ended", notified[hot].Requests)
 	}
@@ -67,16 +67,16 @@
 // stays occupied until the next report.
 func TestOnFreedIsCalledWhenLastUseEnds(t *testing.T) {
 	var freed []aggregator.Key
-	g := aggregator.Aggregator{MemberTimeout: memberTimeout, OnFreed: func(k aggregator.Key) { freed = append(freed, k) }}
+	a := aggregator.Aggregator{MemberTimeout: memberTimeout, OnFreed: func(k aggregator.Key) { freed = append(freed, k) }}
 	uses := func(n int) aggregator.Report { return aggregator.Report{Uses: map[aggregator.Key]int{hot: n, cold: 1}} }
-	g.Report("front-1", uses(2), start)
-	g.Report("front-2", uses(1), start)
-	g.Report("front-1", uses(1), start)
-	g.Report("front-2", aggregator.Report{Uses: map[aggregator.Key]int{cold: 1}}, start)
+	a.Report("front-1", uses(2), start)
+	a.Report("front-2", uses(1), start)
+	a.Report("front-1", uses(1), start)
+	a.Report("front-2", aggregator.Report{Uses: map[aggregator.Key]int{cold: 1}}, start)
 	if len(freed) > 0 {
 		t.Errorf("Freed was called for %v, which are in use", freed)
 	}
-	g.Report("front-1", aggregator.Report{Uses: map[aggregator.Key]int{cold: 1}}, start)
+	a.Report("front-1", aggregator.Report{Uses: map[aggregator.Key]int{cold: 1}}, start)
 	if diff := cmp.Diff([]aggregator.Key{hot}, freed); diff != "" {
 		t.Error(diff)
 	}
@@ -93,7 +93,7 @@
 }
 
 func compareWithReports(t *testing.T, rng *rand.Rand) {
-	g := aggregator.Aggregator{MemberTimeout: memberTimeout}
+	a := aggregator.Aggregator{MemberTimeout: memberTimeout}
 	reports := make(map[string]aggregator.Report)
 	lastReportAt := make(map[string]time.Time)
 	now := start
@@ -102,34 +102,34 @@
 		id := fmt.Sprint("front-", rng.IntN(6))
 		switch rng.IntN(8) {
 		case 0:
-			g.Remove(id)
+			a.Remove(id)
 			delete(reports, id)
 		case 1:
 			k := randomKey(rng)
-			g.AddUse(id, k, now)
+			a.AddUse(id, k, now)
 			if _, known := reports[id]; !known {
 				lastReportAt[id] = now
 				reports[id] = aggregator.Report{Uses: make(map[aggregator.Key]int)}
 			}
 			reports[id].Uses[k]++
 		case 2:
-			g.Expire(now)
+			a.Expire(now)
 			for other := range reports {
 				if now.Sub(lastReportAt[other]) > memberTimeout {
 					delete(reports, other)
 				}
 			}
 		default:
-			w := randomReport(rng)
-			reports[id], lastReportAt[id] = w, now
-			w.Uses = maps.Clone(w.Uses)
-			g.Report(id, w, now)
+			r := randomReport(rng)
+			reports[id], lastReportAt[id] = r, now
+			r.Uses = maps.Clone(r.Uses)
+			a.Report(id, r, now)
 		}
 		var want aggregator.Report
 		for _, r := range reports {
 			want.Add(r)
 		}
-		if diff := cmp.Diff(want, g.Sum(), cmpopts.EquateEmpty(), cmp.AllowUnexported(placer.Waiting{}, tracker.Load{})); diff != "" {
+		if diff := cmp.Diff(want, a.Sum(), cmpopts.EquateEmpty(), cmp.AllowUnexported(placer.Waiting{}, tracker.Load{})); diff != "" {
 			t.Fatal(diff)
 		}
 	}
@@ -140,15 +140,15 @@
 }
 
 func randomReport(rng *rand.Rand) aggregator.Report {
-	w := aggregator.Report{
+	r := aggregator.Report{
 		Instances: 1 + rng.IntN(3), Loads: make(map[string]tracker.Load), Uses: make(map[aggregator.Key]int), Waits: make(map[aggregator.Key]placer.Waiting),
 	}
 	for range rng.IntN(4) {
-		w.Loads[randomKey(rng).Runner] = tracker.Load{Running: 1 + rng.IntN(5), PrefillTokens: rng.IntN(1000)}
-		w.Uses[randomKey(rng)] = 1 + rng.IntN(3)
-		w.Waits[randomKey(rng)] = placer.Waiting{Priority: rng.IntN(3), Requests: 1 + rng.IntN(4), InTime: rng.IntN(2)}
+		r.Loads[randomKey(rng).Runner] = tracker.Load{Running: 1 + rng.IntN(5), PrefillTokens: rng.IntN(1000)}
+		r.Uses[randomKey(rng)] = 1 + rng.IntN(3)
+		r.Waits[randomKey(rng)] = placer.Waiting{Priority: rng.IntN(3), Requests: 1 + rng.IntN(4), InTime: rng.IntN(2)}
 	}
-	return w
+	return r
 }
 
 // The cost of one report with 30 to 1,000 members; it must not depend on their number.
@@ -156,15 +156,15 @@
 	for _, members := range []int{30, 100, 300, 1000} {
 		b.Run(fmt.Sprint("members=", members), func(b *testing.B) {
 			rng := rand.New(rand.NewPCG(1, 1))
-			g := aggregator.Aggregator{MemberTimeout: memberTimeout, OnWaiting: func(aggregator.Key, placer.Waiting) {}}
+			a := aggregator.Aggregator{MemberTimeout: memberTimeout, OnWaiting: func(aggregator.Key, placer.Waiting) {}}
 			for n := range members {
-				g.Report(fmt.Sprint("front-", n), randomReport(rng), start)
+				a.Report(fmt.Sprint("front-", n), randomReport(rng), start)
 			}
 			reports := []aggregator.Report{randomReport(rng), randomReport(rng)}
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
-				g.Report("front-0", reports[n%2], start)
-				g.Loads("front-0")
+				a.Report("front-0", reports[n%2], start)
+				a.Loads("front-0")
 			}
 		})
 	}
--- a/internal/member/aggregator/report.go
+++ b/internal/member/aggregator/report.go
@@ -22,27 +22,27 @@
 }
 
 // Add adds another report to this one.
-func (w *Report) Add(other Report) {
-	w.Instances += other.Instances
-	if w.Loads == nil {
-		w.Loads = make(map[string]tracker.Load, len(other.Loads))
+func (r *Report) Add(other Report) {
+	r.Instances += other.Instances
+	if r.Loads == nil {
+		r.Loads = make(map[string]tracker.Load, len(other.Loads))
 	}
 	for runner, load := range other.Loads {
-		w.Loads[runner] = w.Loads[runner].Plus(load)
+		r.Loads[runner] = r.Loads[runner].Plus(load)
 	}
-	if w.Uses == nil {
-		w.Uses = make(map[Key]int, len(other.Uses))
+	if r.Uses == nil {
+		r.Uses = make(map[Key]int, len(other.Uses))
 	}
 	for k, n := range other.Uses {
-		w.Uses[k] += n
+		r.Uses[k] += n
 	}
-	if w.Waits == nil {
-		w.Waits = make(map[Key]placer.Waiting, len(other.Waits))
+	if r.Waits == nil {
+		r.Waits = make(map[Key]placer.Waiting, len(other.Waits))
 	}
 	for k, waiting := range other.Waits {
-		if sum, ok := w.Waits[k]; ok {
+		if sum, ok := r.Waits[k]; ok {
 			waiting = sum.Plus(waiting)
 		}
-		w.Waits[k] = waiting
+		r.Waits[k] = waiting
 	}
 }
--- a/internal/member/elector/elector.go
+++ b/internal/member/elector/elector.go
@@ -33,18 +33,18 @@
 	QuietPeriod   time.Duration // quiet period: minimum time between the orders of two leaders
 	TakeoverDelay time.Duration // additional delay before a takeover; 0 for the instances of the domain itself
 
-	version       uint64 // of the row as last observed or written
-	row           Lease
-	observedAt    time.Duration // when version was first observed
-	renewedAt     time.Duration // when the last successful renewal was sent; valid while leader
-	acquired      bool          // acquired the lease and has not lost or released it; it may have expired
-	ordersFrom    time.Duration // before which no orders may be sent
-	rowKnown      bool          // the row was observed, and no WriteFailed or StepDown happened since
-	leaving       bool          // the instance is stopping
-	steppedDownAt time.Duration // by StepDown
-	idleUntil     time.Duration // before which it does not take the lease over again
-	endedFence    uint64        // fencing token of a lease whose leader reported that it stepped down
-	endedAt       time.Duration // when that report arrived
+	version           uint64 // of the row as last observed or written
+	row               Lease
+	observedAt        time.Duration // when version was first observed
+	renewedAt         time.Duration // when the last successful renewal was sent; valid while leader
+	acquired          bool          // acquired the lease and has not lost or released it; it may have expired
+	ordersFrom        time.Duration // before which no orders may be sent
+	rowKnown          bool          // the row was observed, and no WriteFailed or StepDown happened since
+	leaving           bool          // the instance is stopping
+	steppedDownAt     time.Duration // by StepDown
+	idleUntil         time.Duration // before which it does not take the lease over again
+	releasedFence     uint64        // fencing token of a lease whose leader reported that it stepped down
+	releaseReportedAt time.Duration // when that report arrived
 }
 
 // A Write is a conditional write of the lease row: it takes effect only if the
@@ -124,13 +124,15 @@
 // more orders, whatever the row says. A leader that cannot reach the table service
 // cannot release the lease, but it may reach instances that can take it over.
 func (e *Elector) ObserveStepDown(fence uint64, now time.Duration) {
-	if !e.acquired && fence > e.endedFence {
-		e.endedFence, e.endedAt = fence, now
+	if !e.acquired && fence > e.releasedFence {
+		e.releasedFence, e.releaseReportedAt = fence, now
 	}
 }
 
-// leaderEnded reports whether the leader named in the row is known to have stepped down.
-func (e *Elector) leaderEnded() bool { return e.endedFence > 0 && e.row.Fence == e.endedFence }
+// leaderSteppedDown reports whether the leader named in the row is known to have stepped down.
+func (e *Elector) leaderSteppedDown() bool {
+	return e.releasedFence > 0 && e.row.Fence == e.releasedFence
+}
 
 func (e *Elector) release(now time.Duration) (w Write, wasLeader bool) {
 	wasLeader = e.IsLeader(now)
@@ -183,7 +185,7 @@
 	if e.version == 0 || e.row.Leader == "" {
 		return now-e.observedAt >= e.TakeoverDelay
 	}
-	if e.leaderEnded() && now-e.endedAt >= e.TakeoverDelay {
+	if e.leaderSteppedDown() && now-e.releaseReportedAt >= e.TakeoverDelay {
 		return true
 	}
 	return e.row.Leader == e.Self || now-e.observedAt >= e.LeaseDuration+e.LeaseDuration/driftDivisor+e.TakeoverDelay
@@ -226,8 +228,8 @@
 		return w.sentAt
 	case e.row.Leader == e.Self, e.row.Leader == "":
 		return e.observedAt + e.QuietPeriod
-	case e.leaderEnded():
-		return e.endedAt + e.QuietPeriod
+	case e.leaderSteppedDown():
+		return e.releaseReportedAt + e.QuietPeriod
 	default:
 		return e.observedAt + e.LeaseDuration + e.QuietPeriod
 	}
--- a/internal/member/elector/elector_test.go
+++ b/internal/member/elector/elector_test.go
@@ -38,8 +38,8 @@
 		t.Fatalf("write = %+v, %v", write, ok)
 	}
 	e.WriteSucceeded(write, 13, time.Second)
-	if fence, acts := e.MaySendOrders(time.Second); !acts || fence != 8 {
-		t.Errorf("Acts = %v with fence %d, want true with fence 8", acts, fence)
+	if fence, ok := e.MaySendOrders(time.Second); !ok || fence != 8 {
+		t.Errorf("Acts = %v with fence %d, want true with fence 8", ok, fence)
 	}
 }
 
@@ -60,7 +60,7 @@
 	write, _ := e.Next(0)
 	e.WriteSucceeded(write, 1, 0)
 	e.Leave(time.Second)
-	if _, acts := e.MaySendOrders(time.Second); acts {
+	if _, ok := e.MaySendOrders(time.Second); ok {
 		t.Error("may send orders after Leave")
 	}
 	if write, ok := e.Next(2 * time.Second); ok {
@@ -84,7 +84,7 @@
 		t.Error("was not the leader before Yield")
 	}
 	e.WriteSucceeded(renewal, 2, 1200*time.Millisecond)
-	if _, acts := e.MaySendOrders(1300 * time.Millisecond); acts {
+	if _, ok := e.MaySendOrders(1300 * time.Millisecond); ok {
 		t.Error("may send orders after Yield")
 	}
 	e.ObserveRow(elector.Lease{Fence: 1}, 3, 2*time.Second)
@@ -100,7 +100,7 @@
 // that can reach the row. One of them takes over at once, also if a renewal has changed
 // the row since, and sends orders after the quiet period; otherwise no adapter would be
 // loaded until the lease had expired.
-func TestLeaseIsTakenOverOnceLeaderReportsItsEnd(t *testing.T) {
+func TestLeaseIsTakenOverOnceLeaderReportsStepDown(t *testing.T) {
 	e := newElector("a-2")
 	e.ObserveRow(elector.Lease{Leader: "a-1", Fence: 4}, 7, 0)
 	if _, ok := e.Next(time.Second); ok {
@@ -117,10 +117,10 @@
 		t.Fatalf("write = %+v, %v", w, ok)
 	}
 	e.WriteSucceeded(w, 9, time.Second)
-	if _, acts := e.MaySendOrders(time.Second + quiet - time.Millisecond); acts {
+	if _, ok := e.MaySendOrders(time.Second + quiet - time.Millisecond); ok {
 		t.Error("may send orders within the quiet period")
 	}
-	if _, acts := e.MaySendOrders(time.Second + quiet); !acts {
+	if _, ok := e.MaySendOrders(time.Second + quiet); !ok {
 		t.Error("may not send orders after the quiet period")
 	}
 }
@@ -135,15 +135,15 @@
 
 // The same, with leaders that step down now and then, as they do when they reach the
 // store but not the runners.
-func TestOrdersOfTwoLeadersNeverOverlapAfterYield(t *testing.T) {
+func TestOrdersOfTwoLeadersNeverOverlapAfterStepDown(t *testing.T) {
 	simulateElection(t, 1000)
 }
 
 // simulateElection simulates three instances. A leader steps down with a probability of
 // 1 in yieldOdds at each step; never if yieldOdds is 0.
-func simulateElection(t *testing.T, yieldOdds int) {
+func simulateElection(t *testing.T, stepDownOdds int) {
 	for seed := range uint64(300) {
-		yieldRNG := rand.New(rand.NewPCG(seed, 3))
+		stepDownRNG := rand.New(rand.NewPCG(seed, 3))
 		rng := rand.New(rand.NewPCG(seed, 2))
 		var row elector.Lease
 		var version uint64
@@ -180,14 +180,14 @@
 					responses[i] = nil
 					continue
 				}
-				if yieldOdds > 0 && e.IsLeader(now) && yieldRNG.IntN(yieldOdds) == 0 {
+				if stepDownOdds > 0 && e.IsLeader(now) && stepDownRNG.IntN(stepDownOdds) == 0 {
 					released := e.Row().Fence
 					w, wasLeader := e.StepDown(now, 10*time.Second)
 					if wasLeader && w.Version == version && now >= cutOffUntil[i] {
 						version++
 						row = w.Row
 					}
-					if other := electors[yieldRNG.IntN(len(electors))]; other != e {
+					if other := electors[stepDownRNG.IntN(len(electors))]; other != e {
 						other.ObserveStepDown(released, now)
 					}
 				}
@@ -195,7 +195,7 @@
 					responses[i] = nil
 					deliver()
 				}
-				if f, acts := e.MaySendOrders(now); acts {
+				if f, ok := e.MaySendOrders(now); ok {
 					if leader != e.Self && now-lastOrderAt < quiet {
 						t.Fatalf("seed %d at %s: %s sends orders %s after %s", seed, now, e.Self, now-lastOrderAt, leader)
 					}
--- a/internal/member/heartbeater/monitor_test.go
+++ b/internal/member/heartbeater/monitor_test.go
@@ -52,7 +52,7 @@
 // A partitioned process sends no heartbeats to its peers, yet it may still send
 // requests and orders. Only its absence from the list for long enough shows that it has
 // terminated; as long as no list was read, nothing shows it.
-func TestGoneNeedsListAndMissingHeartbeats(t *testing.T) {
+func TestTerminatedNeedsListAndMissingHeartbeats(t *testing.T) {
 	m := newMonitor()
 	m.ObserveHeartbeat(a, start)
 	if m.Terminated("a-1", start.Add(time.Hour)) {
--- a/internal/member/leaser/holder.go
+++ b/internal/member/leaser/holder.go
@@ -237,10 +237,10 @@
 	}
 	expired := h.expired(now)
 	var ids []string
-	var drop []Lease
+	var deleteLeases []Lease
 	for _, m := range expired {
 		ids = append(ids, m.ID)
-		drop = append(drop, Lease{Incarnation: m.Incarnation, Serial: h.observed[m.Incarnation].serial})
+		deleteLeases = append(deleteLeases, Lease{Incarnation: m.Incarnation, Serial: h.observed[m.Incarnation].serial})
 	}
 	next := h.roster.Without(ids...)
 	departed := len(next.Departed)
@@ -250,7 +250,7 @@
 	if len(ids) == 0 && (len(next.Departed) == departed || !h.isProposer(expired)) {
 		return Propose{}, false
 	}
-	return Propose{Roster: next, DeleteLeases: drop}, true
+	return Propose{Roster: next, DeleteLeases: deleteLeases}, true
 }
 
 // expired returns the members whose lease row has not changed for the lease
--- a/internal/member/relayer/leader.go
+++ b/internal/member/relayer/leader.go
@@ -187,8 +187,8 @@
 }
 
 // AddHeld adds the state of a copy at a runner, which can be used after in.
-func (n *News) AddHeld(runner string, c placer.Copy, in time.Duration) {
-	s := CopyState{Adapter: c.Adapter, Version: c.Version, ReadyIn: in}
+func (n *News) AddHeld(runner string, c placer.Copy, readyIn time.Duration) {
+	s := CopyState{Adapter: c.Adapter, Version: c.Version, ReadyIn: readyIn}
 	for i := range n.Held {
 		if h := &n.Held[i]; h.Runner == runner && h.Model == c.Model {
 			h.Copies = append(h.Copies, s)
