--- a/internal/account/limiter/ledger.go
+++ b/internal/account/limiter/ledger.go
@@ -48,7 +48,7 @@
 
 // An entry is the state of one reporter of an account.
 type entry struct {
-	counted   int64 // of the reporter's counter
+	counted   int64 // the reporter's counter as far as it is deducted from the level
 	seq       int64 // highest sequence number of its updates
 	usage     meter
 	share     float64   // fraction of the quota that it may spend while it is unresponsive
--- a/internal/account/limiter/ledger_test.go
+++ b/internal/account/limiter/ledger_test.go
@@ -177,22 +177,22 @@
 	}
 }
 
-// Guards against concurrent asks that are all granted the same tokens: the counter of a later
-// ask did not yet include the tokens granted to an earlier one.
+// Guards against concurrent requests that are all granted the same tokens: the counter sent
+// with a later one did not yet include the tokens granted to an earlier one.
 func TestConcurrentRequestsAreCounted(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
-		order []int // in which the ledger receives the asks
+		order []int // in which the ledger receives the requests
 	}{{"in order", []int{0, 1, 2}}, {"reordered", []int{2, 0, 1}}} {
 		t.Run(tc.name, func(t *testing.T) {
 			l, s := newLedger(thousand), newSpender(1000)
 			settle(t, l, one, spent(0, 0), start)
 			r := request(400)
-			asks := []limiter.Spent{s.Want(r), s.Want(r), s.Want(r)}
-			balances := make([]limiter.Balance, len(asks))
+			reports := []limiter.Spent{s.Want(r), s.Want(r), s.Want(r)}
+			balances := make([]limiter.Balance, len(reports))
 			granted := 0
 			for _, n := range tc.order {
-				balances[n] = settle(t, l, one, asks[n], start)
+				balances[n] = settle(t, l, one, reports[n], start)
 				if balances[n].Granted {
 					granted++
 				}
--- a/internal/account/limiter/limit.go
+++ b/internal/account/limiter/limit.go
@@ -3,7 +3,7 @@
 // A Limit is the quota of an account.
 type Limit struct {
 	Rate        float64 // tokens a second
-	Burst       float64 // tokens beyond that
+	Burst       float64 // tokens that may be spent at once: the capacity of the token bucket
 	PerRequest  bool    // the quota counts requests: each costs one token, whatever its size
 	DefaultCost int64   // cost of a request that does not state its size, in tokens
 }
--- a/internal/account/limiter/spender.go
+++ b/internal/account/limiter/spender.go
@@ -13,8 +13,8 @@
 	// so it is half of the fraction by which a quota may be exceeded.
 	evenShare = 0.05
 	// maxDisconnected is how long an instance that reaches no Ledger spends its share, and how
-	// long a Ledger reserves it. It outlasts a partition; for an instance that is gone for
-	// good nothing is reserved after it.
+	// long a Ledger reserves it. It outlasts a partition; after it nothing is reserved for an
+	// instance that does not return.
 	maxDisconnected = 30 * time.Second
 	// idleAfter is how long an account is still reported after its last use: its share has
 	// decayed to nothing by then.
@@ -188,8 +188,8 @@
 }
 
 // Want returns the report that asks a Ledger for the tokens of a request. Until Answered or
-// Unanswered is called, the request counts in other reports too: otherwise concurrent asks
-// would all be granted the same tokens.
+// Unanswered is called, the request counts in other reports too: otherwise concurrent
+// requests would all be granted the same tokens.
 func (s *Spender) Want(r Request) Spent {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/instance/gatekeeper/age_test.go
+++ b/internal/instance/gatekeeper/age_test.go
@@ -115,17 +115,17 @@
 		v.callEnded(nil)
 		v.recordCall(nil, 7, start)
 		if diff := cmp.Diff(viewState{After: 7, Age: time.Minute}, v.state(start.Add(time.Minute))); diff != "" {
-			t.Error("after it:", diff)
+			t.Error("after the call:", diff)
 		}
 		v.callEnded(errNoAnswer)
 		v.callEnded(errNoAnswer)
 		got := v.state(start)
 		if got.Failed != 2 || got.Err == nil {
-			t.Errorf("after two that failed: %+v", got)
+			t.Errorf("after two failed calls: %+v", got)
 		}
 		v.callEnded(nil)
 		if got := v.state(start); got.Failed != 0 || got.Err != nil {
-			t.Errorf("after one that succeeded: %+v", got)
+			t.Errorf("after a successful call: %+v", got)
 		}
 	})
 }
--- a/internal/instance/gatekeeper/checker_test.go
+++ b/internal/instance/gatekeeper/checker_test.go
@@ -21,7 +21,7 @@
 	return &checker{sim: s, check: (*checker).checkWithoutFaults, usedSince: make(map[instanceRunner]time.Time)}
 }
 
-// newExpiryChecker returns one that checks living runners whose rows expire.
+// newExpiryChecker returns a checker of living runners whose rows expire.
 func newExpiryChecker(s *simulation) *checker {
 	return &checker{sim: s, check: (*checker).checkAfterOutage, usedBefore: make(map[instanceRunner]bool)}
 }
--- a/internal/instance/gatekeeper/demand_test.go
+++ b/internal/instance/gatekeeper/demand_test.go
@@ -12,9 +12,9 @@
 	"github.com/sardinetiller/sardinetiller/internal/upstream/tracker"
 )
 
-// Guards against uses that never end: the report of an end is lost, or the instance dies, and the
-// adapter slot would be lost to all callers for good. A copy must stay while any member uses it,
-// and no longer.
+// Guards against uses that never end because the report of their end is lost or the instance
+// dies: the adapter slot would stay occupied for good. A copy must stay while any member uses
+// it, and no longer.
 func TestUsesEndWithTheirMembers(t *testing.T) {
 	c := placer.Copy{Model: "m", Adapter: "a1", Version: 1}
 	k := keyOf("i-1", c)
--- a/internal/instance/gatekeeper/dependency_test.go
+++ b/internal/instance/gatekeeper/dependency_test.go
@@ -6,8 +6,8 @@
 )
 
 // Calls that were sent during an outage of the store fail one after the other when it is over.
-// Guards against a second loss and return of the store: operators read both times in the log,
-// and runners whose rows have expired are given a grace time from the return.
+// Guards against recording a second outage because of them: operators read the start and the
+// end of an outage in the log, and runners whose rows have expired get a grace time from its end.
 func TestFailureOfAnEarlierCallIsIgnored(t *testing.T) {
 	start := time.Now()
 	at := func(s int) time.Time { return start.Add(time.Duration(s) * time.Second) }
--- a/internal/instance/gatekeeper/headcount_test.go
+++ b/internal/instance/gatekeeper/headcount_test.go
@@ -10,8 +10,8 @@
 )
 
 // All instances restart together, and the leader that counts them starts from zero. Guards
-// against publishing the first counts: each of a hundred instances would take itself for one of
-// three and retry on behalf of thirty, to runners that are full already.
+// against publishing the first counts: each of a hundred instances would assume that there are
+// only three and send thirty times its share of retries, to runners that are already full.
 func TestRetryShareIsSafeAfterARestart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const instances = 195
--- a/internal/instance/gatekeeper/link_test.go
+++ b/internal/instance/gatekeeper/link_test.go
@@ -31,7 +31,7 @@
 }
 
 // The store rejects the leader and serves everybody else, and the leader goes on publishing
-// outdated runners. Guards against members that rely on it: when a runner leaves, they would
+// outdated runners. Guards against members that rely on it: when a runner drains, they would
 // send requests to it until they poll the store themselves.
 func TestUpdatesOfALeaderWithoutTheStoreAreNotTrusted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -56,7 +56,7 @@
 
 // The store rejects a leader, and a runner registers meanwhile. A member that reads the store
 // itself knows it, and receives an older snapshot when it reconnects to the leader. Guards
-// against dropping the new runner, or refusing what only that one could take.
+// against dropping the new runner, or refusing requests that only that one could serve.
 func TestOutdatedSnapshotDropsNoRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
@@ -93,9 +93,9 @@
 }
 
 // The store is unavailable for longer than a lease, and no other instance of the domain is
-// alive to take over. The leader must see that the domain is leaderless and acquire its lease
-// again when the store is back. When it took its own name in the row for a sign of life, its
-// callers got no further adapters for good.
+// alive to take over. The leader must detect that the domain is leaderless and acquire its
+// lease again when the store is back. When it treated its own ID in the row as proof of a live
+// leader, no adapter was loaded for its callers any more.
 func TestLeaderDetectsThatItsOwnLeaseExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
@@ -105,7 +105,7 @@
 		go l.reportLoop(ctx)
 		time.Sleep(2 * leaderTimeout)
 		if !g.controllers["a"].leaderless() {
-			t.Error("an expired lease does not count as vacant")
+			t.Error("a domain whose lease expired does not count as leaderless")
 		}
 		cancel()
 		synctest.Wait()
@@ -132,8 +132,8 @@
 	})
 }
 
-// Between two updates with loads a member receives other changes. It must not take the missing
-// loads for idle runners, or it would send all its requests to the busiest one.
+// Between two updates with loads a member receives other changes. It must not treat runners as
+// idle because an update contains no loads, or it would send all its requests to the busiest one.
 func TestUpdateWithoutLoadsKeepsThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
@@ -167,8 +167,8 @@
 }
 
 // All instances start together. Each tries to acquire the lease of its own domain at once; the
-// other domains have instances of their own, and trying for theirs too only costs calls, unless
-// they stay without a leader for a while.
+// other domains have instances of their own, and trying to acquire their leases too only costs
+// calls, unless those domains stay without a leader for a while.
 func TestOnlyOwnDomainCountsAsLeaderlessAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
@@ -187,7 +187,7 @@
 	})
 }
 
-// A leader fails. The next one must not send orders before the configured quiet time is over,
+// A leader fails. The next one must not send orders before the configured quiet period is over,
 // counted from the end of the old lease: the old leader may have sent orders until then, and a
 // runner that does not check fencing tokens would execute the orders of both in turn.
 func TestNewLeaderKeepsTheConfiguredQuietPeriod(t *testing.T) {
--- a/internal/instance/gatekeeper/load_time_test.go
+++ b/internal/instance/gatekeeper/load_time_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// Guards against an estimate that stays high when loads become faster: requests would be held back
+// Guards against an estimate that stays high when loads become faster: requests would be delayed
 // for a copy that is already loaded.
 func TestEstimateFollowsFasterLoads(t *testing.T) {
 	var e estimate
--- a/internal/instance/gatekeeper/quarantine_random_test.go
+++ b/internal/instance/gatekeeper/quarantine_random_test.go
@@ -36,7 +36,7 @@
 		m.rejectedUntil = until
 	case 7, 8:
 		s.partitionedUntil[s.domains[s.rng.IntN(len(s.domains))]] = until.Add(4 * time.Second)
-		return // instances that reach the store are held to the rule
+		return // the limit still applies to instances that reach the store
 	case 9:
 		s.storeDownUntil, s.lastStoreOutage = until, until
 	case 10: // reports get lost unnoticed
@@ -75,13 +75,14 @@
 	return false
 }
 
-// countsTowardLimit reports whether requests sent by an instance count for the rule.
+// countsTowardLimit reports whether requests that an instance sends now count toward the limit
+// on late requests: neither it nor the store has had a fault recently.
 func (s *crashSimulation) countsTowardLimit(m *simMember, now time.Time) bool {
 	const stable = 3 * time.Second
 	return m.running(now) && now.Sub(m.lastFault) >= stable && now.Sub(s.lastStoreOutage) >= stable
 }
 
-// send has an instance send a request that crashes its runner, beside other requests.
+// send has an instance send a request that crashes its runner while other requests run there.
 func (s *crashSimulation) send(c *simCulprit, now time.Time) {
 	m := s.members[s.rng.IntN(len(s.members))]
 	if !m.running(now) {
--- a/internal/instance/gatekeeper/quarantine_simulation_test.go
+++ b/internal/instance/gatekeeper/quarantine_simulation_test.go
@@ -17,7 +17,7 @@
 	rng              *rand.Rand
 	domains          []string
 	members          []*simMember
-	leaders          map[string]*simMember // leader of each domain, as all instances believe
+	leaders          map[string]*simMember // leader of each domain, as all instances see it
 	partitionedUntil map[string]time.Time  // end of a domain's partition from the others
 	rows             map[string]tabler.Row // rows in the store
 	version          uint64
@@ -35,7 +35,7 @@
 	next         time.Time // when it is sent next
 	interval     time.Duration
 	crashes      []time.Time
-	lateRequests int // requests sent that violate the rule
+	lateRequests int // requests sent more than three seconds after the third crash, by instances without faults
 }
 
 // A simRequest is a request on a runner whose response breaks off at a given time.
@@ -46,7 +46,7 @@
 	digest     quarantiner.Digest
 	concurrent []simRequest
 	culprit    *simCulprit
-	ran        time.Duration // when the runner crashed
+	ran        time.Duration // how long it had run when the runner crashed
 }
 
 // A simMember is one instance.
@@ -100,7 +100,8 @@
 	return s
 }
 
-// start starts an instance without state. The instances that publish to it start over.
+// start starts an instance without state. The other instances publish to it from the beginning
+// again.
 func (s *crashSimulation) start(m *simMember) {
 	for _, other := range s.members {
 		other.nextSequence[m.id] = 0
@@ -130,7 +131,7 @@
 	return m.running(now) && !now.Before(m.rejectedUntil) && !now.Before(s.storeDownUntil)
 }
 
-// step lets all instances do what is due.
+// step runs one step of each instance.
 func (s *crashSimulation) step(now time.Time) {
 	s.replaceLeaders(now)
 	for _, n := range s.rng.Perm(len(s.members)) {
@@ -203,7 +204,7 @@
 			}
 		}
 		if now.Sub(m.lastUpdate) < updateTimeout {
-			return // the member has not noticed yet
+			return // the member has not detected that the updates stopped
 		}
 	}
 	if src == nil {
@@ -259,7 +260,7 @@
 	m.readVersion = s.version
 }
 
-// writeStore writes the rows that an instance wants changed.
+// writeStore executes the pending writes of an instance.
 func (s *crashSimulation) writeStore(m *simMember, now time.Time) {
 	if s.disabled == noStore || !s.reachesStore(m, now) {
 		return
--- a/internal/instance/gatekeeper/quarantine_test.go
+++ b/internal/instance/gatekeeper/quarantine_test.go
@@ -120,8 +120,8 @@
 }
 
 // Guards against a quarantine that is lost when all instances restart at once, and one that
-// outlasts its rows. A request with three stored crashes must be held before it crashes a fourth
-// runner, and must run when its rows are deleted because it was cleared.
+// outlasts its rows. A request with three stored crashes must be quarantined before it crashes a
+// fourth runner, and must run when its rows are deleted because it was cleared.
 func TestCrashRowsAreApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newDomainGatekeeper("a-2", "a")
--- a/internal/instance/gatekeeper/quota_test.go
+++ b/internal/instance/gatekeeper/quota_test.go
@@ -37,6 +37,7 @@
 	go g.settleQuotas(ctx)
 }
 
+// admit sends a request to the instance, and returns the refusal if it is not admitted.
 func (m *member) admit(tokens int64) *judge.Error {
 	g, ctx := m.running()
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
@@ -44,8 +45,8 @@
 	return g.Admit(ctx, limiter.Request{Account: "mill", Limit: testLimit, Tokens: tokens})
 }
 
-// sendRequests sends requests of 50 tokens to the instances in turn, and returns how many tokens were
-// admitted.
+// sendRequests sends requests of 50 tokens to the instances in turn, and returns how many tokens
+// were admitted.
 func (s *simulation) sendRequests(span, every time.Duration) (tokens int64) {
 	for end, n := time.Now().Add(span), 0; time.Now().Before(end); n++ {
 		if m := s.instances[n%len(s.instances)]; m.admit(50) == nil {
--- a/internal/instance/gatekeeper/relay_test.go
+++ b/internal/instance/gatekeeper/relay_test.go
@@ -216,8 +216,8 @@
 	})
 }
 
-// A copy is loaded at a runner of another failure domain, and evicted again. Members that learn
-// of neither send requests there in vain, or load it once more.
+// A copy is loaded at a runner of another failure domain, and evicted again. Members that do not
+// learn of it send requests there that are refused, or load it once more.
 func TestCopiesOfRunnersAreRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
@@ -255,9 +255,9 @@
 }
 
 // The leader of another domain fails while the instance that relays its updates lives. Guards
-// against members that take the relay's updates for the leader's: they would wait for adapters
-// that nobody loads. Runners that come and go are published all the same, as the relay reads
-// them from the store.
+// against members that treat the relay's updates as the leader's: they would wait for adapters
+// that no instance loads. Runners that are added or removed are published all the same, as the
+// relay reads them from the store.
 func TestRelayDoesNotHideThatTheLeaderSendsNoUpdates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newChain()
@@ -289,9 +289,9 @@
 }
 
 // Requests of a member begin and end while messages are lost and late, and while the relay is
-// paused, loses its lease or restarts. Guards against a leader that counts uses that have ended
-// once all has been quiet for a while, or a copy as free that a request has used for longer
-// than reports take.
+// paused, loses its lease or restarts. Guards against a leader that still counts uses that have
+// ended some time after the last fault, or that counts a copy as free although a request has
+// used it for longer than reports take.
 func TestUsesAreCountedWhateverHappensToTheRelay(t *testing.T) {
 	for seed := range uint64(200) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
--- a/internal/instance/gatekeeper/runners_random_test.go
+++ b/internal/instance/gatekeeper/runners_random_test.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// Seeds of the check above with which a runner was used after it had left, or removed while it
+// Seeds of the test above with which a runner was used after it had left, or removed while it
 // was alive, after the first fixes.
 func TestRunnersOfSeedsThatFailed(t *testing.T) {
 	for _, seed := range []uint64{375, 926, 1100, 1600, 1824, 2055, 2110, 2121, 2209, 2344, 2591, 2646} {
@@ -180,7 +180,7 @@
 	}
 }
 
-// leader returns an instance that believes that it leads a domain.
+// leader returns an instance that considers itself the leader of a domain.
 func (s *simulation) leader(domain string) *member {
 	for _, m := range s.instances {
 		if m.leads(domain) {
@@ -191,7 +191,7 @@
 }
 
 // replaceLeaders gives the leases of domains whose leader is missing or paused to others. A
-// leader that was paused goes on for a moment before it notices.
+// leader that was paused continues for a moment before it steps down.
 func (s *simulation) replaceLeaders() {
 	now := time.Now()
 	for _, domain := range s.domains {
--- a/internal/instance/gatekeeper/runners_test.go
+++ b/internal/instance/gatekeeper/runners_test.go
@@ -26,10 +26,10 @@
 	g := newDomainGatekeeper("a-2", "a")
 	runner := tracker.Runner{ID: "i-1", Domain: "a", Service: "llm", Revision: 5}
 	g.setRunner(runner, fromStore)
-	g.recordStoreCall(time.Now(), errors.New("away"))
+	g.recordStoreCall(time.Now(), errors.New("store unavailable"))
 	time.Sleep(5*time.Second - r.earlierForOthers)
 	for end := time.Now().Add(r.earlierForOthers); time.Now().Before(end); time.Sleep(updateInterval) {
-		g.links["b"].apply(relayer.News{Operator: relayer.TableVersion{Newest: 1}}) // of a leader that reaches the store
+		g.links["b"].apply(relayer.News{Operator: relayer.TableVersion{Newest: 1}}) // an update from a leader that reaches the store
 	}
 	g.recordStoreCall(time.Now(), nil)
 	time.Sleep(100 * time.Millisecond)
@@ -53,8 +53,8 @@
 // Guards against a request that goes to a runner 2.2 s after the store accepted that the runner
 // drains. The store was unavailable, and is back some seconds later for this instance than for
 // others; the runner drains just then. Its row may have expired in the outage and come back, so
-// this instance waits; when it counted the grace time from its own return of the store, it
-// stopped too late.
+// this instance waits; when it counted the grace time from its own first successful call, it
+// stopped using the runner too late.
 func TestDrainingRunnerIsNotUsedWhenTheStoreReturnsLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		if _, used := (removedRow{earlierForOthers: 2600 * time.Millisecond}).run(); used {
--- a/internal/instance/gatekeeper/simulation_peers_test.go
+++ b/internal/instance/gatekeeper/simulation_peers_test.go
@@ -60,7 +60,7 @@
 // A simConversation is a conversation between two instances of a simulated deployment.
 type simConversation struct {
 	from, to *member
-	process  context.Context // of the answering process
+	process  context.Context // ends with the responding process
 	ctx      context.Context
 	cancel   context.CancelFunc
 	messages chan simMessage
--- a/internal/instance/gatekeeper/simulation_runner_test.go
+++ b/internal/instance/gatekeeper/simulation_runner_test.go
@@ -18,7 +18,7 @@
 	leaving              bool
 	ended                bool
 	drainedAt            time.Time // when the store accepted that it drains or its row was removed; zero if neither
-	drainedWithoutFaults bool      // the store had been available to everybody for stableTime then
+	drainedWithoutFaults bool      // the store had been available to all instances for stableTime then
 	nextHeartbeat        time.Time // time of its next heartbeat
 	endsAt               time.Time // when it ends; zero if no end is set
 	expiredAt            time.Time // when its row last expired although it is alive
@@ -71,7 +71,7 @@
 	stableTime = 3 * time.Second
 )
 
-// faultFreeFor reports whether the store has been available to everybody for a time.
+// faultFreeFor reports whether the store has been available to all instances for a time.
 func (s *simulation) faultFreeFor(span time.Duration) bool {
 	return time.Since(s.lastFault) >= span
 }
--- a/internal/instance/gatekeeper/simulation_store_test.go
+++ b/internal/instance/gatekeeper/simulation_store_test.go
@@ -12,7 +12,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/wire/encoder"
 )
 
-// down reports whether the store serves nobody.
+// down reports whether the store serves no instance.
 func (s *feedStore) down() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/instance/gatekeeper/simulation_test.go
+++ b/internal/instance/gatekeeper/simulation_test.go
@@ -140,7 +140,7 @@
 	s.store.put(tabler.Row{Key: tableLeaders + "/" + domain, Value: value})
 }
 
-// leads reports whether an instance believes that it leads a domain.
+// leads reports whether an instance considers itself the leader of a domain.
 func (m *member) leads(domain string) bool { return m.gatekeeper().controllers[domain].leads() }
 
 func (m *member) acquireLease(domain string, fence uint64) {
--- a/internal/instance/gatekeeper/snapshot_test.go
+++ b/internal/instance/gatekeeper/snapshot_test.go
@@ -30,10 +30,10 @@
 
 // Requests reached a runner seconds after it had started to drain, from a few of many instances,
 // soon after a change of leaders. An instance that had read that the runner drains received a
-// slightly older snapshot, and from then on sent the older description in its own snapshots;
-// received once more, the draining was no delta any more. The logs of the simulation
-// (runners_random_test.go) proved it: "leaving=true revision=58", then "leaving=false
-// revision=7" at the same instance.
+// slightly older snapshot, and from then on sent the older description in its own snapshots.
+// When it read once more that the runner drains, that no longer counted as a change and was not
+// published. The logs of the simulation (runners_random_test.go) showed it: "leaving=true
+// revision=58", then "leaving=false revision=7" at the same instance.
 func TestOlderSnapshotDoesNotHideThatARunnerDrains(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ready := tracker.Runner{ID: "i-1", Domain: "b", Service: "llm", Revision: 7}
@@ -72,7 +72,7 @@
 	})
 }
 
-// Guards against requests refused for want of runners that have just registered.
+// Guards against dropping runners that have just registered: requests would be refused without them.
 func TestOlderSnapshotRemovesNoRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, behind := newSource("a-1", "a", 7), newSource("b-1", "b", 5)
--- a/internal/instance/gatekeeper/staleness_test.go
+++ b/internal/instance/gatekeeper/staleness_test.go
@@ -18,9 +18,9 @@
 // instance without recent faults.
 const changeDeadline = 2 * time.Second
 
-// The store hangs, rejects calls and loses its history, connections of watch calls hang,
-// another instance publishes what it knows or does not, and the operator changes the
-// configuration all the while, in random order. Guards against an instance that serves an older
+// The store hangs, rejects calls and drops its history, connections of watch calls hang,
+// another instance may publish what it knows, and the operator changes the configuration all
+// the while, in random order. Guards against an instance that serves an older
 // configuration later than three seconds after the last fault, or a change that is not in force
 // in time from then on.
 func TestConfigurationIsCurrentSoonAfterAnyFault(t *testing.T) {
@@ -122,9 +122,9 @@
 	})
 }
 
-// The store is lost and back while calls are in progress, and the watch calls are replaced.
-// Guards against counting that as a failure of the store: it would be lost again, and its
-// return would replace the next calls, over and over.
+// The store becomes unavailable and available again while calls are in progress, and the watch
+// calls are replaced. Guards against counting that as a failure of the store: it would count as
+// unavailable again, and its return would replace the next calls, over and over.
 func TestReplacedWatchCallsAreNoStoreFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, _ := newGatekeeperWithStore()
@@ -135,14 +135,14 @@
 			g.recordStoreCall(time.Now(), nil)
 			synctest.Wait()
 			if _, down := g.storeUp.status(); down {
-				t.Fatal("the store counts as lost after its return")
+				t.Fatal("the store counts as unavailable after its return")
 			}
 		}
 	})
 }
 
 // The changes are no longer available and the whole table is being read. Guards against further
-// calls for changes, and against counting a call that was not made as an answer of the store.
+// calls for changes, and against counting a call that was not made as a response of the store.
 func TestNoStalenessCheckDuringAFullRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, store := newGatekeeperWithStore()
@@ -186,8 +186,8 @@
 }
 
 // Two instances that cannot reach the store report to each other what they know. Guards against
-// taking that as a confirmation: they would consider each other current forever, and serve
-// callers by the configuration from before the store was lost.
+// treating that as a confirmation: they would consider each other current forever, and serve
+// callers by the configuration from before the outage.
 func TestConfirmationsByOthersAreNotRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g, _ := newGatekeeperWithStore()
@@ -236,7 +236,7 @@
 }
 
 // Several instances publish to others. The leader of the first domain polls the store; the
-// others learn of the answer before it is their turn, and take over when it is gone.
+// others receive the result before their own poll is due, and poll when that leader is gone.
 func TestLeadersPollOneAfterTheOther(t *testing.T) {
 	g := newTestGatekeeper()
 	g.Config.Domains = []string{"a", "b", "c", "d", "e", "f"}
--- a/internal/instance/gatekeeper/stepdown_test.go
+++ b/internal/instance/gatekeeper/stepdown_test.go
@@ -136,7 +136,7 @@
 			t.Errorf("lease row names %q, want this instance", leader)
 		}
 		if _, ok := d.mayOrder(); ok {
-			t.Error("sends orders within the quiet time")
+			t.Error("sends orders within the quiet period")
 		}
 	})
 }
--- a/internal/instance/gatekeeper/store_test.go
+++ b/internal/instance/gatekeeper/store_test.go
@@ -13,7 +13,7 @@
 	"github.com/sardinetiller/sardinetiller/internal/request/matcher"
 )
 
-// A storeMode is how a feedStore treats calls.
+// A storeMode is how a feedStore responds to calls.
 type storeMode int
 
 const (
--- a/internal/instance/gatekeeper/watch_test.go
+++ b/internal/instance/gatekeeper/watch_test.go
@@ -22,14 +22,14 @@
 	return nil, after, ctx.Err()
 }
 
-// staticDecoder names tables and decodes nothing.
+// A staticDecoder names tables and decodes nothing.
 type staticDecoder struct{ Decoder }
 
 func (staticDecoder) Tables() (operator, runners string) { return "operator", "runners" }
 
 // A leader reads the runners from the store all the time, and nothing changes. Guards against
-// taking its view to be as old as the start of the last call: its members would not rely on it
-// between two calls, and each would poll the store itself.
+// an age of its view that counts from the start of the last call: its members would not rely on
+// it between two calls, and each would poll the store itself.
 func TestLeaderThatReachesTheStoreStaysFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		g := newTestGatekeeper()
@@ -82,10 +82,10 @@
 	}
 }
 
-// A leader checks whether it has to poll the store while it publishes to its members. The first
-// must not hold the lock of the view while it takes those of the controllers, which the second
-// takes in the other order: the instance deadlocked for good, and its callers were served an
-// outdated configuration.
+// A leader checks whether it has to poll the store while it publishes to its members. The check
+// must not hold the lock of the view while it acquires those of the controllers, as publishing
+// acquires them in the other order: the instance deadlocked for good, and its callers were
+// served an outdated configuration.
 func TestPublishingAndStalenessChecksDoNotDeadlock(t *testing.T) {
 	g, _ := newGatekeeperWithStore()
 	g.setViews()
--- a/internal/member/aggregator/aggregator_test.go
+++ b/internal/member/aggregator/aggregator_test.go
@@ -74,7 +74,7 @@
 	a.Report("front-1", uses(1), start)
 	a.Report("front-2", aggregator.Report{Uses: map[aggregator.Key]int{cold: 1}}, start)
 	if len(freed) > 0 {
-		t.Errorf("Freed was called for %v, which are in use", freed)
+		t.Errorf("OnFreed was called for %v, which are in use", freed)
 	}
 	a.Report("front-1", aggregator.Report{Uses: map[aggregator.Key]int{cold: 1}}, start)
 	if diff := cmp.Diff([]aggregator.Key{hot}, freed); diff != "" {
--- a/internal/member/elector/elector.go
+++ b/internal/member/elector/elector.go
@@ -30,7 +30,7 @@
 	Self          string
 	Address       string
 	LeaseDuration time.Duration // for which a renewal is trusted
-	QuietPeriod   time.Duration // quiet period: minimum time between the orders of two leaders
+	QuietPeriod   time.Duration // minimum time between the orders of two leaders
 	TakeoverDelay time.Duration // additional delay before a takeover; 0 for the instances of the domain itself
 
 	version           uint64 // of the row as last observed or written
@@ -42,7 +42,7 @@
 	rowKnown          bool          // the row was observed, and no WriteFailed or StepDown happened since
 	leaving           bool          // the instance is stopping
 	steppedDownAt     time.Duration // by StepDown
-	idleUntil         time.Duration // before which it does not take the lease over again
+	idleUntil         time.Duration // before which this instance does not take the lease over again
 	releasedFence     uint64        // fencing token of a lease whose leader reported that it stepped down
 	releaseReportedAt time.Duration // when that report arrived
 }
--- a/internal/member/elector/elector_test.go
+++ b/internal/member/elector/elector_test.go
@@ -39,7 +39,7 @@
 	}
 	e.WriteSucceeded(write, 13, time.Second)
 	if fence, ok := e.MaySendOrders(time.Second); !ok || fence != 8 {
-		t.Errorf("Acts = %v with fence %d, want true with fence 8", ok, fence)
+		t.Errorf("MaySendOrders = %v with fence %d, want true with fence 8", ok, fence)
 	}
 }
 
@@ -81,15 +81,15 @@
 		t.Fatal("no renewal is due; the test needs one in flight")
 	}
 	if _, wasLeader := e.StepDown(1100*time.Millisecond, 5*time.Second); !wasLeader {
-		t.Error("was not the leader before Yield")
+		t.Error("was not the leader before StepDown")
 	}
 	e.WriteSucceeded(renewal, 2, 1200*time.Millisecond)
 	if _, ok := e.MaySendOrders(1300 * time.Millisecond); ok {
-		t.Error("may send orders after Yield")
+		t.Error("may send orders after StepDown")
 	}
 	e.ObserveRow(elector.Lease{Fence: 1}, 3, 2*time.Second)
 	if _, ok := e.Next(3 * time.Second); ok {
-		t.Error("takes the lease over again at once after Yield")
+		t.Error("takes the lease over again at once after StepDown")
 	}
 	if _, ok := e.Next(7 * time.Second); !ok {
 		t.Error("does not take the lease over again, though no other instance did")
@@ -108,7 +108,7 @@
 	}
 	e.ObserveStepDown(3, time.Second)
 	if _, ok := e.Next(time.Second); ok {
-		t.Error("takes over the lease in force after the end of an older one")
+		t.Error("takes over the lease in force after the release of an older one")
 	}
 	e.ObserveStepDown(4, time.Second)
 	e.ObserveRow(elector.Lease{Leader: "a-1", Fence: 4, Serial: 1}, 8, time.Second)
@@ -140,7 +140,7 @@
 }
 
 // simulateElection simulates three instances. A leader steps down with a probability of
-// 1 in yieldOdds at each step; never if yieldOdds is 0.
+// 1 in stepDownOdds at each step; never if stepDownOdds is 0.
 func simulateElection(t *testing.T, stepDownOdds int) {
 	for seed := range uint64(300) {
 		stepDownRNG := rand.New(rand.NewPCG(seed, 3))
--- a/internal/member/heartbeater/monitor_test.go
+++ b/internal/member/heartbeater/monitor_test.go
@@ -56,18 +56,18 @@
 	m := newMonitor()
 	m.ObserveHeartbeat(a, start)
 	if m.Terminated("a-1", start.Add(time.Hour)) {
-		t.Error("gone before any list was read")
+		t.Error("terminated before any list was read")
 	}
 	m.ObserveList(nil, start.Add(time.Hour))
 	if m.Terminated("a-1", start.Add(time.Hour+time.Second)) {
-		t.Error("gone as soon as the list lacks it")
+		t.Error("terminated as soon as the list lacks it")
 	}
 	m.ObserveList(nil, start.Add(time.Hour+11*time.Second))
 	if !m.Terminated("a-1", start.Add(time.Hour+11*time.Second)) {
-		t.Error("not gone though off the list and without heartbeats for the time limit")
+		t.Error("not terminated though off the list and without heartbeats for the time limit")
 	}
 	m.ObserveHeartbeat(a, start.Add(2*time.Hour))
 	if m.Terminated("a-1", start.Add(2*time.Hour)) {
-		t.Error("gone although it sent a heartbeat again")
+		t.Error("terminated although it sent a heartbeat again")
 	}
 }
--- a/internal/member/leaser/holder.go
+++ b/internal/member/leaser/holder.go
@@ -199,7 +199,7 @@
 }
 
 // Tick returns the actions due at now. The conditions of their transactions decide
-// whether they take effect; a proposal that lost a race has none.
+// whether they take effect; a proposal that lost a race has no effect.
 func (h *Holder) Tick(now time.Time, gone func(incarnation string) bool) []Action {
 	h.init()
 	if h.machine.State == stateHeld && !now.Before(h.deadline) && !h.deadline.IsZero() {
--- a/internal/member/leaser/holder_test.go
+++ b/internal/member/leaser/holder_test.go
@@ -128,7 +128,7 @@
 		sim.read(h)
 	case "tick":
 		for _, action := range h.Tick(sim.now, func(string) bool { return false }) {
-			result := rapid.SampledFrom([]string{"done", "done", "done", "lost", "unsent"}).Draw(t, "fate")
+			result := rapid.SampledFrom([]string{"done", "done", "done", "lost", "unsent"}).Draw(t, "result")
 			if result != "unsent" {
 				sim.apply(h, action, result == "done")
 			}
--- a/internal/member/relayer/conversation.go
+++ b/internal/member/relayer/conversation.go
@@ -38,7 +38,7 @@
 }
 
 // Next returns the next message of the response, of which an End is the last. It
-// returns an error for a Fail, a failed link and an ended ctx.
+// returns an error for a Fail, a failed link or a canceled ctx.
 func (c *Conversation) Next(ctx context.Context) (Message, error) {
 	select {
 	case m := <-c.parts:
--- a/internal/member/relayer/leader.go
+++ b/internal/member/relayer/leader.go
@@ -19,7 +19,7 @@
 	Domain         string                  `cbor:"5,keyasint"`
 	OtherInstances int                     `cbor:"10,keyasint,omitempty"` // instances that it covers besides the sender
 	Unsubscribed   bool                    `cbor:"11,keyasint,omitempty"` // the sender reports to another instance from now on; no other field but Domain is set
-	Loads          map[string]tracker.Load `cbor:"1,keyasint,omitempty"`  // the sender's load on each runner, all that have any
+	Loads          map[string]tracker.Load `cbor:"1,keyasint,omitempty"`  // the sender's load on every runner that has any
 	ShortGaps      int                     `cbor:"8,keyasint,omitempty"`  // responses with only short gaps between events
 	LongGaps       int                     `cbor:"9,keyasint,omitempty"`  // responses with a long gap
 	Misses         []CopyUse               `cbor:"2,keyasint,omitempty"`  // copies for lack of which a runner refused requests
@@ -94,7 +94,7 @@
 	Checksum          uint64                    `cbor:"23,keyasint,omitempty"` // of the runners that the sender knows
 	StoreReached      Span                      `cbor:"24,keyasint,omitzero"`  // during which the store was reachable without interruption, up to the sender's last call
 	Revision          uint64                    `cbor:"22,keyasint,omitempty"` // of the store up to which the sender itself has read the table of runners
-	Snapshot          bool                      `cbor:"6,keyasint,omitempty"`  // snapshot: Runners and Held are complete
+	Snapshot          bool                      `cbor:"6,keyasint,omitempty"`  // Runners and Held are complete
 }
 
 // A Span is a period of time, given by how long ago it began and ended.
@@ -181,12 +181,12 @@
 	ReadyIn time.Duration // until it can be used; negative if it is not resident
 }
 
-// Copy returns the copy whose state s is.
+// Copy returns the copy that s describes.
 func (h Held) Copy(s CopyState) placer.Copy {
 	return placer.Copy{Model: h.Model, Adapter: s.Adapter, Version: s.Version}
 }
 
-// AddHeld adds the state of a copy at a runner, which can be used after in.
+// AddHeld adds the state of a copy at a runner, which can be used after readyIn.
 func (n *News) AddHeld(runner string, c placer.Copy, readyIn time.Duration) {
 	s := CopyState{Adapter: c.Adapter, Version: c.Version, ReadyIn: readyIn}
 	for i := range n.Held {
