--- a/internal/instance/gatekeeper/age_test.go
+++ b/internal/instance/gatekeeper/age_test.go
@@ -19,7 +19,7 @@
 
 // Guards against an instance that serves an older configuration than the others, as its watch
 // call is not answered, without anything in the metrics or the log: nothing fails and nothing
-// is refused, so only the age of the view and the duration of the call tell that from an
+// is refused, so only the age of the view and the duration of the call distinguish it from an
 // instance that received the change and lost it.
 func TestAgeOfTheConfigurationAndItsCauseAreExported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/instance/gatekeeper/atomictime_test.go
+++ b/internal/instance/gatekeeper/atomictime_test.go
@@ -8,11 +8,11 @@
 
 // The wall clock is set back by seconds while the store rejects the leader. Measured by it, the
 // leader's view of the runners looks fresh for as long again, and its members send requests to
-// runners that have left. Guards against moments that lose the monotonic clock reading.
+// runners that have left. Guards against an atomicTime that loses the monotonic clock reading.
 func TestAtomicTimeKeepsTheMonotonicReading(t *testing.T) {
 	var m atomicTime
 	if _, ok := m.get(); ok {
-		t.Error("a moment that was never set has a time")
+		t.Error("an atomicTime that was never set has a time")
 	}
 	now := time.Now()
 	m.set(now)
--- a/internal/instance/gatekeeper/crash_test.go
+++ b/internal/instance/gatekeeper/crash_test.go
@@ -35,8 +35,8 @@
 	for _, tc := range []struct {
 		name    string
 		results []tracker.ProbeResult
-		before  func(g *Gatekeeper, r tracker.Runner) // before the response breaks off
-		after   func(g *Gatekeeper, r tracker.Runner) // right after
+		before  func(g *Gatekeeper, r tracker.Runner) // called before the response breaks off
+		after   func(g *Gatekeeper, r tracker.Runner) // called right after that
 		want    bool
 	}{
 		{"the runner refuses connections", []tracker.ProbeResult{refuses}, nil, nil, true},
--- a/internal/instance/gatekeeper/quota_test.go
+++ b/internal/instance/gatekeeper/quota_test.go
@@ -118,7 +118,9 @@
 	})
 }
 
-// Guards against a request that is refused although its tokens were charged to the account.
+// An instance has restarted, reaches no other one and so knows no balance. Its refusal must come
+// within a second, and state that the request has not run and when to retry. Guards against a
+// request that is refused although its tokens were charged to the account.
 func TestUnknownQuotaIsRefusedAsStarting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newQuotaSimulation(t)
--- a/internal/instance/gatekeeper/unresponsive_test.go
+++ b/internal/instance/gatekeeper/unresponsive_test.go
@@ -19,7 +19,7 @@
 		happen func(s *failureScore)
 		want   bool
 	}{
-		{"no sign", func(*failureScore) {}, false},
+		{"no failure", func(*failureScore) {}, false},
 		{"refuses connections", func(s *failureScore) { s.recordOrder(placer.Unreached); s.recordReport(refused) }, true},
 		{"never responds", func(s *failureScore) {
 			for range 4 {
--- a/internal/instance/gatekeeper/watch_hang_test.go
+++ b/internal/instance/gatekeeper/watch_hang_test.go
@@ -15,7 +15,7 @@
 // serves, seconds after the operator's change was acknowledged. The store had accepted calls
 // for seven seconds and answered none, without closing a connection. Instances whose watch call
 // was sent before received the change when the store was back; one that sent its watch call
-// during the outage waited for the answer for the whole timeout, half a minute, while its short
+// during the outage waited for the response for the full timeout, half a minute, while its short
 // calls for other tables succeeded. Only that call distinguishes the two kinds of instance.
 func TestConfigurationIsCurrentSoonAfterHangingCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
