--- a/internal/adapter/keeper/keeper.go
+++ b/internal/adapter/keeper/keeper.go
@@ -99,8 +99,8 @@
 func (k *Keeper) Owned() bool { return k.owned }
 
 // Pin protects a servable copy of the adapter from eviction for one request. The
-// caller must Unpin the handle after the last byte of the answer has been sent. It
-// returns false when no servable copy is resident.
+// caller must Unpin the handle after the last byte of the response has been sent. It
+// returns false if no servable copy is resident.
 func (k *Keeper) Pin(adapter string) (Handle, bool) {
 	s := k.servableCopy(adapter)
 	if s == nil {
@@ -227,8 +227,8 @@
 }
 
 func (k *Keeper) victim() *Slot {
-	var worst *Slot
-	var least float64
+	var cheapest *Slot
+	var lowestCost float64
 	for _, name := range slices.Sorted(maps.Keys(k.slots)) {
 		s := k.slots[name]
 		if !k.evictable(s) {
@@ -237,13 +237,13 @@
 		if s.Machine.State == stateDoomed {
 			return s
 		}
-		v := k.evictionCost(s)
-		if worst == nil || v < least {
-			worst = s
-			least = v
+		cost := k.evictionCost(s)
+		if cheapest == nil || cost < lowestCost {
+			cheapest = s
+			lowestCost = cost
 		}
 	}
-	return worst
+	return cheapest
 }
 
 func outcomeEvent(outcome Outcome, done string) string {
--- a/internal/adapter/loader/share.go
+++ b/internal/adapter/loader/share.go
@@ -8,7 +8,7 @@
 // so the rate is divided by the queue lengths that the instances of the domain and
 // the other domains have reported. A fraction of each fixed share stays reserved,
 // so that a new queue is served at once. A domain without a recent report may be
-// partitioned from this one and use its whole fixed share, which is therefore left
+// partitioned from this one and use all of its fixed share, which is therefore left
 // to it: the shares add up to more than the rate for no longer than a report is
 // valid.
 type Sharer struct {
@@ -18,8 +18,8 @@
 	peers   map[string]queueReport
 }
 
-// An Allotment is the fixed share of the rate of an instance or a domain, by the engines
-// that it owns, and its queue length.
+// An Allotment is the fixed share of the rate of an instance or a domain, in proportion to
+// the engines that it owns, and its queue length.
 type Allotment struct {
 	Fixed       float64 // 0 to 1
 	QueueLength int
@@ -49,9 +49,9 @@
 // valid reports.
 func (s *Sharer) QueueLength(own int, now time.Time) int {
 	total := own
-	for _, t := range s.peers {
-		if now.Sub(t.at) <= s.Fresh {
-			total += t.length
+	for _, report := range s.peers {
+		if now.Sub(report.at) <= s.Fresh {
+			total += report.length
 		}
 	}
 	return total
@@ -63,12 +63,12 @@
 	queued := float64(s.QueueLength(own.QueueLength, now))
 	pool := 1.0
 	for domain, fixed := range others {
-		t, ok := s.domains[domain]
-		if !ok || now.Sub(t.at) > s.Fresh {
+		report, ok := s.domains[domain]
+		if !ok || now.Sub(report.at) > s.Fresh {
 			pool -= fixed
 			continue
 		}
-		queued += float64(t.length)
+		queued += float64(report.length)
 	}
 	if queued == 0 {
 		return own.Fixed
--- a/internal/instance/gatekeeper/age_test.go
+++ b/internal/instance/gatekeeper/age_test.go
@@ -19,7 +19,7 @@
 
 // Guards against an instance that serves an older configuration than the others, as its watch
 // call is not answered, without anything in the metrics or the log: nothing fails and nothing
-// is refused, so only the age of the view and the duration of the call tell that from an
+// is refused, so only the age of the view and the duration of the call distinguish it from an
 // instance that received the change and lost it.
 func TestAgeOfTheConfigurationAndItsCauseAreExported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -115,17 +115,17 @@
 		v.callEnded(nil)
 		v.recordCall(nil, 7, start)
 		if diff := cmp.Diff(viewState{After: 7, Age: time.Minute}, v.state(start.Add(time.Minute))); diff != "" {
-			t.Error("after it:", diff)
+			t.Error("after the call:", diff)
 		}
 		v.callEnded(errNoAnswer)
 		v.callEnded(errNoAnswer)
 		got := v.state(start)
 		if got.Failed != 2 || got.Err == nil {
-			t.Errorf("after two that failed: %+v", got)
+			t.Errorf("after two failed calls: %+v", got)
 		}
 		v.callEnded(nil)
 		if got := v.state(start); got.Failed != 0 || got.Err != nil {
-			t.Errorf("after one that succeeded: %+v", got)
+			t.Errorf("after a successful call: %+v", got)
 		}
 	})
 }
--- a/internal/instance/gatekeeper/resync.go
+++ b/internal/instance/gatekeeper/resync.go
@@ -12,7 +12,7 @@
 
 // Each message about runners carries a checksum of those that its sender knows. After a
 // snapshot only deltas are sent: a receiver that differs, for whatever reason, would differ
-// for good. It requests a snapshot, and meanwhile does not rely on the sender.
+// permanently. It requests a snapshot, and meanwhile does not rely on the sender.
 
 const (
 	// divergenceTimeout is how long the runners may differ before a snapshot is requested, as
@@ -66,29 +66,29 @@
 }
 
 // toggleChecksum adds a runner to the checksum of the domain, or removes it.
-func (d *controller) toggleChecksum(r tracker.Runner) {
-	if r.Domain == d.domain {
-		d.checksum ^= checksum(r)
+func (c *controller) toggleChecksum(r tracker.Runner) {
+	if r.Domain == c.domain {
+		c.checksum ^= checksum(r)
 	}
 }
 
 // matches reports whether the sender has the same runners as this instance. Those whose removal
 // is pending here may be missing there.
-func (g *Gatekeeper) matches(domain string, n relayer.News) bool {
-	d := g.controllers[domain]
-	d.mu.Lock()
-	known := d.checksum
-	d.mu.Unlock()
-	if n.Checksum == known {
-		g.deferToSource(domain, n.Revision)
+func (g *Gatekeeper) matches(domain string, update relayer.News) bool {
+	c := g.controllers[domain]
+	c.mu.Lock()
+	known := c.checksum
+	c.mu.Unlock()
+	if update.Checksum == known {
+		g.deferToSource(domain, update.Revision)
 		return true
 	}
-	return n.Checksum == known^g.pendingChecksum(domain)
+	return update.Checksum == known^g.pendingChecksum(domain)
 }
 
 // deferToSource cancels the pending removals that the sender has read too without removing the
-// runner: its row is back, which is no delta, or the removal is pending there. A leader relies
-// on its own reading.
+// runner: either its row is back, which is not published as a change, or the removal is pending
+// there. A leader relies on its own reading.
 func (g *Gatekeeper) deferToSource(domain string, revision uint64) {
 	if !g.hasPending() || g.leadsAny() {
 		return
--- a/internal/member/leaser/holder.go
+++ b/internal/member/leaser/holder.go
@@ -199,7 +199,7 @@
 }
 
 // Tick returns the actions due at now. The conditions of their transactions decide
-// whether they take effect; a proposal that lost a race has none.
+// whether they take effect; a proposal that lost a race has no effect.
 func (h *Holder) Tick(now time.Time, gone func(incarnation string) bool) []Action {
 	h.init()
 	if h.machine.State == stateHeld && !now.Before(h.deadline) && !h.deadline.IsZero() {
@@ -237,10 +237,10 @@
 	}
 	expired := h.expired(now)
 	var ids []string
-	var drop []Lease
+	var deleteLeases []Lease
 	for _, m := range expired {
 		ids = append(ids, m.ID)
-		drop = append(drop, Lease{Incarnation: m.Incarnation, Serial: h.observed[m.Incarnation].serial})
+		deleteLeases = append(deleteLeases, Lease{Incarnation: m.Incarnation, Serial: h.observed[m.Incarnation].serial})
 	}
 	next := h.roster.Without(ids...)
 	departed := len(next.Departed)
@@ -250,7 +250,7 @@
 	if len(ids) == 0 && (len(next.Departed) == departed || !h.isProposer(expired)) {
 		return Propose{}, false
 	}
-	return Propose{Roster: next, DeleteLeases: drop}, true
+	return Propose{Roster: next, DeleteLeases: deleteLeases}, true
 }
 
 // expired returns the members whose lease row has not changed for the lease
--- a/internal/request/forwarder/quarantine_test.go
+++ b/internal/request/forwarder/quarantine_test.go
@@ -33,7 +33,7 @@
 	for _, tc := range []struct {
 		name     string
 		verdict  time.Duration // when the request is quarantined
-		hold     time.Duration // delay of the prompt
+		delay    time.Duration // delay of the prompt
 		crash    time.Duration // when the first runner crashes; 0 for never
 		attempts int
 		want     judge.Verdict
@@ -45,7 +45,7 @@
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				started := time.Now()
-				q := &quarantine{held: func() bool { return time.Since(started) >= tc.verdict }}
+				q := &quarantine{quarantined: func() bool { return time.Since(started) >= tc.verdict }}
 				u := &upstream{answer: func(context.Context, int, forwarder.Attempt) (*forwarder.Reply, judge.Observation) {
 					if tc.crash > 0 {
 						time.Sleep(tc.crash)
@@ -54,7 +54,7 @@
 					return complete(), nil
 				}}
 				p := placement{reserve: func(forwarder.ReserveRequest) (forwarder.Reservation, *judge.Error, bool) {
-					return forwarder.Reservation{Delay: tc.hold}, nil, true
+					return forwarder.Reservation{Delay: tc.delay}, nil, true
 				}}
 				err := newQuarantineForwarder(u, p, q).Forward(t.Context(), newRequest(&matcher.Route{Kind: matcher.Idempotent, MaxExecutions: 3, LatencyTarget: time.Second, Timeout: 12 * time.Second}), &sink{})
 				if len(u.attempts) != tc.attempts {
--- a/internal/request/quarantiner/evaluate.go
+++ b/internal/request/quarantiner/evaluate.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// candidates returns the requests with enough crashes, in the order in which they are evaluated.
+// candidates returns the requests with enough crashes, in the order in which they are
+// evaluated.
 func (l *Ledger) candidates() []candidate {
 	var candidates []candidate
 	for d, s := range l.suspects {
@@ -57,11 +58,11 @@
 
 // quarantineTime returns how long a request is quarantined after the last of its crashes.
 func quarantineTime(crashes int) time.Duration {
-	tried := crashes - crashThreshold
-	if tried >= maxTrials {
+	trials := crashes - crashThreshold
+	if trials >= maxTrials {
 		return Retention
 	}
-	return firstQuarantine << tried
+	return firstQuarantine << trials
 }
 
 // enforceLimit evicts requests until the ledger is within its limit: first those that are
