--- a/internal/instance/gatekeeper/gatekeeper.go
+++ b/internal/instance/gatekeeper/gatekeeper.go
@@ -194,7 +194,7 @@
 	// While a domain has no leader, adapters are not loaded there: at 4 s an outage of 7 s left
 	// 500 callers without theirs in one recorded day.
 	leaseDuration = 8 * time.Second
-	// quietMargin is added to the configured quiet time between the orders of two leaders, for
+	// quietMargin is added to the configured quiet period between the orders of two leaders, for
 	// an order in transit.
 	quietMargin = 500 * time.Millisecond
 	// foreignTakeoverDelay is how much longer an instance waits before it acquires the lease of
--- a/internal/instance/gatekeeper/link.go
+++ b/internal/instance/gatekeeper/link.go
@@ -74,7 +74,7 @@
 	before := g.headcount.reported()
 	g.headcount.observe(members, time.Now())
 	after := g.headcount.reported()
-	if max(before, after) > 2*min(before, after) { // the count need not be exact: small changes matter little
+	if max(before, after) > 2*min(before, after) { // one instance more or less among hundreds matters little
 		g.Recorder.Log(recorder.View, "msg", "members", "count", after)
 	}
 }
--- a/internal/instance/gatekeeper/stepdown.go
+++ b/internal/instance/gatekeeper/stepdown.go
@@ -21,7 +21,7 @@
 const (
 	// partitionTimeout is how long most runners are unresponsive before the leader steps down. A
 	// lost packet or a slow second is over by then. The next leader sends orders after the
-	// quiet time, some four seconds later, so stepping down for a shorter fault costs more
+	// quiet period, some four seconds later, so stepping down for a shorter fault costs more
 	// than it saves; the faults observed last five seconds or more.
 	partitionTimeout = 700 * time.Millisecond
 	// stepDownBackoff is how long an instance that stepped down leaves the lease to others.
